--- a/internal/app/cmds/cmds_test.go
+++ b/internal/app/cmds/cmds_test.go
@@ -250,8 +250,8 @@
 	asks []string
 }
 
-func (s *stops) Stop()  { s.add("stop") }
-func (s *stops) Hurry() { s.add("hurry") }
+func (s *stops) Stop()           { s.add("stop") }
+func (s *stops) CloseListeners() { s.add("hurry") }
 
 func (s *stops) add(what string) {
 	s.mu.Lock()
--- a/internal/app/cmds/edge.go
+++ b/internal/app/cmds/edge.go
@@ -33,7 +33,7 @@
 			defer stop()
 			return runInstance(cmd.Context(), &edge.Instance{
 				Settings: settings, Log: log, Build: build(),
-				Again: func() (setup.File, error) { return setup.Load(path) },
+				ReadSettings: func() (setup.File, error) { return setup.Load(path) },
 			})
 		},
 	}
--- a/internal/app/cmds/signals.go
+++ b/internal/app/cmds/signals.go
@@ -46,7 +46,7 @@
 // stopper is what signals act on.
 type stopper interface {
 	Stop()
-	Hurry()
+	CloseListeners()
 }
 
 func heed(ctx context.Context, signals <-chan os.Signal, ended <-chan struct{}, s stopper) {
@@ -60,7 +60,7 @@
 	for {
 		select {
 		case <-signals:
-			s.Hurry()
+			s.CloseListeners()
 		case <-ended:
 			return
 		}
--- a/internal/app/daemon/build.go
+++ b/internal/app/daemon/build.go
@@ -33,7 +33,7 @@
 type parts struct {
 	// owner names this incarnation of the instance in leases and records.
 	owner    string
-	halt     *halt.Halt
+	halt     *halt.Drainer
 	meters   *metrics.Set
 	board    *meters.Board
 	spans    *spans.Sender
@@ -89,7 +89,7 @@
 func (d *Daemon) buildSight() {
 	p := &d.parts
 	p.owner = d.Settings.Instance.Name + "/" + uuid.NewString()
-	p.halt = &halt.Halt{Grace: d.Settings.Times.Grace, Log: d.Log}
+	p.halt = &halt.Drainer{Grace: d.Settings.Times.Grace, Log: d.Log}
 	p.meters = metrics.NewSet()
 	p.meters.RegisterMetricsWriter(d.gauges)
 	p.board = &meters.Board{Meters: p.meters}
@@ -104,7 +104,7 @@
 	name := d.Settings.Instance.Name
 	p.planner = &place.Planner{Goal: goal(d.Settings.Goal), DataCentre: d.planned()}
 	p.logic = &core.Logic{ID: spec.InstanceID(name), Seed: xxhash.Sum64String(name), Planner: p.planner}
-	p.loop = &loop.Loop{Logic: p.logic, Other: d.told, Queue: d.Settings.Limits.Queue, Meters: p.meters}
+	p.loop = &loop.Loop{Logic: p.logic, HandleOther: d.told, MaxArrivals: d.Settings.Limits.Queue, Meters: p.meters}
 	p.pool = &engine.Pool{HTTP: &http.Client{}, Post: p.loop.Post, Meters: p.meters}
 	p.controls = &controls{pool: p.pool, http: p.pool.HTTP}
 	p.runner = &chain.Runner{Engines: p.pool, Router: p.loop, KV: p.pool, Meters: p.meters}
@@ -194,7 +194,7 @@
 // repeats says whether calls of a class may run more than once.
 func (d *Daemon) repeats(name spec.ClassName) bool {
 	class, ok := d.parts.book.Class(name)
-	return ok && class.Repeatable()
+	return ok && class.Retryable()
 }
 
 // service names the service of a class, so that a look-up can ask it.
--- a/internal/app/daemon/daemon.go
+++ b/internal/app/daemon/daemon.go
@@ -41,11 +41,11 @@
 	}
 }
 
-// Hurry closes the listeners without waiting for the balancer to turn away.
+// CloseListeners closes the listeners without waiting for the balancer to turn away.
 // Requests in progress go on.
-func (d *Daemon) Hurry() {
+func (d *Daemon) CloseListeners() {
 	if d.build() == nil {
-		d.parts.halt.Hurry()
+		d.parts.halt.CloseListeners()
 	}
 }
 
@@ -147,7 +147,7 @@
 		serve = func(l net.Listener) error { return e.server.ServeTLS(l, "", "") }
 	}
 	if err := serve(e.at); !errors.Is(err, http.ErrServerClosed) {
-		d.parts.halt.Hurry()
+		d.parts.halt.CloseListeners()
 		return errors.Wrapf(err, "daemon: serve %s", e.name)
 	}
 	return nil
--- a/internal/app/daemon/duties.go
+++ b/internal/app/daemon/duties.go
@@ -32,7 +32,7 @@
 // duties runs the duties that fall to this instance, each under its lease.
 type duties struct {
 	*Daemon
-	orders *order.Orders
+	orders *order.Reconciler
 	lease  *lease.Lease
 
 	mu      sync.Mutex
@@ -46,8 +46,8 @@
 	centre := d.unit()
 	out := &duties{Daemon: d, running: map[string]context.CancelFunc{}}
 	out.lease = d.newLease(dutyPlace + centre)
-	out.orders = &order.Orders{
-		Table: d.parts.table, Engines: d.parts.controls, Lease: out.lease, Name: centre, Checks: d.fenced,
+	out.orders = &order.Reconciler{
+		Table: d.parts.table, Sender: d.parts.controls, Lease: out.lease, Duty: centre, ChecksFence: d.fenced,
 		Meters: d.parts.meters,
 	}
 	return out
@@ -142,11 +142,11 @@
 		adopted = fence
 	}
 	for _, p := range u.taken() {
-		if err := u.orders.Set(ctx, p.Engine, holdFrames(p.Holds), ""); err != nil {
+		if err := u.orders.SetDesired(ctx, p.Engine, holdFrames(p.Holds), ""); err != nil {
 			u.Log.Warn("duties: wish not written", zap.String("engine", string(p.Engine)), zap.Error(err))
 		}
 	}
-	if _, err := u.orders.Round(ctx); err != nil {
+	if _, err := u.orders.Reconcile(ctx); err != nil {
 		u.Log.Warn("duties: orders not sent", zap.Error(err))
 	}
 	return adopted
--- a/internal/app/daemon/status.go
+++ b/internal/app/daemon/status.go
@@ -27,7 +27,7 @@
 		out.Instances = p.fleet.instances()
 	}
 	planning := p.duties.lease.Held()
-	err := p.loop.Look(ctx, func() {
+	err := p.loop.Inspect(ctx, func() {
 		if planning {
 			out.Placement = placement(p.planner.Status())
 		}
@@ -62,7 +62,7 @@
 			Name: string(c.Name()), Kind: c.Kind().String(), Percent: t.Percent(),
 			Attained: a.Percent(), Requests: a.Seen, Reliability: reliable, Answered: a.Reliability(),
 			Holds: a.Holds() && a.Reliability() >= reliable,
-			First: timesStatus(t.First(), a.First), Gap: timesStatus(t.Gap(), a.Gap), Whole: timesStatus(t.Whole(), a.Whole),
+			First: timesStatus(t.FirstEvent(), a.First), Gap: timesStatus(t.Gap(), a.Gap), Whole: timesStatus(t.TotalTime(), a.Whole),
 		})
 	}
 	return out
--- a/internal/app/daemon/stop_test.go
+++ b/internal/app/daemon/stop_test.go
@@ -48,7 +48,7 @@
 }
 
 // stopping is an instance's callers' side with all limits on time in force.
-func stopping(g *gated) (*entry.Server, *halt.Halt) {
+func stopping(g *gated) (*entry.Server, *halt.Drainer) {
 	book := &config.Book{}
 	book.Take(snapshot())
 	s := setup.Default()
@@ -58,7 +58,7 @@
 			Body: s.Limits.Body, Header: s.Limits.Header, Tokens: s.Limits.Tokens, Buffer: s.Limits.Buffer,
 			HeaderTime: s.Times.Header, BodyTime: s.Times.Body, WriteTime: s.Times.Write, IdleTime: s.Times.Idle, Comment: s.Times.Comment,
 		},
-	}, &halt.Halt{Grace: s.Times.Grace, Log: zap.NewNop()}
+	}, &halt.Drainer{Grace: s.Times.Grace, Log: zap.NewNop()}
 }
 
 // send posts to the instance and gives the whole answer to got.
@@ -107,7 +107,7 @@
 			synctest.Wait()
 			h.Begin()
 			time.Sleep(time.Hour)
-			h.Hurry()
+			h.CloseListeners()
 			time.Sleep(2 * time.Hour)
 			synctest.Wait()
 			if h.Running() != 2 || len(ended) != 0 {
--- a/internal/app/daemon/tap.go
+++ b/internal/app/daemon/tap.go
@@ -25,10 +25,10 @@
 	case world.EngineSeen:
 		t.seen(ev.Engine)
 	case world.EngineDown:
-		t.parts.duties.orders.Gone(ev.Engine)
+		t.parts.duties.orders.RemoveReport(ev.Engine)
 		t.parts.pool.Break(ev.Engine)
 	case world.EngineGone:
-		t.parts.duties.orders.Gone(ev.Engine)
+		t.parts.duties.orders.RemoveReport(ev.Engine)
 		t.parts.pool.Forget(ev.Engine)
 		t.mu.Lock()
 		delete(t.kinds, ev.Engine)
@@ -44,7 +44,7 @@
 	}
 	t.kinds[e.ID] = e.Kind
 	t.mu.Unlock()
-	t.parts.duties.orders.Seen(e.ID, frame.Engine{Seq: e.Seq, Holds: holdFrames(e.Holds)})
+	t.parts.duties.orders.ApplyReport(e.ID, frame.Engine{Seq: e.Seq, Holds: holdFrames(e.Holds)})
 }
 
 func (t *tap) kind(id spec.UpstreamID) string {
@@ -73,8 +73,8 @@
 	c.pool.Locate(id, base)
 }
 
-// Order sends an order to an engine.
-func (c *controls) Order(ctx context.Context, id spec.UpstreamID, o frame.Order) error {
+// SendOrder sends an order to an engine.
+func (c *controls) SendOrder(ctx context.Context, id spec.UpstreamID, o frame.Order) error {
 	c.mu.Lock()
 	base := c.bases[id]
 	c.mu.Unlock()
--- a/internal/app/edge/belief.go
+++ b/internal/app/edge/belief.go
@@ -14,9 +14,9 @@
 	"go.uber.org/zap"
 )
 
-// belief is what this instance takes to be in force: the newest configuration
+// stateView is what this instance takes to be in force: the newest configuration
 // and the list of upstreams, from the store or from other instances.
-type belief struct {
+type stateView struct {
 	log *zap.Logger
 	// onConfig and onList are called after a change, one call at a time.
 	onConfig func(*site.Config)
@@ -24,62 +24,62 @@
 
 	config atomic.Pointer[site.Config]
 
-	mu    sync.Mutex
-	views map[string]*feed.View
-	list  map[string]site.Upstream
+	mu        sync.Mutex
+	tables    map[string]*feed.View
+	upstreams map[string]site.Upstream
 	// missing are upstreams whose entries are gone, with the time until which
 	// they are kept.
-	missing map[string]time.Time
-	hold    time.Time
-	bad     map[string]bool
-	known   bool
-	// opened is closed once enough is known to serve callers.
-	opened chan struct{}
-	open   bool
-	// read is when the store last told of each table.
-	read map[string]time.Time
-	// news is the version of the last change of each table of which the store told
+	missing          map[string]time.Time
+	keepMissingUntil time.Time
+	malformed        map[string]bool
+	upstreamsKnown   bool
+	// readyCh is closed once enough is known to serve callers.
+	readyCh chan struct{}
+	isReady bool
+	// lastRead is when the store last told of each table.
+	lastRead map[string]time.Time
+	// changedVersions is the version of the last change of each table of which the store told
 	// since takeNews.
-	news map[string]uint64
+	changedVersions map[string]uint64
 }
 
-func newBelief(log *zap.Logger) *belief {
-	return &belief{
-		log: log, opened: make(chan struct{}), views: map[string]*feed.View{platform.TableConfig: {}, platform.TableUpstreams: {Print: printUpstream}},
-		list: map[string]site.Upstream{}, missing: map[string]time.Time{}, bad: map[string]bool{}, read: map[string]time.Time{}, news: map[string]uint64{},
+func newStateView(log *zap.Logger) *stateView {
+	return &stateView{
+		log: log, readyCh: make(chan struct{}), tables: map[string]*feed.View{platform.TableConfig: {}, platform.TableUpstreams: {Fingerprint: fingerprintUpstream}},
+		upstreams: map[string]site.Upstream{}, missing: map[string]time.Time{}, malformed: map[string]bool{}, lastRead: map[string]time.Time{}, changedVersions: map[string]uint64{},
 	}
 }
 
 // Config is the configuration in force; nil before one and the upstreams are
 // known.
-func (b *belief) Config() *site.Config {
+func (b *stateView) Config() *site.Config {
 	select {
-	case <-b.opened:
+	case <-b.readyCh:
 		return b.config.Load()
 	default:
 		return nil
 	}
 }
 
-// Await waits for the first configuration.
-func (b *belief) Await(ctx context.Context) *site.Config {
+// AwaitConfig waits for the first configuration.
+func (b *stateView) AwaitConfig(ctx context.Context) *site.Config {
 	select {
-	case <-b.opened:
+	case <-b.readyCh:
 	case <-ctx.Done():
 	}
 	return b.Config()
 }
 
-// look opens for callers once enough is known; b.mu is held.
-func (b *belief) look() {
-	if !b.open && b.known && b.config.Load() != nil {
-		b.open = true
-		close(b.opened)
+// openIfReady opens for callers once enough is known; b.mu is held.
+func (b *stateView) openIfReady() {
+	if !b.isReady && b.upstreamsKnown && b.config.Load() != nil {
+		b.isReady = true
+		close(b.readyCh)
 	}
 }
 
 // limits are those in force; none before a configuration is known.
-func (b *belief) limits() site.Limits {
+func (b *stateView) limits() site.Limits {
 	if c := b.config.Load(); c != nil {
 		return c.Limits
 	}
@@ -87,92 +87,92 @@
 }
 
 // ready reports whether enough is known to serve callers.
-func (b *belief) ready() bool {
+func (b *stateView) ready() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.open
+	return b.isReady
 }
 
 // Version is up to where a table is known.
-func (b *belief) Version(table string) uint64 {
+func (b *stateView) Version(table string) uint64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.views[table].Version()
+	return b.tables[table].Version()
 }
 
 // Since returns the changes of a table after a version, or all of it since 0.
-func (b *belief) Since(table string, version uint64) (since uint64, p feed.Page) {
+func (b *stateView) Since(table string, version uint64) (since uint64, p feed.Page) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.views[table].Since(version)
+	return b.tables[table].ChangesSince(version)
 }
 
-// Whole takes a whole table from the store.
-func (b *belief) Whole(table string, p feed.Page) {
+// ApplySnapshot takes a whole table from the store.
+func (b *stateView) ApplySnapshot(table string, p feed.Page) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	first := b.views[table].Version() == 0
-	changed := b.views[table].Whole(p)
-	b.read[table] = time.Now()
+	first := b.tables[table].Version() == 0
+	changed := b.tables[table].ApplySnapshot(p)
+	b.lastRead[table] = time.Now()
 	if !first {
 		// What a start brings is no news: all that run know it or read it themselves.
-		b.note(table, changed)
+		b.recordChanges(table, changed)
 	}
-	b.known = b.known || table == platform.TableUpstreams
-	b.take(table, changed, "store")
-	b.look()
+	b.upstreamsKnown = b.upstreamsKnown || table == platform.TableUpstreams
+	b.applyRows(table, changed, "store")
+	b.openIfReady()
 }
 
-// Changes takes what changed from the store.
-func (b *belief) Changes(table string, since uint64, p feed.Page) {
+// ApplyChanges takes what changed from the store.
+func (b *stateView) ApplyChanges(table string, since uint64, p feed.Page) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.read[table] = time.Now()
-	changed := b.views[table].Changes(since, p)
-	b.note(table, changed)
-	b.take(table, changed, "store")
-	b.look()
+	b.lastRead[table] = time.Now()
+	changed := b.tables[table].ApplyChanges(since, p)
+	b.recordChanges(table, changed)
+	b.applyRows(table, changed, "store")
+	b.openIfReady()
 }
 
-// Told takes what another instance knows.
-func (b *belief) Told(table string, since uint64, rows []feed.Row, m feed.Mark, from spec.InstanceID) {
+// ApplyPeerChanges takes what another instance knows.
+func (b *stateView) ApplyPeerChanges(table string, since uint64, rows []feed.Row, m feed.Checkpoint, from spec.InstanceID) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.views[table] == nil {
+	if b.tables[table] == nil {
 		return
 	}
-	changed := b.views[table].Told(since, rows, m)
-	b.known = b.known || table == platform.TableUpstreams && since == 0 && len(rows) > 0
-	b.take(table, changed, string(from))
-	b.look()
+	changed := b.tables[table].ApplyPeerChanges(since, rows, m)
+	b.upstreamsKnown = b.upstreamsKnown || table == platform.TableUpstreams && since == 0 && len(rows) > 0
+	b.applyRows(table, changed, string(from))
+	b.openIfReady()
 }
 
-// Known takes how much another instance knows.
-func (b *belief) Known(table string, m feed.Mark) {
+// ConfirmVersion takes how much another instance knows.
+func (b *stateView) ConfirmVersion(table string, m feed.Checkpoint) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if v := b.views[table]; v != nil {
-		v.Confirm(m)
+	if v := b.tables[table]; v != nil {
+		v.ConfirmVersion(m)
 	}
 }
 
-// Reach notes that the store answers again, or no more.
-func (b *belief) Reach(table string, ok bool) {
+// SetReachable notes that the store answers again, or no more.
+func (b *stateView) SetReachable(table string, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if ok && b.known && table == platform.TableUpstreams {
-		b.hold = time.Now().Add(returnHold)
+	if ok && b.upstreamsKnown && table == platform.TableUpstreams {
+		b.keepMissingUntil = time.Now().Add(missingUpstreamGrace)
 	}
 }
 
 // age is how long ago the store last told of all tables; negative if it has not
 // told of one.
-func (b *belief) age() time.Duration {
+func (b *stateView) age() time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	oldest := time.Duration(0)
-	for table := range b.views {
-		at, ok := b.read[table]
+	for table := range b.tables {
+		at, ok := b.lastRead[table]
 		if !ok {
 			return -time.Millisecond
 		}
@@ -181,59 +181,59 @@
 	return oldest
 }
 
-// note keeps what the store told for the other instances; b.mu is held.
-func (b *belief) note(table string, changed []feed.Row) {
+// recordChanges keeps what the store told for the other instances; b.mu is held.
+func (b *stateView) recordChanges(table string, changed []feed.Row) {
 	for _, r := range changed {
-		b.news[table] = max(b.news[table], r.Version)
+		b.changedVersions[table] = max(b.changedVersions[table], r.Version)
 	}
 }
 
-// takeNews returns the version of the last change of each table of which the store
+// takeChangedVersions returns the version of the last change of each table of which the store
 // told since the last call.
-func (b *belief) takeNews() map[string]uint64 {
+func (b *stateView) takeChangedVersions() map[string]uint64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if len(b.news) == 0 {
+	if len(b.changedVersions) == 0 {
 		return nil
 	}
-	news := b.news
-	b.news = map[string]uint64{}
+	news := b.changedVersions
+	b.changedVersions = map[string]uint64{}
 	return news
 }
 
 // marks is how much is known of each table.
-func (b *belief) marks() map[string]feed.Mark {
+func (b *stateView) marks() map[string]feed.Checkpoint {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	out := make(map[string]feed.Mark, len(b.views))
-	for name, v := range b.views {
-		out[name] = v.Mark()
+	out := make(map[string]feed.Checkpoint, len(b.tables))
+	for name, v := range b.tables {
+		out[name] = v.Checkpoint()
 	}
 	return out
 }
 
-// take turns changed rows into what is in force; b.mu is held.
-func (b *belief) take(table string, changed []feed.Row, source string) {
+// applyRows turns changed rows into what is in force; b.mu is held.
+func (b *stateView) applyRows(table string, changed []feed.Row, source string) {
 	if len(changed) == 0 {
 		return
 	}
 	if table == platform.TableConfig {
 		for _, r := range changed {
-			b.takeConfig(r, source)
+			b.applyConfig(r, source)
 		}
 		return
 	}
 	for _, r := range changed {
-		b.takeUpstream(r, source)
+		b.applyUpstream(r, source)
 	}
 	b.publish()
 }
 
-func (b *belief) takeConfig(r feed.Row, source string) {
-	if r.Gone {
+func (b *stateView) applyConfig(r feed.Row, source string) {
+	if r.Deleted {
 		return
 	}
-	c, ok, err := platform.Config(r.Key, r.Value)
+	c, ok, err := platform.ParseConfig(r.Key, r.Value)
 	if err != nil {
 		b.log.Error("edge: configuration not understood, the former one stays", zap.String("source", source), zap.Uint64("row", r.Version), zap.Error(err))
 		return
--- a/internal/app/edge/caller_test.go
+++ b/internal/app/edge/caller_test.go
@@ -14,8 +14,8 @@
 	"fulmarwick/platform/stand"
 )
 
-// raw is a connection to instance 0 on which the caller writes what it likes.
-func (w *world) raw(text string) net.Conn {
+// openRawConn is a connection to instance 0 on which the caller writes what it likes.
+func (w *fixture) openRawConn(text string) net.Conn {
 	w.t.Helper()
 	conn, err := w.site.Dial(context.Background(), "tcp", depot.Settings(0).Listen.Callers)
 	if err != nil {
@@ -27,8 +27,8 @@
 	return conn
 }
 
-// written is a request of a caller as it goes over the wire.
-func (w *world) written(path, id, tokens string) string {
+// encodeRequest is a request of a caller as it goes over the wire.
+func (w *fixture) encodeRequest(path, id, tokens string) string {
 	w.t.Helper()
 	req, err := stand.NewRequest(context.Background(), http.MethodPost, "http://site.example"+path, id, tokens)
 	if err != nil {
@@ -58,13 +58,13 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := open(t, 1)
+				w := newFixture(t, 1)
 				defer w.close()
 				start := time.Now()
-				text := w.written("/book/1", "slow-"+test.name, "")
-				conn := w.raw(text[:len(text)-test.left])
+				text := w.encodeRequest("/book/1", "slow-"+test.name, "")
+				conn := w.openRawConn(text[:len(text)-test.left])
 				defer func() { _ = conn.Close() }()
-				if a := w.ask(0, http.MethodPost, "/book/1", "other", ""); a.status != http.StatusOK {
+				if a := w.request(0, http.MethodPost, "/book/1", "other", ""); a.status != http.StatusOK {
 					t.Errorf("got %d (%v) for another caller, want its booking", a.status, a.err)
 				}
 				answer, err := io.ReadAll(conn)
@@ -87,17 +87,17 @@
 // others beside it are in time.
 func TestCallerThatDoesNotRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := open(t, 1)
+		w := newFixture(t, 1)
 		defer w.close()
-		conn := w.raw(w.written("/write/1", "unread", "300,60000"))
+		conn := w.openRawConn(w.encodeRequest("/write/1", "unread", "300,60000"))
 		defer func() { _ = conn.Close() }()
-		for k, a := range w.flood(40, func() {}) {
-			if a.longest > 200*time.Millisecond {
-				t.Errorf("got a pause of %s in answer %d, want 200ms at most", a.longest, k)
+		for k, a := range w.sendStreams(40, func() {}) {
+			if a.longestGap > 200*time.Millisecond {
+				t.Errorf("got a pause of %s in answer %d, want 200ms at most", a.longestGap, k)
 			}
 		}
 		time.Sleep(21 * time.Second)
-		if n := w.busiest().Running(); n != 0 {
+		if n := w.busiestEngine().Running(); n != 0 {
 			t.Errorf("got %d runs after the deadline, want none", n)
 		}
 	})
--- a/internal/app/edge/conns.go
+++ b/internal/app/edge/conns.go
@@ -10,112 +10,112 @@
 	"fulmarwick/internal/base/site"
 )
 
-// conns bounds how long callers may take for the head of a request and leave a
+// connLimiter bounds how long callers may take for the head of a request and leave a
 // connection unused, as the configuration in force says. Without it a caller
 // that stops in a head holds a connection for headerTime.
-type conns struct {
+type connLimiter struct {
 	limits func() site.Limits
 }
 
 // connKey is where the context of a request has its connection.
 type connKey struct{}
 
-// bind has the server of an end keep to the limits.
-func (c *conns) bind(e *end) {
+// attach has the server of an end keep to the limits.
+func (c *connLimiter) attach(e *endpoint) {
 	next := e.server.Handler
-	e.at = &listener{Listener: e.at, conns: c}
+	e.listener = &limitedListener{Listener: e.listener, limiter: c}
 	e.server.ConnState = func(n net.Conn, s http.ConnState) {
-		if conn, ok := n.(*conn); ok {
-			conn.state(s)
+		if conn, ok := n.(*limitedConn); ok {
+			conn.onStateChange(s)
 		}
 	}
 	e.server.ConnContext = func(ctx context.Context, n net.Conn) context.Context {
 		return context.WithValue(ctx, connKey{}, n)
 	}
 	e.server.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if conn, ok := r.Context().Value(connKey{}).(*conn); ok {
-			conn.headed()
+		if conn, ok := r.Context().Value(connKey{}).(*limitedConn); ok {
+			conn.onHeadRead()
 		}
 		next.ServeHTTP(w, r)
 	})
 }
 
-type listener struct {
+type limitedListener struct {
 	net.Listener
-	conns *conns
+	limiter *connLimiter
 }
 
 // Accept returns a connection that keeps to the limits.
-func (l *listener) Accept() (net.Conn, error) {
+func (l *limitedListener) Accept() (net.Conn, error) {
 	n, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &conn{Conn: n, conns: l.conns, waits: true}, nil
+	return &limitedConn{Conn: n, limiter: l.limiter, awaitingHead: true}, nil
 }
 
-// conn is a connection of a caller.
-type conn struct {
+// limitedConn is a connection of a caller.
+type limitedConn struct {
 	net.Conn
-	conns *conns
+	limiter *connLimiter
 
 	mu sync.Mutex
-	// waits is set while no byte of the next head has come.
-	waits bool
-	timer *time.Timer
+	// awaitingHead is set while no byte of the next head has come.
+	awaitingHead bool
+	timer        *time.Timer
 }
 
 // Read notes the first byte of a head.
-func (c *conn) Read(p []byte) (int, error) {
+func (c *limitedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if c.waits {
-			c.waits = false
-			c.close(within(c.conns.limits().Wait, headerTime))
+		if c.awaitingHead {
+			c.awaitingHead = false
+			c.closeAfter(capTimeout(c.limiter.limits().HeaderTimeout, headerTimeout))
 		}
 	}
 	return n, err
 }
 
-// state is told of the end of an answer and of the connection.
-func (c *conn) state(s http.ConnState) {
+// onStateChange is told of the end of an answer and of the connection.
+func (c *limitedConn) onStateChange(s http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch s {
 	case http.StateIdle:
-		c.waits = true
-		c.close(max(idleTime, c.conns.limits().Idle))
+		c.awaitingHead = true
+		c.closeAfter(max(minIdleTimeout, c.limiter.limits().IdleTimeout))
 	case http.StateClosed, http.StateHijacked:
-		c.keep()
+		c.cancelClose()
 	}
 }
 
-// headed notes that a head has come whole.
-func (c *conn) headed() {
+// onHeadRead notes that a head has come whole.
+func (c *limitedConn) onHeadRead() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.waits = false
-	c.keep()
+	c.awaitingHead = false
+	c.cancelClose()
 }
 
-// close ends the connection after a time; c.mu is held.
-func (c *conn) close(after time.Duration) {
-	c.keep()
+// closeAfter ends the connection after a time; c.mu is held.
+func (c *limitedConn) closeAfter(after time.Duration) {
+	c.cancelClose()
 	c.timer = time.AfterFunc(after, func() { _ = c.Close() })
 }
 
-// keep undoes close; c.mu is held.
-func (c *conn) keep() {
+// cancelClose undoes close; c.mu is held.
+func (c *limitedConn) cancelClose() {
 	if c.timer != nil {
 		c.timer.Stop()
 		c.timer = nil
 	}
 }
 
-// within is a configured time, most at the highest; most if there is none.
-func within(d, most time.Duration) time.Duration {
+// capTimeout is a configured time, most at the highest; most if there is none.
+func capTimeout(d, most time.Duration) time.Duration {
 	if d <= 0 {
 		return most
 	}
--- a/internal/app/edge/leave_test.go
+++ b/internal/app/edge/leave_test.go
@@ -11,13 +11,13 @@
 	"fulmarwick/platform/stand"
 )
 
-// streamsAcross runs streams of 400 events through one instance and calls event
+// runStreams runs streams of 400 events through one instance and calls event
 // once all of them are being answered. Each must be whole.
-func (w *world) streamsAcross(n int, event func()) {
+func (w *fixture) runStreams(n int, event func()) {
 	w.t.Helper()
-	done := make(chan answer, n)
+	done := make(chan callerResponse, n)
 	for k := range n {
-		go func() { done <- w.ask(0, http.MethodPost, "/write/1", fmt.Sprintf("long-%d", k), "300,1200") }()
+		go func() { done <- w.request(0, http.MethodPost, "/write/1", fmt.Sprintf("long-%d", k), "300,1200") }()
 	}
 	time.Sleep(500 * time.Millisecond)
 	event()
@@ -30,19 +30,19 @@
 
 // Guards against cutting a stream whose engine leaves but still makes it, while no
 // other engine has room to go on with it.
-func TestLeavingEngineKeepsStreamsWhileOthersAreFull(t *testing.T) {
+func TestLeavingEngineKeepsStreamsWhileOthersLackMemory(t *testing.T) {
 	for name, refusePaths := range map[string]bool{"other paths taken": false, "other paths refused": true} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := open(t, 1)
+				w := newFixture(t, 1)
 				defer w.close()
-				w.streamsAcross(12, func() {
-					w.site.RefuseRuns(true)
+				w.runStreams(12, func() {
+					w.site.RejectRuns(true)
 					if refusePaths {
-						w.site.RefusePaths()
+						w.site.RejectRepaths()
 					}
 					for range 4 {
-						w.site.Drain(w.busiestReady())
+						w.site.DrainEngine(w.busiestReadyEngine())
 						time.Sleep(300 * time.Millisecond)
 					}
 				})
@@ -53,18 +53,20 @@
 
 // Guards against giving up a stream whose engine died at the first refusal by
 // another one, though there is room a moment later.
-func TestBrokenStreamWaitsForRoom(t *testing.T) {
+func TestStreamOfDeadEngineWaitsForCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := openWith(t, 1, setup.Retry{Ratio: 0, Allowance: 40, Window: 10 * time.Second})
+		w := newFixtureWithRetry(t, 1, setup.Retry{Ratio: 0, Allowance: 40, Window: 10 * time.Second})
 		defer w.close()
-		w.streamsAcross(4, func() {
-			w.site.RefuseRuns(true)
-			w.site.Crash(w.busiestReady())
+		w.runStreams(4, func() {
+			w.site.RejectRuns(true)
+			w.site.Crash(w.busiestReadyEngine())
 			time.Sleep(1200 * time.Millisecond)
-			w.site.RefuseRuns(false)
+			w.site.RejectRuns(false)
 		})
 	})
 }
 
-// busiestReady is the engine with the most runs as their first that does not leave.
-func (w *world) busiestReady() *stand.Engine { return w.busiestOf((*stand.Engine).Sound) }
+// busiestReadyEngine is the engine with the most runs as their first that does not leave.
+func (w *fixture) busiestReadyEngine() *stand.Engine {
+	return w.busiestEngineOf((*stand.Engine).Serving)
+}
--- a/internal/app/edge/memory_test.go
+++ b/internal/app/edge/memory_test.go
@@ -15,15 +15,15 @@
 	"go.uber.org/zap"
 )
 
-// BenchmarkHeldMemory tells how much memory an instance holds: started, and with
+// BenchmarkMemoryInUse tells how much memory an instance holds: started, and with
 // 200 streams on their way, on a real clock. What the stand-in and the callers
 // hold in the same process is taken off as far as it is there before them.
-func BenchmarkHeldMemory(b *testing.B) {
+func BenchmarkMemoryInUse(b *testing.B) {
 	for b.Loop() {
 		site := stand.NewSite()
 		site.Store.Put("op", "config", site.Config(1))
-		site.Fill()
-		before := held()
+		site.AddUpstreams()
+		before := memoryInUse()
 		i := &edge.Instance{Settings: depot.Settings(0), Log: zap.NewNop(), Dial: site.Dial, Listen: site.Net.Listen}
 		var ended sync.WaitGroup
 		ended.Go(func() {
@@ -32,7 +32,7 @@
 			}
 		})
 		time.Sleep(9 * time.Second)
-		idle := held()
+		idle := memoryInUse()
 		client := &http.Client{Transport: &http.Transport{DialContext: site.Dial}}
 		var callers sync.WaitGroup
 		for n := range 200 {
@@ -48,12 +48,12 @@
 					return
 				}
 				defer func() { _ = resp.Body.Close() }()
-				var a answer
-				a.read(resp.Body, time.Now())
+				var a callerResponse
+				a.readEvents(resp.Body, time.Now())
 			})
 		}
 		time.Sleep(time.Second)
-		loaded := held()
+		loaded := memoryInUse()
 		callers.Wait()
 		client.CloseIdleConnections()
 		i.Stop()
@@ -64,8 +64,8 @@
 	}
 }
 
-// held is the memory in use, in bytes.
-func held() int64 {
+// memoryInUse is the memory in use, in bytes.
+func memoryInUse() int64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/internal/app/edge/mesh.go
+++ b/internal/app/edge/mesh.go
@@ -25,15 +25,15 @@
 )
 
 const (
-	// meshSilence closes a connection to an instance that brings nothing: six
+	// meshIdleTimeout closes a connection to an instance that brings nothing: six
 	// messages were due.
-	meshSilence = 1200 * time.Millisecond
+	meshIdleTimeout = 1200 * time.Millisecond
 	// rosterTable holds a row for each instance, under its name.
 	rosterTable = "instances"
-	// rosterEvery is the pause between two reads of the roster while no other
+	// rosterInterval is the pause between two reads of the roster while no other
 	// instance is heard, rosterPause that after a failed call.
-	rosterEvery = 5 * time.Second
-	rosterPause = 400 * time.Millisecond
+	rosterInterval   = 5 * time.Second
+	rosterRetryDelay = 400 * time.Millisecond
 )
 
 // rosterRow tells where an instance answers others.
@@ -42,119 +42,119 @@
 	DataCentre spec.DataCentre `cbor:"2,keyasint,omitempty"`
 }
 
-// crowd is the other instances: it tells them what this one knows and takes
+// meshNode is the other instances: it tells them what this one knows and takes
 // what they tell.
-type crowd struct {
+type meshNode struct {
 	id     spec.InstanceID
 	centre spec.DataCentre
 	url    string
 	store  *platform.Store
-	belief *belief
+	state  *stateView
 	router *router
 	log    *zap.Logger
 	dial   func(ctx context.Context, network, address string) (net.Conn, error)
 	meters *metrics.Set
-	// behind counts how often others knew more and did not tell it.
-	behind func()
-	// suspect is told of engines that others found dead.
-	suspect func(id spec.UpstreamID)
-	logic   *mesh.Logic
-	hub     *peer.Hub
-
-	// written and listed tell that the own row of the roster was written and those
+	// countBehind counts how often others knew more and did not tell it.
+	countBehind func()
+	// onReportedDead is told of engines that others found dead.
+	onReportedDead func(id spec.UpstreamID)
+	logic          *mesh.Logic
+	hub            *peer.Hub
+
+	// rosterWritten and listed tell that the own row of the roster was written and those
 	// of the others were read after it; for enlist alone.
-	written bool
-	listed  bool
+	rosterWritten bool
+	rosterRead    bool
 
-	mu    sync.Mutex
-	dead  []spec.UpstreamID
-	alive map[spec.InstanceID]bool
+	mu             sync.Mutex
+	unreportedDead []spec.UpstreamID
+	livePeers      map[spec.InstanceID]bool
 }
 
-// open makes the connection parts.
-func (c *crowd) open() {
-	c.alive = map[spec.InstanceID]bool{}
-	c.logic = &mesh.Logic{ID: c.id, DataCentre: c.centre, URL: c.url, Self: c, Taker: c, Now: time.Now}
-	c.hub = &peer.Hub{Self: node.Peer{ID: c.id, URL: c.url}, Logic: c.logic, Silence: meshSilence, Dial: c.dial, Log: c.log, Meters: c.meters}
+// initHub makes the connection parts.
+func (c *meshNode) initHub() {
+	c.livePeers = map[spec.InstanceID]bool{}
+	c.logic = &mesh.Logic{ID: c.id, DataCentre: c.centre, URL: c.url, Local: c, Receiver: c, Now: time.Now}
+	c.hub = &peer.Hub{Self: node.Peer{ID: c.id, URL: c.url}, Logic: c.logic, Silence: meshIdleTimeout, Dial: c.dial, Log: c.log, Meters: c.meters}
 }
 
-func (c *crowd) handler() http.Handler { return c.hub.Handler() }
+func (c *meshNode) handler() http.Handler { return c.hub.Handler() }
 
-func (c *crowd) run(ctx context.Context) {
+func (c *meshNode) run(ctx context.Context) {
 	if err := c.hub.Run(ctx); err != nil {
 		c.log.Error("edge: mesh ended", zap.Error(err))
 	}
 }
 
-// enlist writes the own row of the roster and finds the others by it. Those
+// maintainRoster writes the own row of the roster and finds the others by it. Those
 // that come later find this instance.
-func (c *crowd) enlist(ctx context.Context) {
+func (c *meshNode) maintainRoster(ctx context.Context) {
 	for ctx.Err() == nil {
-		err := c.round(ctx)
-		pause := rosterEvery
+		err := c.syncRoster(ctx)
+		pause := rosterInterval
 		if err != nil {
 			c.log.Info("edge: roster not reached", zap.Error(err))
-			pause = rosterPause
+			pause = rosterRetryDelay
 		}
 		if !feed.Sleep(ctx, pause) {
 			break
 		}
 	}
-	if c.written {
-		c.leave(context.WithoutCancel(ctx))
+	if c.rosterWritten {
+		c.removeRosterRow(context.WithoutCancel(ctx))
 	}
 }
 
-// round writes the own row and then reads those of the others, once: of two
+// syncRoster writes the own row and then reads those of the others, once: of two
 // instances the one that writes later finds the other. To be heard by one of them
 // is not to know all; with none heard it looks again.
-func (c *crowd) round(ctx context.Context) error {
-	if !c.written {
-		if err := c.write(ctx); err != nil {
+func (c *meshNode) syncRoster(ctx context.Context) error {
+	if !c.rosterWritten {
+		if err := c.writeRosterRow(ctx); err != nil {
 			return err
 		}
-		c.written = true
+		c.rosterWritten = true
 	}
-	if c.listed && c.heard() {
+	if c.rosterRead && c.hasPeers() {
 		return nil
 	}
-	p, err := c.store.Rows(ctx, rosterTable)
+	p, err := c.store.ReadTable(ctx, rosterTable)
 	if err != nil {
 		return err
 	}
-	c.hub.Post(node.Listed{Peers: c.peers(p)})
-	c.listed = true
+	c.hub.Post(node.Listed{Peers: c.decodeRoster(p)})
+	c.rosterRead = true
 	return nil
 }
 
-func (c *crowd) heard() bool {
+func (c *meshNode) hasPeers() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.alive) > 0
+	return len(c.livePeers) > 0
 }
 
-func (c *crowd) key() string { return rosterTable + "/" + string(c.id) }
+func (c *meshNode) rosterKey() string { return rosterTable + "/" + string(c.id) }
 
-// write writes the own row. Most instances start for the first time, so that the row
+// writeRosterRow writes the own row. Most instances start for the first time, so that the row
 // of a former process is looked for only if there is one.
-func (c *crowd) write(ctx context.Context) error {
+func (c *meshNode) writeRosterRow(ctx context.Context) error {
 	data, err := cbor.Marshal(rosterRow{URL: c.url, DataCentre: c.centre})
 	if err != nil {
 		return errors.Wrap(err, "edge: roster")
 	}
-	_, err = c.store.Commit(ctx, []store.Write{store.Put(c.key(), 0, data)})
+	_, err = c.store.Commit(ctx, []store.Write{store.Put(c.rosterKey(), 0, data)})
 	if !errors.Is(err, store.ErrConflict) {
 		return err
 	}
-	row, err := c.store.Get(ctx, c.key())
+	row, err := c.store.Get(ctx, c.rosterKey())
 	if err != nil {
 		return err
 	}
-	_, err = c.store.Commit(ctx, []store.Write{store.Put(c.key(), row.Version(), data)})
+	_, err = c.store.Commit(ctx, []store.Write{store.Put(c.rosterKey(), row.Version(), data)})
 	return err
 }
 
-func (c *crowd) peers(p feed.Page) []node.Peer {
+func (c *meshNode) decodeRoster(p feed.Page) []node.Peer {
 	var out []node.Peer
 	for _, r := range p.Rows {
 		var row rosterRow
@@ -167,117 +167,121 @@
 	return out
 }
 
-// leave removes the own row, so that nobody dials an instance that left.
-func (c *crowd) leave(ctx context.Context) {
-	row, err := c.store.Get(ctx, c.key())
+// removeRosterRow removes the own row, so that nobody dials an instance that left.
+func (c *meshNode) removeRosterRow(ctx context.Context) {
+	row, err := c.store.Get(ctx, c.rosterKey())
 	if err == nil {
-		_, err = c.store.Commit(ctx, []store.Write{store.Remove(c.key(), row.Version())})
+		_, err = c.store.Commit(ctx, []store.Write{store.Remove(c.rosterKey(), row.Version())})
 	}
 	if err != nil {
 		c.log.Info("edge: row of the roster stays", zap.Error(err))
 	}
 }
 
-// found notes an engine that did not answer, for the others.
-func (c *crowd) found(id spec.UpstreamID) {
+// addDead notes an engine that did not answer, for the others.
+func (c *meshNode) addDead(id spec.UpstreamID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.dead = append(c.dead, id)
+	c.unreportedDead = append(c.unreportedDead, id)
 }
 
-// Uses is what the own requests take.
-func (c *crowd) Uses() map[string]map[spec.UpstreamID]path.Use { return c.router.uses() }
+// Usage is what the own requests take.
+func (c *meshNode) Usage() map[string]map[spec.UpstreamID]path.Usage { return c.router.localUsage() }
 
-// Marks is how much is known of each table.
-func (c *crowd) Marks() map[string]feed.Mark { return c.belief.marks() }
+// Checkpoints is how much is known of each table.
+func (c *meshNode) Checkpoints() map[string]feed.Checkpoint { return c.state.marks() }
 
-// Age is how long ago the store last told of all tables.
-func (c *crowd) Age() time.Duration { return c.belief.age() }
+// SyncAge is how long ago the store last told of all tables.
+func (c *meshNode) SyncAge() time.Duration { return c.state.age() }
 
-// Paces are the engines that work slower than usual.
-func (c *crowd) Paces() map[spec.UpstreamID]float64 { return c.router.paces() }
+// Slowdowns are the engines that work slower than usual.
+func (c *meshNode) Slowdowns() map[spec.UpstreamID]float64 { return c.router.localSlowdowns() }
 
-// Urgent tells that engines were found dead.
-func (c *crowd) Urgent() bool {
+// HasUrgent tells that engines were found dead.
+func (c *meshNode) HasUrgent() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.dead) > 0
+	return len(c.unreportedDead) > 0
 }
 
-// News is the last changes of which the store told.
-func (c *crowd) News() map[string]uint64 { return c.belief.takeNews() }
+// TakeChangedVersions is the last changes of which the store told.
+func (c *meshNode) TakeChangedVersions() map[string]uint64 { return c.state.takeChangedVersions() }
 
-// Since returns the changes of a table.
-func (c *crowd) Since(table string, version uint64) (since uint64, p feed.Page) {
-	return c.belief.Since(table, version)
+// ChangesSince returns the changes of a table.
+func (c *meshNode) ChangesSince(table string, version uint64) (since uint64, p feed.Page) {
+	return c.state.Since(table, version)
 }
 
-// Fresh returns what was found since the last call.
-func (c *crowd) Fresh() (dead []spec.UpstreamID, crashes []crash.Death) {
+// TakeFailures returns what was found since the last call.
+func (c *meshNode) TakeFailures() (dead []spec.UpstreamID, crashes []crash.Event) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	dead = c.dead
-	c.dead = nil
-	return dead, c.router.freshCrashes()
+	dead = c.unreportedDead
+	c.unreportedDead = nil
+	return dead, c.router.takeCrashes()
 }
 
-// Used takes what the requests of another instance or of several take.
-func (c *crowd) Used(from spec.InstanceID, uses map[string]map[spec.UpstreamID]path.Use) {
-	c.router.used(from, uses)
+// ReceiveUsage takes what the requests of another instance or of several take.
+func (c *meshNode) ReceiveUsage(from spec.InstanceID, uses map[string]map[spec.UpstreamID]path.Usage) {
+	c.router.applyPeerUsage(from, uses)
 }
 
-// Paced takes how slow engines are.
-func (c *crowd) Paced(from spec.InstanceID, paces map[spec.UpstreamID]float64) {
-	c.router.paced(from, paces)
+// ReceiveSlowdowns takes how slow engines are.
+func (c *meshNode) ReceiveSlowdowns(from spec.InstanceID, paces map[spec.UpstreamID]float64) {
+	c.router.applyPeerSlowdowns(from, paces)
 }
 
-// Repeats is how often the own requests were sent.
-func (c *crowd) Repeats() map[string]again.Count { return c.router.repeats() }
+// Retries is how often the own requests were sent.
+func (c *meshNode) Retries() map[string]again.Usage { return c.router.localRetries() }
 
-// Repeated takes how often requests of other instances were sent.
-func (c *crowd) Repeated(from spec.InstanceID, repeats map[string]again.Count) {
-	c.router.repeated(from, repeats)
+// ReceiveRetries takes how often requests of other instances were sent.
+func (c *meshNode) ReceiveRetries(from spec.InstanceID, repeats map[string]again.Usage) {
+	c.router.applyPeerRetries(from, repeats)
 }
 
-// Told takes rows that another instance knows.
-func (c *crowd) Told(table string, since uint64, rows []feed.Row, m feed.Mark, from spec.InstanceID) {
-	c.belief.Told(table, since, rows, m, from)
+// ReceiveRows takes rows that another instance knows.
+func (c *meshNode) ReceiveRows(table string, since uint64, rows []feed.Row, m feed.Checkpoint, from spec.InstanceID) {
+	c.state.ApplyPeerChanges(table, since, rows, m, from)
 }
 
-// Known takes how much another instance knows.
-func (c *crowd) Known(table string, m feed.Mark) { c.belief.Known(table, m) }
+// ReceiveCheckpoint takes how much another instance knows.
+func (c *meshNode) ReceiveCheckpoint(table string, m feed.Checkpoint) {
+	c.state.ConfirmVersion(table, m)
+}
 
-// Behind notes that others know more and do not tell it.
-func (c *crowd) Behind(table string, known, there uint64) {
+// ReportLag notes that others know more and do not tell it.
+func (c *meshNode) ReportLag(table string, known, there uint64) {
 	c.log.Warn("edge: others know more, reading the store", zap.String("table", table), zap.Uint64("version", known), zap.Uint64("theirs", there))
-	c.behind()
+	c.countBehind()
 }
 
-// Dead asks engines that another instance found dead.
-func (c *crowd) Dead(_ spec.InstanceID, engines []spec.UpstreamID) {
+// ReceiveDead asks engines that another instance found dead.
+func (c *meshNode) ReceiveDead(_ spec.InstanceID, engines []spec.UpstreamID) {
 	for _, id := range engines {
-		c.suspect(id)
+		c.onReportedDead(id)
 	}
 }
 
-// Crashed takes deaths of upstreams with the requests that they ran.
-func (c *crowd) Crashed(_ spec.InstanceID, deaths []crash.Death) { c.router.crashed(deaths) }
+// ReceiveCrashes takes deaths of upstreams with the requests that they ran.
+func (c *meshNode) ReceiveCrashes(_ spec.InstanceID, deaths []crash.Event) {
+	c.router.applyPeerCrashes(deaths)
+}
 
-// Met notes an instance that is heard.
-func (c *crowd) Met(id spec.InstanceID) {
+// PeerJoined notes an instance that is heard.
+func (c *meshNode) PeerJoined(id spec.InstanceID) {
 	c.log.Info("edge: instance met", zap.String("peer", string(id)))
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.alive[id] = true
+	c.livePeers[id] = true
 }
 
-// Missed notes an instance that fell silent: its requests end with it.
-func (c *crowd) Missed(id spec.InstanceID) {
+// PeerLost notes an instance that fell silent: its requests end with it.
+func (c *meshNode) PeerLost(id spec.InstanceID) {
 	c.log.Warn("edge: instance missed", zap.String("peer", string(id)))
-	c.router.used(id, nil)
-	c.router.paced(id, nil)
-	c.router.repeated(id, nil)
+	c.router.applyPeerUsage(id, nil)
+	c.router.applyPeerSlowdowns(id, nil)
+	c.router.applyPeerRetries(id, nil)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.alive, id)
+	delete(c.livePeers, id)
 }
--- a/internal/app/edge/once_test.go
+++ b/internal/app/edge/once_test.go
@@ -15,15 +15,15 @@
 	"fulmarwick/platform/stand"
 )
 
-// outcomes are what upstreams do with bookings, by how often.
-var outcomes = []stand.Outcome{
-	stand.OutcomeOK, stand.OutcomeOK, stand.OutcomeShed, stand.OutcomeShed, stand.OutcomeShed, stand.OutcomeShed, stand.OutcomeShed, stand.OutcomeFail,
-	stand.OutcomeLose, stand.OutcomeHang, stand.OutcomeForeign, stand.OutcomeLate,
+// bookingOutcomes are what upstreams do with bookings, by how often.
+var bookingOutcomes = []stand.Outcome{
+	stand.OutcomeOK, stand.OutcomeOK, stand.OutcomeReject, stand.OutcomeReject, stand.OutcomeReject, stand.OutcomeReject, stand.OutcomeReject, stand.OutcomeError,
+	stand.OutcomeDropConnection, stand.OutcomeHang, stand.OutcomeWrongRequest, stand.OutcomeDelayed,
 }
 
-// wild asks for one booking and leaves after a while; status is 0 if no answer
+// requestBooking asks for one booking and leaves after a while; status is 0 if no answer
 // came.
-func (w *world) wild(k int, id string, patience time.Duration) (status int, body string) {
+func (w *fixture) requestBooking(k int, id string, patience time.Duration) (status int, body string) {
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
 	req, err := stand.NewRequest(ctx, http.MethodPost, "http://"+depot.Settings(k).Listen.Callers+"/book/1", id, "")
@@ -47,16 +47,16 @@
 // callers leave at any moment. Whatever comes, a booking runs once at most; an
 // answer of 200 is its own, after its run; and one that was promised not to have
 // run never does, not even later.
-func TestOnceWhateverComes(t *testing.T) {
+func TestBookingRunsAtMostOnceUnderRandomFaults(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { explore(t, seed) })
+			synctest.Test(t, func(t *testing.T) { testBookings(t, seed) })
 		})
 	}
 }
 
-func explore(t *testing.T, seed uint64) {
-	w := open(t, 2)
+func testBookings(t *testing.T, seed uint64) {
+	w := newFixture(t, 2)
 	defer w.close()
 	var mu sync.Mutex
 	random := rand.New(rand.NewPCG(seed, 1))
@@ -65,8 +65,8 @@
 		defer mu.Unlock()
 		return random.IntN(n)
 	}
-	for _, d := range w.site.Desks() {
-		d.Answer = func(*http.Request) stand.Outcome { return outcomes[draw(len(outcomes))] }
+	for _, d := range w.site.PlainUpstreams() {
+		d.ChooseOutcome = func(*http.Request) stand.Outcome { return bookingOutcomes[draw(len(bookingOutcomes))] }
 	}
 	const calls = 150
 	var status [calls]int
@@ -83,7 +83,7 @@
 		callers.Go(func() {
 			id := fmt.Sprintf("w%d", n)
 			var body string
-			status[n], body = w.wild(k, id, patience)
+			status[n], body = w.requestBooking(k, id, patience)
 			if status[n] == http.StatusOK && body != "answer of "+id {
 				t.Errorf("got %q for %s, want its own answer", body, id)
 			}
--- a/internal/app/edge/order.go
+++ b/internal/app/edge/order.go
@@ -13,52 +13,52 @@
 )
 
 const (
-	// orderTime bounds the answer to an order.
-	orderTime = 500 * time.Millisecond
-	// orderAgain is when an order that an engine accepted is given again if
+	// orderTimeout bounds the answer to an order.
+	orderTimeout = 500 * time.Millisecond
+	// acceptedOrderRetryDelay is when an order that an engine accepted is given again if
 	// its entry still shows nothing.
-	orderAgain = 15 * time.Second
-	// orderLost is the same for an order without an answer. It may still be
+	acceptedOrderRetryDelay = 15 * time.Second
+	// failedOrderRetryDelay is the same for an order without an answer. It may still be
 	// carried out; the count of orders that both expect lets only one win.
-	orderLost = 700 * time.Millisecond
-	// slowLoad is from which time between an order and the list that shows it on loads
+	failedOrderRetryDelay = 700 * time.Millisecond
+	// slowLoadTime is from which time between an order and the list that shows it on loads
 	// take turns: of quicker ones too few would run while the list is waited for.
-	slowLoad = 3 * time.Second
-	// smoothLoad is how many loads the usual time of one is averaged over.
-	smoothLoad = 4
+	slowLoadTime = 3 * time.Second
+	// loadTimeSamples is how many loads the usual time of one is averaged over.
+	loadTimeSamples = 4
 )
 
-// ordered is an order given to an engine.
-type ordered struct {
-	born   int64
-	layers spec.Layers
-	at     time.Time
-	until  time.Time
-	// listed tells that the list showed what it holds.
-	listed bool
+// sentOrder is an order given to an engine.
+type sentOrder struct {
+	incarnation int64
+	layers      spec.Layers
+	sentAt      time.Time
+	retryAt     time.Time
+	// seenInList tells that the list showed what it holds.
+	seenInList bool
 }
 
-// isSlow reports whether loads take long, by those that were seen or else by what is
+// areLoadsSlow reports whether loads take long, by those that were seen or else by what is
 // published; p.mu is held.
-func (p *planner) isSlow(m *site.Model, orders []grid.Order) bool {
-	if p.loading > 0 || len(orders) == 0 {
-		return p.loading >= slowLoad
+func (p *planner) areLoadsSlow(m *site.Model, orders []grid.Order) bool {
+	if p.averageLoadTime > 0 || len(orders) == 0 {
+		return p.averageLoadTime >= slowLoadTime
 	}
-	return m.Load*time.Duration(orders[0].Layers.Len())/time.Duration(m.Layers) >= slowLoad
+	return m.LoadTime*time.Duration(orders[0].Layers.Len())/time.Duration(m.Layers) >= slowLoadTime
 }
 
-// loaded notes how long an order took; p.mu is held.
-func (p *planner) loaded(took time.Duration) {
-	if p.loading == 0 {
-		p.loading = took
+// recordLoadTime notes how long an order took; p.mu is held.
+func (p *planner) recordLoadTime(took time.Duration) {
+	if p.averageLoadTime == 0 {
+		p.averageLoadTime = took
 	}
-	p.loading += (took - p.loading) / smoothLoad
+	p.averageLoadTime += (took - p.averageLoadTime) / loadTimeSamples
 }
 
-// order gives one order.
-func (p *planner) order(ctx context.Context, service string, o grid.Order) {
+// issueOrder gives one order.
+func (p *planner) issueOrder(ctx context.Context, service string, o grid.Order) {
 	p.router.mu.Lock()
-	up, ok := p.router.group(service).model.Upstream(o.ID)
+	up, ok := p.router.service(service).model.Upstream(o.ID)
 	p.router.mu.Unlock()
 	if !ok {
 		return
@@ -68,21 +68,21 @@
 	if !ok {
 		return
 	}
-	ctx, stop := context.WithTimeout(ctx, orderTime)
+	ctx, stop := context.WithTimeout(ctx, orderTimeout)
 	defer stop()
-	expect, err := p.give(ctx, up, o, fence)
+	expect, err := p.sendOrder(ctx, up, o, fence)
 	now := time.Now()
-	until, how := now.Add(orderAgain), "accepted"
+	until, how := now.Add(acceptedOrderRetryDelay), "accepted"
 	if err != nil {
-		until, how = now.Add(orderLost), "failed"
+		until, how = now.Add(failedOrderRetryDelay), "failed"
 	}
-	p.counted(how)
+	p.countOrder(how)
 	p.mu.Lock()
-	given := ordered{born: up.Born, layers: o.Layers, at: now, until: until}
-	if last, ok := p.orders[o.ID]; ok && last.born == up.Born && errors.Is(err, errBusy) {
-		given.layers, given.at = last.layers, last.at
+	given := sentOrder{incarnation: up.Born, layers: o.Layers, sentAt: now, retryAt: until}
+	if last, ok := p.lastOrders[o.ID]; ok && last.incarnation == up.Born && errors.Is(err, errOrderInProgress) {
+		given.layers, given.sentAt = last.layers, last.sentAt
 	}
-	p.orders[o.ID] = given
+	p.lastOrders[o.ID] = given
 	p.mu.Unlock()
 	p.log.Info("edge: order", zap.String("engine", string(o.ID)), zap.String("address", up.Address), zap.Stringer("layers", o.Layers),
 		zap.Uint64("fence", fence), zap.Int("expect", expect), zap.String("end", how), zap.Error(err))
@@ -90,24 +90,24 @@
 
 // Errors of orders.
 var (
-	// errHolds means that an engine does not hold what the list says.
-	errHolds = errors.New("edge: engine holds other layers")
-	// errBusy means that an engine carries out an earlier order.
-	errBusy = errors.New("edge: engine is busy with an earlier order")
+	// errLayersDiffer means that an engine does not hold what the list says.
+	errLayersDiffer = errors.New("edge: engine holds other layers")
+	// errOrderInProgress means that an engine carries out an earlier order.
+	errOrderInProgress = errors.New("edge: engine is busy with an earlier order")
 )
 
-// give reads how many orders an engine has accepted and gives one that only
+// sendOrder reads how many orders an engine has accepted and gives one that only
 // this state of the engine takes: an order carried out late, or one of another
 // planner, then changes nothing.
-func (p *planner) give(ctx context.Context, up site.Upstream, o grid.Order, fence uint64) (expect int, err error) {
+func (p *planner) sendOrder(ctx context.Context, up site.Upstream, o grid.Order, fence uint64) (expect int, err error) {
 	report, err := p.engines.Report(ctx, up.Address)
 	switch {
 	case err != nil:
 		return 0, err
-	case report.Busy:
-		return report.Orders, errBusy
+	case report.Loading:
+		return report.OrdersAccepted, errOrderInProgress
 	case report.Held.Layers != up.Held.Layers:
-		return report.Orders, errHolds
+		return report.OrdersAccepted, errLayersDiffer
 	}
-	return report.Orders, p.engines.Order(ctx, up.Address, site.Order{Engine: up.ID, Layers: o.Layers, Fence: fence, Expect: report.Orders})
+	return report.OrdersAccepted, p.engines.Order(ctx, up.Address, site.Order{Engine: up.ID, Layers: o.Layers, FencingToken: fence, ExpectedOrders: report.OrdersAccepted})
 }
--- a/internal/app/edge/pause_test.go
+++ b/internal/app/edge/pause_test.go
@@ -20,33 +20,33 @@
 )
 
 const (
-	// backlog is how long a process that runs again takes for what has come
+	// backlogTime is how long a process that runs again takes for what has come
 	// meanwhile.
-	backlog = 100 * time.Millisecond
-	// slow is how much later its ticks come for that time.
-	slow = 30 * time.Millisecond
+	backlogTime = 100 * time.Millisecond
+	// backlogTickDelay is how much later its ticks come for that time.
+	backlogTickDelay = 30 * time.Millisecond
 )
 
-// pauses is when a process gets no processor: its ticks are late, and what comes
+// pausableProcess is when a process gets no processor: its ticks are late, and what comes
 // to it and what it sends waits, also behind the backlog.
-type pauses struct {
+type pausableProcess struct {
 	mu    sync.Mutex
 	until time.Time
 }
 
-func (p *pauses) begin(d time.Duration) {
+func (p *pausableProcess) pause(d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.until = time.Now().Add(d)
 }
 
-// wait returns when the process runs.
-func (p *pauses) wait() { time.Sleep(time.Until(p.end())) }
+// waitUntilRunning returns when the process runs.
+func (p *pausableProcess) waitUntilRunning() { time.Sleep(time.Until(p.pausedUntil())) }
 
-// work returns when the process has time for what comes.
-func (p *pauses) work() {
+// waitForBacklog returns when the process has time for what comes.
+func (p *pausableProcess) waitForBacklog() {
 	for {
-		left := time.Until(p.end()) + backlog
+		left := time.Until(p.pausedUntil()) + backlogTime
 		if left <= 0 {
 			return
 		}
@@ -54,23 +54,23 @@
 	}
 }
 
-func (p *pauses) end() time.Time {
+func (p *pausableProcess) pausedUntil() time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.until
 }
 
-// ticks is a ticker that stands still with the process.
-func (p *pauses) ticks(every time.Duration) (<-chan time.Time, func()) {
+// newTicker is a ticker that stands still with the process.
+func (p *pausableProcess) newTicker(every time.Duration) (<-chan time.Time, func()) {
 	c := make(chan time.Time)
 	stop := make(chan struct{})
 	go func() {
 		for {
 			time.Sleep(every)
-			if time.Since(p.end()) < backlog {
-				time.Sleep(slow)
+			if time.Since(p.pausedUntil()) < backlogTime {
+				time.Sleep(backlogTickDelay)
 			}
-			p.wait()
+			p.waitUntilRunning()
 			select {
 			case c <- time.Now():
 			case <-stop:
@@ -84,24 +84,24 @@
 // pausedConn is a connection of a process that may be paused.
 type pausedConn struct {
 	net.Conn
-	pauses *pauses
+	process *pausableProcess
 }
 
 func (c pausedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.pauses.work()
+	c.process.waitForBacklog()
 	return n, err
 }
 
 func (c pausedConn) Write(b []byte) (int, error) {
-	c.pauses.work()
+	c.process.waitForBacklog()
 	return c.Conn.Write(b)
 }
 
 // pausedListener is a listener of a process that may be paused.
 type pausedListener struct {
 	net.Listener
-	pauses *pauses
+	process *pausableProcess
 }
 
 func (l pausedListener) Accept() (net.Conn, error) {
@@ -109,18 +109,18 @@
 	if err != nil {
 		return nil, err
 	}
-	l.pauses.work()
-	return pausedConn{conn, l.pauses}, nil
+	l.process.waitForBacklog()
+	return pausedConn{conn, l.process}, nil
 }
 
-// startPaused runs one more instance whose process may be paused.
-func (w *world) startPaused(n int, p *pauses, log *zap.Logger) (stop func()) {
+// startPausableInstance runs one more instance whose process may be paused.
+func (w *fixture) startPausableInstance(n int, p *pausableProcess, log *zap.Logger) (stop func()) {
 	w.t.Helper()
 	i := &edge.Instance{
-		Settings: depot.Settings(n), Log: log, Ticks: p.ticks,
+		Settings: depot.Settings(n), Log: log, NewTicker: p.newTicker,
 		Dial: func(ctx context.Context, network, address string) (net.Conn, error) {
 			conn, err := w.site.Dial(ctx, network, address)
-			p.work()
+			p.waitForBacklog()
 			if err != nil {
 				return nil, err
 			}
@@ -134,14 +134,14 @@
 			return pausedListener{l, p}, nil
 		},
 	}
-	return w.run(i)
+	return w.runInstance(i)
 }
 
 // An instance with 60 streams gets no processor for a while, in the middle of
 // healthy engines. All its streams seem silent, and its questions to engines are
 // not answered in time. It must take no engine for dead and move no stream: each
 // move is a prompt read again, a repeat used up, and engines that others avoid.
-func TestPausedInstanceBlamesNobody(t *testing.T) {
+func TestPausedInstanceDeclaresNoEngineDead(t *testing.T) {
 	tests := []struct {
 		name  string
 		pause time.Duration
@@ -154,15 +154,15 @@
 		{"ten times for 100 ms", 100 * time.Millisecond, 10, 60 * time.Millisecond},
 		{"four times for 200 ms", 200 * time.Millisecond, 4, 40 * time.Millisecond},
 	}
-	for _, others := range pausedAmong {
+	for _, others := range pausedFleetSizes {
 		for _, test := range tests {
 			t.Run(fmt.Sprintf("%s among %d", test.name, others), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					w := openDepot(t, &depot.Depot{Instances: others, Shape: grown(1 + others/16)})
+					w := newFixtureFrom(t, &depot.Depot{Instances: others, Shape: scaledShape(1 + others/16)})
 					defer w.close()
-					w.pauseOne(func(p *pauses) {
+					w.runPausedInstance(func(p *pausableProcess) {
 						for range test.times {
-							p.begin(test.pause)
+							p.pause(test.pause)
 							time.Sleep(test.pause + test.between)
 						}
 					})
@@ -172,28 +172,28 @@
 	}
 }
 
-// grown is the usual shape with so many times the engines.
-func grown(times int) stand.Shape {
-	s := stand.Usual
+// scaledShape is the usual shape with so many times the engines.
+func scaledShape(times int) stand.Deployment {
+	s := stand.DefaultDeployment
 	s.Zones = nil
-	for _, z := range stand.Usual.Zones {
-		cards := slices.Clone(z.Cards)
+	for _, z := range stand.DefaultDeployment.Zones {
+		cards := slices.Clone(z.EnginesPerCard)
 		for i := range cards {
 			cards[i] *= times
 		}
-		s.Zones = append(s.Zones, stand.Zone{Name: z.Name, Cards: cards})
+		s.Zones = append(s.Zones, stand.Zone{Name: z.Name, EnginesPerCard: cards})
 	}
 	return s
 }
 
-// pauseOne starts one more instance, lets its process be paused while it answers 60
+// runPausedInstance starts one more instance, lets its process be paused while it answers 60
 // streams, and checks that all are whole and that it blames no engine.
-func (w *world) pauseOne(pause func(p *pauses)) {
+func (w *fixture) runPausedInstance(pause func(p *pausableProcess)) {
 	w.t.Helper()
 	n := len(w.instances)
 	lines, seen := observer.New(zap.InfoLevel)
-	p := &pauses{}
-	stop := w.startPaused(n, p, zap.New(lines))
+	p := &pausableProcess{}
+	stop := w.startPausableInstance(n, p, zap.New(lines))
 	defer stop()
 	w.clients = append(w.clients, &http.Client{Transport: &http.Transport{DialContext: w.site.Dial}})
 	time.Sleep(2 * time.Second)
@@ -201,7 +201,7 @@
 	for k := range 60 {
 		callers.Go(func() {
 			id := fmt.Sprintf("p%d", k)
-			if a := w.ask(n, http.MethodPost, "/write/1", id, "500,540"); a.body != whole(id, 180) {
+			if a := w.request(n, http.MethodPost, "/write/1", id, "500,540"); a.body != wholeAnswer(id, 180) {
 				w.t.Errorf("got %d with %d events (%v) for %s, want 180", a.status, a.events, a.err, id)
 			}
 		})
--- a/internal/app/edge/plan.go
+++ b/internal/app/edge/plan.go
@@ -15,77 +15,77 @@
 )
 
 const (
-	// planEvery is the pause between two looks for engines without layers.
-	planEvery = 200 * time.Millisecond
-	// settle is how long the list must be unchanged, and fill how old this
+	// planInterval is the pause between two looks for engines without layers.
+	planInterval = 200 * time.Millisecond
+	// listSettleTime is how long the list must be unchanged, and fill how old this
 	// process must be, before a model is placed that no engine holds: after a
 	// start the list fills over three seconds, and a plan for a part of the
 	// engines would have to be undone.
-	settle = 1200 * time.Millisecond
-	fill   = 3500 * time.Millisecond
-	// moveAfter is how long a move must be due before an engine gives up layers
+	listSettleTime = 1200 * time.Millisecond
+	minProcessAge  = 3500 * time.Millisecond
+	// moveDelay is how long a move must be due before an engine gives up layers
 	// for others: longer than the list takes to show an engine that was replaced.
 	// An engine that crashed is away for longer than a spare one takes to load its
 	// layers; to wait for it takes its data centre out of service.
-	moveAfter = 600 * time.Millisecond
+	moveDelay = 600 * time.Millisecond
 )
 
 // planner places layers on engines while it holds the duty's lease, and on empty ones
 // as long as it can't know whether another instance holds it.
 type planner struct {
-	router  *router
-	engines engines
-	lease   *lease.Lease
-	log     *zap.Logger
-	start   time.Time
-	counted func(how string)
-	// planned counts the plans that were worked out.
-	planned func()
-
-	mu      sync.Mutex
-	changed time.Time
-	size    int
-	orders  map[spec.UpstreamID]ordered
-	// missing is since when moves of engines that hold layers are due.
-	missing map[string]time.Time
-	plans   map[string]plan
-	// loading is the time from orders to the list that shows what they brought, the
+	router     *router
+	engines    engineClient
+	lease      *lease.Lease
+	log        *zap.Logger
+	start      time.Time
+	countOrder func(how string)
+	// countPlan counts the plans that were worked out.
+	countPlan func()
+
+	mu            sync.Mutex
+	listChangedAt time.Time
+	listSize      int
+	lastOrders    map[spec.UpstreamID]sentOrder
+	// movesDueSince is since when moves of engines that hold layers are due.
+	movesDueSince map[string]time.Time
+	plans         map[string]cachedPlan
+	// averageLoadTime is the time from orders to the list that shows what they brought, the
 	// last ones weigh most; zero while none is known.
-	loading time.Duration
+	averageLoadTime time.Duration
 }
 
-// plan is the orders that were due for engines as they were. They are worked out
+// cachedPlan is the orders that were due for engines as they were. They are worked out
 // again only after a change: the search takes longer than the pause between two
 // rounds allows at each of them.
-type plan struct {
+type cachedPlan struct {
 	model   *site.Model
 	engines []grid.Engine
 	orders  []grid.Order
 }
 
-// plan returns the orders for a service; p.mu is held.
-func (p *planner) plan(name string, v view) []grid.Order {
+// planFor returns the orders for a service; p.mu is held.
+func (p *planner) planFor(name string, v planInput) []grid.Order {
 	last, ok := p.plans[name]
 	if !ok || v.model != last.model || !slices.Equal(v.engines, last.engines) {
-		p.planned()
-		last = plan{model: v.model, engines: v.engines, orders: grid.Plan(v.model, v.engines)}
+		p.countPlan()
+		last = cachedPlan{model: v.model, engines: v.engines, orders: grid.Plan(v.model, v.engines)}
 		p.plans[name] = last
 	}
 	return last.orders
 }
 
-// listed notes that the list of upstreams changed.
-func (p *planner) listed(list []site.Upstream) {
+// noteListSize notes that the list of upstreams changed.
+func (p *planner) noteListSize(list []site.Upstream) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(list) != p.size {
-		p.size = len(list)
-		p.changed = time.Now()
+	if len(list) != p.listSize {
+		p.listSize = len(list)
+		p.listChangedAt = time.Now()
 	}
 }
 
 func (p *planner) run(ctx context.Context) {
-	ticker := time.NewTicker(planEvery)
+	ticker := time.NewTicker(planInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -94,35 +94,35 @@
 		case <-ticker.C:
 		}
 		if _, ok := p.lease.Last(); ok {
-			p.round(ctx)
+			p.issueDueOrders(ctx)
 		}
 	}
 }
 
-// round gives the orders that are due.
-func (p *planner) round(ctx context.Context) {
-	for service, orders := range p.due(time.Now()) {
+// issueDueOrders gives the orders that are due.
+func (p *planner) issueDueOrders(ctx context.Context) {
+	for service, orders := range p.dueOrders(time.Now()) {
 		var group sync.WaitGroup
 		for _, o := range orders {
-			group.Go(func() { p.order(ctx, service, o) })
+			group.Go(func() { p.issueOrder(ctx, service, o) })
 		}
 		group.Wait()
 	}
 }
 
-// due are the orders for each service.
-func (p *planner) due(now time.Time) map[string][]grid.Order {
+// dueOrders are the orders for each service.
+func (p *planner) dueOrders(now time.Time) map[string][]grid.Order {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	out := map[string][]grid.Order{}
 	// Requests wait for the router's lock; they need not wait for the plan.
-	for name, v := range p.views(now) {
-		if !v.held && (now.Sub(p.changed) < settle || now.Sub(p.start) < fill) {
+	for name, v := range p.planInputs(now) {
+		if !v.anyLoaded && (now.Sub(p.listChangedAt) < listSettleTime || now.Sub(p.start) < minProcessAge) {
 			continue
 		}
-		orders := p.patient(name, v.engines, p.plan(name, v), now)
-		if v.held && p.isSlow(v.model, orders) {
-			orders = grid.Turn(v.model, v.engines, orders)
+		orders := p.delayMoves(name, v.engines, p.planFor(name, v), now)
+		if v.anyLoaded && p.areLoadsSlow(v.model, orders) {
+			orders = grid.LimitLoads(v.model, v.engines, orders)
 		}
 		if len(orders) > 0 {
 			out[name] = orders
@@ -131,36 +131,36 @@
 	return out
 }
 
-// view is what a plan for a service is made of.
-type view struct {
+// planInput is what a plan for a service is made of.
+type planInput struct {
 	model   *site.Model
 	engines []grid.Engine
-	// held tells that any engine holds layers.
-	held bool
+	// anyLoaded tells that any engine holds layers.
+	anyLoaded bool
 }
 
-// views are those of all services of models; p.mu is held.
-func (p *planner) views(now time.Time) map[string]view {
+// planInputs are those of all services of models; p.mu is held.
+func (p *planner) planInputs(now time.Time) map[string]planInput {
 	p.router.mu.Lock()
 	defer p.router.mu.Unlock()
-	out := map[string]view{}
-	for name, g := range p.router.groups {
+	out := map[string]planInput{}
+	for name, g := range p.router.services {
 		if g.model == nil {
 			continue
 		}
-		v := view{model: g.model.Model}
-		v.engines, v.held = p.engineRows(g, now)
+		v := planInput{model: g.model.Model}
+		v.engines, v.anyLoaded = p.layoutEngines(g, now)
 		out[name] = v
 	}
 	return out
 }
 
-// patient leaves out orders for engines that hold layers until they have been
+// delayMoves leaves out orders for engines that hold layers until they have been
 // due for a while: an engine that crashed comes back after some seconds and
 // gets its layers again, and one that this instance alone cannot reach is not
 // missing. Without the lease none of them is moved: where the store is out of reach
 // for all, nobody would learn what it holds then.
-func (p *planner) patient(name string, engines []grid.Engine, orders []grid.Order, now time.Time) []grid.Order {
+func (p *planner) delayMoves(name string, engines []grid.Engine, orders []grid.Order, now time.Time) []grid.Order {
 	holds := map[spec.UpstreamID]bool{}
 	for _, e := range engines {
 		holds[e.ID] = e.Held.Len() > 0
@@ -175,30 +175,30 @@
 	}
 	switch {
 	case !moves:
-		delete(p.missing, name)
-	case p.missing[name].IsZero():
-		p.missing[name] = now
-	case now.Sub(p.missing[name]) >= moveAfter && p.lease.Held():
+		delete(p.movesDueSince, name)
+	case p.movesDueSince[name].IsZero():
+		p.movesDueSince[name] = now
+	case now.Sub(p.movesDueSince[name]) >= moveDelay && p.lease.Held():
 		return orders
 	}
 	return out
 }
 
-// engineRows are the engines of a group for the plan. One that was ordered
+// layoutEngines are the engines of a group for the plan. One that was ordered
 // lately counts as if it held what it was told.
-func (p *planner) engineRows(g *group, now time.Time) (out []grid.Engine, held bool) {
+func (p *planner) layoutEngines(g *serviceState, now time.Time) (out []grid.Engine, held bool) {
 	for _, up := range g.model.Engines() {
 		card, ok := g.model.Model.Card(up.Card)
-		if !ok || up.State != site.StateReady || g.model.Dead(up.ID) {
+		if !ok || up.State != site.StateReady || g.model.DeadOrUnlisted(up.ID) {
 			continue
 		}
 		e := grid.Engine{ID: up.ID, Centre: up.Centre, Card: card, Held: up.Held.Layers}
-		if o, ok := p.orders[up.ID]; ok && o.born == up.Born && now.Before(o.until) {
+		if o, ok := p.lastOrders[up.ID]; ok && o.incarnation == up.Born && now.Before(o.retryAt) {
 			e.Held, e.Loading = o.layers, up.Held.Layers != o.layers
-			if !e.Loading && !o.listed {
-				o.listed = true
-				p.orders[up.ID] = o
-				p.loaded(now.Sub(o.at))
+			if !e.Loading && !o.seenInList {
+				o.seenInList = true
+				p.lastOrders[up.ID] = o
+				p.recordLoadTime(now.Sub(o.sentAt))
 			}
 		}
 		held = held || e.Held.Len() > 0
--- a/internal/app/edge/probe_test.go
+++ b/internal/app/edge/probe_test.go
@@ -14,29 +14,29 @@
 	"go.uber.org/zap/zaptest/observer"
 )
 
-// handshake is how long a living engine takes for each new connection.
-const handshake = time.Millisecond
+// handshakeTime is how long a living engine takes for each new connection.
+const handshakeTime = time.Millisecond
 
 // Guards against healthy engines that are taken for dead because all instances of a
 // large fleet ask them at the same moment, over new connections, when another one
 // dies.
-func TestManyInstancesBlameOnlyTheDead(t *testing.T) {
+func TestLargeFleetDeclaresOnlyDeadEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		lines, seen := observer.New(zap.WarnLevel)
-		w := openDepot(t, &depot.Depot{Instances: probing, Handshake: handshake, Log: zap.New(lines)})
+		w := newFixtureFrom(t, &depot.Depot{Instances: probingFleetSize, Handshake: handshakeTime, Log: zap.New(lines)})
 		defer w.close()
 		var callers sync.WaitGroup
-		for k := range 4 * probing {
+		for k := range 4 * probingFleetSize {
 			callers.Go(func() {
 				id := fmt.Sprintf("p%d", k)
-				if a := w.ask(k%probing, http.MethodPost, "/write/1", id, "100,240"); a.body != whole(id, 80) {
+				if a := w.request(k%probingFleetSize, http.MethodPost, "/write/1", id, "100,240"); a.body != wholeAnswer(id, 80) {
 					t.Errorf("got %d with %d events (%v) for %s, want 80", a.status, a.events, a.err, id)
 				}
 			})
 			time.Sleep(4 * time.Millisecond)
 		}
-		dead := w.middle(w.busiest())
-		w.site.Darken(dead)
+		dead := w.nextStageEngine(w.busiestEngine())
+		w.site.StopResponding(dead)
 		callers.Wait()
 		blamed := map[string]int{}
 		for _, l := range seen.FilterMessage("edge: engine does not answer").All() {
@@ -52,11 +52,11 @@
 
 // Guards against a stream that runs on more engines than its attempts allow: its first
 // engines stand still one after the other, are taken for dead, and live.
-func TestEnginesThatStandStillAreAttempts(t *testing.T) {
+func TestFrozenEnginesCountAsAttempts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := open(t, 1)
+		w := newFixture(t, 1)
 		defer w.close()
-		w.longStream(3, 1500*time.Millisecond, func(int) { w.site.Freeze(w.busiest(), time.Second) })
+		w.runLongStream(3, 1500*time.Millisecond, func(int) { w.site.Freeze(w.busiestEngine(), time.Second) })
 		if n := w.site.Runs("long"); n > 2 {
 			t.Errorf("got %d runs, want 2 at most", n)
 		}
@@ -65,16 +65,16 @@
 
 // Guards against a stream that runs on more engines than its attempts allow: its first
 // engines leave and stand still one after the other, are taken for dead, and live.
-func TestLeavingEnginesThatStandStillAreAttempts(t *testing.T) {
+func TestLeavingFrozenEnginesCountAsAttempts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := open(t, 1)
+		w := newFixture(t, 1)
 		defer w.close()
-		w.longStream(3, 1500*time.Millisecond, func(int) {
-			e := w.busiest()
-			w.site.Drain(e)
+		w.runLongStream(3, 1500*time.Millisecond, func(int) {
+			e := w.busiestEngine()
+			w.site.DrainEngine(e)
 			w.site.Freeze(e, time.Second)
 		})
-		if n := w.site.Attempts("long"); n > 2 {
+		if n := w.site.LiveProducers("long"); n > 2 {
 			t.Errorf("got %d engines that live, want 2 at most", n)
 		}
 	})
--- a/internal/app/edge/router.go
+++ b/internal/app/edge/router.go
@@ -19,78 +19,78 @@
 	"fulmarwick/internal/wire/relay"
 )
 
-// group is a service and what is known of its upstreams.
-type group struct {
-	name  string
-	list  []site.Upstream
-	plain least.Table
-	model *path.Table
-	// guesses is how long answers get against what callers guess.
-	guesses guess.Book
-	budget  again.Budget
-	// flights are the runs of model requests.
-	flights map[*relay.Flight]*tally
-	teams   share.Teams
+// serviceState is a service and what is known of its upstreams.
+type serviceState struct {
+	name      string
+	upstreams []site.Upstream
+	plain     least.Balancer
+	model     *path.Table
+	// answerLengths is how long answers get against what callers guess.
+	answerLengths guess.Estimator
+	retryBudget   again.Budget
+	// runs are the runs of model requests.
+	runs  map[*relay.Run]*runState
+	teams share.Teams
 	// queue is the requests that wait for room, with their waiters; first is the
 	// usual time to the first event.
-	queue   queue.Queue
-	waiters map[*queue.Ticket]*waiter
-	first   time.Duration
-	// lost are plain requests whose answers were lost lately.
-	lost []loss
+	queue        queue.Queue
+	waiters      map[*queue.Ticket]*waiter
+	firstLatency time.Duration
+	// lostAnswers are plain requests whose answers were lost lately.
+	lostAnswers []lostAnswer
 }
 
 // router is the tables of all services. It gives the relays their upstreams.
 type router struct {
 	centre spec.DataCentre
-	// instances is how many instances there are, sharing how many may share the bound
+	// instanceCount is how many instances there are, sharing how many may share the bound
 	// on repeats.
-	instances func() int
-	sharing   func() int
-	start     time.Time
-	// doubted is told of engines that may be dead, isDead asks one that seemed dead
+	instanceCount      func() int
+	retryBudgetSharers func() int
+	start              time.Time
+	// onSuspect is told of engines that may be dead, isDead asks one that seemed dead
 	// once more.
-	doubted func(site.Upstream)
-	isDead  func(context.Context, site.Upstream) bool
+	onSuspect func(site.Upstream)
+	isDead    func(context.Context, site.Upstream) bool
 
-	mu     sync.Mutex
-	bounds setup.Retry
-	groups map[string]*group
-	// told is how often requests of other instances were sent.
-	told map[spec.InstanceID]toldRepeats
-	book crash.Book
-	// deaths are upstreams that died here with the requests that they ran, for
+	mu          sync.Mutex
+	retryBounds setup.Retry
+	services    map[string]*serviceState
+	// peerRetries is how often requests of other instances were sent.
+	peerRetries map[spec.InstanceID]peerRetryReport
+	crashBook   crash.Tracker
+	// unreportedCrashes are upstreams that died here with the requests that they ran, for
 	// the other instances.
-	deaths []crash.Death
+	unreportedCrashes []crash.Event
 }
 
 func (r *router) now() time.Duration { return time.Since(r.start) }
 
-func (r *router) group(name string) *group {
-	g := r.groups[name]
+func (r *router) service(name string) *serviceState {
+	g := r.services[name]
 	if g == nil {
-		g = &group{name: name, flights: map[*relay.Flight]*tally{}, waiters: map[*queue.Ticket]*waiter{}, first: firstTime}
-		g.plain.Centre = r.centre
-		g.bound(r.bounds)
-		r.groups[name] = g
+		g = &serviceState{name: name, runs: map[*relay.Run]*runState{}, waiters: map[*queue.Ticket]*waiter{}, firstLatency: initialFirstLatency}
+		g.plain.DataCentre = r.centre
+		g.setRetryBounds(r.retryBounds)
+		r.services[name] = g
 	}
 	return g
 }
 
-// bound sets how often requests of the service may be sent again.
-func (g *group) bound(b setup.Retry) {
-	if g.budget.Window != b.Window {
-		g.budget = again.Budget{}
+// setRetryBounds sets how often requests of the service may be sent again.
+func (g *serviceState) setRetryBounds(b setup.Retry) {
+	if g.retryBudget.Window != b.Window {
+		g.retryBudget = again.Budget{}
 	}
-	g.budget.Ratio, g.budget.Allowance, g.budget.Window, g.budget.Young = b.Ratio, b.Allowance, b.Window, b.Window
+	g.retryBudget.Ratio, g.retryBudget.Allowance, g.retryBudget.Window, g.retryBudget.RampUp = b.Ratio, b.Allowance, b.Window, b.Window
 }
 
-func (r *router) setBounds(b setup.Retry) {
+func (r *router) setRetryBounds(b setup.Retry) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.bounds = b
-	for _, g := range r.groups {
-		g.bound(b)
+	r.retryBounds = b
+	for _, g := range r.services {
+		g.setRetryBounds(b)
 	}
 }
 
@@ -99,12 +99,12 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, s := range c.Services {
-		g := r.group(s.Name)
+		g := r.service(s.Name)
 		if s.Model == nil {
 			continue
 		}
 		if g.model == nil {
-			g.model = &path.Table{Centre: r.centre, Random: rand.Float64, Others: func() int { return r.sharing() - 1 }}
+			g.model = &path.Table{Centre: r.centre, Random: rand.Float64, PeerCount: func() int { return r.retryBudgetSharers() - 1 }}
 		}
 		if s.Model.Equal(g.model.Model) {
 			// Most changes touch no model. A new one has all layers planned anew, which
@@ -112,7 +112,7 @@
 			continue
 		}
 		g.model.Model = s.Model
-		g.model.Sync(g.list)
+		g.model.Sync(g.upstreams)
 	}
 }
 
@@ -125,28 +125,28 @@
 		by[u.Service] = append(by[u.Service], u)
 	}
 	for name := range by {
-		r.group(name)
+		r.service(name)
 	}
-	for name, g := range r.groups {
-		g.list = by[name]
+	for name, g := range r.services {
+		g.upstreams = by[name]
 		if g.model != nil {
-			g.model.Sync(g.list)
+			g.model.Sync(g.upstreams)
 			continue
 		}
-		g.plain.Sync(g.list)
+		g.plain.SetUpstreams(g.upstreams)
 	}
 }
 
-// First counts a request.
-func (r *router) First(service string) {
+// RecordRequest counts a request.
+func (r *router) RecordRequest(service string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.group(service).budget.First(r.now())
+	r.service(service).retryBudget.RecordRequest(r.now())
 }
 
-// Again reports whether a request may be sent once more.
-func (r *router) Again(service string) bool {
+// AllowRetry reports whether a request may be sent once more.
+func (r *router) AllowRetry(service string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.group(service).budget.Allow(r.now(), r.sharing(), r.others(service))
+	return r.service(service).retryBudget.AllowRetry(r.now(), r.retryBudgetSharers(), r.peerRetryCount(service))
 }
--- a/internal/app/edge/share.go
+++ b/internal/app/edge/share.go
@@ -9,116 +9,116 @@
 	"fulmarwick/internal/route/path"
 )
 
-// freshCrashes are the deaths of upstreams since the last call.
-func (r *router) freshCrashes() []crash.Death {
+// takeCrashes are the deaths of upstreams since the last call.
+func (r *router) takeCrashes() []crash.Event {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := r.deaths
-	r.deaths = nil
+	out := r.unreportedCrashes
+	r.unreportedCrashes = nil
 	return out
 }
 
-// crashed takes deaths that another instance saw.
-func (r *router) crashed(deaths []crash.Death) {
+// applyPeerCrashes takes deaths that another instance saw.
+func (r *router) applyPeerCrashes(deaths []crash.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, d := range deaths {
-		r.book.Strike(r.now(), d)
+		r.crashBook.Record(r.now(), d)
 	}
 }
 
-// uses is what the requests of this instance take, by service.
-func (r *router) uses() map[string]map[spec.UpstreamID]path.Use {
+// localUsage is what the requests of this instance take, by service.
+func (r *router) localUsage() map[string]map[spec.UpstreamID]path.Usage {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := map[string]map[spec.UpstreamID]path.Use{}
-	for name, g := range r.groups {
+	out := map[string]map[spec.UpstreamID]path.Usage{}
+	for name, g := range r.services {
 		if g.model == nil {
 			continue
 		}
-		if mine := g.model.Mine(); len(mine) > 0 {
+		if mine := g.model.LocalUsage(); len(mine) > 0 {
 			out[name] = mine
 		}
 	}
 	return out
 }
 
-// used takes what the requests of another instance take; nil forgets it.
-func (r *router) used(from spec.InstanceID, uses map[string]map[spec.UpstreamID]path.Use) {
+// applyPeerUsage takes what the requests of another instance take; nil forgets it.
+func (r *router) applyPeerUsage(from spec.InstanceID, uses map[string]map[spec.UpstreamID]path.Usage) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for name, g := range r.groups {
+	for name, g := range r.services {
 		if g.model != nil {
-			g.model.Peer(from, uses[name])
+			g.model.SetPeerUsage(from, uses[name])
 		}
 	}
 }
 
-// repeatsTime is how long what others told of their repeats counts.
-const repeatsTime = time.Second
+// peerRetriesTTL is how long what others told of their repeats counts.
+const peerRetriesTTL = time.Second
 
-// toldRepeats is what other instances told of their repeats.
-type toldRepeats struct {
-	counts map[string]again.Count
-	at     time.Duration
+// peerRetryReport is what other instances told of their repeats.
+type peerRetryReport struct {
+	counts     map[string]again.Usage
+	receivedAt time.Duration
 }
 
-// repeats is how often requests of this instance were sent, by service.
-func (r *router) repeats() map[string]again.Count {
+// localRetries is how often requests of this instance were sent, by service.
+func (r *router) localRetries() map[string]again.Usage {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := make(map[string]again.Count, len(r.groups))
-	for name, g := range r.groups {
-		out[name] = g.budget.Count(r.now())
+	out := make(map[string]again.Usage, len(r.services))
+	for name, g := range r.services {
+		out[name] = g.retryBudget.Usage(r.now())
 	}
 	return out
 }
 
-// repeated takes how often requests of others were sent; nil forgets it.
-func (r *router) repeated(from spec.InstanceID, counts map[string]again.Count) {
+// applyPeerRetries takes how often requests of others were sent; nil forgets it.
+func (r *router) applyPeerRetries(from spec.InstanceID, counts map[string]again.Usage) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if counts == nil {
-		delete(r.told, from)
+		delete(r.peerRetries, from)
 		return
 	}
-	r.told[from] = toldRepeats{counts: counts, at: r.now()}
+	r.peerRetries[from] = peerRetryReport{counts: counts, receivedAt: r.now()}
 }
 
-// others is what other instances did lately for a service; r.mu is held.
-func (r *router) others(service string) again.Count {
-	var sum again.Count
-	for _, t := range r.told {
-		if r.now()-t.at < repeatsTime {
+// peerRetryCount is what other instances did lately for a service; r.mu is held.
+func (r *router) peerRetryCount(service string) again.Usage {
+	var sum again.Usage
+	for _, t := range r.peerRetries {
+		if r.now()-t.receivedAt < peerRetriesTTL {
 			sum = sum.Plus(t.counts[service])
 		}
 	}
 	return sum
 }
 
-// paces are the engines that said here that they are slow.
-func (r *router) paces() map[spec.UpstreamID]float64 {
+// localSlowdowns are the engines that said here that they are slow.
+func (r *router) localSlowdowns() map[spec.UpstreamID]float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out := map[spec.UpstreamID]float64{}
-	for _, g := range r.groups {
+	for _, g := range r.services {
 		if g.model == nil {
 			continue
 		}
-		for id, pace := range g.model.Slow(r.now()) {
+		for id, pace := range g.model.LocalSlowdowns(r.now()) {
 			out[id] = pace
 		}
 	}
 	return out
 }
 
-// paced takes what engines told another instance.
-func (r *router) paced(from spec.InstanceID, paces map[spec.UpstreamID]float64) {
+// applyPeerSlowdowns takes what engines told another instance.
+func (r *router) applyPeerSlowdowns(from spec.InstanceID, paces map[spec.UpstreamID]float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, g := range r.groups {
+	for _, g := range r.services {
 		if g.model != nil {
-			g.model.Paced(from, paces)
+			g.model.SetPeerSlowdowns(from, paces)
 		}
 	}
 }
--- a/internal/app/edge/site_test.go
+++ b/internal/app/edge/site_test.go
@@ -18,8 +18,8 @@
 	"fulmarwick/platform/stand"
 )
 
-// world is a site with instances in front of it, in virtual time.
-type world struct {
+// fixture is a site with instances in front of it, in virtual time.
+type fixture struct {
 	t         *testing.T
 	depot     *depot.Depot
 	site      *stand.Site
@@ -27,22 +27,22 @@
 	clients   []*http.Client
 }
 
-// open starts a filled site and n instances and waits until layers are placed.
-func open(t *testing.T, n int) *world {
+// newFixture starts a filled site and n instances and waits until layers are placed.
+func newFixture(t *testing.T, n int) *fixture {
 	t.Helper()
-	return openWith(t, n, setup.Retry{})
+	return newFixtureWithRetry(t, n, setup.Retry{})
 }
 
-// openWith does the same with other bounds on repeats; zero is the usual.
-func openWith(t *testing.T, n int, retry setup.Retry) *world {
+// newFixtureWithRetry does the same with other bounds on repeats; zero is the usual.
+func newFixtureWithRetry(t *testing.T, n int, retry setup.Retry) *fixture {
 	t.Helper()
-	return openDepot(t, &depot.Depot{Instances: n, Retry: retry})
+	return newFixtureFrom(t, &depot.Depot{Instances: n, Retry: retry})
 }
 
-// openDepot opens a deployment, with a client for each of its instances.
-func openDepot(t *testing.T, d *depot.Depot) *world {
+// newFixtureFrom opens a deployment, with a client for each of its instances.
+func newFixtureFrom(t *testing.T, d *depot.Depot) *fixture {
 	t.Helper()
-	w := &world{t: t, depot: d}
+	w := &fixture{t: t, depot: d}
 	if err := w.depot.Open(context.Background()); err != nil {
 		t.Fatal(err)
 	}
@@ -54,7 +54,7 @@
 }
 
 // close stops all instances and checks what the site saw.
-func (w *world) close() {
+func (w *fixture) close() {
 	w.t.Helper()
 	for _, c := range w.clients {
 		c.CloseIdleConnections()
@@ -64,19 +64,19 @@
 	}
 }
 
-// answer is what a caller got.
-type answer struct {
+// callerResponse is what a caller got.
+type callerResponse struct {
 	status int
 	header http.Header
 	body   string
 	err    error
-	// longest is the longest pause between events, first the time to the first.
-	first, longest time.Duration
-	events         int
+	// longestGap is the longest pause between events, first the time to the first.
+	firstLatency, longestGap time.Duration
+	events                   int
 }
 
-// ask sends a request through instance k.
-func (w *world) ask(k int, method, path, id, tokens string) answer {
+// request sends a request through instance k.
+func (w *fixture) request(k int, method, path, id, tokens string) callerResponse {
 	req, err := stand.NewRequest(context.Background(), method, "http://"+depot.Settings(k).Listen.Callers+path, id, tokens)
 	if err != nil {
 		w.t.Fatal(err)
@@ -84,15 +84,15 @@
 	start := time.Now()
 	resp, err := w.clients[k].Do(req)
 	if err != nil {
-		return answer{err: err}
+		return callerResponse{err: err}
 	}
 	defer func() { _ = resp.Body.Close() }()
-	a := answer{status: resp.StatusCode, header: resp.Header}
-	a.read(resp.Body, start)
+	a := callerResponse{status: resp.StatusCode, header: resp.Header}
+	a.readEvents(resp.Body, start)
 	return a
 }
 
-func (a *answer) read(body io.Reader, start time.Time) {
+func (a *callerResponse) readEvents(body io.Reader, start time.Time) {
 	var all strings.Builder
 	last := start
 	lines := bufio.NewReader(body)
@@ -102,9 +102,9 @@
 		if strings.HasPrefix(line, "id:") {
 			pause := time.Since(last)
 			if a.events == 0 {
-				a.first = pause
+				a.firstLatency = pause
 			} else {
-				a.longest = max(a.longest, pause)
+				a.longestGap = max(a.longestGap, pause)
 			}
 			last = time.Now()
 			a.events++
@@ -120,8 +120,8 @@
 	a.body = all.String()
 }
 
-// whole is the answer of n events to request id.
-func whole(id string, n int) string {
+// wholeAnswer is the answer of n events to request id.
+func wholeAnswer(id string, n int) string {
 	var b strings.Builder
 	for k := 1; k <= n; k++ {
 		_, _ = fmt.Fprintf(&b, "id: %d\ndata: %s.%d\n\n", k, id, k)
@@ -132,34 +132,34 @@
 // A caller sees a calm minute: streams, bookings and look-ups at the rate of a
 // usual day through four instances. Every stream is whole and in time, every
 // token ran all layers in order, no booking ran twice.
-func TestCalmMinute(t *testing.T) {
+func TestNormalTrafficWithoutFaults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := open(t, 4)
+		w := newFixture(t, 4)
 		defer w.close()
 		var callers sync.WaitGroup
-		for n := range calmRequests {
-			callers.Go(func() { w.calm(n) })
+		for n := range normalRequests {
+			callers.Go(func() { w.sendNormalRequest(n) })
 			time.Sleep(50 * time.Millisecond)
 		}
 		callers.Wait()
 	})
 }
 
-func (w *world) calm(n int) {
+func (w *fixture) sendNormalRequest(n int) {
 	id := fmt.Sprintf("r%d", n)
 	if n%10 == 0 {
-		a := w.ask(n%4, http.MethodPost, "/book/1", id, "")
+		a := w.request(n%4, http.MethodPost, "/book/1", id, "")
 		if a.status != http.StatusOK || a.body != "answer of "+id || w.site.Runs(id) != 1 {
 			w.t.Errorf("got %d %q after %d runs (%v), want the booking's own answer after one", a.status, a.body, w.site.Runs(id), a.err)
 		}
 		return
 	}
 	events := 20 + n%60
-	a := w.ask(n%4, http.MethodPost, "/write/1", id, fmt.Sprintf("%d,%d", 400+n%800, events*3))
-	if a.status != http.StatusOK || a.body != whole(id, events) {
+	a := w.request(n%4, http.MethodPost, "/write/1", id, fmt.Sprintf("%d,%d", 400+n%800, events*3))
+	if a.status != http.StatusOK || a.body != wholeAnswer(id, events) {
 		w.t.Errorf("got %d with %d events (%v), want %d", a.status, a.events, a.err, events)
 	}
-	if a.first > 500*time.Millisecond || a.longest > 200*time.Millisecond {
-		w.t.Errorf("got first event after %s and a pause of %s, want 500ms and 200ms at most", a.first, a.longest)
+	if a.firstLatency > 500*time.Millisecond || a.longestGap > 200*time.Millisecond {
+		w.t.Errorf("got first event after %s and a pause of %s, want 500ms and 200ms at most", a.firstLatency, a.longestGap)
 	}
 }
--- a/internal/app/edge/slow.go
+++ b/internal/app/edge/slow.go
@@ -8,25 +8,25 @@
 	"fulmarwick/internal/base/spec"
 )
 
-// laggards are the engines that may be slow, and those that are.
-func (r *router) laggards() []site.Upstream {
+// lagProbeTargets are the engines that may be slow, and those that are.
+func (r *router) lagProbeTargets() []site.Upstream {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []site.Upstream
-	for _, g := range r.groups {
+	for _, g := range r.services {
 		if g.model == nil {
 			continue
 		}
-		slow := g.model.Slow(r.now())
-		lags := g.lags()
+		slow := g.model.LocalSlowdowns(r.now())
+		lags := g.lagCounts()
 		for _, up := range g.model.Engines() {
 			l := lags[up.ID]
 			_, known := slow[up.ID]
-			if !known && (l.late < lagStreams || 2*l.late <= l.all) {
+			if !known && (l.lagging < minLaggingStreams || 2*l.lagging <= l.total) {
 				continue
 			}
 			// What one instance learns all others are told.
-			if r.isOneOf(lagAskers) {
+			if r.isSampled(lagProbers) {
 				out = append(out, up)
 			}
 		}
@@ -34,30 +34,30 @@
 	return out
 }
 
-// isOneOf reports whether this instance is among so many that do what one would do
+// isSampled reports whether this instance is among so many that do what one would do
 // for all; others are the next time.
-func (r *router) isOneOf(n float64) bool {
-	return rand.Float64() < n/float64(r.instances())
+func (r *router) isSampled(n float64) bool {
+	return rand.Float64() < n/float64(r.instanceCount())
 }
 
-// lag counts the streams that pass an engine, and those of them that make
+// lagCount counts the streams that pass an engine, and those of them that make
 // events much slower than predicted.
-type lag struct{ late, all int }
+type lagCount struct{ lagging, total int }
 
-func (g *group) lags() map[spec.UpstreamID]lag {
-	out := map[spec.UpstreamID]lag{}
-	for f, t := range g.flights {
-		gap := f.Gap()
+func (g *serviceState) lagCounts() map[spec.UpstreamID]lagCount {
+	out := map[spec.UpstreamID]lagCount{}
+	for f, t := range g.runs {
+		gap := f.MeanEventGap()
 		if gap == 0 {
 			continue
 		}
-		predicted := g.model.Step(t.chain) * time.Duration(g.model.Model.Stride)
-		late := gap >= lagLeast && float64(gap) >= lagging*float64(predicted)
+		predicted := g.model.PredictStep(t.chain) * time.Duration(g.model.Model.StepsPerPass)
+		late := gap >= minLaggingGap && float64(gap) >= laggingFactor*float64(predicted)
 		for _, stage := range t.chain {
 			l := out[stage.Engine()]
-			l.all++
+			l.total++
 			if late {
-				l.late++
+				l.lagging++
 			}
 			out[stage.Engine()] = l
 		}
--- a/internal/app/edge/sweep.go
+++ b/internal/app/edge/sweep.go
@@ -7,24 +7,24 @@
 	"fulmarwick/internal/state/feed"
 )
 
-// holdWait is how long after its start an instance contends for no duty: before it
+// planLeaseDelay is how long after its start an instance contends for no duty: before it
 // hears others it is the first one for each, and all that start would contend.
-const holdWait = 500 * time.Millisecond
+const planLeaseDelay = 500 * time.Millisecond
 
-// hold contends for the duty of planning while this instance is one of the
+// contendForPlanLease contends for the duty of planning while this instance is one of the
 // first two for it, so that the others need not read the lease.
-func (i *Instance) hold(ctx context.Context) {
-	if !feed.Sleep(ctx, holdWait) {
+func (i *Instance) contendForPlanLease(ctx context.Context) {
+	if !feed.Sleep(ctx, planLeaseDelay) {
 		return
 	}
 	for {
-		if i.crowd.logic.Place(dutyPlan) < planners {
+		if i.mesh.logic.DutyRank(planLeaseName) < maxPlanContenders {
 			// An error is counted with the call and seen in what is held.
 			_ = i.lease.Step(ctx)
 		} else {
 			i.lease.Release(ctx)
 		}
-		if !feed.Sleep(ctx, leaseTime/3) {
+		if !feed.Sleep(ctx, leaseDuration/3) {
 			i.lease.Release(context.WithoutCancel(ctx))
 			return
 		}
@@ -33,26 +33,26 @@
 
 // sweep drops what is no longer needed until ctx ends.
 func (i *Instance) sweep(ctx context.Context) {
-	ticker := time.NewTicker(sweepEvery)
+	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			i.belief.sweep(now)
-			i.pool.Keep(i.router.addresses())
+			i.state.dropExpired(now)
+			i.pool.CloseUnused(i.router.upstreamAddresses())
 		}
 	}
 }
 
-// addresses are those of the upstreams.
-func (r *router) addresses() map[string]bool {
+// upstreamAddresses are those of the upstreams.
+func (r *router) upstreamAddresses() map[string]bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out := map[string]bool{}
-	for _, g := range r.groups {
-		for _, u := range g.list {
+	for _, g := range r.services {
+		for _, u := range g.upstreams {
 			out[u.Address] = true
 		}
 	}
--- a/internal/app/halt/halt.go
+++ b/internal/app/halt/halt.go
@@ -20,71 +20,71 @@
 	"go.uber.org/zap"
 )
 
-// Halt is the graceful end of one instance. Set the exported fields before
+// Drainer is the graceful end of one instance. Set the exported fields before
 // use.
-type Halt struct {
+type Drainer struct {
 	// Grace is how long no request must have come before listeners close.
 	Grace time.Duration
-	// Most is how long after the begin listeners close even if requests go on
+	// MaxAccept is how long after the begin listeners close even if requests go on
 	// coming, as where the balancer has no other instance to turn to; zero
 	// waits for the grace alone.
-	Most time.Duration
-	// Late answers requests that come after that on kept connections, in place
+	MaxAccept time.Duration
+	// AfterClose answers requests that come after that on kept connections, in place
 	// of the handler; nil serves them like any other.
-	Late http.Handler
-	Log  *zap.Logger
-
-	once   sync.Once
-	begun  chan struct{}
-	hurry  chan struct{}
-	first  sync.Once
-	second sync.Once
-
-	mu      sync.Mutex
-	began   time.Time
-	last    time.Time
-	closed  bool
-	running int
+	AfterClose http.Handler
+	Log        *zap.Logger
+
+	initOnce           sync.Once
+	begun              chan struct{}
+	closeListeners     chan struct{}
+	beginOnce          sync.Once
+	closeListenersOnce sync.Once
+
+	mu          sync.Mutex
+	beginTime   time.Time
+	lastArrival time.Time
+	closed      bool
+	running     int
 }
 
-func (h *Halt) init() {
-	h.once.Do(func() {
+func (h *Drainer) init() {
+	h.initOnce.Do(func() {
 		h.begun = make(chan struct{})
-		h.hurry = make(chan struct{})
+		h.closeListeners = make(chan struct{})
 	})
 }
 
 // Begin starts the end; more calls change nothing.
-func (h *Halt) Begin() {
+func (h *Drainer) Begin() {
 	h.init()
-	h.first.Do(func() {
-		h.arrived(0)
+	h.beginOnce.Do(func() {
+		h.recordArrival(0)
 		h.mu.Lock()
-		h.began = h.last
+		h.beginTime = h.lastArrival
 		h.mu.Unlock()
 		close(h.begun)
 		h.Log.Info("halt: stopping, requests in progress go on", zap.Int("running", h.Running()))
 	})
 }
 
-// Hurry starts the end if need be and closes the listeners without waiting for
+// CloseListeners starts the end if need be and closes the listeners without waiting for
 // the balancer. Requests in progress go on.
-func (h *Halt) Hurry() {
+func (h *Drainer) CloseListeners() {
 	h.Begin()
-	h.second.Do(func() {
-		close(h.hurry)
+	h.closeListenersOnce.Do(func() {
+		close(h.closeListeners)
 		h.Log.Info("halt: closing listeners now, requests in progress go on", zap.Int("running", h.Running()))
 	})
 }
 
 // Begun is closed once the end began.
-func (h *Halt) Begun() <-chan struct{} {
+func (h *Drainer) Begun() <-chan struct{} {
 	h.init()
 	return h.begun
 }
 
 // Stopping reports whether the end began.
-func (h *Halt) Stopping() bool {
+func (h *Drainer) Stopping() bool {
 	select {
 	case <-h.Begun():
 		return true
@@ -94,7 +94,7 @@
 }
 
 // Running is how many requests of callers are in progress.
-func (h *Halt) Running() int {
+func (h *Drainer) Running() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.running
@@ -103,35 +103,35 @@
 // Handler counts the requests that next serves. Once the end began, each
 // answer asks its connection to close, so that callers who keep connections
 // move to another instance; none is closed under a request on its way.
-func (h *Halt) Handler(next http.Handler) http.Handler {
+func (h *Drainer) Handler(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-		h.arrived(1)
-		defer h.left()
+		h.recordArrival(1)
+		defer h.requestDone()
 		if h.Stopping() {
 			w.Header().Set("Connection", "close")
 		}
-		if h.Late != nil && h.isClosed() {
-			h.Late.ServeHTTP(w, req)
+		if h.AfterClose != nil && h.isClosed() {
+			h.AfterClose.ServeHTTP(w, req)
 			return
 		}
 		next.ServeHTTP(w, req)
 	})
 }
 
-func (h *Halt) arrived(n int) {
+func (h *Drainer) recordArrival(n int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.last = time.Now()
+	h.lastArrival = time.Now()
 	h.running += n
 }
 
-func (h *Halt) isClosed() bool {
+func (h *Drainer) isClosed() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.closed
 }
 
-func (h *Halt) left() {
+func (h *Drainer) requestDone() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.running--
@@ -139,13 +139,13 @@
 
 // Run waits for the end to begin and for the balancer to turn away, then
 // closes the servers' listeners and returns once their last request ended.
-func (h *Halt) Run(ctx context.Context, servers ...*http.Server) error {
+func (h *Drainer) Run(ctx context.Context, servers ...*http.Server) error {
 	select {
 	case <-h.Begun():
 	case <-ctx.Done():
 		return errors.Wrap(ctx.Err(), "halt: wait")
 	}
-	h.quiet()
+	h.awaitIdle()
 	h.Log.Info("halt: no new requests, waiting for those in progress", zap.Int("running", h.Running()))
 	for _, s := range servers {
 		// Without a deadline: an answer that takes hours ends whole.
@@ -157,36 +157,36 @@
 	return nil
 }
 
-// quiet returns once no request has come for the grace, or the most time is
+// awaitIdle returns once no request has come for the grace, or the most time is
 // over.
-func (h *Halt) quiet() {
+func (h *Drainer) awaitIdle() {
 	defer func() {
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		h.closed = true
 	}()
 	for {
-		left := h.wait()
+		left := h.remaining()
 		if left <= 0 {
 			return
 		}
 		timer := time.NewTimer(left)
 		select {
 		case <-timer.C:
-		case <-h.hurry:
+		case <-h.closeListeners:
 			timer.Stop()
 			return
 		}
 	}
 }
 
-// wait is how long listeners stay open if no request comes.
-func (h *Halt) wait() time.Duration {
+// remaining is how long listeners stay open if no request comes.
+func (h *Drainer) remaining() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	left := h.Grace - time.Since(h.last)
-	if h.Most > 0 {
-		left = min(left, h.Most-time.Since(h.began))
+	left := h.Grace - time.Since(h.lastArrival)
+	if h.MaxAccept > 0 {
+		left = min(left, h.MaxAccept-time.Since(h.beginTime))
 	}
 	return left
 }
--- a/internal/app/halt/halt_test.go
+++ b/internal/app/halt/halt_test.go
@@ -16,51 +16,51 @@
 
 const grace = 10 * time.Second
 
-// site is a server that ends under a Halt. Requests to /slow write a piece,
+// testServer is a server that ends under a Halt. Requests to /slow write a piece,
 // wait for the gate and write another.
-type site struct {
-	halt   *halt.Halt
-	gate   chan struct{}
-	listen *inmem.Listener
-	ended  chan error
-	client *http.Client
+type testServer struct {
+	drainer   *halt.Drainer
+	release   chan struct{}
+	listener  *inmem.Listener
+	runResult chan error
+	client    *http.Client
 }
 
-func start(t *testing.T) *site {
+func startServer(t *testing.T) *testServer {
 	t.Helper()
-	s := &site{
-		halt: &halt.Halt{Grace: grace, Log: zap.NewNop()}, gate: make(chan struct{}),
-		listen: inmem.Listen(), ended: make(chan error, 1),
+	s := &testServer{
+		drainer: &halt.Drainer{Grace: grace, Log: zap.NewNop()}, release: make(chan struct{}),
+		listener: inmem.Listen(), runResult: make(chan error, 1),
 	}
-	s.client = s.listen.Client()
+	s.client = s.listener.Client()
 	mux := http.NewServeMux()
 	mux.HandleFunc("/fast", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "fast") })
 	mux.HandleFunc("/slow", func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(w, "first ")
 		_ = http.NewResponseController(w).Flush()
-		<-s.gate
+		<-s.release
 		_, _ = io.WriteString(w, "last")
 	})
-	server := &http.Server{Handler: s.halt.Handler(mux), ReadHeaderTimeout: time.Minute}
-	go func() { _ = server.Serve(s.listen) }()
-	go func() { s.ended <- s.halt.Run(context.Background(), server) }()
+	server := &http.Server{Handler: s.drainer.Handler(mux), ReadHeaderTimeout: time.Minute}
+	go func() { _ = server.Serve(s.listener) }()
+	go func() { s.runResult <- s.drainer.Run(context.Background(), server) }()
 	return s
 }
 
 // The balancer has no other instance and goes on sending. The listener closes
 // after the most time all the same; who comes on a kept connection after that
 // is told to go elsewhere, and the answer in progress ends whole.
-func TestListenerClosesThoughRequestsCome(t *testing.T) {
+func TestListenerClosesAfterMaxAcceptDespiteRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := start(t)
-		s.halt.Most = 15 * time.Second
-		s.halt.Late = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) })
+		s := startServer(t)
+		s.drainer.MaxAccept = 15 * time.Second
+		s.drainer.AfterClose = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) })
 		slow := make(chan string)
 		go func() {
 			text, _ := s.get("/slow")
 			slow <- text
 		}()
-		s.halt.Begin()
+		s.drainer.Begin()
 		for range 14 {
 			time.Sleep(time.Second)
 			if text, ok := s.get("/fast"); !ok {
@@ -71,18 +71,18 @@
 		if text, ok := s.get("/fast"); ok && text == "fast" {
 			t.Errorf("got %q after the most time, want none", text)
 		}
-		close(s.gate)
+		close(s.release)
 		if text := <-slow; text != "first last" {
 			t.Errorf("got %q, want the whole slow answer", text)
 		}
-		if err := <-s.ended; err != nil {
+		if err := <-s.runResult; err != nil {
 			t.Errorf("got %v, want a clean end", err)
 		}
 	})
 }
 
 // get returns the answer's text, or the error.
-func (s *site) get(path string) (string, bool) {
+func (s *testServer) get(path string) (string, bool) {
 	resp, err := s.client.Get("http://in" + path)
 	if err != nil {
 		return err.Error(), false
@@ -92,12 +92,12 @@
 	return string(data), err == nil
 }
 
-// over reports whether Run returned, which it must do without an error.
-func (s *site) over(t *testing.T) bool {
+// hasEnded reports whether Run returned, which it must do without an error.
+func (s *testServer) hasEnded(t *testing.T) bool {
 	t.Helper()
 	synctest.Wait()
 	select {
-	case err := <-s.ended:
+	case err := <-s.runResult:
 		if err != nil {
 			t.Errorf("got %v from Run, want nil", err)
 		}
@@ -110,30 +110,30 @@
 // The caller's answer takes ten hours, and the instance is told to stop in its
 // first minute, twice. The caller sees the whole answer; the instance ends
 // only then.
-func TestNoTimerAndNoSignalCutsARequest(t *testing.T) {
+func TestShutdownNeverCutsARunningRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := start(t)
+		s := startServer(t)
 		answer := make(chan string, 1)
 		go func() {
 			text, _ := s.get("/slow")
 			answer <- text
 		}()
 		synctest.Wait()
-		s.halt.Begin()
+		s.drainer.Begin()
 		time.Sleep(time.Minute)
-		s.halt.Hurry()
-		s.halt.Hurry()
+		s.drainer.CloseListeners()
+		s.drainer.CloseListeners()
 		time.Sleep(10 * time.Hour)
-		if s.over(t) {
+		if s.hasEnded(t) {
 			t.Fatal("got the end while a request was in progress")
 		}
-		close(s.gate)
+		close(s.release)
 		if got, want := <-answer, "first last"; got != want {
 			t.Errorf("got %q, want %q", got, want)
 		}
 		// The server looks for ended requests now and then.
 		time.Sleep(time.Minute)
-		if !s.over(t) {
+		if !s.hasEnded(t) {
 			t.Error("got no end after the last request, want it")
 		}
 	})
@@ -142,21 +142,21 @@
 // The balancer has not noticed yet that the instance stops and still sends
 // requests. Their callers see answers; the listener closes only once none has
 // come for the grace, and each answer asks its connection to go elsewhere.
-func TestAcceptsWhileTheBalancerSends(t *testing.T) {
+func TestAcceptsRequestsUntilGraceWithoutOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := start(t)
-		s.halt.Begin()
+		s := startServer(t)
+		s.drainer.Begin()
 		for range 20 {
 			time.Sleep(grace - time.Second)
 			if got, ok := s.get("/fast"); !ok || got != "fast" {
 				t.Fatalf("got %q while stopping, want the answer", got)
 			}
 		}
-		if s.over(t) {
+		if s.hasEnded(t) {
 			t.Fatal("got the end while requests still came")
 		}
 		time.Sleep(grace + time.Minute)
-		if !s.over(t) {
+		if !s.hasEnded(t) {
 			t.Fatal("got no end after the grace, want it")
 		}
 		if got, ok := s.get("/fast"); ok {
@@ -166,12 +166,12 @@
 }
 
 // A second signal closes the listener although the balancer still sends.
-func TestHurryEndsTheWaitForTheBalancer(t *testing.T) {
+func TestCloseListenersSkipsTheGrace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := start(t)
-		s.halt.Hurry()
+		s := startServer(t)
+		s.drainer.CloseListeners()
 		time.Sleep(time.Second)
-		if !s.over(t) || !s.halt.Stopping() || s.halt.Running() != 0 {
+		if !s.hasEnded(t) || !s.drainer.Stopping() || s.drainer.Running() != 0 {
 			t.Error("got no end a second after the signal, want it")
 		}
 	})
@@ -179,7 +179,7 @@
 
 func TestAnswersAskConnectionsToClose(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := start(t)
+		s := startServer(t)
 		for _, want := range []bool{false, true} {
 			resp, err := s.client.Get("http://in/fast")
 			if err != nil {
@@ -190,12 +190,12 @@
 			if resp.Close != want {
 				t.Errorf("got Connection: close %v, want %v", resp.Close, want)
 			}
-			s.halt.Begin()
+			s.drainer.Begin()
 		}
-		s.halt.Hurry()
+		s.drainer.CloseListeners()
 		time.Sleep(time.Minute)
 		s.client.CloseIdleConnections()
-		if !s.over(t) {
+		if !s.hasEnded(t) {
 			t.Error("got no end, want it")
 		}
 	})
@@ -204,7 +204,7 @@
 func TestRunEndsWithItsContext(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	h := &halt.Halt{Log: zap.NewNop()}
+	h := &halt.Drainer{Log: zap.NewNop()}
 	if err := h.Run(ctx); err == nil {
 		t.Error("got nil, want the context's error")
 	}
--- a/internal/app/meters/meters.go
+++ b/internal/app/meters/meters.go
@@ -130,7 +130,7 @@
 
 // meets reports whether the times are within each limit of the target.
 func meets(t spec.Target, first, gap, whole time.Duration) bool {
-	return within(first, t.First()) && within(gap, t.Gap()) && within(whole, t.Whole())
+	return within(first, t.FirstEvent()) && within(gap, t.Gap()) && within(whole, t.TotalTime())
 }
 
 func within(took, limit time.Duration) bool { return limit == 0 || took <= limit }
--- a/internal/base/awake/awake_test.go
+++ b/internal/base/awake/awake_test.go
@@ -12,8 +12,8 @@
 
 // A process ticks every 10 ms and stands still twice. What lies in the pauses is
 // lost, also in part, and also in one that is not over for the clock.
-func TestLost(t *testing.T) {
-	c := &awake.Clock{Every: 10 * time.Millisecond, Least: 5 * time.Millisecond}
+func TestPausedBetween(t *testing.T) {
+	c := &awake.Detector{TickInterval: 10 * time.Millisecond, MinPause: 5 * time.Millisecond}
 	for _, ms := range []int{0, 10, 21, 30, 140, 150, 160, 300} {
 		c.Tick(at(ms))
 	}
@@ -33,15 +33,15 @@
 		{"from the middle of one that is not over", 350, 400, 50 * time.Millisecond},
 	}
 	for _, test := range tests {
-		if got := c.Lost(at(test.since), at(test.now)); got != test.want {
+		if got := c.PausedBetween(at(test.since), at(test.now)); got != test.want {
 			t.Errorf("%s: got %s, want %s", test.name, got, test.want)
 		}
 	}
 }
 
-func ExampleClock() {
-	c := &awake.Clock{Every: 10 * time.Millisecond, Least: 5 * time.Millisecond}
+func ExampleDetector() {
+	c := &awake.Detector{TickInterval: 10 * time.Millisecond, MinPause: 5 * time.Millisecond}
 	c.Tick(at(0))
-	fmt.Println(c.Tick(at(10)), c.Tick(at(610)), c.Lost(at(0), at(610)))
+	fmt.Println(c.Tick(at(10)), c.Tick(at(610)), c.PausedBetween(at(0), at(610)))
 	// Output: 0s 590ms 600ms
 }
--- a/internal/base/site/ask.go
+++ b/internal/base/site/ask.go
@@ -6,35 +6,35 @@
 	"fulmarwick/internal/base/spec"
 )
 
-// Ask is what the headers of a caller's request say.
-type Ask struct {
+// RequestHeader is what the headers of a caller's request say.
+type RequestHeader struct {
 	ID string
-	// Deadline is how long the caller waits, from when it sent the request;
+	// Timeout is how long the caller waits, from when it sent the request;
 	// zero if it does not say.
-	Deadline time.Duration
-	Key      string
-	Model    string
-	// Prompt is the number of prompt tokens, Most the most tokens of the
+	Timeout time.Duration
+	Key     string
+	Model   string
+	// PromptTokens is the number of prompt tokens, Most the most tokens of the
 	// answer, Hint the caller's guess of these; zero if it does not say.
-	Prompt int
-	Most   int
-	Hint   int
-	// After is the ID of the last event that the caller has; zero is none.
-	After int
+	PromptTokens int
+	MaxTokens    int
+	LengthHint   int
+	// LastEventID is the ID of the last event that the caller has; zero is none.
+	LastEventID int
 }
 
-// Forward is what the router adds to a request for one upstream.
-type Forward struct {
+// ForwardHeader is what the router adds to a request for one upstream.
+type ForwardHeader struct {
 	// Expect is the upstream that it is meant for.
 	Expect spec.UpstreamID
-	// Left is how much time the caller leaves.
-	Left time.Duration
+	// Remaining is how much time the caller leaves.
+	Remaining time.Duration
 	// Team holds the caller's key; empty for a route without keys.
 	Team string
 	// Path is the engines of a model request, in order; empty for plain ones.
 	Path []Hop
-	// After is the last event that need not be sent again; zero is none.
-	After int
+	// LastEventID is the last event that need not be sent again; zero is none.
+	LastEventID int
 	// Urgency is the rank among the requests of an engine, 0 first.
 	Urgency int
 }
@@ -45,18 +45,18 @@
 	Layers  spec.Layers
 }
 
-// Answer is what the head of an upstream's answer says.
-type Answer struct {
-	// Request is the request that it answers, empty if it does not say.
-	Request string
-	// NotRun means that the upstream did not run the request and never will.
-	NotRun bool
+// ResponseHeader is what the head of an upstream's answer says.
+type ResponseHeader struct {
+	// RequestID is the request that it answers, empty if it does not say.
+	RequestID string
+	// NotExecuted means that the upstream did not run the request and never will.
+	NotExecuted bool
 	// Moved means that another upstream has the address.
 	Moved bool
 	// Sealed answers come from an upstream and may be passed on as they are.
 	Sealed bool
-	// Fault is the address of the engine further on that is to blame.
-	Fault string
+	// FailedAddress is the address of the engine further on that is to blame.
+	FailedAddress string
 	// Load is what the upstream says of its load; nil if it does not.
 	Load *Load
 }
@@ -74,11 +74,11 @@
 	// another memory perhaps, refuses.
 	Engine spec.UpstreamID
 	Layers spec.Layers
-	// Fence is the number of the lease under which the order is given.
-	Fence uint64
-	// Expect is the count of orders that the engine must have accepted, so
+	// FencingToken is the number of the lease under which the order is given.
+	FencingToken uint64
+	// ExpectedOrders is the count of orders that the engine must have accepted, so
 	// that one carried out late finds a newer count and changes nothing.
-	Expect int
+	ExpectedOrders int
 }
 
 // Repath tells the first engine of a request to go on over another path.
--- a/internal/base/site/model.go
+++ b/internal/base/site/model.go
@@ -11,12 +11,12 @@
 // Card is a kind of accelerator.
 type Card struct {
 	Name string
-	// MB is its memory.
-	MB float64
-	// Pace and Read say how many times longer than the reference card it takes
+	// MemoryMB is its memory.
+	MemoryMB float64
+	// StepFactor and Read say how many times longer than the reference card it takes
 	// for a step and for reading a prompt.
-	Pace float64
-	Read float64
+	StepFactor    float64
+	PrefillFactor float64
 }
 
 // Model describes the engines of a service: what they hold and what work
@@ -28,29 +28,29 @@
 	// all layers.
 	LayerMB    float64
 	TokenBytes float64
-	// Stride is how many steps a pass with writers makes.
-	Stride int
+	// StepsPerPass is how many steps a pass with writers makes.
+	StepsPerPass int
 	// Step, Writer and Context make up the time of a step: a part for itself,
 	// one for each request that writes, one for each 1,000 tokens they hold.
-	Step    time.Duration
-	Writer  time.Duration
-	Context time.Duration
-	// ReadRate is tokens of prompts per second.
-	ReadRate float64
-	// Chunk is the most prompt tokens read in a step.
-	Chunk int
-	// Prompt and Answer are the usual sizes in tokens.
-	Prompt int
-	Answer int
-	// Load is how long loading all layers takes; Loads is how many loads run
+	StepTime        time.Duration
+	TimePerSequence time.Duration
+	TimePer1kTokens time.Duration
+	// PrefillRate is tokens of prompts per second.
+	PrefillRate float64
+	// PrefillChunk is the most prompt tokens read in a step.
+	PrefillChunk int
+	// TypicalPrompt and Answer are the usual sizes in tokens.
+	TypicalPrompt int
+	TypicalAnswer int
+	// LoadTime is how long loading all layers takes; Loads is how many loads run
 	// at full speed at once, zero where nothing is published.
-	Load  time.Duration
-	Loads int
-	Cards []Card
-	// ActBytes is what engines pass on for each token; PipeRate is the bytes
+	LoadTime         time.Duration
+	MaxParallelLoads int
+	Cards            []Card
+	// ActivationBytes is what engines pass on for each token; PipeRate is the bytes
 	// per second between data centres, which all requests share.
-	ActBytes float64
-	PipeRate float64
+	ActivationBytes float64
+	LinkRate        float64
 	// Delays are one-way times between data centres.
 	Delays []Delay
 }
@@ -74,36 +74,36 @@
 	return Card{}, false
 }
 
-// mb is the bytes of a megabyte as memory of cards is counted.
-const mb = 1e6
+// bytesPerMB is the bytes of a megabyte as memory of cards is counted.
+const bytesPerMB = 1e6
 
-// CellMB is the memory of one token in one layer.
-func (m *Model) CellMB() float64 {
-	return m.TokenBytes / float64(m.Layers) / mb
+// TokenLayerMB is the memory of one token in one layer.
+func (m *Model) TokenLayerMB() float64 {
+	return m.TokenBytes / float64(m.Layers) / bytesPerMB
 }
 
-// Cells is the memory that a card has left beside so many layers, in tokens
+// KVCapacity is the memory that a card has left beside so many layers, in tokens
 // times layers; negative if they do not fit. Where tokens have no published
 // size, memory never runs out.
-func (m *Model) Cells(c Card, layers int) int {
-	if m.TokenBytes <= 0 && float64(layers)*m.LayerMB <= c.MB {
+func (m *Model) KVCapacity(c Card, layers int) int {
+	if m.TokenBytes <= 0 && float64(layers)*m.LayerMB <= c.MemoryMB {
 		return math.MaxInt32
 	}
-	return int((c.MB - float64(layers)*m.LayerMB) / m.CellMB())
+	return int((c.MemoryMB - float64(layers)*m.LayerMB) / m.TokenLayerMB())
 }
 
-// Most is how many layers fit on the card at all.
-func (m *Model) Most(c Card) int {
-	return min(m.Layers, int(c.MB/m.LayerMB))
+// MaxLayers is how many layers fit on the card at all.
+func (m *Model) MaxLayers(c Card) int {
+	return min(m.Layers, int(c.MemoryMB/m.LayerMB))
 }
 
-// Crossing is the time that the activations of so many tokens take to another
+// TransferTime is the time that the activations of so many tokens take to another
 // data centre.
-func (m *Model) Crossing(tokens int) time.Duration {
-	if m.PipeRate <= 0 {
+func (m *Model) TransferTime(tokens int) time.Duration {
+	if m.LinkRate <= 0 {
 		return 0
 	}
-	return time.Duration(float64(tokens) * m.ActBytes / m.PipeRate * float64(time.Second))
+	return time.Duration(float64(tokens) * m.ActivationBytes / m.LinkRate * float64(time.Second))
 }
 
 // Delay is the one-way time between two data centres; zero inside one.
--- a/internal/base/site/site.go
+++ b/internal/base/site/site.go
@@ -46,32 +46,32 @@
 	Split []Share
 	// Timeout is the longest time to a final answer; zero is none.
 	Timeout time.Duration
-	// Target is the time to the answer, or to its first event, that earns full
+	// TargetLatency is the time to the answer, or to its first event, that earns full
 	// credit; Gap the longest pause between events that does.
-	Target time.Duration
-	Gap    time.Duration
-	// Attempts is on how many upstreams one request may run.
-	Attempts int
+	TargetLatency time.Duration
+	TargetGap     time.Duration
+	// MaxAttempts is on how many upstreams one request may run.
+	MaxAttempts int
 	// Priority is the rank, 0 first.
 	Priority int
-	// Open routes need no key.
-	Open bool
-	// Resume lets an answer be continued by another upstream.
-	Resume bool
+	// AuthExempt routes need no key.
+	AuthExempt bool
+	// Resumable lets an answer be continued by another upstream.
+	Resumable bool
 }
 
-// Repeatable reports whether a request of the route may run more than once.
-func (r *Route) Repeatable() bool {
-	return r.Kind == KindSafe || r.Kind == KindStream && r.Resume
+// Retryable reports whether a request of the route may run more than once.
+func (r *Route) Retryable() bool {
+	return r.Kind == KindSafe || r.Kind == KindStream && r.Resumable
 }
 
 // Service is a group of upstreams that do the same work.
 type Service struct {
 	Name string
-	// Health is the path of the health check.
-	Health string
-	// Conns is how many connections one upstream accepts from all callers.
-	Conns int
+	// HealthPath is the path of the health check.
+	HealthPath string
+	// MaxConns is how many connections one upstream accepts from all callers.
+	MaxConns int
 	// Model describes the engines; nil for a plain service.
 	Model *Model
 }
@@ -86,12 +86,12 @@
 
 // Limits bound what a caller may send.
 type Limits struct {
-	Header int
-	Body   int64
-	// Wait is how long a caller may take for its headers, Idle how long a
+	MaxHeaderBytes int
+	MaxBodyBytes   int64
+	// HeaderTimeout is how long a caller may take for its headers, Idle how long a
 	// connection may be unused.
-	Wait time.Duration
-	Idle time.Duration
+	HeaderTimeout time.Duration
+	IdleTimeout   time.Duration
 }
 
 // Config is all that the operator decides, at one version.
@@ -102,30 +102,30 @@
 	Teams    []Team
 	Limits   Limits
 
-	hosts    map[string][]*Route
-	services map[string]*Service
-	keys     map[string]*Team
+	routesByHost   map[string][]*Route
+	servicesByName map[string]*Service
+	teamsByKey     map[string]*Team
 }
 
 // Index builds the look-ups; call it once before the value is shared.
 func (c *Config) Index() {
-	c.hosts = map[string][]*Route{}
-	c.services = map[string]*Service{}
-	c.keys = map[string]*Team{}
+	c.routesByHost = map[string][]*Route{}
+	c.servicesByName = map[string]*Service{}
+	c.teamsByKey = map[string]*Team{}
 	for i := range c.Routes {
 		r := &c.Routes[i]
 		host := strings.ToLower(r.Host)
-		c.hosts[host] = append(c.hosts[host], r)
+		c.routesByHost[host] = append(c.routesByHost[host], r)
 	}
-	for _, routes := range c.hosts {
+	for _, routes := range c.routesByHost {
 		slices.SortStableFunc(routes, func(a, b *Route) int { return len(b.Prefix) - len(a.Prefix) })
 	}
 	for i := range c.Services {
-		c.services[c.Services[i].Name] = &c.Services[i]
+		c.servicesByName[c.Services[i].Name] = &c.Services[i]
 	}
 	for i := range c.Teams {
 		for _, key := range c.Teams[i].Keys {
-			c.keys[key] = &c.Teams[i]
+			c.teamsByKey[key] = &c.Teams[i]
 		}
 	}
 }
@@ -136,7 +136,7 @@
 	if i := strings.LastIndexByte(host, ':'); i >= 0 {
 		host = host[:i]
 	}
-	for _, r := range c.hosts[strings.ToLower(host)] {
+	for _, r := range c.routesByHost[strings.ToLower(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
 			return r
 		}
@@ -145,13 +145,13 @@
 }
 
 // Service returns the service of that name, or nil.
-func (c *Config) Service(name string) *Service { return c.services[name] }
+func (c *Config) Service(name string) *Service { return c.servicesByName[name] }
 
-// Keyed reports whether callers must show a key.
-func (c *Config) Keyed() bool { return len(c.Teams) > 0 }
+// RequiresKey reports whether callers must show a key.
+func (c *Config) RequiresKey() bool { return len(c.Teams) > 0 }
 
-// Team returns who holds the key, or nil.
-func (c *Config) Team(key string) *Team { return c.keys[key] }
+// TeamByKey returns who holds the key, or nil.
+func (c *Config) TeamByKey(key string) *Team { return c.teamsByKey[key] }
 
 // Range is a range of layers as an engine holds it.
 type Range struct {
@@ -192,25 +192,25 @@
 // Report is what an engine says of itself, some hundred milliseconds late. Born
 // is zero if it does not say.
 type Report struct {
-	Born int64
-	Held Range
-	Busy bool
-	// Orders is how many orders the engine accepted since its start.
-	Orders int
+	Born    int64
+	Held    Range
+	Loading bool
+	// OrdersAccepted is how many orders the engine accepted since its start.
+	OrdersAccepted int
 	// Active requests run, Queued ones wait.
 	Active int
 	Queued int
-	// Used and Total are memory in tokens times layers.
-	Used  int
-	Total int
-	// Pace is 1 for an engine at its usual speed, more for a slow one.
-	Pace float64
-	// Stalled are requests that wait for an engine further on.
-	Stalled []Stalled
+	// KVUsed and Total are memory in tokens times layers.
+	KVUsed  int
+	KVTotal int
+	// Slowdown is 1 for an engine at its usual speed, more for a slow one.
+	Slowdown float64
+	// StalledRequest are requests that wait for an engine further on.
+	Stalled []StalledRequest
 }
 
-// Stalled is a request that waits for the engine at Address.
-type Stalled struct {
+// StalledRequest is a request that waits for the engine at Address.
+type StalledRequest struct {
 	Request string
 	Address string
 }
--- a/internal/base/spec/class.go
+++ b/internal/base/spec/class.go
@@ -16,46 +16,46 @@
 // Target is what operators ask for a class: Percent of 100 requests within
 // each limit that is not zero.
 type Target struct {
-	first, gap, whole time.Duration
-	percent           float64
+	firstEvent, gap, totalTime time.Duration
+	percent                    float64
 }
 
 // NewTarget returns a target. A limit of zero is not a target.
 func NewTarget(first, gap, whole time.Duration, percent float64) Target {
-	return Target{first: first, gap: gap, whole: whole, percent: percent}
+	return Target{firstEvent: first, gap: gap, totalTime: whole, percent: percent}
 }
 
-// First is the limit on the time to the first token.
-func (t Target) First() time.Duration { return t.first }
+// FirstEvent is the limit on the time to the first token.
+func (t Target) FirstEvent() time.Duration { return t.firstEvent }
 
 // Gap is the limit on the time between tokens.
 func (t Target) Gap() time.Duration { return t.gap }
 
-// Whole is the limit on the time to the whole answer.
-func (t Target) Whole() time.Duration { return t.whole }
+// TotalTime is the limit on the time to the whole answer.
+func (t Target) TotalTime() time.Duration { return t.totalTime }
 
 // Percent is how many of 100 requests must meet the limits.
 func (t Target) Percent() float64 { return t.percent }
 
 // Class is a class of work with its target.
 type Class struct {
-	name       ClassName
-	kind       Kind
-	model      ModelName
-	service    ServiceName
-	repeatable bool
-	target     Target
+	name      ClassName
+	kind      Kind
+	model     ModelName
+	service   ServiceName
+	retryable bool
+	target    Target
 }
 
 // NewModelClass returns a class that engines of model serve.
 func NewModelClass(name ClassName, model ModelName, target Target) Class {
-	return Class{name: name, kind: KindModel, model: model, repeatable: true, target: target}
+	return Class{name: name, kind: KindModel, model: model, retryable: true, target: target}
 }
 
 // NewPlainClass returns a class that a plain service serves. A class that is
 // not repeatable needs an idempotency key on each call.
 func NewPlainClass(name ClassName, service ServiceName, repeatable bool, target Target) Class {
-	return Class{name: name, kind: KindPlain, service: service, repeatable: repeatable, target: target}
+	return Class{name: name, kind: KindPlain, service: service, retryable: repeatable, target: target}
 }
 
 // Name is the class's name.
@@ -70,8 +70,8 @@
 // Service is the service of a plain class.
 func (c Class) Service() ServiceName { return c.service }
 
-// Repeatable reports whether a call may run more than once without harm.
-func (c Class) Repeatable() bool { return c.repeatable }
+// Retryable reports whether a call may run more than once without harm.
+func (c Class) Retryable() bool { return c.retryable }
 
 // Target is what the class must be served with.
 func (c Class) Target() Target { return c.target }
@@ -99,9 +99,9 @@
 // Share is the team's part relative to other teams.
 func (t Team) Share() float64 { return t.share }
 
-// Limited returns the team with a limit on its use, in tokens a second over the
+// WithLimit returns the team with a limit on its use, in tokens a second over the
 // whole fleet; zero is none.
-func (t Team) Limited(limit float64) Team {
+func (t Team) WithLimit(limit float64) Team {
 	t.limit = limit
 	return t
 }
--- a/internal/fakes/bench/ends.go
+++ b/internal/fakes/bench/ends.go
@@ -70,10 +70,10 @@
 	if r.outcome != OutcomeDone {
 		return false
 	}
-	if t.First() > 0 && r.first > t.First() {
+	if t.FirstEvent() > 0 && r.first > t.FirstEvent() {
 		return false
 	}
-	if t.Whole() > 0 && r.ended-r.came > t.Whole() {
+	if t.TotalTime() > 0 && r.ended-r.came > t.TotalTime() {
 		return false
 	}
 	return float64(r.over) <= (1-t.Percent()/100)*float64(r.tokens)
--- a/internal/fakes/bench/result.go
+++ b/internal/fakes/bench/result.go
@@ -155,7 +155,7 @@
 }
 
 func (o *Result) miss(r *run) {
-	if limit := r.target.First(); limit > 0 && r.first > limit {
+	if limit := r.target.FirstEvent(); limit > 0 && r.first > limit {
 		o.MissFirst++
 		return
 	}
--- a/internal/fakes/depot/depot.go
+++ b/internal/fakes/depot/depot.go
@@ -28,10 +28,10 @@
 // Depot is a deployment. Set the exported fields before Open.
 type Depot struct {
 	Instances int
-	// Naive puts forwarders in the place of instances; nil is the router.
-	Naive *stand.Naive
-	// Shape is the model and its engines; one without layers is the usual.
-	Shape stand.Shape
+	// Baseline puts forwarders in the place of instances; nil is the router.
+	Naive *stand.Baseline
+	// Deployment is the model and its engines; one without layers is the usual.
+	Shape stand.Deployment
 	// Retry bounds repeats; zero is the usual bound.
 	Retry setup.Retry
 	// Handshake is how long an engine takes for a new connection.
@@ -49,7 +49,7 @@
 
 // Settings are those of instance n.
 func Settings(n int) setup.File {
-	return settings(n, stand.Usual.Zones)
+	return settings(n, stand.DefaultDeployment.Zones)
 }
 
 // settings are those of instance n in front of data centres.
@@ -69,12 +69,12 @@
 // Open starts everything and waits until layers are placed.
 func (d *Depot) Open(ctx context.Context) error {
 	d.site = stand.NewSite()
-	d.site.Handshake = d.Handshake
+	d.site.HandshakeTime = d.Handshake
 	if d.Shape.Layers > 0 {
-		d.site.Shape = d.Shape
+		d.site.Deployment = d.Shape
 	}
 	d.site.Store.Put("op", "config", d.site.Config(1))
-	d.site.Fill()
+	d.site.AddUpstreams()
 	if d.Log == nil {
 		d.Log = zap.NewNop()
 	}
@@ -92,7 +92,7 @@
 }
 
 func (d *Depot) start(n int) {
-	s := settings(n, d.site.Shape.Zones)
+	s := settings(n, d.site.Deployment.Zones)
 	if d.Retry != (setup.Retry{}) {
 		s.Retry = d.Retry
 	}
@@ -109,7 +109,7 @@
 
 // forward serves plain forwarders where instances would be.
 func (d *Depot) forward(ctx context.Context) error {
-	d.Naive.Place(d.site)
+	d.Naive.PlaceEvenly(d.site)
 	for _, address := range d.fronts {
 		l, err := d.site.Net.Listen(ctx, address)
 		if err != nil {
@@ -141,7 +141,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	errs := d.errs
-	for _, f := range d.site.Faults() {
+	for _, f := range d.site.Violations() {
 		errs = append(errs, errors.Errorf("depot: rule broken: %s", f))
 	}
 	return errors.Join(errs...)
@@ -156,7 +156,7 @@
 func (d *Depot) fault(f drive.Fault) error {
 	switch f.Kind {
 	case drive.KindPipe:
-		d.site.SlowPipe(f.Times)
+		d.site.SetLinkSlowdown(f.Times)
 		return nil
 	case drive.KindZone:
 		for _, e := range d.site.Engines() {
@@ -175,11 +175,11 @@
 		case drive.KindCrash:
 			d.site.Crash(e)
 		case drive.KindDark:
-			d.site.Darken(e)
+			d.site.StopResponding(e)
 		case drive.KindDrain:
-			d.site.Drain(e)
+			d.site.DrainEngine(e)
 		case drive.KindSlow:
-			d.site.Slow(e, f.Times)
+			d.site.SetSlowdown(e, f.Times)
 		default:
 			return errors.Errorf("depot: fault %s is not known", f.Kind)
 		}
@@ -191,7 +191,7 @@
 func (d *Depot) busiest() *stand.Engine {
 	var best *stand.Engine
 	for _, e := range d.site.Engines() {
-		if e.Sound() && (best == nil || e.Streams() > best.Streams()) {
+		if e.Serving() && (best == nil || e.Streams() > best.Streams()) {
 			best = e
 		}
 	}
--- a/internal/fakes/depot/rate_test.go
+++ b/internal/fakes/depot/rate_test.go
@@ -19,13 +19,13 @@
 // carry, data centre by data centre.
 func predicted(s *stand.Site) float64 {
 	m := &site.Model{
-		Slots: 192, Layers: s.Shape.Layers, LayerMB: s.Shape.LayerMB, TokenBytes: s.Shape.TokenBytes, ReadRate: s.Shape.ReadRate,
-		Step: 1020 * time.Microsecond, Writer: 7140 * time.Nanosecond, Context: 9560 * time.Nanosecond, Prompt: s.Shape.Prompt, Answer: s.Shape.Answer,
+		Slots: 192, Layers: s.Deployment.Layers, LayerMB: s.Deployment.LayerMB, TokenBytes: s.Deployment.TokenBytes, PrefillRate: s.Deployment.PrefillRate,
+		StepTime: 1020 * time.Microsecond, TimePerSequence: 7140 * time.Nanosecond, TimePer1kTokens: 9560 * time.Nanosecond, TypicalPrompt: s.Deployment.TypicalPrompt, TypicalAnswer: s.Deployment.TypicalAnswer,
 	}
 	by := map[string][]grid.Engine{}
 	for _, e := range s.Engines() {
-		from, to := e.Held()
-		card := site.Card{Name: e.Card.Name, MB: e.Card.MB, Pace: e.Card.Pace, Read: e.Card.Read}
+		from, to := e.LoadedLayers()
+		card := site.Card{Name: e.Card.Name, MemoryMB: e.Card.MemoryMB, StepFactor: e.Card.StepFactor, PrefillFactor: e.Card.PrefillFactor}
 		by[e.Zone] = append(by[e.Zone], grid.Engine{ID: spec.UpstreamID(e.ID), Card: card, Held: spec.NewLayers(from, to)})
 	}
 	sum := 0.0
@@ -54,7 +54,7 @@
 				w := usual()
 				w.Span = 8 * time.Second
 				w.Classes = w.Classes[:1]
-				w.Classes[0].Rate, w.Classes[0].Prompt, w.Classes[0].Answer, w.Classes[0].Retries = rate, s.shape.Prompt, s.shape.Answer, 0
+				w.Classes[0].Rate, w.Classes[0].Prompt, w.Classes[0].Answer, w.Classes[0].Retries = rate, s.shape.TypicalPrompt, s.shape.TypicalAnswer, 0
 				report, err := d.Drive(w).Do(context.Background())
 				if err != nil {
 					t.Error(err)
--- a/internal/fakes/depot/worst_test.go
+++ b/internal/fakes/depot/worst_test.go
@@ -18,9 +18,9 @@
 	return drive.Work{
 		Span: 16 * time.Second, Instances: 4, Seed: 7,
 		Classes: []drive.Class{
-			{Name: "draft", Method: "POST", Key: stand.Key(1), Path: "/write/1", Rate: 40.5, Prompt: 800, Answer: 171, Target: 500 * time.Millisecond, Gap: 200 * time.Millisecond, Deadline: 20 * time.Second, Late: 0.5, Retries: 1},
-			{Name: "reply", Method: "POST", Key: stand.Key(1), Path: "/write/2", Rate: 38.3, Prompt: 740, Answer: 231, Target: 500 * time.Millisecond, Gap: 200 * time.Millisecond, Deadline: 20 * time.Second, Late: 0.5, Retries: 1},
-			{Name: "book", Method: "POST", Key: stand.Key(1), Path: "/book/1", Rate: 6.8, Target: 300 * time.Millisecond, Deadline: 3 * time.Second, Late: 0.3, Retries: 1},
+			{Name: "draft", Method: "POST", Key: stand.TeamKey(1), Path: "/write/1", Rate: 40.5, Prompt: 800, Answer: 171, Target: 500 * time.Millisecond, Gap: 200 * time.Millisecond, Deadline: 20 * time.Second, Late: 0.5, Retries: 1},
+			{Name: "reply", Method: "POST", Key: stand.TeamKey(1), Path: "/write/2", Rate: 38.3, Prompt: 740, Answer: 231, Target: 500 * time.Millisecond, Gap: 200 * time.Millisecond, Deadline: 20 * time.Second, Late: 0.5, Retries: 1},
+			{Name: "book", Method: "POST", Key: stand.TeamKey(1), Path: "/book/1", Rate: 6.8, Target: 300 * time.Millisecond, Deadline: 3 * time.Second, Late: 0.3, Retries: 1},
 		},
 	}
 }
@@ -36,7 +36,7 @@
 	{"2 deaths", func(w *drive.Work) { w.Faults = []drive.Fault{{At: 6 * time.Second, Kind: drive.KindCrash, Count: 2}} }},
 	{"2 dark", func(w *drive.Work) { w.Faults = []drive.Fault{{At: 6 * time.Second, Kind: drive.KindDark, Count: 2}} }},
 	{"lost data centre", func(w *drive.Work) {
-		w.Faults = []drive.Fault{{At: 6 * time.Second, Kind: drive.KindZone, Zone: stand.Usual.Zones[0].Name}}
+		w.Faults = []drive.Fault{{At: 6 * time.Second, Kind: drive.KindZone, Zone: stand.DefaultDeployment.Zones[0].Name}}
 	}},
 	{"pipe 3 times slower", func(w *drive.Work) { w.Faults = []drive.Fault{{At: 4 * time.Second, Kind: drive.KindPipe, Times: 3}} }},
 	{"2 slow", func(w *drive.Work) {
@@ -45,7 +45,7 @@
 }
 
 // play plays a workload on a depot of its own in virtual time.
-func play(t *testing.T, naive *stand.Naive, add func(*drive.Work)) drive.Report {
+func play(t *testing.T, naive *stand.Baseline, add func(*drive.Work)) drive.Report {
 	t.Helper()
 	return playOn(t, &depot.Depot{Instances: 4, Naive: naive}, add)
 }
@@ -81,7 +81,7 @@
 func TestTwoDeathsAgainstNaive(t *testing.T) {
 	two := loads[3].add
 	got := play(t, nil, two).Total.Worth
-	best := max(play(t, &stand.Naive{}, two).Total.Worth, play(t, &stand.Naive{Least: true}, two).Total.Worth)
+	best := max(play(t, &stand.Baseline{}, two).Total.Worth, play(t, &stand.Baseline{LeastLoaded: true}, two).Total.Worth)
 	if got < 1.5*best {
 		t.Errorf("got worth %.3f beside %.3f of the better forwarder, want 1.5 times that", got, best)
 	}
@@ -93,7 +93,7 @@
 		t.Skip("prints figures: WORST=1")
 	}
 	for _, l := range loads {
-		a, b, c := play(t, nil, l.add), play(t, &stand.Naive{}, l.add), play(t, &stand.Naive{Least: true}, l.add)
+		a, b, c := play(t, nil, l.add), play(t, &stand.Baseline{}, l.add), play(t, &stand.Baseline{LeastLoaded: true}, l.add)
 		t.Logf("| %s | %.3f | %.3f | %.3f | %d late, %d refused, %d failed of %d | %.0f, %.0f |", l.name, a.Total.Worth, b.Total.Worth, c.Total.Worth,
 			a.Total.Late, a.Total.Refused, a.Total.Failed, a.Total.Asked, a.Total.PauseP50, a.Total.PauseP99)
 	}
@@ -109,7 +109,7 @@
 		w.Classes = []drive.Class{heavy}
 		for n := 2; n <= 10; n++ {
 			small := heavy
-			small.Name, small.Key, small.Rate = fmt.Sprintf("small-%d", n), stand.Key(n), 0.7
+			small.Name, small.Key, small.Rate = fmt.Sprintf("small-%d", n), stand.TeamKey(n), 0.7
 			w.Classes = append(w.Classes, small)
 		}
 	})
--- a/internal/fakes/drive/run.go
+++ b/internal/fakes/drive/run.go
@@ -167,7 +167,7 @@
 	if err != nil {
 		return a, 0
 	}
-	stand.Limit(req, left)
+	stand.SetDeadline(req, left)
 	stand.SetKey(req, c.Key)
 	resp, err := r.clients[n].Do(req)
 	if err != nil {
@@ -188,7 +188,7 @@
 	}
 	events, err := a.read(resp.Body, start)
 	switch {
-	case err != nil || events != stand.Events(c.Answer):
+	case err != nil || events != stand.EventCount(c.Answer):
 		return a, 0
 	case a.first > c.Target || events > 0 && a.pause > c.Gap:
 		a.end = EndLate
--- a/internal/fakes/drive/work.go
+++ b/internal/fakes/drive/work.go
@@ -151,7 +151,7 @@
 func (p *parser) class(s *ini.Section, name string) {
 	p.known(s, "rate", "method", "path", "prompt", "answer", "target", "gap", "deadline", "late", "retries", "key")
 	c := Class{
-		Name: name, Method: s.Key("method").MustString("POST"), Key: s.Key("key").MustString(stand.Key(1)), Path: s.Key("path").String(), Rate: p.number(s, "rate", 1, 0, 1e5),
+		Name: name, Method: s.Key("method").MustString("POST"), Key: s.Key("key").MustString(stand.TeamKey(1)), Path: s.Key("path").String(), Rate: p.number(s, "rate", 1, 0, 1e5),
 		Prompt: int(p.number(s, "prompt", 0, 0, 1e6)), Answer: int(p.number(s, "answer", 0, 0, 1e6)),
 		Target: p.span(s, "target", 500*time.Millisecond, time.Millisecond), Gap: p.span(s, "gap", 200*time.Millisecond, time.Millisecond),
 		Deadline: p.span(s, "deadline", 20*time.Second, time.Millisecond),
--- a/internal/fleet/mesh/cell_test.go
+++ b/internal/fleet/mesh/cell_test.go
@@ -11,12 +11,12 @@
 
 // large is how many instances a large fleet has, larger what is designed for.
 const (
-	large  = 118
-	larger = 360
+	large       = 118
+	designFleet = 360
 )
 
-// others is how many streams of other instances a member knows of.
-func (m *member) others() int {
+// remoteStreams is how many streams of other instances a member knows of.
+func (m *member) remoteStreams() int {
 	n := 0
 	for _, streams := range m.streams {
 		n += streams
@@ -24,42 +24,42 @@
 	return n
 }
 
-// checkWhole checks that each of n live members counts all and knows the load of all
+// checkTotals checks that each of n live members counts all and knows the load of all
 // others, each once.
-func (f *fleet) checkWhole(t *testing.T, n int) {
+func (f *fleet) checkTotals(t *testing.T, n int) {
 	t.Helper()
 	for _, id := range f.ids() {
-		if f.silent[id] {
+		if f.frozen[id] {
 			continue
 		}
 		m := f.members[id]
 		first := 0
-		for _, sent := range m.first {
+		for _, sent := range m.requestsFrom {
 			first += sent
 		}
 		if first != 2*(n-1) {
 			t.Errorf("%s: got %d requests of others, want %d", id, first, 2*(n-1))
 		}
-		if m.others() != n-1 || m.logic.Count() != n {
-			t.Errorf("%s: got %d streams of others and %d instances, want %d and %d", id, m.others(), m.logic.Count(), n-1, n)
+		if m.remoteStreams() != n-1 || m.logic.Count() != n {
+			t.Errorf("%s: got %d streams of others and %d instances, want %d and %d", id, m.remoteStreams(), m.logic.Count(), n-1, n)
 		}
 	}
 }
 
 // Guards against requests that count twice or not at all where their load is summed
 // up on the way.
-func TestLargeFleetKnowsTheLoadOfAll(t *testing.T) {
+func TestLargeFleetCountsLoadOnce(t *testing.T) {
 	for _, n := range append([]int{40, 41}, sizes...) {
 		t.Run(fmt.Sprintf("%d instances", n), func(t *testing.T) {
-			f := open(n)
+			f := newFleet(n)
 			f.run(0, 4*time.Second)
-			f.checkWhole(t, n)
+			f.checkTotals(t, n)
 		})
 	}
 }
 
 // Guards against messages that each instance sends more of, the more there are.
-func TestMessagesDoNotGrowWithTheFleet(t *testing.T) {
+func TestMessageRateIsBoundedInLargeFleets(t *testing.T) {
 	const (
 		// membersMost and headsMost are messages a second that a member and a head of a
 		// cell may send: two, or one to each member and to each other head, in each round.
@@ -67,14 +67,14 @@
 		headsMost   = (40 + 2*20) * 5
 	)
 	for _, n := range append([]int{33}, sizes...) {
-		f := open(n)
+		f := newFleet(n)
 		f.run(0, 4*time.Second)
-		clear(f.sentBy)
-		clear(f.bytesBy)
+		clear(f.messagesSent)
+		clear(f.bytesSent)
 		f.run(4*time.Second, 9*time.Second)
 		busy, most, bytes := 0, 0, 0
-		for id, sent := range f.sentBy {
-			most, bytes = max(most, sent/5), max(bytes, f.bytesBy[id]/5)
+		for id, sent := range f.messagesSent {
+			most, bytes = max(most, sent/5), max(bytes, f.bytesSent[id]/5)
 			if sent/5 > membersMost {
 				busy++
 			}
@@ -88,20 +88,20 @@
 
 // Guards against sums that fill the link of those who hear them, or of the way between
 // data centres, where there are many engines.
-func TestSumsOfManyEnginesAreToldLessOften(t *testing.T) {
+func TestLargeSumsAreSentLessOften(t *testing.T) {
 	const (
 		// nearMost and farMost are bytes a second that an instance may hear from another
 		// one, in its own data centre and in another one.
 		nearMost, farMost = 24 << 10, 12 << 10
 		engines           = 600
 	)
-	f := open(large)
+	f := newFleet(large)
 	f.engines = engines
 	f.run(0, 5*time.Second)
-	clear(f.heardBy)
+	clear(f.bytesReceived)
 	f.run(5*time.Second, 15*time.Second)
-	f.checkWhole(t, large)
-	for way, bytes := range f.heardBy {
+	f.checkTotals(t, large)
+	for way, bytes := range f.bytesReceived {
 		most := farMost
 		if centreOf(way[0]) == centreOf(way[1]) {
 			most = nearMost
@@ -114,17 +114,17 @@
 
 // Guards against news that are told several times or not at all on their way through
 // the heads: the deaths of upstreams count against requests.
-func TestFindingIsToldOnce(t *testing.T) {
-	f := open(large)
+func TestDeadEngineIsReportedOnce(t *testing.T) {
+	f := newFleet(large)
 	f.run(0, 4*time.Second)
 	for _, finder := range f.ids()[:12] {
-		f.members[finder].dead = []spec.UpstreamID{"e"}
-		f.run(f.now+tick, f.now+5*tick)
+		f.members[finder].unreportedDead = []spec.UpstreamID{"e"}
+		f.run(f.now+tickInterval, f.now+5*tickInterval)
 		for id, m := range f.members {
-			if got := len(m.from); id != finder && got != 1 {
+			if got := len(m.deadReportsFrom); id != finder && got != 1 {
 				t.Errorf("found by %s: %s heard of it %d times, want once", finder, id, got)
 			}
-			m.from = nil
+			m.deadReportsFrom = nil
 		}
 	}
 }
@@ -132,35 +132,35 @@
 // Guards against load that is forgotten or counted twice, and duties that nobody
 // holds, after heads of cells have died and come back.
 func TestHeadsAreReplaced(t *testing.T) {
-	f := open(large)
+	f := newFleet(large)
 	f.run(0, 4*time.Second)
 	gone := 0
 	for _, id := range f.ids() {
-		if f.members[id].logic.Place("plan") < 3 || f.members[id].logic.Place("read") < 3 {
-			f.silent[id] = true
+		if f.members[id].logic.DutyRank("plan") < 3 || f.members[id].logic.DutyRank("read") < 3 {
+			f.frozen[id] = true
 			gone++
 		}
 	}
 	f.run(4*time.Second, 24*time.Second)
-	f.checkWhole(t, large-gone)
+	f.checkTotals(t, large-gone)
 	first := 0
 	for id, m := range f.members {
-		if !f.silent[id] && m.logic.Place("plan") == 0 {
+		if !f.frozen[id] && m.logic.DutyRank("plan") == 0 {
 			first++
 		}
 	}
 	if first != 1 {
 		t.Errorf("got %d first places, want 1", first)
 	}
-	clear(f.silent)
+	clear(f.frozen)
 	f.run(24*time.Second, 30*time.Second)
-	f.checkWhole(t, large)
+	f.checkTotals(t, large)
 }
 
 // Guards against a fleet that stays in parts: instances that start together find
 // only those in the roster that wrote their rows before them.
-func TestPartsOfTheRosterMeet(t *testing.T) {
-	f := open(large)
+func TestPartialRostersAreMerged(t *testing.T) {
+	f := newFleet(large)
 	ids := f.ids()
 	for k, id := range ids {
 		var peers []node.Peer
@@ -170,30 +170,30 @@
 		f.inbox[id] = []node.Event{node.Listed{Peers: peers}}
 	}
 	f.run(0, 8*time.Second)
-	f.checkWhole(t, large)
+	f.checkTotals(t, large)
 }
 
 // Guards against a fleet that starts anew and in which each instance takes the whole
 // bound on repeats for its own, since it has heard of no other one yet.
-func TestStartedInstancesShareTheBound(t *testing.T) {
-	f := open(large)
+func TestStartingInstancesShareTheRetryBudget(t *testing.T) {
+	f := newFleet(large)
 	for _, id := range f.ids() {
-		if got := f.members[id].logic.Sharing(); got < large {
+		if got := f.members[id].logic.BudgetShares(); got < large {
 			t.Errorf("%s: got the bound shared by %d before the start, want %d or more", id, got, large)
 		}
 	}
-	f.lost = func(_, _ spec.InstanceID) bool { return true }
+	f.linkDown = func(_, _ spec.InstanceID) bool { return true }
 	f.run(0, time.Second)
 	for _, id := range f.ids() {
-		if got := f.members[id].logic.Sharing(); got < large {
+		if got := f.members[id].logic.BudgetShares(); got < large {
 			t.Errorf("%s: got the bound shared by %d before any is heard, want %d or more", id, got, large)
 		}
 	}
-	f.lost = nil
+	f.linkDown = nil
 	f.run(time.Second, 20*time.Second)
-	f.checkWhole(t, large)
+	f.checkTotals(t, large)
 	for _, id := range f.ids() {
-		if got := f.members[id].logic.Sharing(); got != large {
+		if got := f.members[id].logic.BudgetShares(); got != large {
 			t.Errorf("%s: got the bound shared by %d, want %d", id, got, large)
 		}
 	}
@@ -201,17 +201,17 @@
 
 // Guards against load that is forgotten until the next round, when an instance tells
 // others of a change between two rounds.
-func TestChangeBetweenRoundsKeepsTheLoad(t *testing.T) {
+func TestChangeBetweenRoundsKeepsLoad(t *testing.T) {
 	for seed := range 6 {
-		f := openNamed(large, fmt.Sprintf("b%d-", seed))
-		r := &rows{}
-		r.put(changed, "old")
-		f.watch(r, tick, 5*time.Second, nil)
+		f := newNamedFleet(large, fmt.Sprintf("b%d-", seed))
+		r := &fakeStore{}
+		r.put(changedKey, "old")
+		f.runWithStore(r, tickInterval, 5*time.Second, nil)
 		for k := range 4 {
-			r.put(changed, fmt.Sprint(k))
+			r.put(changedKey, fmt.Sprint(k))
 			for range 7 {
-				f.watch(r, f.now+tick, f.now+2*tick, nil)
-				f.checkWhole(t, large)
+				f.runWithStore(r, f.now+tickInterval, f.now+2*tickInterval, nil)
+				f.checkTotals(t, large)
 			}
 		}
 	}
--- a/internal/fleet/mesh/message.go
+++ b/internal/fleet/mesh/message.go
@@ -14,22 +14,22 @@
 // the CBOR codec fills them.
 type Message struct {
 	URL string `cbor:"1,keyasint"`
-	// Uses is what its requests take, by service and engine.
-	Uses map[string]map[spec.UpstreamID]path.Use `cbor:"2,keyasint,omitempty"`
+	// Usage is what its requests take, by service and engine.
+	Usage map[string]map[spec.UpstreamID]path.Usage `cbor:"2,keyasint,omitempty"`
 	// Versions is up to where it knows each table, Digests of what it holds.
 	Versions map[string]uint64 `cbor:"3,keyasint,omitempty"`
 	Digests  map[string]uint64 `cbor:"9,keyasint,omitempty"`
-	// Age is how long ago the store last told it of all tables, in
+	// SyncAgeMs is how long ago the store last told it of all tables, in
 	// milliseconds; negative if it never did.
-	Age int64 `cbor:"4,keyasint"`
+	SyncAgeMs int64 `cbor:"4,keyasint"`
 	// Dead are engines that did not answer it.
 	Dead []spec.UpstreamID `cbor:"5,keyasint,omitempty"`
 	// Tables are rows that the receiver lacks.
 	Tables []Table `cbor:"6,keyasint,omitempty"`
 	// Crashes are upstreams that died, with the requests that they ran.
-	Crashes []crash.Death `cbor:"7,keyasint,omitempty"`
-	// Paces are engines that work slower than usual, and how many times.
-	Paces map[spec.UpstreamID]float64 `cbor:"8,keyasint,omitempty"`
+	Crashes []crash.Event `cbor:"7,keyasint,omitempty"`
+	// Slowdowns are engines that work slower than usual, and how many times.
+	Slowdowns map[spec.UpstreamID]float64 `cbor:"8,keyasint,omitempty"`
 	// DataCentre is that of the sender, Cell its cell, Head whether it is one of the
 	// heads there.
 	DataCentre spec.DataCentre `cbor:"10,keyasint,omitempty"`
@@ -41,12 +41,12 @@
 	Count int   `cbor:"14,keyasint,omitempty"`
 	// Reply tells that the message only answers those of the receiver.
 	Reply bool `cbor:"15,keyasint,omitempty"`
-	// Known is the digest of the instances that the sender knows, Roster those that
+	// RosterDigest is the digest of the instances that the sender knows, Roster those that
 	// the receiver seems to lack.
-	Known  uint64   `cbor:"16,keyasint,omitempty"`
-	Roster []Member `cbor:"17,keyasint,omitempty"`
-	// Repeats is how often requests were sent, by service.
-	Repeats map[string]again.Count `cbor:"18,keyasint,omitempty"`
+	RosterDigest uint64   `cbor:"16,keyasint,omitempty"`
+	Roster       []Member `cbor:"17,keyasint,omitempty"`
+	// Retries is how often requests were sent, by service.
+	Retries map[string]again.Usage `cbor:"18,keyasint,omitempty"`
 }
 
 // Scope is whose requests a message is about.
@@ -56,10 +56,10 @@
 
 // The scopes.
 const (
-	ScopeOwn  Scope = iota // sender
-	ScopeCell              // cell of the sender
-	ScopeAll               // all but the receiver
-	ScopeNone              // none
+	ScopeSender         Scope = iota // sender
+	ScopeCell                        // cell of the sender
+	ScopeAllButReceiver              // all but the receiver
+	ScopeNone                        // none
 )
 
 // Table is the changes of a table after a version, all of it after 0. Version and
@@ -70,56 +70,56 @@
 	Version uint64     `cbor:"3,keyasint"`
 	Rows    []feed.Row `cbor:"4,keyasint"`
 	Digest  uint64     `cbor:"5,keyasint,omitempty"`
-	// Relay are instances that the receiver is to tell.
-	Relay []spec.InstanceID `cbor:"6,keyasint,omitempty"`
+	// RelayTo are instances that the receiver is to tell.
+	RelayTo []spec.InstanceID `cbor:"6,keyasint,omitempty"`
 }
 
-// mark is how much of a table the sender of a message knows; false if it does not
+// checkpoint is how much of a table the sender of a message knows; false if it does not
 // say.
-func (m Message) mark(table string) (feed.Mark, bool) {
+func (m Message) checkpoint(table string) (feed.Checkpoint, bool) {
 	digest, ok := m.Digests[table]
-	return feed.Mark{Version: m.Versions[table], Digest: digest}, ok
+	return feed.Checkpoint{Version: m.Versions[table], Digest: digest}, ok
 }
 
-// Self gives what this instance has to tell. It is called on the goroutine
+// LocalState gives what this instance has to tell. It is called on the goroutine
 // that ticks.
-type Self interface {
-	// Urgent tells that there is something to tell before the next beat.
-	Urgent() bool
-	// News is the version of the last change of each table of which the store told
+type LocalState interface {
+	// HasUrgent tells that there is something to tell before the next beat.
+	HasUrgent() bool
+	// TakeChangedVersions is the version of the last change of each table of which the store told
 	// since the last call.
-	News() map[string]uint64
-	Uses() map[string]map[spec.UpstreamID]path.Use
-	// Marks is how much is known of each table.
-	Marks() map[string]feed.Mark
-	// Age is how long ago the store last told of all tables; negative if never.
-	Age() time.Duration
-	Paces() map[spec.UpstreamID]float64
-	Repeats() map[string]again.Count
-	// Since returns the changes after a version, or the whole table since 0.
-	Since(table string, version uint64) (since uint64, p feed.Page)
-	// Fresh returns the engines found dead and the deaths of upstreams with the
+	TakeChangedVersions() map[string]uint64
+	Usage() map[string]map[spec.UpstreamID]path.Usage
+	// Checkpoints is how much is known of each table.
+	Checkpoints() map[string]feed.Checkpoint
+	// SyncAge is how long ago the store last told of all tables; negative if never.
+	SyncAge() time.Duration
+	Slowdowns() map[spec.UpstreamID]float64
+	Retries() map[string]again.Usage
+	// ChangesSince returns the changes after a version, or the whole table since 0.
+	ChangesSince(table string, version uint64) (since uint64, p feed.Page)
+	// TakeFailures returns the engines found dead and the deaths of upstreams with the
 	// requests that they ran since the last call.
-	Fresh() (dead []spec.UpstreamID, crashes []crash.Death)
+	TakeFailures() (dead []spec.UpstreamID, crashes []crash.Event)
 }
 
-// Taker is told what others tell. It is called on the goroutine that ticks.
-type Taker interface {
+// Receiver is told what others tell. It is called on the goroutine that ticks.
+type Receiver interface {
 	// Used, Paced and Repeated take what the requests of one instance or of several
 	// take, how slow engines are for them, and how often they were sent. from names
 	// them: an instance, a cell, or all.
-	Used(from spec.InstanceID, uses map[string]map[spec.UpstreamID]path.Use)
-	Paced(from spec.InstanceID, paces map[spec.UpstreamID]float64)
-	Repeated(from spec.InstanceID, repeats map[string]again.Count)
-	Told(table string, since uint64, rows []feed.Row, m feed.Mark, from spec.InstanceID)
-	// Known tells how much another instance knows.
-	Known(table string, m feed.Mark)
-	// Behind tells that another instance knows a table up to a later version for
+	ReceiveUsage(from spec.InstanceID, uses map[string]map[spec.UpstreamID]path.Usage)
+	ReceiveSlowdowns(from spec.InstanceID, paces map[spec.UpstreamID]float64)
+	ReceiveRetries(from spec.InstanceID, repeats map[string]again.Usage)
+	ReceiveRows(table string, since uint64, rows []feed.Row, m feed.Checkpoint, from spec.InstanceID)
+	// ReceiveCheckpoint tells how much another instance knows.
+	ReceiveCheckpoint(table string, m feed.Checkpoint)
+	// ReportLag tells that another instance knows a table up to a later version for
 	// so long that this one reads the store.
-	Behind(table string, known, there uint64)
-	Dead(from spec.InstanceID, engines []spec.UpstreamID)
-	Crashed(from spec.InstanceID, deaths []crash.Death)
-	// Met tells that an instance is heard, Missed that it fell silent.
-	Met(id spec.InstanceID)
-	Missed(id spec.InstanceID)
+	ReportLag(table string, known, there uint64)
+	ReceiveDead(from spec.InstanceID, engines []spec.UpstreamID)
+	ReceiveCrashes(from spec.InstanceID, deaths []crash.Event)
+	// PeerJoined tells that an instance is heard, Missed that it fell silent.
+	PeerJoined(id spec.InstanceID)
+	PeerLost(id spec.InstanceID)
 }
--- a/internal/fleet/mesh/roster.go
+++ b/internal/fleet/mesh/roster.go
@@ -10,8 +10,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// rosterPause is the pause between two copies of the roster to one instance.
-const rosterPause = time.Second
+// rosterInterval is the pause between two copies of the roster to one instance.
+const rosterInterval = time.Second
 
 // Member is an instance that another one knows of.
 type Member struct {
@@ -22,36 +22,36 @@
 	Version uint64 `cbor:"4,keyasint,omitempty"`
 }
 
-// listed notes where instances should be. One that moved is asked at its new
+// handleRoster notes where instances should be. One that moved is asked at its new
 // address.
-func (l *Logic) listed(ev node.Listed) {
-	l.rostered = true
+func (l *Logic) handleRoster(ev node.Listed) {
+	l.rosterReceived = true
 	for _, p := range ev.Peers {
-		l.enrol(Member{ID: p.ID, URL: p.URL, DataCentre: p.DataCentre, Version: p.Version}, true)
+		l.updateMember(Member{ID: p.ID, URL: p.URL, DataCentre: p.DataCentre, Version: p.Version}, true)
 	}
 }
 
-// enrol takes what the store or another instance knows of an instance. The newer row
+// updateMember takes what the store or another instance knows of an instance. The newer row
 // of the roster holds; another instance that knows the same row may not have heard
 // yet that its instance moved.
-func (l *Logic) enrol(m Member, stored bool) {
+func (l *Logic) updateMember(m Member, stored bool) {
 	l.rosterDigest = 0
 	if m.ID == l.ID {
 		l.version = max(l.version, m.Version)
 		return
 	}
-	p := l.peer(m.ID)
+	p := l.ensurePeer(m.ID)
 	if p.url != "" && (m.Version < p.version || m.Version == p.version && !stored) {
 		return
 	}
 	p.url, p.version = m.URL, m.Version
-	l.settle(p, m.DataCentre)
+	l.setDataCentre(p, m.DataCentre)
 }
 
-// settle notes in which data centre an instance is.
-func (l *Logic) settle(p *peer, centre spec.DataCentre) {
+// setDataCentre notes in which data centre an instance is.
+func (l *Logic) setDataCentre(p *peer, centre spec.DataCentre) {
 	if p.centre != centre {
-		p.centre, l.arranged = centre, false
+		p.centre, l.cellsAssigned = centre, false
 	}
 }
 
@@ -61,7 +61,7 @@
 		return l.rosterDigest
 	}
 	sum := rowDigest(l.ID, l.version)
-	for _, p := range l.sorted() {
+	for _, p := range l.peersByID() {
 		sum += rowDigest(p.id, p.version)
 	}
 	l.rosterDigest = max(sum, 1)
@@ -76,15 +76,15 @@
 	return d.Sum64()
 }
 
-// roster is all instances that this one knows, for one that knows others; nil if it
+// rosterFor is all instances that this one knows, for one that knows others; nil if it
 // knows the same or was told just now.
-func (l *Logic) roster(now time.Duration, p *peer) []Member {
-	if l.layout.isFlat() || !p.alive || p.digest == l.digest() || p.rosterAt > 0 && now-p.rosterAt < rosterPause {
+func (l *Logic) rosterFor(now time.Duration, p *peer) []Member {
+	if l.layout.isFlat() || !p.alive || p.digest == l.digest() || p.rosterSentAt > 0 && now-p.rosterSentAt < rosterInterval {
 		return nil
 	}
-	p.rosterAt = now
+	p.rosterSentAt = now
 	out := []Member{{ID: l.ID, URL: l.URL, DataCentre: l.DataCentre, Version: l.version}}
-	for _, other := range l.sorted() {
+	for _, other := range l.peersByID() {
 		if other.url != "" {
 			out = append(out, Member{ID: other.id, URL: other.url, DataCentre: other.centre, Version: other.version})
 		}
--- a/internal/fleet/mesh/scope_string.go
+++ b/internal/fleet/mesh/scope_string.go
@@ -8,9 +8,9 @@
 	// An "invalid array index" compiler error signifies that the constant values have changed.
 	// Re-run the stringer command to generate them again.
 	var x [1]struct{}
-	_ = x[ScopeOwn-0]
+	_ = x[ScopeSender-0]
 	_ = x[ScopeCell-1]
-	_ = x[ScopeAll-2]
+	_ = x[ScopeAllButReceiver-2]
 	_ = x[ScopeNone-3]
 }
 
--- a/internal/fleet/mesh/sum.go
+++ b/internal/fleet/mesh/sum.go
@@ -10,103 +10,103 @@
 )
 
 const (
-	// sumTime is how long the sum of a cell counts without a new one. It outlasts the
+	// sumTTL is how long the sum of a cell counts without a new one. It outlasts the
 	// silence after which the other head of the cell sends it.
-	sumTime = silent + sumPause + beat
-	// nearRate and farRate are the bytes a second that sums for one instance may take,
+	sumTTL = peerTimeout + maxSumInterval + roundInterval
+	// localSumBytesPerSecond and farRate are the bytes a second that sums for one instance may take,
 	// in the own data centre and in another one: sums of many engines are told less
 	// often, but after sumPause at the latest, well within the time for which they count.
-	nearRate = 22 << 10
-	farRate  = 6 << 10
-	sumPause = 8 * beat
-	// sourceAll names what the requests of all other instances take, as a member
+	localSumBytesPerSecond  = 22 << 10
+	remoteSumBytesPerSecond = 6 << 10
+	maxSumInterval          = 8 * roundInterval
+	// fleetSource names what the requests of all other instances take, as a member
 	// hears of it.
-	sourceAll = spec.InstanceID("all")
-	// sourceCell begins the name of what the requests of a cell take.
-	sourceCell = "cell:"
+	fleetSource = spec.InstanceID("all")
+	// cellSourcePrefix begins the name of what the requests of a cell take.
+	cellSourcePrefix = "cell:"
 )
 
 // load is what requests take and do, as told by one instance or by several.
 type load struct {
-	uses    uses
-	paces   map[spec.UpstreamID]float64
-	repeats map[string]again.Count
+	usage     usage
+	slowdowns map[spec.UpstreamID]float64
+	retries   map[string]again.Usage
 }
 
-// uses is what requests take, by service and engine.
-type uses map[string]map[spec.UpstreamID]path.Use
+// usage is what requests take, by service and engine.
+type usage map[string]map[spec.UpstreamID]path.Usage
 
-// sum is the load of several instances, as last told.
-type sum struct {
+// loadSum is the load of several instances, as last told.
+type loadSum struct {
 	load
-	at time.Duration
+	receivedAt time.Duration
 }
 
-// headcount is how many instances there are somewhere, as last told.
-type headcount struct {
-	n  int
-	at time.Duration
+// instanceCount is how many instances there are somewhere, as last told.
+type instanceCount struct {
+	n          int
+	receivedAt time.Duration
 }
 
-// takeLoad takes what requests elsewhere take. Each request counts once: a member
+// handleLoad takes what requests elsewhere take. Each request counts once: a member
 // takes the sum of all, a head the sums of other cells and its own members one by one.
-func (l *Logic) takeLoad(now time.Duration, p *peer, m Message) {
+func (l *Logic) handleLoad(now time.Duration, p *peer, m Message) {
 	if m.Head && m.Cell != "" {
-		l.counts[m.Cell] = headcount{n: m.Count, at: now}
+		l.cellCounts[m.Cell] = instanceCount{n: m.Count, receivedAt: now}
 	}
 	if m.Scope == ScopeNone {
 		return
 	}
-	told := load{uses: m.Uses, paces: m.Paces, repeats: m.Repeats}
-	if m.Scope == ScopeOwn && l.isCountedAlone(p) {
+	told := load{usage: m.Usage, slowdowns: m.Slowdowns, retries: m.Retries}
+	if m.Scope == ScopeSender && l.isCountedAlone(p) {
 		p.load = &told
-		l.report(p.id, told)
+		l.reportLoad(p.id, told)
 		return
 	}
-	l.drop(p)
-	l.takeSums(now, m, told)
+	l.dropLoad(p)
+	l.handleSum(now, m, told)
 }
 
-// takeSums takes the sum of a cell, or of all.
-func (l *Logic) takeSums(now time.Duration, m Message, told load) {
+// handleSum takes the sum of a cell, or of all.
+func (l *Logic) handleSum(now time.Duration, m Message, told load) {
 	switch {
 	case l.layout.isFlat():
-	case l.isHead() && m.Scope == ScopeCell && m.Cell != l.layout.mine.name:
-		l.takeSum(now, spec.InstanceID(sourceCell+m.Cell), told)
-	case !l.isHead() && m.Scope == ScopeAll && m.Cell == l.layout.mine.name:
-		l.counts[totalCount] = headcount{n: m.Count, at: now}
-		l.takeSum(now, sourceAll, told)
+	case l.isHead() && m.Scope == ScopeCell && m.Cell != l.layout.local.name:
+		l.setSum(now, spec.InstanceID(cellSourcePrefix+m.Cell), told)
+	case !l.isHead() && m.Scope == ScopeAllButReceiver && m.Cell == l.layout.local.name:
+		l.cellCounts[fleetCountKey] = instanceCount{n: m.Count, receivedAt: now}
+		l.setSum(now, fleetSource, told)
 	}
 }
 
-func (l *Logic) takeSum(now time.Duration, from spec.InstanceID, told load) {
-	l.sums[from] = sum{load: told, at: now}
-	l.report(from, told)
+func (l *Logic) setSum(now time.Duration, from spec.InstanceID, told load) {
+	l.sums[from] = loadSum{load: told, receivedAt: now}
+	l.reportLoad(from, told)
 }
 
-// report tells of the load of one instance or of several.
-func (l *Logic) report(from spec.InstanceID, told load) {
-	l.Taker.Used(from, told.uses)
-	l.Taker.Paced(from, told.paces)
-	l.Taker.Repeated(from, told.repeats)
+// reportLoad tells of the load of one instance or of several.
+func (l *Logic) reportLoad(from spec.InstanceID, told load) {
+	l.Receiver.ReceiveUsage(from, told.usage)
+	l.Receiver.ReceiveSlowdowns(from, told.slowdowns)
+	l.Receiver.ReceiveRetries(from, told.retries)
 }
 
-// totalCount names the count of all instances, as a member hears of it.
-const totalCount = ""
+// fleetCountKey names the count of all instances, as a member hears of it.
+const fleetCountKey = ""
 
-// expire forgets sums that are not told any more, and what no longer fits the part
+// expireSums forgets sums that are not told any more, and what no longer fits the part
 // that this instance has.
-func (l *Logic) expire(now time.Duration) {
+func (l *Logic) expireSums(now time.Duration) {
 	for from, s := range l.sums {
-		stale := now-s.at >= sumTime
-		if misfit := (from == sourceAll) == l.isHead() || l.layout.isFlat(); stale || misfit {
+		stale := now-s.receivedAt >= sumTTL
+		if misfit := (from == fleetSource) == l.isHead() || l.layout.isFlat(); stale || misfit {
 			delete(l.sums, from)
-			l.report(from, load{})
+			l.reportLoad(from, load{})
 		}
 	}
-	for _, p := range l.sorted() {
+	for _, p := range l.peersByID() {
 		if !l.isCountedAlone(p) {
-			l.drop(p)
+			l.dropLoad(p)
 		}
 	}
 }
@@ -117,24 +117,24 @@
 	return l.layout.isFlat() || l.isHead() && l.inCell(p.id)
 }
 
-// drop forgets what an instance told of its own requests.
-func (l *Logic) drop(p *peer) {
+// dropLoad forgets what an instance told of its own requests.
+func (l *Logic) dropLoad(p *peer) {
 	if p.load != nil {
 		p.load = nil
-		l.report(p.id, load{})
+		l.reportLoad(p.id, load{})
 	}
 }
 
-// own is the load of this instance.
-func (l *Logic) own() load {
-	return load{uses: l.Self.Uses(), paces: l.Self.Paces(), repeats: l.Self.Repeats()}
+// localLoad is the load of this instance.
+func (l *Logic) localLoad() load {
+	return load{usage: l.Local.Usage(), slowdowns: l.Local.Slowdowns(), retries: l.Local.Retries()}
 }
 
-// cellSum is the load of the own cell.
-func (l *Logic) cellSum(own load) load {
+// cellLoad is the load of the own cell.
+func (l *Logic) cellLoad(own load) load {
 	out := newLoad()
 	out.add(own)
-	for _, p := range l.sorted() {
+	for _, p := range l.peersByID() {
 		if p.load != nil {
 			out.add(*p.load)
 		}
@@ -142,8 +142,8 @@
 	return out
 }
 
-// total is the load of all instances.
-func (l *Logic) total(cell load) load {
+// fleetLoad is the load of all instances.
+func (l *Logic) fleetLoad(cell load) load {
 	out := newLoad()
 	out.add(cell)
 	for _, s := range l.sums {
@@ -152,28 +152,28 @@
 	return out
 }
 
-// summed notes that an instance was told a sum of some bytes.
-func (l *Logic) summed(now time.Duration, p *peer, bytes int) {
-	rate := farRate
+// scheduleNextSum notes that an instance was told a sum of some bytes.
+func (l *Logic) scheduleNextSum(now time.Duration, p *peer, bytes int) {
+	rate := remoteSumBytesPerSecond
 	if p.centre == l.DataCentre {
-		rate = nearRate
+		rate = localSumBytesPerSecond
 	}
-	pause := min(sumPause, time.Duration(bytes)*time.Second/time.Duration(rate))
-	p.sumDue = max(p.sumDue, now-beat) + pause
+	pause := min(maxSumInterval, time.Duration(bytes)*time.Second/time.Duration(rate))
+	p.nextSumAt = max(p.nextSumAt, now-roundInterval) + pause
 }
 
 func newLoad() load {
-	return load{uses: uses{}, paces: map[spec.UpstreamID]float64{}, repeats: map[string]again.Count{}}
+	return load{usage: usage{}, slowdowns: map[spec.UpstreamID]float64{}, retries: map[string]again.Usage{}}
 }
 
 // add adds what other instances told.
 func (d load) add(o load) {
-	d.uses.add(o.uses)
-	for id, pace := range o.paces {
-		d.paces[id] = max(d.paces[id], pace)
+	d.usage.add(o.usage)
+	for id, pace := range o.slowdowns {
+		d.slowdowns[id] = max(d.slowdowns[id], pace)
 	}
-	for service, c := range o.repeats {
-		d.repeats[service] = d.repeats[service].Plus(c)
+	for service, c := range o.retries {
+		d.retries[service] = d.retries[service].Plus(c)
 	}
 }
 
@@ -182,19 +182,19 @@
 	if o == nil {
 		return d
 	}
-	out := load{uses: d.uses.without(o.uses), paces: d.paces, repeats: maps.Clone(d.repeats)}
-	for service, c := range o.repeats {
-		out.repeats[service] = out.repeats[service].Minus(c)
+	out := load{usage: d.usage.without(o.usage), slowdowns: d.slowdowns, retries: maps.Clone(d.retries)}
+	for service, c := range o.retries {
+		out.retries[service] = out.retries[service].Minus(c)
 	}
 	return out
 }
 
 // add adds what other requests take.
-func (u uses) add(o uses) {
+func (u usage) add(o usage) {
 	for service, engines := range o {
 		mine := u[service]
 		if mine == nil {
-			mine = make(map[spec.UpstreamID]path.Use, len(engines))
+			mine = make(map[spec.UpstreamID]path.Usage, len(engines))
 			u[service] = mine
 		}
 		for id, use := range engines {
@@ -204,8 +204,8 @@
 }
 
 // without is what is left without the requests of one instance.
-func (u uses) without(o uses) uses {
-	out := make(uses, len(u))
+func (u usage) without(o usage) usage {
+	out := make(usage, len(u))
 	for service, engines := range u {
 		left := maps.Clone(engines)
 		for id, use := range o[service] {
@@ -218,23 +218,23 @@
 	return out
 }
 
-// instances is how many instances share what is bounded for all, this one among
+// countInstances is how many instances share what is bounded for all, this one among
 // them. Those that nothing is known of count.
-func (l *Logic) instances(now time.Duration) int {
+func (l *Logic) countInstances(now time.Duration) int {
 	if l.layout.isFlat() {
-		return l.near(now)
+		return l.countNearby(now)
 	}
 	if !l.isHead() {
-		if c, ok := l.counts[totalCount]; ok && now-c.at < counted {
+		if c, ok := l.cellCounts[fleetCountKey]; ok && now-c.receivedAt < countTimeout {
 			return c.n
 		}
 		return 1 + len(l.peers)
 	}
-	n := l.near(now)
+	n := l.countNearby(now)
 	for _, c := range l.layout.cells {
-		switch told, ok := l.counts[c.name]; {
-		case c == l.layout.mine:
-		case ok && now-told.at < counted:
+		switch told, ok := l.cellCounts[c.name]; {
+		case c == l.layout.local:
+		case ok && now-told.receivedAt < countTimeout:
 			n += told.n
 		default:
 			n += len(c.ranked)
@@ -243,11 +243,11 @@
 	return n
 }
 
-// near is how many instances of the own cell there are; all in a flat fleet.
-func (l *Logic) near(now time.Duration) int {
+// countNearby is how many instances of the own cell there are; all in a flat fleet.
+func (l *Logic) countNearby(now time.Duration) int {
 	n := 1
-	for _, p := range l.sorted() {
-		if p.heard > 0 && now-p.heard < counted && (l.layout.isFlat() || l.inCell(p.id)) {
+	for _, p := range l.peersByID() {
+		if p.lastSeen > 0 && now-p.lastSeen < countTimeout && (l.layout.isFlat() || l.inCell(p.id)) {
 			n++
 		}
 	}
--- a/internal/fleet/mesh/whole_test.go
+++ b/internal/fleet/mesh/whole_test.go
@@ -4,6 +4,6 @@
 
 // sizes are the large fleets that are played, seedsLarge how many of each size.
 var (
-	sizes      = []int{large, larger}
+	sizes      = []int{large, designFleet}
 	seedsLarge = uint64(3)
 )
--- a/internal/fleet/node/watch.go
+++ b/internal/fleet/node/watch.go
@@ -104,7 +104,7 @@
 		l.setDuty(name, false)
 	}
 	for _, d := range w.specs {
-		mine := l.join.ready && !l.drain.Stopping() && rank.First("duty/"+d.Name, l.able(d.Scope), l.Self.ID)
+		mine := l.join.ready && !l.drain.Stopping() && rank.IsFirst("duty/"+d.Name, l.able(d.Scope), l.Self.ID)
 		l.setDuty(d.Name, mine)
 	}
 }
--- a/internal/fleet/rank/rank.go
+++ b/internal/fleet/rank/rank.go
@@ -30,7 +30,7 @@
 	best := make([]scored, 0, n+1)
 	for _, id := range ids {
 		s := scored{id: id, score: Score(key, id)}
-		at, _ := slices.BinarySearchFunc(best, s, before)
+		at, _ := slices.BinarySearchFunc(best, s, compareScored)
 		if at == n {
 			continue
 		}
@@ -44,8 +44,8 @@
 	return out
 }
 
-// First reports whether id is the best name for key.
-func First(key string, ids []spec.InstanceID, id spec.InstanceID) bool {
+// IsFirst reports whether id is the best name for key.
+func IsFirst(key string, ids []spec.InstanceID, id spec.InstanceID) bool {
 	top := Top(key, ids, 1)
 	return len(top) == 1 && top[0] == id
 }
@@ -55,7 +55,7 @@
 	score uint64
 }
 
-func before(a, b scored) int {
+func compareScored(a, b scored) int {
 	if a.score != b.score {
 		return cmp.Compare(b.score, a.score)
 	}
--- a/internal/fleet/rank/rank_test.go
+++ b/internal/fleet/rank/rank_test.go
@@ -8,7 +8,7 @@
 	"fulmarwick/internal/fleet/rank"
 )
 
-func names(n int) []spec.InstanceID {
+func instanceIDs(n int) []spec.InstanceID {
 	var out []spec.InstanceID
 	for i := range n {
 		out = append(out, spec.InstanceID(fmt.Sprintf("i%d", i)))
@@ -16,9 +16,9 @@
 	return out
 }
 
-func TestOneNameMoreMovesOneInN(t *testing.T) {
+func TestAddedInstanceMovesOneKeyInN(t *testing.T) {
 	const keys, n = 10_000, 19
-	before, after := names(n), names(n+1)
+	before, after := instanceIDs(n), instanceIDs(n+1)
 	moved := 0
 	for k := range keys {
 		key := fmt.Sprint("key", k)
@@ -37,7 +37,7 @@
 }
 
 func TestTopDoesNotDependOnOrder(t *testing.T) {
-	ids := names(9)
+	ids := instanceIDs(9)
 	want := fmt.Sprint(rank.Top("k", ids, 3))
 	for range ids {
 		ids = append(ids[1:], ids[0])
--- a/internal/route/admit/admit.go
+++ b/internal/route/admit/admit.go
@@ -33,13 +33,13 @@
 	token := scale(e.Plan.Token, m.Token)
 	whole := first + scale(e.Plan.Whole-e.Plan.First, m.Token)
 	over := time.Duration(0)
-	if limit := target.First(); limit > 0 {
+	if limit := target.FirstEvent(); limit > 0 {
 		over = max(over, before+first-limit)
 	}
-	if limit := target.Whole(); limit > 0 {
+	if limit := target.TotalTime(); limit > 0 {
 		over = max(over, before+whole-limit)
 	}
-	if target.First() == 0 && target.Whole() == 0 {
+	if target.FirstEvent() == 0 && target.TotalTime() == 0 {
 		over = max(over, before-Patient)
 	}
 	if limit := target.Gap(); limit > 0 && token > limit {
@@ -52,10 +52,10 @@
 func Latest(target spec.Target, m Margin, at time.Duration, plan world.Plan) time.Duration {
 	last := at + Patient
 	first := scale(plan.First, m.First)
-	if limit := target.First(); limit > 0 {
+	if limit := target.FirstEvent(); limit > 0 {
 		last = min(last, at+limit-first)
 	}
-	if limit := target.Whole(); limit > 0 {
+	if limit := target.TotalTime(); limit > 0 {
 		last = min(last, at+limit-first-scale(plan.Whole-plan.First, m.Token))
 	}
 	return last
--- a/internal/route/admit/fill.go
+++ b/internal/route/admit/fill.go
@@ -62,10 +62,10 @@
 }
 
 func missed(target spec.Target, ev world.Finished) bool {
-	if limit := target.First(); limit > 0 && ev.First > limit {
+	if limit := target.FirstEvent(); limit > 0 && ev.First > limit {
 		return true
 	}
-	if limit := target.Whole(); limit > 0 && ev.Whole > limit {
+	if limit := target.TotalTime(); limit > 0 && ev.Whole > limit {
 		return true
 	}
 	if limit := target.Gap(); limit > 0 && ev.Tokens > 1 {
--- a/internal/route/admit/margin.go
+++ b/internal/route/admit/margin.go
@@ -97,7 +97,7 @@
 }
 
 func slack(r *hist.Ratios, percent float64) float64 {
-	if ratio, ok := r.At(percent); ok {
+	if ratio, ok := r.Percentile(percent); ok {
 		return min(max(leastBy, ratio), mostBy)
 	}
 	return startWith
--- a/internal/route/again/again_test.go
+++ b/internal/route/again/again_test.go
@@ -15,15 +15,15 @@
 	window    = 10 * time.Second
 )
 
-// fatal is what ends a test, with or without drawn values.
-type fatal interface {
+// testingT is what ends a test, with or without drawn values.
+type testingT interface {
 	Helper()
 	Fatalf(format string, args ...any)
 }
 
 // checkWindow checks that the repeats in the parts of a window are no more than the
 // bound on them.
-func checkWindow(t fatal, first, more []int) {
+func checkWindow(t testingT, first, more []int) {
 	t.Helper()
 	f, m := 0, 0
 	for k := range first {
@@ -37,7 +37,7 @@
 // Engines refuse all that is sent, and every instance sends each request as
 // often as it may. In no window do all of them together send more repeats than
 // a fifth of the requests and the allowance.
-func TestRepeatsOfAllStayBelowTheBound(t *testing.T) {
+func TestFleetRetriesStayWithinLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 33).Draw(t, "instances")
 		budgets := make([]*again.Budget, n)
@@ -49,10 +49,10 @@
 			now := time.Duration(tick) * 500 * time.Millisecond
 			for range rapid.IntRange(0, 40).Draw(t, "requests") {
 				b := budgets[rapid.IntRange(0, n-1).Draw(t, "at")]
-				b.First(now)
+				b.RecordRequest(now)
 				first[tick]++
 				for range 8 {
-					if b.Allow(now, n, again.Count{}) {
+					if b.AllowRetry(now, n, again.Usage{}) {
 						more[tick]++
 					}
 				}
@@ -65,13 +65,13 @@
 func TestBudgetIsUsed(t *testing.T) {
 	b := &again.Budget{Ratio: ratio, Allowance: allowance, Window: window}
 	got := 0
-	for b.Allow(0, 4, again.Count{}) {
+	for b.AllowRetry(0, 4, again.Usage{}) {
 		got++
 	}
 	if want := 39; got != want {
 		t.Errorf("got %d repeats, want %d: eight tenths of a quarter of the allowance", got, want)
 	}
-	if !b.Allow(2*window, 4, again.Count{}) {
+	if !b.AllowRetry(2*window, 4, again.Usage{}) {
 		t.Error("got no repeat two windows later, want one")
 	}
 }
@@ -80,7 +80,7 @@
 // one has half of them, as where balancers choose by a hash of the caller. What
 // they send together stays below the bound, and how much of it they leave unused
 // is what the split of the allowance costs.
-func TestErrorOfTheSplit(t *testing.T) {
+func TestUnevenLoadUsesMostOfTheBudget(t *testing.T) {
 	for _, test := range []struct {
 		instances int
 		rate      int
@@ -98,10 +98,10 @@
 			if k%2 == 0 {
 				at = k / 2 % test.instances
 			}
-			budgets[at].First(now)
+			budgets[at].RecordRequest(now)
 			first++
 			for range 4 {
-				if budgets[at].Allow(now, test.instances, again.Count{}) {
+				if budgets[at].AllowRetry(now, test.instances, again.Usage{}) {
 					more++
 				}
 			}
@@ -118,7 +118,7 @@
 // Guards against more repeats than the bound where instances share a pool: what they
 // know of each other is up to three rounds old, some are not heard at all, and all ask
 // at once.
-func TestPoolStaysBelowTheBound(t *testing.T) {
+func TestPooledRetriesStayWithinLimit(t *testing.T) {
 	const round = 200 * time.Millisecond
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 60).Draw(t, "instances")
@@ -131,28 +131,28 @@
 		for i := range budgets {
 			budgets[i] = &again.Budget{Ratio: ratio, Allowance: allowance, Window: window}
 		}
-		var counts [rounds][]again.Count
+		var counts [rounds][]again.Usage
 		var first, more [rounds]int
 		for k := range rounds {
 			now := time.Duration(k) * round
 			for _, b := range budgets {
-				counts[k] = append(counts[k], b.Count(now))
+				counts[k] = append(counts[k], b.Usage(now))
 			}
 			for i, b := range budgets {
 				for range rate {
-					b.First(now)
+					b.RecordRequest(now)
 					first[k]++
 				}
 				if i >= greedy && i < n-lost {
 					continue
 				}
-				var others again.Count
+				var others again.Usage
 				for j, c := range counts[max(0, k-late)][:n-lost] {
 					if j != i && i < n-lost {
 						others = others.Plus(c)
 					}
 				}
-				for b.Allow(now, n, others) {
+				for b.AllowRetry(now, n, others) {
 					more[k]++
 				}
 			}
@@ -163,13 +163,13 @@
 
 // Guards against an instance that refuses callers for want of a repeat while all
 // others use none.
-func TestPoolServesWhoNeedsIt(t *testing.T) {
+func TestPoolServesLoadedInstance(t *testing.T) {
 	const instances = 118
 	b := &again.Budget{Ratio: ratio, Allowance: 774, Window: window}
-	others := again.Count{Of: instances - 1, First: 5400}
+	others := again.Usage{Instances: instances - 1, Requests: 5400}
 	got := 0
 	for k := range 50 {
-		for b.Allow(time.Duration(k)*200*time.Millisecond, instances, others) {
+		for b.AllowRetry(time.Duration(k)*200*time.Millisecond, instances, others) {
 			got++
 		}
 	}
@@ -180,20 +180,20 @@
 
 // Guards against a fleet that is killed while it takes all repeats that it may, starts
 // anew, and takes them again within the same window.
-func TestRestartDoesNotDoubleTheBound(t *testing.T) {
+func TestRestartDoesNotDoubleTheLimit(t *testing.T) {
 	const (
 		round  = 100 * time.Millisecond
 		rounds = int(2 * window / round)
 	)
 	var first, more [2 * rounds]int
 	for process, young := range []time.Duration{0, window} {
-		b := &again.Budget{Ratio: ratio, Allowance: allowance, Window: window, Young: young}
+		b := &again.Budget{Ratio: ratio, Allowance: allowance, Window: window, RampUp: young}
 		for k := range rounds {
 			now := time.Duration(k) * round
-			b.First(now)
+			b.RecordRequest(now)
 			first[process*rounds+k]++
 			// The former process takes its part evenly, the one after it all at once.
-			for n := 0; (process == 1 || n < 2) && b.Allow(now, 1, again.Count{}); n++ {
+			for n := 0; (process == 1 || n < 2) && b.AllowRetry(now, 1, again.Usage{}); n++ {
 				more[process*rounds+k]++
 			}
 		}
@@ -209,12 +209,12 @@
 func TestSmallPoolIsUsed(t *testing.T) {
 	const instances = 13
 	b := &again.Budget{Ratio: ratio, Allowance: 40.7, Window: window}
-	others := again.Count{Of: instances - 1, First: 260}
+	others := again.Usage{Instances: instances - 1, Requests: 260}
 	got := 0
 	for k := range 50 {
 		now := window + time.Duration(k)*200*time.Millisecond
-		b.First(now)
-		for b.Allow(now, instances, others) {
+		b.RecordRequest(now)
+		for b.AllowRetry(now, instances, others) {
 			got++
 		}
 	}
--- a/internal/route/core/fresh.go
+++ b/internal/route/core/fresh.go
@@ -231,9 +231,9 @@
 // resumes before what starts, since its caller has waited already.
 func prio(r *world.Request) int {
 	target := r.Class().Target()
-	limit := target.First()
+	limit := target.FirstEvent()
 	if limit == 0 {
-		limit = target.Whole()
+		limit = target.TotalTime()
 	}
 	p := prioNone
 	if limit > 0 {
--- a/internal/route/core/limit_test.go
+++ b/internal/route/core/limit_test.go
@@ -14,7 +14,7 @@
 	g := newRig(t, lax(), engine("a", 0, 8), engine("b", 0, 8))
 	g.tick(world.ConfigSet{
 		Version: 2, Classes: []spec.Class{spec.NewModelClass("c", model, lax())},
-		Teams: []spec.Team{spec.NewTeam("big", "big", 1).Limited(100), spec.NewTeam("small", "small", 1)},
+		Teams: []spec.Team{spec.NewTeam("big", "big", 1).WithLimit(100), spec.NewTeam("small", "small", 1)},
 	})
 	return g
 }
--- a/internal/route/crash/crash.go
+++ b/internal/route/crash/crash.go
@@ -23,17 +23,17 @@
 )
 
 const (
-	// guilty is after how many deaths a request is sent no more. Streams that
+	// culpritCrashes is after how many deaths a request is sent no more. Streams that
 	// share an engine with a guilty one meet two deaths now and then.
-	guilty = 3
-	// expiry is how long a death counts against a request.
-	expiry = time.Minute
-	// most bounds the requests remembered.
-	most = 4096
+	culpritCrashes = 3
+	// suspectTTL is how long a death counts against a request.
+	suspectTTL = time.Minute
+	// maxSuspects bounds the requests remembered.
+	maxSuspects = 4096
 )
 
-// Print is the fingerprint of a request: its team, path and body.
-func Print(team, path string, body []byte) uint64 {
+// Fingerprint is the fingerprint of a request: its team, path and body.
+func Fingerprint(team, path string, body []byte) uint64 {
 	h := fnv.New64a()
 	// Writes to a hash do not fail.
 	_, _ = io.WriteString(h, team)
@@ -44,73 +44,73 @@
 	return h.Sum64()
 }
 
-// Death is an upstream that died while it ran a request. Fields are exported
+// Event is an upstream that died while it ran a request. Fields are exported
 // because the CBOR codec fills them.
-type Death struct {
-	Print uint64 `cbor:"1,keyasint"`
+type Event struct {
+	Fingerprint uint64 `cbor:"1,keyasint"`
 	// Upstream is its name, Born the start of the process that died.
-	Upstream spec.UpstreamID `cbor:"2,keyasint"`
-	Born     int64           `cbor:"3,keyasint"`
-	// Ran is how long the request had run, in milliseconds.
-	Ran int64 `cbor:"4,keyasint"`
+	Upstream    spec.UpstreamID `cbor:"2,keyasint"`
+	Incarnation int64           `cbor:"3,keyasint"`
+	// RanMs is how long the request had run, in milliseconds.
+	RanMs int64 `cbor:"4,keyasint"`
 }
 
 type suspect struct {
-	deaths []Death
-	at     time.Duration
+	crashes   []Event
+	lastCrash time.Duration
 }
 
-// Book remembers suspects. It is not safe for concurrent use.
-type Book struct {
+// Tracker remembers suspects. It is not safe for concurrent use.
+type Tracker struct {
 	suspects map[uint64]suspect
 }
 
-// Strike counts a death against a request. It returns false if it counted
+// Record counts a death against a request. It returns false if it counted
 // before.
-func (b *Book) Strike(now time.Duration, d Death) bool {
+func (b *Tracker) Record(now time.Duration, d Event) bool {
 	if b.suspects == nil {
 		b.suspects = map[uint64]suspect{}
 	}
-	s := b.live(now, d.Print)
-	began := now - time.Duration(d.Ran)*time.Millisecond
-	known := slices.ContainsFunc(s.deaths, func(o Death) bool { return o.Upstream == d.Upstream && o.Born == d.Born })
-	if known || len(s.deaths) > 0 && began <= s.at {
+	s := b.unexpired(now, d.Fingerprint)
+	began := now - time.Duration(d.RanMs)*time.Millisecond
+	known := slices.ContainsFunc(s.crashes, func(o Event) bool { return o.Upstream == d.Upstream && o.Incarnation == d.Incarnation })
+	if known || len(s.crashes) > 0 && began <= s.lastCrash {
 		return false
 	}
-	if len(s.deaths) < guilty {
-		s.deaths = append(slices.Clip(s.deaths), d)
+	if len(s.crashes) < culpritCrashes {
+		s.crashes = append(slices.Clip(s.crashes), d)
 	}
-	b.suspects[d.Print] = suspect{deaths: s.deaths, at: now}
-	if len(b.suspects) > most {
-		b.forget()
+	b.suspects[d.Fingerprint] = suspect{crashes: s.crashes, lastCrash: now}
+	if len(b.suspects) > maxSuspects {
+		b.evictOldest()
 	}
 	return true
 }
 
-func (b *Book) live(now time.Duration, print uint64) suspect {
+func (b *Tracker) unexpired(now time.Duration, print uint64) suspect {
 	s := b.suspects[print]
-	if now-s.at > expiry {
+	if now-s.lastCrash > suspectTTL {
 		return suspect{}
 	}
 	return s
 }
 
-// forget drops the older half.
-func (b *Book) forget() {
+// evictOldest drops the older half.
+func (b *Tracker) evictOldest() {
 	prints := make([]uint64, 0, len(b.suspects))
 	for p := range b.suspects {
 		prints = append(prints, p)
 	}
-	sort.Slice(prints, func(i, j int) bool { return b.suspects[prints[i]].at < b.suspects[prints[j]].at })
+	sort.Slice(prints, func(i, j int) bool { return b.suspects[prints[i]].lastCrash < b.suspects[prints[j]].lastCrash })
 	for _, p := range prints[:len(prints)/2] {
 		delete(b.suspects, p)
 	}
 }
 
 // Clear forgets a request that an upstream ran to its end.
-func (b *Book) Clear(print uint64) { delete(b.suspects, print) }
+func (b *Tracker) Clear(print uint64) { delete(b.suspects, print) }
 
-// Guilty reports whether a request must not be sent any more.
-func (b *Book) Guilty(now time.Duration, print uint64) bool {
-	return len(b.live(now, print).deaths) >= guilty
+// IsCulprit reports whether a request must not be sent any more.
+func (b *Tracker) IsCulprit(now time.Duration, print uint64) bool {
+	return len(b.unexpired(now, print).crashes) >= culpritCrashes
 }
--- a/internal/route/grid/area.go
+++ b/internal/route/grid/area.go
@@ -8,131 +8,131 @@
 )
 
 const (
-	// enough is the part of the best rate of a chain up to which rates count in
+	// fullValueShare is the part of the best rate of a chain up to which rates count in
 	// full, surplus what more than that counts. With all of it counted, engines would
 	// go into the one chain that holds most, and none would stand in for them.
-	enough  = 0.6
-	surplus = 0.1
-	// heldByNone and heldByOne are what a layer counts that no other engine
+	fullValueShare = 0.6
+	surplusWeight  = 0.1
+	// uncoveredBonus and heldByOne are what a layer counts that no other engine
 	// holds, or one: less than any difference in rates, so that they decide
 	// only where no path is whole yet, or where a range changes no rate.
-	heldByNone = 1e-5
-	heldByOne  = 1e-7
+	uncoveredBonus  = 1e-5
+	soleHolderBonus = 1e-7
 )
 
-// area is engines that hold layers and what they carry.
-type area struct {
-	model   model
-	engines []Engine
-	links   []link
-	search  *search
-	// top is the best rate that these engines could carry as one chain.
-	top  float64
-	rate float64
-	// alone is the rate without each of the engines.
-	alone []float64
+// placement is engines that hold layers and what they carry.
+type placement struct {
+	model    model
+	engines  []Engine
+	segments []segment
+	search   *search
+	// maxRate is the best rate that these engines could carry as one chain.
+	maxRate float64
+	rate    float64
+	// ratesWithout is the rate without each of the engines.
+	ratesWithout []float64
 }
 
-func survey(m model, engines []Engine, top float64) *area {
-	a := &area{model: m, engines: slices.Clone(engines), links: links(m.Model, engines), search: newSearch(m.Model), top: top}
-	a.rate = a.search.rate(a.links, none)
+func newPlacement(m model, engines []Engine, top float64) *placement {
+	a := &placement{model: m, engines: slices.Clone(engines), segments: newSegments(m.Model, engines), search: newSearch(m.Model), maxRate: top}
+	a.rate = a.search.rate(a.segments, noEngine)
 	for i := range a.engines {
-		a.alone = append(a.alone, a.without(a.links, a.rate, i))
+		a.ratesWithout = append(a.ratesWithout, a.rateWithout(a.segments, a.rate, i))
 	}
 	return a
 }
 
-// without is the rate of links without one engine; rate is that of all.
-func (a *area) without(links []link, rate float64, i int) float64 {
+// rateWithout is the rate of links without one engine; rate is that of all.
+func (a *placement) rateWithout(links []segment, rate float64, i int) float64 {
 	if rate == 0 {
 		return 0
 	}
 	return a.search.rate(links, i)
 }
 
-func except(engines []Engine, i int) []Engine {
+func withoutEngine(engines []Engine, i int) []Engine {
 	return append(append(make([]Engine, 0, len(engines)), engines[:i]...), engines[i+1:]...)
 }
 
-// value is what a rate counts.
-func value(rate, top float64) float64 {
+// rateValue is what a rate counts.
+func rateValue(rate, top float64) float64 {
 	if top <= 0 {
 		return 0
 	}
-	return min(rate/top, enough) + surplus*rate/top
+	return min(rate/top, fullValueShare) + surplusWeight*rate/top
 }
 
-// worth is what the rate counts, and what is left of it without an engine as
+// score is what the rate counts, and what is left of it without an engine as
 // the mean over all engines: each may be the next to die, leave or be replaced.
-func (a *area) worth() float64 { return worth(a.rate, a.alone, a.top) }
+func (a *placement) score() float64 { return placementScore(a.rate, a.ratesWithout, a.maxRate) }
 
-func worth(rate float64, alone []float64, top float64) float64 {
+func placementScore(rate float64, alone []float64, top float64) float64 {
 	left := 0.0
 	for _, r := range alone {
-		left += value(r, top)
+		left += rateValue(r, top)
 	}
-	return value(rate, top) + left/float64(max(1, len(alone)))
+	return rateValue(rate, top) + left/float64(max(1, len(alone)))
 }
 
-// add places another engine where the area's worth grows most.
-func (a *area) add(e Engine) {
-	var best, next trial
+// place places another engine where the area's worth grows most.
+func (a *placement) place(e Engine) {
+	var best, next candidate
 	most, found := 0.0, false
-	for _, held := range places(a.model, a.engines, e.Card) {
+	for _, held := range candidateRanges(a.model, a.engines, e.Card) {
 		e.Held = held
-		a.with(&next, e)
-		if gain := worth(next.rate, next.alone, a.top) + a.cover(held); !found || gain > most {
+		a.evaluate(&next, e)
+		if gain := placementScore(next.rate, next.ratesWithout, a.maxRate) + a.coverageBonus(held); !found || gain > most {
 			most, found = gain, true
 			best, next = next, best
 		}
 	}
 	if found {
-		a.engines, a.links = append(a.engines, best.engine), best.links
-		a.rate, a.alone = best.rate, best.alone
+		a.engines, a.segments = append(a.engines, best.engine), best.segments
+		a.rate, a.ratesWithout = best.rate, best.ratesWithout
 	}
 }
 
-// trial is an area with one engine more.
-type trial struct {
-	engine Engine
-	links  []link
-	rate   float64
-	alone  []float64
+// candidate is an area with one engine more.
+type candidate struct {
+	engine       Engine
+	segments     []segment
+	rate         float64
+	ratesWithout []float64
 }
 
-// with works out a trial. Only the engines whose layers the new one holds as well
+// evaluate works out a trial. Only the engines whose layers the new one holds as well
 // are missed less.
-func (a *area) with(t *trial, e Engine) {
+func (a *placement) evaluate(t *candidate, e Engine) {
 	t.engine = e
-	t.links = insert(append(t.links[:0], a.links...), newLink(a.model.Model, e, len(a.engines)))
-	t.rate = a.search.rate(t.links, none)
-	t.alone = append(t.alone[:0], a.alone...)
+	t.segments = insert(append(t.segments[:0], a.segments...), newSegment(a.model.Model, e, len(a.engines)))
+	t.rate = a.search.rate(t.segments, noEngine)
+	t.ratesWithout = append(t.ratesWithout[:0], a.ratesWithout...)
 	for i, other := range a.engines {
 		if overlap(other.Held, e.Held) {
-			t.alone[i] = a.without(t.links, t.rate, i)
+			t.ratesWithout[i] = a.rateWithout(t.segments, t.rate, i)
 		}
 	}
-	t.alone = append(t.alone, a.rate)
+	t.ratesWithout = append(t.ratesWithout, a.rate)
 }
 
 func overlap(a, b spec.Layers) bool { return a.From() < b.To() && b.From() < a.To() }
 
-// cover is what a range counts for layers that are held by none or by one.
-func (a *area) cover(held spec.Layers) float64 {
+// coverageBonus is what a range counts for layers that are held by none or by one.
+func (a *placement) coverageBonus(held spec.Layers) float64 {
 	sum := 0.0
 	for l := held.From(); l < held.To(); l++ {
-		switch holders(a.engines, l) {
+		switch countHolders(a.engines, l) {
 		case 0:
-			sum += heldByNone
+			sum += uncoveredBonus
 		case 1:
-			sum += heldByOne
+			sum += soleHolderBonus
 		}
 	}
 	return sum
 }
 
-// holders is how many engines hold a layer.
-func holders(engines []Engine, layer int) int {
+// countHolders is how many engines hold a layer.
+func countHolders(engines []Engine, layer int) int {
 	n := 0
 	for _, e := range engines {
 		if e.Held.Has(layer) {
@@ -142,14 +142,14 @@
 	return n
 }
 
-// levels are the rooms, as multiples of the least one, for which ranges of a
+// rangeMemoryFactors are the rooms, as multiples of the least one, for which ranges of a
 // card are tried.
-var levels = []float64{1, 4, 8}
+var rangeMemoryFactors = []float64{1, 4, 8}
 
-// places are the ranges that an engine may hold beside others: between two ends
+// candidateRanges are the ranges that an engine may hold beside others: between two ends
 // of theirs, so that it can stand in for them, and from or to such an end as
 // many layers as leave little, some or much room.
-func places(m model, others []Engine, c site.Card) []spec.Layers {
+func candidateRanges(m model, others []Engine, c site.Card) []spec.Layers {
 	ends := make([]bool, m.Layers+1)
 	ends[0], ends[m.Layers] = true, true
 	for _, e := range others {
@@ -164,7 +164,7 @@
 			out = append(out, l)
 		}
 	}
-	most := fit(m, c, m.least)
+	most := layersThatFit(m, c, m.minTokens)
 	for from := range ends {
 		if !ends[from] {
 			continue
@@ -174,8 +174,8 @@
 				add(from, to)
 			}
 		}
-		for _, level := range levels {
-			n := fit(m, c, level*m.least)
+		for _, level := range rangeMemoryFactors {
+			n := layersThatFit(m, c, level*m.minTokens)
 			add(from, from+n)
 			add(from-n, from)
 		}
