--- a/internal/route/grid/fresh_test.go
+++ b/internal/route/grid/fresh_test.go
@@ -14,9 +14,9 @@
 	"pgregory.net/rapid"
 )
 
-// fleetOf is engines by data centre and card of a model.
-func fleetOf(m *site.Model, counts [][]int) []grid.Engine {
-	out := fleet(counts)
+// newFleetFor is engines by data centre and card of a model.
+func newFleetFor(m *site.Model, counts [][]int) []grid.Engine {
+	out := newFleet(counts)
 	at := 0
 	for _, centre := range counts {
 		for card, n := range centre {
@@ -29,52 +29,52 @@
 	return out
 }
 
-// timed is the usual model with what work costs.
-func timed() *site.Model {
+// timedModel is the usual model with what work costs.
+func timedModel() *site.Model {
 	m := model()
-	m.Step, m.Writer, m.Context = 1020*time.Microsecond, 7140*time.Nanosecond, 9560*time.Nanosecond
-	m.ReadRate, m.Prompt, m.Answer = 105000, 774, 200
+	m.StepTime, m.TimePerSequence, m.TimePer1kTokens = 1020*time.Microsecond, 7140*time.Nanosecond, 9560*time.Nanosecond
+	m.PrefillRate, m.TypicalPrompt, m.TypicalAnswer = 105000, 774, 200
 	return m
 }
 
-// small is a model whose cards differ most: much memory, little, and slow ones.
-func small() *site.Model {
-	m := timed()
-	m.TokenBytes, m.ReadRate, m.Answer = 590000, 164000, 215
-	m.Cards = []site.Card{{Name: "a100", MB: 72000, Pace: 2.4, Read: 3.2}, {Name: "v100", MB: 14400, Pace: 5.3, Read: 7.9}, {Name: "l4", MB: 21600, Pace: 16, Read: 8.2}}
+// unlikeCardsModel is a model whose cards differ most: much memory, little, and slow ones.
+func unlikeCardsModel() *site.Model {
+	m := timedModel()
+	m.TokenBytes, m.PrefillRate, m.TypicalAnswer = 590000, 164000, 215
+	m.Cards = []site.Card{{Name: "a100", MemoryMB: 72000, StepFactor: 2.4, PrefillFactor: 3.2}, {Name: "v100", MemoryMB: 14400, StepFactor: 5.3, PrefillFactor: 7.9}, {Name: "l4", MemoryMB: 21600, StepFactor: 16, PrefillFactor: 8.2}}
 	return m
 }
 
-// deep is a model of few large layers on cards of two kinds, with long prompts.
-func deep() *site.Model {
-	m := timed()
-	m.Layers, m.LayerMB, m.Prompt, m.Answer = 24, 5200, 2600, 90
-	m.Cards = []site.Card{{Name: "big", MB: 96000, Pace: 1.6, Read: 1.4}, {Name: "old", MB: 32000, Pace: 9, Read: 6}}
+// fewLargeLayersModel is a model of few large layers on cards of two kinds, with long prompts.
+func fewLargeLayersModel() *site.Model {
+	m := timedModel()
+	m.Layers, m.LayerMB, m.TypicalPrompt, m.TypicalAnswer = 24, 5200, 2600, 90
+	m.Cards = []site.Card{{Name: "big", MemoryMB: 96000, StepFactor: 1.6, PrefillFactor: 1.4}, {Name: "old", MemoryMB: 32000, StepFactor: 9, PrefillFactor: 6}}
 	return m
 }
 
-// single is a model on one kind of card.
-func single() *site.Model {
-	m := timed()
-	m.Layers, m.LayerMB, m.Prompt, m.Answer = 48, 900, 300, 500
-	m.Cards = []site.Card{{Name: "only", MB: 16000, Pace: 6, Read: 5}}
+// singleCardModel is a model on one kind of card.
+func singleCardModel() *site.Model {
+	m := timedModel()
+	m.Layers, m.LayerMB, m.TypicalPrompt, m.TypicalAnswer = 48, 900, 300, 500
+	m.Cards = []site.Card{{Name: "only", MemoryMB: 16000, StepFactor: 6, PrefillFactor: 5}}
 	return m
 }
 
-// shapes are deployments: those of the three users, their larger ones, and
+// deployments are deployments: those of the three users, their larger ones, and
 // others with unlike cards, data centres of unequal size, and too little memory.
-var shapes = []struct {
+var deployments = []struct {
 	name   string
 	model  func() *site.Model
 	counts [][]int
 }{
-	{"levy assistant and bookings", timed, usual},
-	{"the same grown", timed, [][]int{{2, 9, 22}, {2, 15, 12}, {4, 6, 14}}},
-	{"cylinders", small, [][]int{{2, 4, 4}, {1, 6, 6}, {1, 10, 4}}},
-	{"the same grown", small, [][]int{{4, 10, 11}, {3, 14, 16}, {2, 24, 9}}},
-	{"one large data centre and two small ones", deep, [][]int{{4, 6}, {1, 2}, {0, 3}}},
-	{"one kind of card", single, [][]int{{7}, {5}}},
-	{"a single data centre", small, [][]int{{2, 12, 9}}},
+	{"levy assistant and bookings", timedModel, typicalCounts},
+	{"the same grown", timedModel, [][]int{{2, 9, 22}, {2, 15, 12}, {4, 6, 14}}},
+	{"cylinders", unlikeCardsModel, [][]int{{2, 4, 4}, {1, 6, 6}, {1, 10, 4}}},
+	{"the same grown", unlikeCardsModel, [][]int{{4, 10, 11}, {3, 14, 16}, {2, 24, 9}}},
+	{"one large data centre and two small ones", fewLargeLayersModel, [][]int{{4, 6}, {1, 2}, {0, 3}}},
+	{"one kind of card", singleCardModel, [][]int{{7}, {5}}},
+	{"a single data centre", unlikeCardsModel, [][]int{{2, 12, 9}}},
 }
 
 // evenSplit gives each engine the next layers in proportion to its memory, in
@@ -83,7 +83,7 @@
 	out := append([]grid.Engine(nil), engines...)
 	at := 0
 	for i := range out {
-		n := max(1, m.Most(out[i].Card)*2/3)
+		n := max(1, m.MaxLayers(out[i].Card)*2/3)
 		if at+n > m.Layers {
 			n = m.Layers - at
 		}
@@ -99,13 +99,13 @@
 func byMemory(m *site.Model, engines []grid.Engine) []grid.Engine {
 	const wanted = 60000
 	out := append([]grid.Engine(nil), engines...)
-	sort.SliceStable(out, func(i, j int) bool { return out[i].Card.Pace < out[j].Card.Pace })
-	need := float64(m.Layers) * (m.LayerMB + wanted*m.CellMB())
+	sort.SliceStable(out, func(i, j int) bool { return out[i].Card.StepFactor < out[j].Card.StepFactor })
+	need := float64(m.Layers) * (m.LayerMB + wanted*m.TokenLayerMB())
 	for _, centre := range centresOf(out) {
 		for chain, got := []int(nil), 0.0; ; chain, got = nil, 0 {
 			for i, e := range out {
 				if e.Centre == centre && e.Held.Len() == 0 && got < need {
-					chain, got = append(chain, i), got+e.Card.MB
+					chain, got = append(chain, i), got+e.Card.MemoryMB
 				}
 			}
 			if got < need {
@@ -113,17 +113,17 @@
 			}
 			from, sum := 0, 0.0
 			for _, i := range chain {
-				sum += out[i].Card.MB
-				to := min(int(math.Round(float64(m.Layers)*sum/got)), from+m.Most(out[i].Card))
+				sum += out[i].Card.MemoryMB
+				to := min(int(math.Round(float64(m.Layers)*sum/got)), from+m.MaxLayers(out[i].Card))
 				out[i].Held = spec.NewLayers(from, to)
 				from = to
 			}
 		}
 	}
 	for i, e := range out {
-		if n := min(m.Layers, int(math.Round(e.Card.MB/(m.LayerMB+wanted*m.CellMB())))); e.Held.Len() == 0 && n > 0 {
+		if n := min(m.Layers, int(math.Round(e.Card.MemoryMB/(m.LayerMB+wanted*m.TokenLayerMB())))); e.Held.Len() == 0 && n > 0 {
 			at, best := 0, math.Inf(1)
-			behind := tokens(m, out)
+			behind := tokensPerLayer(m, out)
 			for from := 0; from+n <= m.Layers; from++ {
 				if sum := sumOf(behind[from : from+n]); sum < best {
 					at, best = from, sum
@@ -155,22 +155,22 @@
 	return sum
 }
 
-// rateOf is the rate that all data centres carry.
-func rateOf(m *site.Model, engines []grid.Engine) float64 {
+// totalRate is the rate that all data centres carry.
+func totalRate(m *site.Model, engines []grid.Engine) float64 {
 	sum := 0.0
 	for _, c := range centresOf(engines) {
-		sum += grid.Rate(m, near(engines, c))
+		sum += grid.Rate(m, inCentre(engines, c))
 	}
 	return sum
 }
 
-// served is the part of a load that is carried when one engine is gone, as the
+// servedShare is the part of a load that is carried when one engine is gone, as the
 // mean over all engines.
-func served(m *site.Model, engines []grid.Engine, load float64) float64 {
+func servedShare(m *site.Model, engines []grid.Engine, load float64) float64 {
 	sum := 0.0
 	for i := range engines {
 		rest := append(append([]grid.Engine(nil), engines[:i]...), engines[i+1:]...)
-		sum += min(1, rateOf(m, rest)/load)
+		sum += min(1, totalRate(m, rest)/load)
 	}
 	return sum / float64(len(engines))
 }
@@ -179,13 +179,13 @@
 // one engine may be gone. Under a load of six tenths of what the engines could
 // carry, the plan then serves no less than a split without a plan, and than
 // chains by memory alone, on every shape.
-func TestPlanAgainstOthers(t *testing.T) {
-	for _, s := range shapes {
+func TestPlanAgainstSimplePlacements(t *testing.T) {
+	for _, s := range deployments {
 		m := s.model()
-		engines := fleetOf(m, s.counts)
-		plan, plain, memory := held(engines, grid.Plan(m, engines)), evenSplit(m, engines), byMemory(m, engines)
-		load := 0.6 * max(rateOf(m, plan), rateOf(m, plain), rateOf(m, memory))
-		got, a, b := served(m, plan, load), served(m, plain, load), served(m, memory, load)
+		engines := newFleetFor(m, s.counts)
+		plan, plain, memory := applyOrders(engines, grid.Plan(m, engines)), evenSplit(m, engines), byMemory(m, engines)
+		load := 0.6 * max(totalRate(m, plan), totalRate(m, plain), totalRate(m, memory))
+		got, a, b := servedShare(m, plan, load), servedShare(m, plain, load), servedShare(m, memory, load)
 		t.Logf("%s: %.3f of %.0f requests a second without an engine, even split %.3f, by memory %.3f", s.name, got, load, a, b)
 		if got < a || got < b {
 			t.Errorf("%s: got %.3f of the load without an engine, want no less than %.3f and %.3f", s.name, got, a, b)
@@ -195,9 +195,9 @@
 
 // With few engines and layers every placement can be tried. The plan is never
 // far from the best of them in what is left without an engine and with all.
-func TestPlanAgainstAll(t *testing.T) {
+func TestPlanAgainstExhaustiveSearch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := timed()
+		m := timedModel()
 		m.Layers = rapid.IntRange(3, 5).Draw(t, "layers")
 		m.LayerMB = 28000 / float64(m.Layers) * 2
 		n := rapid.IntRange(2, 4).Draw(t, "engines")
@@ -205,8 +205,8 @@
 		for range n {
 			counts[rapid.IntRange(0, 2).Draw(t, "card")]++
 		}
-		engines := fleet([][]int{counts})
-		worth := func(es []grid.Engine) float64 { return grid.Rate(m, es) + rateLeft(m, es) }
+		engines := newFleet([][]int{counts})
+		worth := func(es []grid.Engine) float64 { return grid.Rate(m, es) + meanRateWithoutOne(m, es) }
 		best := 0.0
 		var try func(i int)
 		all := append([]grid.Engine(nil), engines...)
@@ -216,7 +216,7 @@
 				return
 			}
 			for from := 0; from < m.Layers; from++ {
-				for to := from + 1; to <= min(m.Layers, from+m.Most(all[i].Card)); to++ {
+				for to := from + 1; to <= min(m.Layers, from+m.MaxLayers(all[i].Card)); to++ {
 					all[i].Held = spec.NewLayers(from, to)
 					try(i + 1)
 				}
@@ -224,15 +224,15 @@
 			all[i].Held = spec.Layers{}
 		}
 		try(0)
-		got := worth(held(engines, grid.Plan(m, engines)))
+		got := worth(applyOrders(engines, grid.Plan(m, engines)))
 		if got < 0.5*best {
 			t.Fatalf("got a worth of %.2f, want half of the best one's %.2f at least", got, best)
 		}
 	})
 }
 
-// rateLeft is the rate without an engine, as the mean over all engines.
-func rateLeft(m *site.Model, engines []grid.Engine) float64 {
+// meanRateWithoutOne is the rate without an engine, as the mean over all engines.
+func meanRateWithoutOne(m *site.Model, engines []grid.Engine) float64 {
 	sum := 0.0
 	for i := range engines {
 		sum += grid.Rate(m, append(append([]grid.Engine(nil), engines[:i]...), engines[i+1:]...))
@@ -245,13 +245,13 @@
 // to carry its load, until spare engines take its layers: they are ordered to at
 // the first plan.
 func TestSparesTakeOver(t *testing.T) {
-	m := small()
-	engines := fleetOf(m, [][]int{{2, 4, 4}, {1, 6, 6}, {1, 10, 4}})
-	engines = held(engines, grid.Plan(m, engines))
+	m := unlikeCardsModel()
+	engines := newFleetFor(m, [][]int{{2, 4, 4}, {1, 6, 6}, {1, 10, 4}})
+	engines = applyOrders(engines, grid.Plan(m, engines))
 	for i, dead := range engines {
 		rest := append(append([]grid.Engine(nil), engines[:i]...), engines[i+1:]...)
-		after := held(rest, grid.Plan(m, rest))
-		before, now := grid.Rate(m, near(engines, dead.Centre)), grid.Rate(m, near(after, dead.Centre))
+		after := applyOrders(rest, grid.Plan(m, rest))
+		before, now := grid.Rate(m, inCentre(engines, dead.Centre)), grid.Rate(m, inCentre(after, dead.Centre))
 		if now < before/10 {
 			t.Errorf("got %.1f requests a second after %s with %s died, want a tenth of %.1f at least", now, dead.ID, dead.Held, before)
 		}
@@ -260,17 +260,17 @@
 
 // What a platform publishes may be missing or make no sense. The plan then holds
 // what can be held, and no engine is told to hold more than its memory.
-func TestOddModels(t *testing.T) {
+func TestIncompleteModels(t *testing.T) {
 	tests := []struct {
 		name   string
 		change func(*site.Model)
 		serves bool
 	}{
-		{"no usual sizes", func(m *site.Model) { m.Prompt, m.Answer = 0, 0 }, true},
-		{"no answers", func(m *site.Model) { m.Answer = 0 }, true},
-		{"no times", func(m *site.Model) { m.Step, m.Writer, m.Context, m.ReadRate = 0, 0, 0, 0 }, true},
+		{"no usual sizes", func(m *site.Model) { m.TypicalPrompt, m.TypicalAnswer = 0, 0 }, true},
+		{"no answers", func(m *site.Model) { m.TypicalAnswer = 0 }, true},
+		{"no times", func(m *site.Model) { m.StepTime, m.TimePerSequence, m.TimePer1kTokens, m.PrefillRate = 0, 0, 0, 0 }, true},
 		{"no paces", func(m *site.Model) {
-			m.Cards = []site.Card{{Name: "x", MB: 72000}, {Name: "y", MB: 43200}, {Name: "z", MB: 21600}}
+			m.Cards = []site.Card{{Name: "x", MemoryMB: 72000}, {Name: "y", MemoryMB: 43200}, {Name: "z", MemoryMB: 21600}}
 		}, true},
 		{"no memory of tokens", func(m *site.Model) { m.TokenBytes = 0 }, true},
 		{"no slots", func(m *site.Model) { m.Slots = 0 }, true},
@@ -281,23 +281,23 @@
 		{"cards without memory", func(m *site.Model) { m.Cards = []site.Card{{}, {}, {}} }, false},
 	}
 	for _, test := range tests {
-		m := timed()
+		m := timedModel()
 		test.change(m)
-		engines := fleetOf(m, usual)
+		engines := newFleetFor(m, typicalCounts)
 		orders := grid.Plan(m, engines)
 		for _, o := range orders {
-			if e := byID(engines, o.ID); float64(o.Layers.Len())*m.LayerMB > e.Card.MB {
-				t.Errorf("%s: got order %s for %.0f MB, want one that fits", test.name, o.Layers, e.Card.MB)
+			if e := byID(engines, o.ID); float64(o.Layers.Len())*m.LayerMB > e.Card.MemoryMB {
+				t.Errorf("%s: got order %s for %.0f MB, want one that fits", test.name, o.Layers, e.Card.MemoryMB)
 			}
 		}
-		if after := held(engines, orders); test.serves && (len(orders) == 0 || grid.Rate(m, after) <= 0) {
+		if after := applyOrders(engines, orders); test.serves && (len(orders) == 0 || grid.Rate(m, after) <= 0) {
 			t.Errorf("%s: got %d orders that serve nothing, want a plan", test.name, len(orders))
 		}
 	}
 }
 
 func ExampleRate() {
-	m := timed()
+	m := timedModel()
 	engines := []grid.Engine{
 		{ID: "a", Card: m.Cards[0], Held: spec.NewLayers(0, 40)}, {ID: "b", Card: m.Cards[0], Held: spec.NewLayers(40, 80)},
 	}
@@ -305,20 +305,20 @@
 	// Output: true 0
 }
 
-// BenchmarkFresh plans 190 engines of three data centres at once.
-func BenchmarkFresh(b *testing.B) {
-	m := small()
-	engines := fleetOf(m, [][]int{{8, 20, 35}, {6, 28, 30}, {4, 40, 19}})
+// BenchmarkPlanEmptyFleet plans 190 engines of three data centres at once.
+func BenchmarkPlanEmptyFleet(b *testing.B) {
+	m := unlikeCardsModel()
+	engines := newFleetFor(m, [][]int{{8, 20, 35}, {6, 28, 30}, {4, 40, 19}})
 	for b.Loop() {
 		grid.Plan(m, engines)
 	}
 }
 
-// BenchmarkMend plans 190 engines, six of which came back empty.
-func BenchmarkMend(b *testing.B) {
-	m := small()
-	engines := fleetOf(m, [][]int{{8, 20, 35}, {6, 28, 30}, {4, 40, 19}})
-	engines = held(engines, grid.Plan(m, engines))
+// BenchmarkPlanRepair plans 190 engines, six of which came back empty.
+func BenchmarkPlanRepair(b *testing.B) {
+	m := unlikeCardsModel()
+	engines := newFleetFor(m, [][]int{{8, 20, 35}, {6, 28, 30}, {4, 40, 19}})
+	engines = applyOrders(engines, grid.Plan(m, engines))
 	for i := range 6 {
 		engines[i*30].Held = spec.Layers{}
 	}
--- a/internal/route/grid/grid.go
+++ b/internal/route/grid/grid.go
@@ -44,20 +44,20 @@
 		return nil
 	}
 	var orders []Order
-	all := bounded(m, engines)
-	for _, near := range areas(all, engines) {
+	all := withMinTokens(m, engines)
+	for _, near := range planningGroups(all, engines) {
 		if slices.ContainsFunc(near, func(e Engine) bool { return e.Held.Len() > 0 }) {
-			orders = append(orders, changes(near, mend(all, near))...)
+			orders = append(orders, diffOrders(near, repair(all, near))...)
 		} else {
-			orders = append(orders, changes(near, whole(all, near))...)
+			orders = append(orders, diffOrders(near, placeAll(all, near))...)
 		}
 	}
 	return orders
 }
 
-// areas are the engines that are planned together, the fastest first: those of
+// planningGroups are the engines that are planned together, the fastest first: those of
 // each data centre that has memory for the model, and all others.
-func areas(m model, engines []Engine) [][]Engine {
+func planningGroups(m model, engines []Engine) [][]Engine {
 	sorted := append([]Engine(nil), engines...)
 	sort.Slice(sorted, func(i, j int) bool { return faster(sorted[i], sorted[j]) })
 	var centres []spec.DataCentre
@@ -72,7 +72,7 @@
 	var out [][]Engine
 	alone := map[spec.DataCentre]bool{}
 	for _, c := range centres {
-		if fits(m, by[c], m.least) {
+		if fitsModel(m, by[c], m.minTokens) {
 			out, alone[c] = append(out, by[c]), true
 		}
 	}
@@ -84,14 +84,14 @@
 }
 
 func faster(a, b Engine) bool {
-	if a.Card.Pace != b.Card.Pace {
-		return a.Card.Pace < b.Card.Pace
+	if a.Card.StepFactor != b.Card.StepFactor {
+		return a.Card.StepFactor < b.Card.StepFactor
 	}
 	return a.ID < b.ID
 }
 
-// changes are the orders that turn one placement into another.
-func changes(before, after []Engine) []Order {
+// diffOrders are the orders that turn one placement into another.
+func diffOrders(before, after []Engine) []Order {
 	held := map[spec.UpstreamID]spec.Layers{}
 	for _, e := range before {
 		held[e.ID] = e.Held
--- a/internal/route/grid/grid_test.go
+++ b/internal/route/grid/grid_test.go
@@ -14,15 +14,15 @@
 )
 
 var cards = []site.Card{
-	{Name: "a100", MB: 72000, Pace: 2.4, Read: 3.2}, {Name: "l40s", MB: 43200, Pace: 5.6, Read: 2.7}, {Name: "l4", MB: 21600, Pace: 16, Read: 8.2},
+	{Name: "a100", MemoryMB: 72000, StepFactor: 2.4, PrefillFactor: 3.2}, {Name: "l40s", MemoryMB: 43200, StepFactor: 5.6, PrefillFactor: 2.7}, {Name: "l4", MemoryMB: 21600, StepFactor: 16, PrefillFactor: 8.2},
 }
 
 func model() *site.Model {
-	return &site.Model{Slots: 192, Layers: 80, LayerMB: 1750, TokenBytes: 918000, Load: 14 * time.Second, Cards: cards}
+	return &site.Model{Slots: 192, Layers: 80, LayerMB: 1750, TokenBytes: 918000, LoadTime: 14 * time.Second, Cards: cards}
 }
 
-// fleet is engines by data centre and card.
-func fleet(counts [][]int) []grid.Engine {
+// newFleet is engines by data centre and card.
+func newFleet(counts [][]int) []grid.Engine {
 	var out []grid.Engine
 	for z, zone := range counts {
 		for card, n := range zone {
@@ -35,10 +35,10 @@
 	return out
 }
 
-// usual is the site of today.
-var usual = [][]int{{1, 3, 8}, {1, 6, 5}, {2, 2, 5}}
+// typicalCounts is the site of today.
+var typicalCounts = [][]int{{1, 3, 8}, {1, 6, 5}, {2, 2, 5}}
 
-func held(engines []grid.Engine, orders []grid.Order) []grid.Engine {
+func applyOrders(engines []grid.Engine, orders []grid.Order) []grid.Engine {
 	out := append([]grid.Engine(nil), engines...)
 	for _, o := range orders {
 		for i := range out {
@@ -50,18 +50,18 @@
 	return out
 }
 
-// tokens is the memory for requests behind each layer.
-func tokens(m *site.Model, engines []grid.Engine) []float64 {
+// tokensPerLayer is the memory for requests behind each layer.
+func tokensPerLayer(m *site.Model, engines []grid.Engine) []float64 {
 	out := make([]float64, m.Layers)
 	for _, e := range engines {
 		for l := e.Held.From(); l < e.Held.To(); l++ {
-			out[l] += float64(m.Cells(e.Card, e.Held.Len())) / float64(e.Held.Len())
+			out[l] += float64(m.KVCapacity(e.Card, e.Held.Len())) / float64(e.Held.Len())
 		}
 	}
 	return out
 }
 
-func least(xs []float64) float64 {
+func minOf(xs []float64) float64 {
 	out := xs[0]
 	for _, x := range xs {
 		out = min(out, x)
@@ -72,10 +72,10 @@
 // Placed by the plan, the engines of today hold more requests behind their
 // weakest layer than with equal stages of 20 and 10 layers, and each data
 // centre holds a chain of its own.
-func TestFreshPlacement(t *testing.T) {
+func TestInitialPlacement(t *testing.T) {
 	m := model()
-	engines := fleet(usual)
-	got := held(engines, grid.Plan(m, engines))
+	engines := newFleet(typicalCounts)
+	got := applyOrders(engines, grid.Plan(m, engines))
 	naive := append([]grid.Engine(nil), engines...)
 	next := map[int]int{}
 	for i := range naive {
@@ -86,7 +86,7 @@
 		naive[i].Held = spec.NewLayers(next[n], next[n]+n)
 		next[n] = (next[n] + n) % m.Layers
 	}
-	if a, b := least(tokens(m, got)), least(tokens(m, naive)); a < 1.1*b {
+	if a, b := minOf(tokensPerLayer(m, got)), minOf(tokensPerLayer(m, naive)); a < 1.1*b {
 		t.Errorf("got %.0f tokens behind the weakest layer, want 1.1 times the %.0f of equal stages", a, b)
 	}
 	for _, centre := range []spec.DataCentre{"z0", "z1", "z2"} {
@@ -96,7 +96,7 @@
 				near = append(near, e)
 			}
 		}
-		if least(tokens(m, near)) <= 0 {
+		if minOf(tokensPerLayer(m, near)) <= 0 {
 			t.Errorf("got layers without an engine in %s, want all", centre)
 		}
 	}
@@ -115,8 +115,8 @@
 			_ = z
 			counts = append(counts, []int{rapid.IntRange(0, 3).Draw(t, "a100"), rapid.IntRange(0, 6).Draw(t, "l40s"), rapid.IntRange(0, 9).Draw(t, "l4")})
 		}
-		all := fleet(counts)
-		all = held(all, grid.Plan(m, all))
+		all := newFleet(counts)
+		all = applyOrders(all, grid.Plan(m, all))
 		var engines []grid.Engine
 		idle := true
 		comeBack := rapid.Bool().Draw(t, "come back")
@@ -135,33 +135,33 @@
 			return
 		}
 		orders := grid.Plan(m, engines)
-		after := held(engines, orders)
+		after := applyOrders(engines, orders)
 		moves := map[spec.DataCentre]int{}
 		for _, o := range orders {
 			e := byID(engines, o.ID)
-			if float64(o.Layers.Len())*m.LayerMB > e.Card.MB || o.Layers.From() < 0 || o.Layers.To() > m.Layers {
+			if float64(o.Layers.Len())*m.LayerMB > e.Card.MemoryMB || o.Layers.From() < 0 || o.Layers.To() > m.Layers {
 				t.Fatalf("got order %s for %s, want one that fits", o.Layers, e.Card.Name)
 			}
-			if e.Held.Len() > 0 && least(tokens(m, near(engines, e.Centre))) > 0 {
+			if e.Held.Len() > 0 && minOf(tokensPerLayer(m, inCentre(engines, e.Centre))) > 0 {
 				moves[e.Centre]++
 			}
 		}
 		for centre, n := range moves {
-			if n > 1 || !calm(near(engines, centre)) {
+			if n > 1 || !isSettled(inCentre(engines, centre)) {
 				t.Fatalf("got orders %v for engines of %s that hold layers, want one while nothing else is due", orders, centre)
 			}
 		}
 		for _, e := range engines {
-			before, now := near(engines, e.Centre), near(after, e.Centre)
-			if least(tokens(m, now)) < least(tokens(m, before)) {
+			before, now := inCentre(engines, e.Centre), inCentre(after, e.Centre)
+			if minOf(tokensPerLayer(m, now)) < minOf(tokensPerLayer(m, before)) {
 				t.Fatalf("got orders %v that leave less behind the weakest layer of %s, want none", orders, e.Centre)
 			}
 		}
 	})
 }
 
-// calm reports whether no engine is empty or loads.
-func calm(engines []grid.Engine) bool {
+// isSettled reports whether no engine is empty or loads.
+func isSettled(engines []grid.Engine) bool {
 	for _, e := range engines {
 		if e.Held.Len() == 0 || e.Loading {
 			return false
@@ -179,8 +179,8 @@
 	return grid.Engine{}
 }
 
-// near are the engines of a data centre.
-func near(engines []grid.Engine, centre spec.DataCentre) []grid.Engine {
+// inCentre are the engines of a data centre.
+func inCentre(engines []grid.Engine, centre spec.DataCentre) []grid.Engine {
 	var out []grid.Engine
 	for _, e := range engines {
 		if e.Centre == centre {
@@ -194,10 +194,10 @@
 // the model but one. Requests are turned away for want of room there, while
 // memory behind the other layers is free: engines are moved one after the
 // other, until no move is worth its load.
-func TestLossIsEvenedOut(t *testing.T) {
+func TestPlanRebalancesAfterLoss(t *testing.T) {
 	m := model()
-	engines := fleet(usual)
-	engines = held(engines, grid.Plan(m, engines))
+	engines := newFleet(typicalCounts)
+	engines = applyOrders(engines, grid.Plan(m, engines))
 	if orders := grid.Plan(m, engines); len(orders) > 0 {
 		t.Fatalf("got orders %v for the whole site, want none", orders)
 	}
@@ -210,16 +210,16 @@
 		}
 		left = append(left, e)
 	}
-	before := least(tokens(m, left))
+	before := minOf(tokensPerLayer(m, left))
 	moves := 0
 	for ; moves < 10; moves++ {
 		orders := grid.Plan(m, left)
 		if len(orders) == 0 {
 			break
 		}
-		left = held(left, orders)
+		left = applyOrders(left, orders)
 	}
-	if after := least(tokens(m, left)); after < 1.5*before || moves > 4 {
+	if after := minOf(tokensPerLayer(m, left)); after < 1.5*before || moves > 4 {
 		t.Errorf("got %.0f tokens behind the weakest layer after %d moves, want 1.5 times the %.0f before and 4 moves at most", after, moves, before)
 	}
 }
@@ -227,14 +227,14 @@
 // One stage of a chain has little room and spare engines stand elsewhere, so
 // that requests are turned away until one is moved. A card that is too small for
 // any layer stays empty for good: it must not count as work to be done first.
-func TestUselessCardHoldsNothingUp(t *testing.T) {
+func TestUnusableCardDoesNotBlockMoves(t *testing.T) {
 	m := model()
-	engines := fleet([][]int{{1, 6, 0}})
+	engines := newFleet([][]int{{1, 6, 0}})
 	for i, l := range [][2]int{{0, 25}, {25, 45}, {45, 62}, {62, 80}, {0, 10}, {0, 10}, {0, 10}} {
 		engines[i].Held = spec.NewLayers(l[0], l[1])
 	}
 	want := grid.Plan(m, engines)
-	tiny := grid.Engine{ID: "tiny", Centre: "z0", Card: site.Card{Name: "tiny", MB: 900, Pace: 1, Read: 1}}
+	tiny := grid.Engine{ID: "tiny", Centre: "z0", Card: site.Card{Name: "tiny", MemoryMB: 900, StepFactor: 1, PrefillFactor: 1}}
 	got := grid.Plan(m, append(engines, tiny))
 	if len(want) != 1 || !slices.Equal(got, want) {
 		t.Errorf("got orders %v beside a useless card, want one as without it: %v", got, want)
@@ -243,10 +243,10 @@
 
 // An engine of a chain dies and comes back empty. It gets the range that no
 // other engine of its data centre holds.
-func TestEngineThatComesBackFillsItsGap(t *testing.T) {
+func TestReturningEngineFillsGap(t *testing.T) {
 	m := model()
-	engines := fleet(usual)
-	engines = held(engines, grid.Plan(m, engines))
+	engines := newFleet(typicalCounts)
+	engines = applyOrders(engines, grid.Plan(m, engines))
 	for i := range engines {
 		was := engines[i].Held
 		engines[i].Held = spec.Layers{}
@@ -254,9 +254,9 @@
 		if len(orders) != 1 || orders[0].ID != engines[i].ID {
 			t.Fatalf("got %v, want one order for %s", orders, engines[i].ID)
 		}
-		after := least(tokens(m, held(engines, orders)))
+		after := minOf(tokensPerLayer(m, applyOrders(engines, orders)))
 		engines[i].Held = was
-		if before := least(tokens(m, engines)); after < 0.8*before {
+		if before := minOf(tokensPerLayer(m, engines)); after < 0.8*before {
 			t.Errorf("got %.0f tokens behind the weakest layer after %s came back, want eight tenths of %.0f", after, engines[i].ID, before)
 		}
 	}
@@ -265,22 +265,22 @@
 // All engines that hold a range die for good and none is empty. Another one
 // gives up what others hold as well and takes the range: no request could be
 // served without it.
-func TestLostRangeIsTakenOver(t *testing.T) {
+func TestLostRangeIsReassigned(t *testing.T) {
 	m := model()
-	engines := fleet([][]int{{0, 10, 0}})
-	engines = held(engines, grid.Plan(m, engines))
+	engines := newFleet([][]int{{0, 10, 0}})
+	engines = applyOrders(engines, grid.Plan(m, engines))
 	var left []grid.Engine
 	for _, e := range engines {
 		if !e.Held.Has(40) {
 			left = append(left, e)
 		}
 	}
-	if least(tokens(m, left)) > 0 {
+	if minOf(tokensPerLayer(m, left)) > 0 {
 		t.Fatal("got layer 40 still held, want none")
 	}
 	orders := grid.Plan(m, left)
-	after := held(left, orders)
-	if len(orders) == 0 || least(tokens(m, after)) <= 0 {
+	after := applyOrders(left, orders)
+	if len(orders) == 0 || minOf(tokensPerLayer(m, after)) <= 0 {
 		t.Errorf("got orders %v, want every layer held after them", orders)
 	}
 }
--- a/internal/route/grid/parts_test.go
+++ b/internal/route/grid/parts_test.go
@@ -10,8 +10,8 @@
 // Guards against a plan of a large data centre that takes longer than it lasts: it is
 // made in parts, so that an engine more or less changes the orders of its part alone.
 func TestLargeCentreIsPlannedInParts(t *testing.T) {
-	m := small()
-	engines := fleetOf(m, [][]int{{16, 56, 56}})
+	m := unlikeCardsModel()
+	engines := newFleetFor(m, [][]int{{16, 56, 56}})
 	before := grid.Plan(m, engines)
 	if len(before) < len(engines)*9/10 {
 		t.Fatalf("got %d orders for %d engines, want most of them placed", len(before), len(engines))
@@ -33,17 +33,17 @@
 
 // Guards against a part of a large data centre that gives up layers to fill a gap
 // which another part of it fills.
-func TestPartsShareTheirLayers(t *testing.T) {
-	m := small()
-	engines := fleetOf(m, [][]int{{16, 56, 56}})
-	engines = held(engines, grid.Plan(m, engines))
+func TestPartsCoverForEachOther(t *testing.T) {
+	m := unlikeCardsModel()
+	engines := newFleetFor(m, [][]int{{16, 56, 56}})
+	engines = applyOrders(engines, grid.Plan(m, engines))
 	var left []grid.Engine
 	for i, e := range engines {
 		if i%5 > 0 {
 			left = append(left, e)
 		}
 	}
-	if least(tokens(m, left)) == 0 {
+	if minOf(tokensPerLayer(m, left)) == 0 {
 		t.Fatal("got a layer that no engine holds, want a loss that leaves all")
 	}
 	if moved := grid.Plan(m, left); len(moved) > 1 {
@@ -53,12 +53,12 @@
 
 // BenchmarkLargeCentre plans 936 engines of five data centres at once.
 func BenchmarkLargeCentre(b *testing.B) {
-	m := small()
+	m := unlikeCardsModel()
 	counts := [][]int{}
 	for range 5 {
 		counts = append(counts, []int{18, 66, 103})
 	}
-	engines := fleetOf(m, counts)
+	engines := newFleetFor(m, counts)
 	for b.Loop() {
 		grid.Plan(m, engines)
 	}
--- a/internal/route/grid/turn.go
+++ b/internal/route/grid/turn.go
@@ -6,15 +6,15 @@
 	"fulmarwick/internal/base/site"
 )
 
-// Turn returns the orders that may be given now: so many that no more engines load at
+// LimitLoads returns the orders that may be given now: so many that no more engines load at
 // once than do so at full speed. Loads beyond that share it, and none of them would
 // end before all do. Layers that no engine holds or loads come first, then engines
 // that hold nothing.
-func Turn(m *site.Model, engines []Engine, orders []Order) []Order {
-	if m.Loads <= 0 {
+func LimitLoads(m *site.Model, engines []Engine, orders []Order) []Order {
+	if m.MaxParallelLoads <= 0 {
 		return orders
 	}
-	free := m.Loads
+	free := m.MaxParallelLoads
 	for _, e := range engines {
 		if e.Loading {
 			free--
@@ -35,7 +35,7 @@
 // urgency ranks an order, the most urgent highest.
 func urgency(engines []Engine, o Order) int {
 	for l := o.Layers.From(); l < o.Layers.To(); l++ {
-		if holders(engines, l) == 0 {
+		if countHolders(engines, l) == 0 {
 			return urgencyMissing
 		}
 	}
--- a/internal/route/grid/turn_test.go
+++ b/internal/route/grid/turn_test.go
@@ -9,10 +9,10 @@
 
 // Guards against a model that is whole only when the last of many engines has loaded:
 // loads beyond those at full speed share it.
-func TestLoadsTakeTurns(t *testing.T) {
-	m := small()
-	m.Loads = 3
-	engines := fleetOf(m, [][]int{{4, 0, 8}})
+func TestConcurrentLoadsAreLimited(t *testing.T) {
+	m := unlikeCardsModel()
+	m.MaxParallelLoads = 3
+	engines := newFleetFor(m, [][]int{{4, 0, 8}})
 	held := func(i, from, to int) { engines[i].Held = spec.NewLayers(from, to) }
 	held(0, 0, 30)
 	held(1, 0, 30)
@@ -38,8 +38,8 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			m.Loads = test.loads
-			got := grid.Turn(m, engines, orders)
+			m.MaxParallelLoads = test.loads
+			got := grid.LimitLoads(m, engines, orders)
 			if len(got) != len(test.want) {
 				t.Fatalf("got %v, want %d orders", got, len(test.want))
 			}
--- a/internal/route/grid/wait_test.go
+++ b/internal/route/grid/wait_test.go
@@ -8,12 +8,12 @@
 	"fulmarwick/internal/route/grid"
 )
 
-// BenchmarkWaitBesidePlan measures for how long another goroutine waits at most for
+// BenchmarkSchedulingDelayDuringPlan measures for how long another goroutine waits at most for
 // the only processor while a plan for 90 engines is worked out.
-func BenchmarkWaitBesidePlan(b *testing.B) {
+func BenchmarkSchedulingDelayDuringPlan(b *testing.B) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
-	m := small()
-	engines := fleetOf(m, [][]int{{4, 9, 16}, {3, 13, 14}, {2, 18, 10}})
+	m := unlikeCardsModel()
+	engines := newFleetFor(m, [][]int{{4, 9, 16}, {3, 13, 14}, {2, 18, 10}})
 	longest := time.Duration(0)
 	for b.Loop() {
 		done := make(chan struct{})
--- a/internal/route/guess/guess.go
+++ b/internal/route/guess/guess.go
@@ -14,74 +14,76 @@
 package guess
 
 const (
-	// prior is how many answers the assumption counts that lengths are evenly
+	// priorWeight is how many answers the assumption counts that lengths are evenly
 	// spread between nothing and twice the guess, which holds for guesses that
 	// are right at the median and often far off.
-	prior = 20
-	// window is how many of the last answers count: at ten a second of a class,
+	priorWeight = 20
+	// windowAnswers is how many of the last answers count: at ten a second of a class,
 	// what has changed is known within a minute.
-	window = 400
-	// least and most bound an answer's length as a part of its guess: one that
+	windowAnswers = 400
+	// minRatio and most bound an answer's length as a part of its guess: one that
 	// was cut by its caller, or a guess of one token, tells nothing of others.
-	least = 0.1
-	most  = 5.0
-	// lowest bounds what is learnt of the mean: a class whose answers come
+	minRatio = 0.1
+	maxRatio = 5.0
+	// minMeanRatio bounds what is learnt of the mean: a class whose answers come
 	// short of their guesses may have one that does not.
-	lowest = 0.5
-	// classes bounds how many classes are known: configurations may rename
+	minMeanRatio = 0.5
+	// maxClasses bounds how many classes are known: configurations may rename
 	// their routes for ever.
-	classes = 1000
+	maxClasses = 1000
 )
 
-// Book is what is known of each class. The zero value knows nothing. It is not
+// Estimator is what is known of each class. The zero value knows nothing. It is not
 // safe for concurrent use.
-type Book struct {
-	classes map[string]*ratios
+type Estimator struct {
+	classes map[string]*ratioStats
 }
 
-// ratios are the means of the length over the guess, of its square and cube.
-type ratios struct {
-	seen                float64
-	mean, square, third float64
+// ratioStats are the means of the length over the guess, of its square and cube.
+type ratioStats struct {
+	weight             float64
+	mean, square, cube float64
 }
 
-// fresh is what is assumed of a class without answers.
-func fresh() ratios { return ratios{seen: prior, mean: 1, square: 4.0 / 3, third: 2} }
+// priorStats is what is assumed of a class without answers.
+func priorStats() ratioStats {
+	return ratioStats{weight: priorWeight, mean: 1, square: 4.0 / 3, cube: 2}
+}
 
-// Ended notes that an answer got to its end with so many tokens.
-func (b *Book) Ended(class string, guess, tokens int) {
+// Observe notes that an answer got to its end with so many tokens.
+func (b *Estimator) Observe(class string, guess, tokens int) {
 	if guess <= 0 || tokens <= 0 {
 		return
 	}
-	if b.classes == nil || len(b.classes) > classes {
-		b.classes = map[string]*ratios{}
+	if b.classes == nil || len(b.classes) > maxClasses {
+		b.classes = map[string]*ratioStats{}
 	}
 	r := b.classes[class]
 	if r == nil {
-		known := fresh()
+		known := priorStats()
 		r = &known
 		b.classes[class] = r
 	}
-	x := min(most, max(least, float64(tokens)/float64(guess)))
-	r.seen = min(window, r.seen+1)
-	r.mean += (x - r.mean) / r.seen
-	r.square += (x*x - r.square) / r.seen
-	r.third += (x*x*x - r.third) / r.seen
+	x := min(maxRatio, max(minRatio, float64(tokens)/float64(guess)))
+	r.weight = min(windowAnswers, r.weight+1)
+	r.mean += (x - r.mean) / r.weight
+	r.square += (x*x - r.square) / r.weight
+	r.cube += (x*x*x - r.cube) / r.weight
 }
 
-// Hold is the memory in tokens that a request of a class holds at a moment of
+// HeldTokens is the memory in tokens that a request of a class holds at a moment of
 // its run, as mean and variance. longest bounds its answer; zero is no bound.
 //
 // Long answers are met more often at a random moment than short ones, so for
 // lengths L the mean progress is E[L^2]/2E[L] and its square E[L^3]/3E[L].
-func (b *Book) Hold(class string, prompt, guess, longest int) (mean, variance float64) {
-	r := fresh()
+func (b *Estimator) HeldTokens(class string, prompt, guess, longest int) (mean, variance float64) {
+	r := priorStats()
 	if known := b.classes[class]; known != nil {
 		r = *known
 	}
-	ratio := max(lowest, r.mean)
+	ratio := max(minMeanRatio, r.mean)
 	progress := float64(guess) * r.square / (2 * ratio)
-	square := float64(guess) * float64(guess) * r.third / (3 * ratio)
+	square := float64(guess) * float64(guess) * r.cube / (3 * ratio)
 	if longest > 0 {
 		progress = min(progress, float64(longest))
 		square = min(square, float64(longest)*float64(longest))
--- a/internal/route/guess/guess_test.go
+++ b/internal/route/guess/guess_test.go
@@ -11,14 +11,14 @@
 	"pgregory.net/rapid"
 )
 
-func ExampleBook_Hold() {
-	var b guess.Book
-	mean, variance := b.Hold("draft", 800, 300, 0)
+func ExampleEstimator_HeldTokens() {
+	var b guess.Estimator
+	mean, variance := b.HeldTokens("draft", 800, 300, 0)
 	fmt.Printf("%.0f %.0f\n", mean, math.Sqrt(variance))
 	for range 400 {
-		b.Ended("draft", 300, 150)
+		b.Observe("draft", 300, 150)
 	}
-	mean, _ = b.Hold("draft", 800, 300, 0)
+	mean, _ = b.HeldTokens("draft", 800, 300, 0)
 	fmt.Println(mean < 900)
 	// Output:
 	// 1000 141
@@ -29,14 +29,14 @@
 // from what their callers guess. Memory for the mean and three deviations of
 // what they hold is short in fewer than one moment of a hundred, and yet a
 // twentieth less than what they hold at the end of their answers.
-func TestHoldAgainstDraws(t *testing.T) {
+func TestHeldTokensAgainstSimulation(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	length := func() float64 { return 200 * math.Exp(0.6*random.NormFloat64()) }
-	var b guess.Book
+	var b guess.Estimator
 	for range 2000 {
-		b.Ended("a", 200, int(length()))
+		b.Observe("a", 200, int(length()))
 	}
-	mean, variance := b.Hold("a", 700, 200, 0)
+	mean, variance := b.HeldTokens("a", 700, 200, 0)
 	const flying = 60
 	promised := flying*mean + 3.09*math.Sqrt(flying*variance)
 	short, whole := 0, 0.0
@@ -66,14 +66,14 @@
 
 // Whatever lengths answers have and however wrong the guesses are, what is
 // promised holds the prompt and never more than prompt and longest answer.
-func TestHoldIsBounded(t *testing.T) {
+func TestHeldTokensAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var b guess.Book
+		var b guess.Estimator
 		for range rapid.IntRange(0, 50).Draw(t, "answers") {
-			b.Ended("a", rapid.IntRange(-1, 5000).Draw(t, "guess"), rapid.IntRange(-1, 50000).Draw(t, "tokens"))
+			b.Observe("a", rapid.IntRange(-1, 5000).Draw(t, "guess"), rapid.IntRange(-1, 50000).Draw(t, "tokens"))
 		}
 		prompt, most := rapid.IntRange(0, 5000).Draw(t, "prompt"), rapid.IntRange(1, 5000).Draw(t, "most")
-		mean, variance := b.Hold("a", prompt, rapid.IntRange(0, 5000).Draw(t, "ask"), most)
+		mean, variance := b.HeldTokens("a", prompt, rapid.IntRange(0, 5000).Draw(t, "ask"), most)
 		if mean < float64(prompt) || mean > float64(prompt+most) || variance < 0 || math.IsNaN(variance) {
 			t.Fatalf("got %f tokens with variance %f, want between %d and %d", mean, variance, prompt, prompt+most)
 		}
--- a/internal/route/least/least.go
+++ b/internal/route/least/least.go
@@ -19,202 +19,202 @@
 	"fulmarwick/internal/base/spec"
 )
 
-//go:generate stringer -type=End -linecomment -output=end_string.go
+//go:generate stringer -type=Outcome -linecomment -output=outcome_string.go
 
-// End says how a request at an upstream ended.
-type End int
+// Outcome says how a request at an upstream ended.
+type Outcome int
 
 // The ends.
 const (
-	EndOK      End = iota // ok
-	EndFailed             // failed
-	EndRefused            // refused
-	EndLost               // lost
-	EndUnknown            // unknown
+	OutcomeOK      Outcome = iota // ok
+	OutcomeFailed                 // failed
+	OutcomeRefused                // refused
+	OutcomeLost                   // lost
+	OutcomeUnknown                // unknown
 )
 
 const (
-	// weight is that of the newest answer in the averages; about the last five
+	// newestWeight is that of the newest answer in the averages; about the last five
 	// count, fewer than one bad engine needs to show itself at 2 requests/s.
-	weight = 0.2
-	// fade is the time in which what is known loses half its weight, so that
+	newestWeight = 0.2
+	// historyHalfLife is the time in which what is known loses half its weight, so that
 	// an upstream that was left is tried again.
-	fade = 3 * time.Second
-	// usual is the time to answer that is assumed of an unknown upstream.
-	usual = 30 * time.Millisecond
-	// rest is how long an upstream is left alone that refused a connection.
-	rest = 500 * time.Millisecond
-	// overdue is how many times the usual time an answer may take before its
+	historyHalfLife = 3 * time.Second
+	// defaultLatency is the time to answer that is assumed of an unknown upstream.
+	defaultLatency = 30 * time.Millisecond
+	// cooldown is how long an upstream is left alone that refused a connection.
+	cooldown = 500 * time.Millisecond
+	// overdueFactor is how many times the usual time an answer may take before its
 	// age counts as what the upstream takes now.
-	overdue = 3
-	// stale is the age at which an upstream's own count of its load no longer
+	overdueFactor = 3
+	// reportedLoadTTL is the age at which an upstream's own count of its load no longer
 	// counts: it turns over in a few requests.
-	stale = 400 * time.Millisecond
+	reportedLoadTTL = 400 * time.Millisecond
 )
 
-// row is one upstream.
-type row struct {
-	up site.Upstream
-	// took is the average time to an answer, bad the average share of
+// upstreamStats is one upstream.
+type upstreamStats struct {
+	upstream site.Upstream
+	// latency is the average time to an answer, bad the average share of
 	// requests without a good one.
-	took float64
-	bad  float64
-	at   time.Duration
-	// until is when it may be used again.
-	until time.Duration
-	// due are the times at which requests that are still due were sent.
-	due []time.Duration
-	// load is what it said of requests beside our own, and when.
-	load   int
-	loadAt time.Duration
+	latency     float64
+	failureRate float64
+	updatedAt   time.Duration
+	// cooldownUntil is when it may be used again.
+	cooldownUntil time.Duration
+	// pending are the times at which requests that are still due were sent.
+	pending []time.Duration
+	// otherLoad is what it said of requests beside our own, and when.
+	otherLoad  int
+	reportedAt time.Duration
 }
 
-// Table is the upstreams of one service. It is not safe for concurrent use.
-type Table struct {
-	Centre spec.DataCentre
+// Balancer is the upstreams of one service. It is not safe for concurrent use.
+type Balancer struct {
+	DataCentre spec.DataCentre
 
-	rows []*row
-	byID map[spec.UpstreamID]*row
-	turn int
+	upstreams []*upstreamStats
+	byID      map[spec.UpstreamID]*upstreamStats
+	rotation  int
 }
 
-// Sync sets which upstreams there are and keeps what is known of those that
+// SetUpstreams sets which upstreams there are and keeps what is known of those that
 // stay.
-func (t *Table) Sync(ups []site.Upstream) {
+func (t *Balancer) SetUpstreams(ups []site.Upstream) {
 	old := t.byID
-	t.byID = map[spec.UpstreamID]*row{}
-	t.rows = t.rows[:0:0]
+	t.byID = map[spec.UpstreamID]*upstreamStats{}
+	t.upstreams = t.upstreams[:0:0]
 	for _, up := range ups {
 		r := old[up.ID]
-		if r == nil || r.up.Born != up.Born || r.up.Address != up.Address {
-			r = &row{took: float64(usual)}
+		if r == nil || r.upstream.Born != up.Born || r.upstream.Address != up.Address {
+			r = &upstreamStats{latency: float64(defaultLatency)}
 		}
-		r.up = up
-		t.rows = append(t.rows, r)
+		r.upstream = up
+		t.upstreams = append(t.upstreams, r)
 		t.byID[up.ID] = r
 	}
-	sort.Slice(t.rows, func(i, j int) bool { return t.rows[i].up.ID < t.rows[j].up.ID })
+	sort.Slice(t.upstreams, func(i, j int) bool { return t.upstreams[i].upstream.ID < t.upstreams[j].upstream.ID })
 }
 
 // Pick returns the best upstream that is not among avoid and counts a request
 // as sent there. Upstreams that rest are used only if there is no other.
-func (t *Table) Pick(now time.Duration, avoid []spec.UpstreamID) (site.Upstream, bool) {
-	costs := make([]float64, len(t.rows))
+func (t *Balancer) Pick(now time.Duration, avoid []spec.UpstreamID) (site.Upstream, bool) {
+	costs := make([]float64, len(t.upstreams))
 	least := math.Inf(1)
-	for i, r := range t.rows {
+	for i, r := range t.upstreams {
 		costs[i] = math.Inf(1)
-		if r.up.State == site.StateReady && !slices.Contains(avoid, r.up.ID) {
-			costs[i] = r.cost(now, t.Centre)
+		if r.upstream.State == site.StateReady && !slices.Contains(avoid, r.upstream.ID) {
+			costs[i] = r.cost(now, t.DataCentre)
 		}
 		least = min(least, costs[i])
 	}
 	if math.IsInf(least, 1) {
 		return site.Upstream{}, false
 	}
-	t.turn++
-	for i := range t.rows {
-		at := (i + t.turn) % len(t.rows)
-		if costs[at] <= least*alike {
-			t.rows[at].due = append(t.rows[at].due, now)
-			return t.rows[at].up, true
+	t.rotation++
+	for i := range t.upstreams {
+		at := (i + t.rotation) % len(t.upstreams)
+		if costs[at] <= least*similarCostRatio {
+			t.upstreams[at].pending = append(t.upstreams[at].pending, now)
+			return t.upstreams[at].upstream, true
 		}
 	}
 	return site.Upstream{}, false
 }
 
-// alike is the ratio of costs within which upstreams take turns. Without it all
+// similarCostRatio is the ratio of costs within which upstreams take turns. Without it all
 // instances would load the same one, and one that was bad once would keep a
 // last trace of it and never be tried again.
-const alike = 1.15
+const similarCostRatio = 1.15
 
-// faraway is the time added for an upstream in another data centre: bytes
+// remoteCentrePenalty is the time added for an upstream in another data centre: bytes
 // between data centres are paid for.
-const faraway = 2 * time.Millisecond
+const remoteCentrePenalty = 2 * time.Millisecond
 
-// resting is added for an upstream that rests, above any time to answer.
-const resting = float64(time.Hour)
+// cooldownPenalty is added for an upstream that rests, above any time to answer.
+const cooldownPenalty = float64(time.Hour)
 
 // cost is the expected time to a good answer in nanoseconds.
-func (r *row) cost(now time.Duration, centre spec.DataCentre) float64 {
-	keep := r.keep(now)
-	took := r.took*keep + float64(usual)*(1-keep)
-	for _, sent := range r.due {
-		if age := float64(now - sent); age > overdue*took {
+func (r *upstreamStats) cost(now time.Duration, centre spec.DataCentre) float64 {
+	keep := r.historyWeight(now)
+	took := r.latency*keep + float64(defaultLatency)*(1-keep)
+	for _, sent := range r.pending {
+		if age := float64(now - sent); age > overdueFactor*took {
 			took = age
 		}
 	}
-	ahead := len(r.due)
-	if now-r.loadAt < stale && r.loadAt > 0 {
-		ahead += r.load
+	ahead := len(r.pending)
+	if now-r.reportedAt < reportedLoadTTL && r.reportedAt > 0 {
+		ahead += r.otherLoad
 	}
-	slots := max(1, r.up.Slots)
+	slots := max(1, r.upstream.Slots)
 	wait := took * float64(ahead) / float64(slots)
-	cost := (took + wait) / math.Pow(1-min(0.95, r.bad*keep), 2)
-	if r.up.Centre != centre {
-		cost += float64(faraway)
+	cost := (took + wait) / math.Pow(1-min(0.95, r.failureRate*keep), 2)
+	if r.upstream.Centre != centre {
+		cost += float64(remoteCentrePenalty)
 	}
-	if now < r.until {
-		cost += resting
+	if now < r.cooldownUntil {
+		cost += cooldownPenalty
 	}
 	return cost
 }
 
-// keep is the weight that what was learnt still has.
-func (r *row) keep(now time.Duration) float64 {
-	if r.at == 0 {
+// historyWeight is the weight that what was learnt still has.
+func (r *upstreamStats) historyWeight(now time.Duration) float64 {
+	if r.updatedAt == 0 {
 		return 1
 	}
-	return math.Exp2(-float64(now-r.at) / float64(fade))
+	return math.Exp2(-float64(now-r.updatedAt) / float64(historyHalfLife))
 }
 
-// Done counts the end of a request that Pick sent. took is the time since
+// RecordOutcome counts the end of a request that Pick sent. took is the time since
 // then.
-func (t *Table) Done(now time.Duration, id spec.UpstreamID, took time.Duration, end End) {
+func (t *Balancer) RecordOutcome(now time.Duration, id spec.UpstreamID, took time.Duration, end Outcome) {
 	r := t.byID[id]
 	if r == nil {
 		return
 	}
-	if i := slices.IndexFunc(r.due, func(at time.Duration) bool { return at <= now-took }); i >= 0 {
-		r.due = slices.Delete(r.due, i, i+1)
-	} else if len(r.due) > 0 {
-		r.due = r.due[1:]
+	if i := slices.IndexFunc(r.pending, func(at time.Duration) bool { return at <= now-took }); i >= 0 {
+		r.pending = slices.Delete(r.pending, i, i+1)
+	} else if len(r.pending) > 0 {
+		r.pending = r.pending[1:]
 	}
-	if end == EndUnknown {
+	if end == OutcomeUnknown {
 		return
 	}
-	keep := r.keep(now)
+	keep := r.historyWeight(now)
 	bad := 1.0
-	if end == EndOK {
+	if end == OutcomeOK {
 		bad = 0
 	}
-	r.bad = r.bad*keep*(1-weight) + bad*weight
-	if end == EndOK || end == EndLost {
-		r.took = (r.took*keep+float64(usual)*(1-keep))*(1-weight) + float64(took)*weight
+	r.failureRate = r.failureRate*keep*(1-newestWeight) + bad*newestWeight
+	if end == OutcomeOK || end == OutcomeLost {
+		r.latency = (r.latency*keep+float64(defaultLatency)*(1-keep))*(1-newestWeight) + float64(took)*newestWeight
 	}
-	r.at = now
+	r.updatedAt = now
 }
 
-// Rest leaves an upstream alone that accepts no connection.
-func (t *Table) Rest(now time.Duration, id spec.UpstreamID) {
+// StartCooldown leaves an upstream alone that accepts no connection.
+func (t *Balancer) StartCooldown(now time.Duration, id spec.UpstreamID) {
 	if r := t.byID[id]; r != nil {
-		r.until = now + rest
+		r.cooldownUntil = now + cooldown
 	}
 }
 
-// Load takes an upstream's own count of its requests.
-func (t *Table) Load(now time.Duration, id spec.UpstreamID, l site.Load) {
+// ApplyReportedLoad takes an upstream's own count of its requests.
+func (t *Balancer) ApplyReportedLoad(now time.Duration, id spec.UpstreamID, l site.Load) {
 	r := t.byID[id]
 	if r == nil {
 		return
 	}
-	r.load = max(0, l.Running+l.Waiting-len(r.due))
-	r.loadAt = now
+	r.otherLoad = max(0, l.Running+l.Waiting-len(r.pending))
+	r.reportedAt = now
 }
 
-// Usual is the time in which an upstream of the service answers as a rule.
-func (t *Table) Usual(id spec.UpstreamID) time.Duration {
+// ExpectedLatency is the time in which an upstream of the service answers as a rule.
+func (t *Balancer) ExpectedLatency(id spec.UpstreamID) time.Duration {
 	if r := t.byID[id]; r != nil {
-		return time.Duration(r.took)
+		return time.Duration(r.latency)
 	}
-	return usual
+	return defaultLatency
 }
--- a/internal/route/least/least_test.go
+++ b/internal/route/least/least_test.go
@@ -11,24 +11,24 @@
 
 const ms = time.Millisecond
 
-func desk(id string) site.Upstream {
+func testUpstream(id string) site.Upstream {
 	return site.Upstream{ID: spec.UpstreamID(id), Service: "desk", Address: id, Centre: "east", Slots: 6, Born: 1}
 }
 
-func desks() *least.Table {
-	t := &least.Table{Centre: "east"}
-	t.Sync([]site.Upstream{desk("a"), desk("b"), desk("c")})
+func newBalancer() *least.Balancer {
+	t := &least.Balancer{DataCentre: "east"}
+	t.SetUpstreams([]site.Upstream{testUpstream("a"), testUpstream("b"), testUpstream("c")})
 	return t
 }
 
-// shares replays requests, ten a second, and counts where they go. end tells
+// countPicks replays requests, ten a second, and counts where they go. end tells
 // how a request ends there and after how long.
-func shares(t *testing.T, tab *least.Table, from time.Duration, n int, end func(id spec.UpstreamID) (least.End, time.Duration)) map[spec.UpstreamID]int {
+func countPicks(t *testing.T, tab *least.Balancer, from time.Duration, n int, end func(id spec.UpstreamID) (least.Outcome, time.Duration)) map[spec.UpstreamID]int {
 	t.Helper()
 	type due struct {
 		id  spec.UpstreamID
 		at  time.Duration
-		end least.End
+		end least.Outcome
 	}
 	var flying []due
 	got := map[spec.UpstreamID]int{}
@@ -41,7 +41,7 @@
 				continue
 			}
 			_, took := end(d.id)
-			tab.Done(d.at+took, d.id, took, d.end)
+			tab.RecordOutcome(d.at+took, d.id, took, d.end)
 		}
 		flying = rest
 		up, ok := tab.Pick(now, nil)
@@ -54,7 +54,7 @@
 	}
 	for _, d := range flying {
 		_, took := end(d.id)
-		tab.Done(d.at+took, d.id, took, d.end)
+		tab.RecordOutcome(d.at+took, d.id, took, d.end)
 	}
 	return got
 }
@@ -62,40 +62,40 @@
 // One of three upstreams fails, refuses, hangs or is slow while its health
 // check is good. It gets a few requests as trials, the others the rest; once
 // it is sound again it gets its share.
-func TestBadUpstreamIsLeftAndTakenBack(t *testing.T) {
+func TestFailingUpstreamIsAvoidedUntilItRecovers(t *testing.T) {
 	tests := []struct {
 		name string
-		end  least.End
+		end  least.Outcome
 		took time.Duration
 		most int
 	}{
-		{"fails nearly all", least.EndFailed, 30 * ms, 60},
-		{"refuses", least.EndRefused, ms, 60},
-		{"loses answers", least.EndLost, 30 * ms, 60},
-		{"is twelve times slower", least.EndOK, 360 * ms, 60},
-		{"hangs", least.EndLost, 3 * time.Second, 40},
+		{"fails nearly all", least.OutcomeFailed, 30 * ms, 60},
+		{"refuses", least.OutcomeRefused, ms, 60},
+		{"loses answers", least.OutcomeLost, 30 * ms, 60},
+		{"is twelve times slower", least.OutcomeOK, 360 * ms, 60},
+		{"hangs", least.OutcomeLost, 3 * time.Second, 40},
 	}
 	for _, test := range tests {
-		tab := desks()
-		got := shares(t, tab, time.Second, 300, func(id spec.UpstreamID) (least.End, time.Duration) {
+		tab := newBalancer()
+		got := countPicks(t, tab, time.Second, 300, func(id spec.UpstreamID) (least.Outcome, time.Duration) {
 			if id == "b" {
 				return test.end, test.took
 			}
-			return least.EndOK, 30 * ms
+			return least.OutcomeOK, 30 * ms
 		})
 		if got["b"] == 0 || got["b"] > test.most {
 			t.Errorf("%s: got %d of 300 requests there, want 1 to %d", test.name, got["b"], test.most)
 		}
-		after := shares(t, tab, 40*time.Second, 300, func(spec.UpstreamID) (least.End, time.Duration) { return least.EndOK, 30 * ms })
+		after := countPicks(t, tab, 40*time.Second, 300, func(spec.UpstreamID) (least.Outcome, time.Duration) { return least.OutcomeOK, 30 * ms })
 		if after["b"] < 50 {
 			t.Errorf("%s: got %d of 300 requests once it is sound, want 50 or more", test.name, after["b"])
 		}
 	}
 }
 
-func TestRefusedConnectionRests(t *testing.T) {
-	tab := desks()
-	tab.Rest(time.Second, "a")
+func TestCooldownAfterRefusedConnection(t *testing.T) {
+	tab := newBalancer()
+	tab.StartCooldown(time.Second, "a")
 	for range 20 {
 		if up, _ := tab.Pick(time.Second, []spec.UpstreamID{"b"}); up.ID != "c" {
 			t.Fatalf("got %s, want c", up.ID)
@@ -106,20 +106,20 @@
 	}
 }
 
-func TestLeavingUpstreamGetsNothing(t *testing.T) {
-	tab := desks()
-	gone := desk("a")
+func TestDrainingUpstreamGetsNoRequests(t *testing.T) {
+	tab := newBalancer()
+	gone := testUpstream("a")
 	gone.State = site.StateDraining
-	tab.Sync([]site.Upstream{gone})
+	tab.SetUpstreams([]site.Upstream{gone})
 	if up, ok := tab.Pick(0, nil); ok {
 		t.Errorf("got %s, want none", up.ID)
 	}
 }
 
 // An upstream tells that others fill its places.
-func TestReportedLoadCounts(t *testing.T) {
-	tab := desks()
-	tab.Load(time.Second, "a", site.Load{Running: 6, Waiting: 20, Slots: 6})
+func TestReportedLoadIsConsidered(t *testing.T) {
+	tab := newBalancer()
+	tab.ApplyReportedLoad(time.Second, "a", site.Load{Running: 6, Waiting: 20, Slots: 6})
 	for range 10 {
 		if up, _ := tab.Pick(time.Second, nil); up.ID == "a" {
 			t.Error("got the upstream that others fill, want another")
--- a/internal/route/path/path_test.go
+++ b/internal/route/path/path_test.go
@@ -17,13 +17,13 @@
 )
 
 var cards = []site.Card{
-	{Name: "a100", MB: 72000, Pace: 2.4, Read: 3.2}, {Name: "l40s", MB: 43200, Pace: 5.6, Read: 2.7}, {Name: "l4", MB: 21600, Pace: 16, Read: 8.2},
+	{Name: "a100", MemoryMB: 72000, StepFactor: 2.4, PrefillFactor: 3.2}, {Name: "l40s", MemoryMB: 43200, StepFactor: 5.6, PrefillFactor: 2.7}, {Name: "l4", MemoryMB: 21600, StepFactor: 16, PrefillFactor: 8.2},
 }
 
 func model() *site.Model {
 	return &site.Model{
-		Slots: 192, Layers: 80, LayerMB: 1750, TokenBytes: 918000, Stride: 3, Step: 1020 * time.Microsecond,
-		Writer: 7140 * time.Nanosecond, Context: 9560 * time.Nanosecond, ReadRate: 105000, Cards: cards, ActBytes: 45900, PipeRate: 3.25e9,
+		Slots: 192, Layers: 80, LayerMB: 1750, TokenBytes: 918000, StepsPerPass: 3, StepTime: 1020 * time.Microsecond,
+		TimePerSequence: 7140 * time.Nanosecond, TimePer1kTokens: 9560 * time.Nanosecond, PrefillRate: 105000, Cards: cards, ActivationBytes: 45900, LinkRate: 3.25e9,
 		Delays: []site.Delay{{From: "east", To: "west", Time: 750 * time.Microsecond}},
 	}
 }
@@ -41,8 +41,8 @@
 	return t
 }
 
-// two is two chains of four engines, one in each data centre.
-func two() *path.Table {
+// twoChains is two chains of four engines, one in each data centre.
+func twoChains() *path.Table {
 	var ups []site.Upstream
 	for i := range 4 {
 		ups = append(ups, engine(fmt.Sprintf("e%d", i), "l40s", "east", 20*i, 20*i+20), engine(fmt.Sprintf("w%d", i), "l40s", "west", 20*i, 20*i+20))
@@ -50,11 +50,11 @@
 	return table(ups...)
 }
 
-var usual = path.Need{Prompt: 774, Answer: 200}
+var typicalDemand = path.Demand{Prompt: 774, Answer: 200}
 
 func choose(t *testing.T, tab *path.Table) spec.Chain {
 	t.Helper()
-	c, err := tab.Choose(0, usual, nil)
+	c, err := tab.Choose(0, typicalDemand, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -64,8 +64,8 @@
 	return c
 }
 
-func TestChooseStaysInTheDataCentre(t *testing.T) {
-	tab := two()
+func TestChoosePrefersLocalDataCentre(t *testing.T) {
+	tab := twoChains()
 	for _, s := range choose(t, tab) {
 		if u, _ := tab.Upstream(s.Engine()); u.Centre != "east" {
 			t.Errorf("got engine %s in %s, want the own data centre", u.ID, u.Centre)
@@ -75,19 +75,19 @@
 
 // Requests come faster than they end. They spread over both chains before
 // either is full, and what fits no more is told at once.
-func TestLoadSpreadsBeforeItIsFull(t *testing.T) {
-	tab := two()
+func TestLoadSpreadsBeforeChainsAreFull(t *testing.T) {
+	tab := twoChains()
 	first := map[spec.UpstreamID]int{}
 	n := 0
 	for {
-		c, err := tab.Choose(0, usual, nil)
-		if errors.Is(err, path.ErrFull) {
+		c, err := tab.Choose(0, typicalDemand, nil)
+		if errors.Is(err, path.ErrNoMemory) {
 			break
 		}
 		if err != nil || n > 1000 {
 			t.Fatalf("got %v after %d requests, want ErrFull", err, n)
 		}
-		tab.Begin(c, usual)
+		tab.Begin(c, typicalDemand)
 		first[c[0].Engine()]++
 		if n++; n == 20 && len(first) < 2 {
 			t.Errorf("got %v after 20 requests, want both chains in use", first)
@@ -98,67 +98,67 @@
 	}
 }
 
-func TestSlowAndDeadEnginesAreLeft(t *testing.T) {
-	tab := two()
-	tab.Heard(0, "e2", site.Report{Pace: 6, Held: site.Range{Layers: spec.NewLayers(40, 60)}})
+func TestSlowAndDeadEnginesAreAvoided(t *testing.T) {
+	tab := twoChains()
+	tab.ApplyReport(0, "e2", site.Report{Slowdown: 6, Held: site.Range{Layers: spec.NewLayers(40, 60)}})
 	if c := choose(t, tab); c.Uses("e2") {
 		t.Errorf("got %s, want no slow engine", c)
 	}
-	tab.Down("w2", 1)
+	tab.MarkDead("w2", 1)
 	if c := choose(t, tab); !c.Uses("e2") {
 		t.Errorf("got %s, want the slow engine for the dead one", c)
 	}
-	tab.Down("e2", 1)
-	if _, err := tab.Choose(0, usual, nil); !errors.Is(err, path.ErrNone) {
+	tab.MarkDead("e2", 1)
+	if _, err := tab.Choose(0, typicalDemand, nil); !errors.Is(err, path.ErrNoPath) {
 		t.Errorf("got %v with no engine for a range, want ErrNone", err)
 	}
-	if tab.Heard(time.Second, "e2", site.Report{Held: site.Range{}}) {
+	if tab.ApplyReport(time.Second, "e2", site.Report{Held: site.Range{}}) {
 		t.Error("got an engine that lost its layers as sound, want it dead")
 	}
 }
 
 // A stage dies midway. The chain keeps the others, whose memory holds what
 // they read, and never lists an engine twice; the first cannot be replaced.
-func TestMendKeepsWhatLives(t *testing.T) {
-	tab := two()
+func TestRepairKeepsLiveStages(t *testing.T) {
+	tab := twoChains()
 	c := choose(t, tab)
 	bad := func(id spec.UpstreamID) bool { return id == c[2].Engine() }
-	got, err := tab.Mend(0, c, usual, bad)
+	got, err := tab.Repair(0, c, typicalDemand, bad)
 	if err != nil || got.Check(80) != nil || got.Uses(c[2].Engine()) || got[0] != c[0] || got[1] != c[1] || got[len(got)-1] != c[3] {
 		t.Errorf("got %s and %v, want %s with another engine for its third", got, err, c)
 	}
-	if _, err := tab.Mend(0, c, usual, func(id spec.UpstreamID) bool { return id == c[0].Engine() }); !errors.Is(err, path.ErrNone) {
+	if _, err := tab.Repair(0, c, typicalDemand, func(id spec.UpstreamID) bool { return id == c[0].Engine() }); !errors.Is(err, path.ErrNoPath) {
 		t.Errorf("got %v for a dead first stage, want ErrNone", err)
 	}
 }
 
 // What other instances send counts until they are forgotten.
-func TestOthersCount(t *testing.T) {
-	tab := two()
-	full := map[spec.UpstreamID]path.Use{"e0": {Streams: 40, Cells: 700000}}
-	tab.Peer("other", full)
+func TestPeerUsageCounts(t *testing.T) {
+	tab := twoChains()
+	full := map[spec.UpstreamID]path.Usage{"e0": {Streams: 40, Cells: 700000}}
+	tab.SetPeerUsage("other", full)
 	if c := choose(t, tab); c.Uses("e0") {
 		t.Errorf("got %s, want no engine that others filled", c)
 	}
-	tab.Peer("other", nil)
+	tab.SetPeerUsage("other", nil)
 	if c := choose(t, tab); !c.Uses("e0") {
 		t.Errorf("got %s after the other one is forgotten, want e0", c)
 	}
 }
 
 // An engine is born anew under its ID: what was counted on it before is gone.
-func TestRebornEngineIsAnother(t *testing.T) {
-	tab := two()
+func TestRestartedEngineLosesUsage(t *testing.T) {
+	tab := twoChains()
 	c := choose(t, tab)
-	tab.Begin(c, usual)
+	tab.Begin(c, typicalDemand)
 	var ups []site.Upstream
 	for _, u := range tab.Engines() {
 		u.Born = 2
 		ups = append(ups, u)
 	}
 	tab.Sync(ups)
-	tab.End(c, usual, true)
-	if got := tab.Mine(); len(got) != 0 {
+	tab.End(c, typicalDemand, true)
+	if got := tab.LocalUsage(); len(got) != 0 {
 		t.Errorf("got %v, want nothing in use", got)
 	}
 }
@@ -170,14 +170,14 @@
 		var ups []site.Upstream
 		for i := range rapid.IntRange(1, 14).Draw(t, "engines") {
 			card := cards[rapid.IntRange(0, 2).Draw(t, "card")]
-			n := rapid.IntRange(1, model().Most(card)-1).Draw(t, "layers")
+			n := rapid.IntRange(1, model().MaxLayers(card)-1).Draw(t, "layers")
 			from := rapid.IntRange(0, 80-n).Draw(t, "from")
 			ups = append(ups, engine(fmt.Sprintf("e%02d", i), card.Name, "east", from, from+n))
 		}
 		tab := table(ups...)
-		c, err := tab.Choose(0, path.Need{Prompt: 10, Answer: 10}, nil)
+		c, err := tab.Choose(0, path.Demand{Prompt: 10, Answer: 10}, nil)
 		if err != nil {
-			if reach(ups) == 80 {
+			if greedyCoverage(ups) == 80 {
 				t.Fatalf("got %v, want a path over %v", err, ups)
 			}
 			return
@@ -193,9 +193,9 @@
 	})
 }
 
-// reach is how far a naive search gets that always goes on with the engine
+// greedyCoverage is how far a naive search gets that always goes on with the engine
 // that ends last.
-func reach(ups []site.Upstream) int {
+func greedyCoverage(ups []site.Upstream) int {
 	at := 0
 	for {
 		next := at
@@ -215,23 +215,23 @@
 // request stays as long as its path is predicted to take. Taking whole chains
 // in turn fills the slow one while the fast ones have room; the choice serves a
 // tenth more at three quarters of what fits, and at all of it.
-func TestCrowdedHour(t *testing.T) {
+func TestChooseServesMoreThanRoundRobin(t *testing.T) {
 	for _, rate := range []int{30, 40} {
-		crowdedAt(t, rate)
+		compareAtRate(t, rate)
 	}
 }
 
-func crowdedAt(t *testing.T, rate int) {
-	ours, refused := crowded(t, rate, func(tab *path.Table, _ int) (spec.Chain, error) { return tab.Choose(0, usual, nil) })
+func compareAtRate(t *testing.T, rate int) {
+	ours, refused := replayLoad(t, rate, func(tab *path.Table, _ int) (spec.Chain, error) { return tab.Choose(0, typicalDemand, nil) })
 	chains := [][]string{{"e0", "e1", "e2", "e3"}, {"w0", "w1", "w2", "w3"}, {"s0", "s1", "s2", "s3", "s4", "s5", "s6", "s7"}}
-	naive, _ := crowded(t, rate, func(tab *path.Table, n int) (spec.Chain, error) {
+	naive, _ := replayLoad(t, rate, func(tab *path.Table, n int) (spec.Chain, error) {
 		var c spec.Chain
 		for _, id := range chains[n%len(chains)] {
 			u, _ := tab.Upstream(spec.UpstreamID(id))
 			c = append(c, spec.NewStage(u.ID, u.Held.Layers))
-			use := tab.Mine()[u.ID]
-			if use.Cells+(usual.Prompt+usual.Answer)*u.Held.Layers.Len() > tab.Model.Cells(cards[index(u.Card)], u.Held.Layers.Len()) {
-				return nil, path.ErrFull
+			use := tab.LocalUsage()[u.ID]
+			if use.Cells+(typicalDemand.Prompt+typicalDemand.Answer)*u.Held.Layers.Len() > tab.Model.KVCapacity(cards[cardIndex(u.Card)], u.Held.Layers.Len()) {
+				return nil, path.ErrNoMemory
 			}
 		}
 		return c, nil
@@ -241,7 +241,7 @@
 	}
 }
 
-func index(card string) int {
+func cardIndex(card string) int {
 	for i, c := range cards {
 		if c.Name == card {
 			return i
@@ -250,7 +250,7 @@
 	return -1
 }
 
-func crowded(t *testing.T, rate int, pick func(*path.Table, int) (spec.Chain, error)) (served float64, refused int) {
+func replayLoad(t *testing.T, rate int, pick func(*path.Table, int) (spec.Chain, error)) (served float64, refused int) {
 	t.Helper()
 	var ups []site.Upstream
 	for i := range 4 {
@@ -273,7 +273,7 @@
 				rest = append(rest, f)
 				continue
 			}
-			tab.End(f.chain, usual, false)
+			tab.End(f.chain, typicalDemand, false)
 			served++
 		}
 		flying = rest
@@ -282,9 +282,9 @@
 			refused++
 			continue
 		}
-		tab.Begin(c, usual)
-		tab.Wrote(c, usual)
-		took := tab.Step(c).Seconds() * float64(usual.Answer)
+		tab.Begin(c, typicalDemand)
+		tab.PrefillDone(c, typicalDemand)
+		took := tab.PredictStep(c).Seconds() * float64(typicalDemand.Answer)
 		if math.IsNaN(took) || took <= 0 {
 			t.Fatalf("got %f s for %s, want a time", took, c)
 		}
@@ -296,8 +296,8 @@
 // An engine dies and all instances move its streams at the same moment. Each
 // takes it that the others move as many to where it moves its own: they spread
 // over all engines that hold the layers, not over the fastest ones alone.
-func TestMovedStreamsSpread(t *testing.T) {
-	n := path.Need{Prompt: 800, Answer: 200, Haste: true}
+func TestResumedStreamsSpread(t *testing.T) {
+	n := path.Demand{Prompt: 800, Answer: 200, Resumed: true}
 	used := func(peers int) int {
 		var ups []site.Upstream
 		for i := range 8 {
@@ -308,7 +308,7 @@
 		}
 		tb := table(ups...)
 		for k := range peers {
-			tb.Peer(spec.InstanceID(rune('a'+k)), map[spec.UpstreamID]path.Use{"none": {Streams: 1}})
+			tb.SetPeerUsage(spec.InstanceID(rune('a'+k)), map[spec.UpstreamID]path.Usage{"none": {Streams: 1}})
 		}
 		seen := map[spec.UpstreamID]bool{}
 		for range 6 {
@@ -317,8 +317,8 @@
 				t.Fatal(err)
 			}
 			tb.Begin(c, n)
-			tb.Wrote(c, n)
-			tb.Reread(c, n, 1)
+			tb.PrefillDone(c, n)
+			tb.AdjustRetryPrefill(c, n, 1)
 			for _, s := range c {
 				seen[s.Engine()] = true
 			}
@@ -333,46 +333,46 @@
 // An engine was told to hold other layers and refuses for three seconds, while
 // the list still shows the former ones. It is asked a few times and not at every
 // chance; once it has served again, one refusal counts like the first.
-func TestEngineThatGoesOnRefusingRestsLonger(t *testing.T) {
+func TestRepeatedRefusalsExtendCooldown(t *testing.T) {
 	tab := table(engine("a", "a100", "east", 0, 40), engine("b", "a100", "east", 40, 80))
 	asked := 0
 	now := time.Duration(0)
 	for ; now < 3*time.Second; now += 10 * time.Millisecond {
-		if _, err := tab.Choose(now, usual, nil); err == nil {
+		if _, err := tab.Choose(now, typicalDemand, nil); err == nil {
 			asked++
-			tab.Refused(now, "b")
+			tab.RecordRefusal(now, "b")
 		}
 	}
 	if asked < 3 || asked > 5 {
 		t.Errorf("got %d requests for an engine that refuses for 3 s, want 3 to 5", asked)
 	}
 	now += 10 * time.Second
-	c, err := tab.Choose(now, usual, nil)
+	c, err := tab.Choose(now, typicalDemand, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	tab.Begin(c, usual)
-	tab.Wrote(c, usual)
-	tab.Refused(now, "b")
-	if _, err := tab.Choose(now+310*time.Millisecond, usual, nil); err != nil {
+	tab.Begin(c, typicalDemand)
+	tab.PrefillDone(c, typicalDemand)
+	tab.RecordRefusal(now, "b")
+	if _, err := tab.Choose(now+310*time.Millisecond, typicalDemand, nil); err != nil {
 		t.Errorf("got %v 310 ms after one refusal, want a path", err)
 	}
 }
 
 // Guards against all instances of a large fleet sending what comes in one moment to
 // engines that have just loaded their layers, since each sees them empty.
-func TestFreshEnginesAreNotRushed(t *testing.T) {
+func TestNewEnginesAreNotOverloaded(t *testing.T) {
 	const (
 		instances = 118
 		chains    = 8
 		streams   = 16
 	)
-	usual := path.Need{Prompt: 774, Answer: 200}
+	usual := path.Demand{Prompt: 774, Answer: 200}
 	rushed := func(others int) int {
 		n := 0
 		for k := range uint64(instances) {
 			random := rand.New(rand.NewPCG(k, 1))
-			tab := &path.Table{Model: model(), Centre: "east", Random: random.Float64, Others: func() int { return others }}
+			tab := &path.Table{Model: model(), Centre: "east", Random: random.Float64, PeerCount: func() int { return others }}
 			var ups []site.Upstream
 			for c := range chains {
 				for i := range 4 {
@@ -384,11 +384,11 @@
 				fresh = append(fresh, engine(fmt.Sprintf("new-%d", i), "l40s", "east", 20*i, 20*i+20))
 			}
 			tab.Sync(ups)
-			uses := map[spec.UpstreamID]path.Use{}
+			uses := map[spec.UpstreamID]path.Usage{}
 			for _, up := range ups {
-				uses[up.ID] = path.Use{Streams: streams, Cells: streams * 874 * 20, Unread: 1500 * 20}
+				uses[up.ID] = path.Usage{Streams: streams, Cells: streams * 874 * 20, PendingPrefill: 1500 * 20}
 			}
-			tab.Peer("all", uses)
+			tab.SetPeerUsage("all", uses)
 			choose(t, tab)
 			tab.Sync(fresh)
 			chain, err := tab.Choose(10*time.Second, usual, nil)
@@ -412,7 +412,7 @@
 
 // Guards against requests that engines refuse after all instances of a large fleet
 // started at the same moment: none knows yet what the others send where.
-func TestStartedInstancesSpread(t *testing.T) {
+func TestSimultaneouslyStartedInstancesSpread(t *testing.T) {
 	const (
 		// near instances of one data centre take requests, each those of its callers
 		// who came while it was away.
@@ -437,27 +437,27 @@
 	for _, up := range ups {
 		m := model()
 		card, _ := m.Card(up.Card)
-		room[up.ID] = m.Cells(card, up.Held.Layers.Len())
+		room[up.ID] = m.KVCapacity(card, up.Held.Layers.Len())
 	}
 	refused, first := 0, map[spec.UpstreamID]int{}
 	var tabs []*path.Table
 	for k := range uint64(near) {
 		random := rand.New(rand.NewPCG(k, 1))
-		tab := &path.Table{Model: model(), Centre: "east", Random: random.Float64, Others: func() int { return 117 }}
+		tab := &path.Table{Model: model(), Centre: "east", Random: random.Float64, PeerCount: func() int { return 117 }}
 		tab.Sync(ups)
 		tabs = append(tabs, tab)
 	}
 	for range requests {
 		for _, tab := range tabs {
-			chain, err := tab.Choose(time.Second, usual, nil)
+			chain, err := tab.Choose(time.Second, typicalDemand, nil)
 			if err != nil {
 				refused++
 				continue
 			}
-			tab.Begin(chain, usual)
+			tab.Begin(chain, typicalDemand)
 			full := false
 			for _, s := range chain {
-				full = full || room[s.Engine()] < (usual.Prompt+usual.Answer)*s.Layers().Len()
+				full = full || room[s.Engine()] < (typicalDemand.Prompt+typicalDemand.Answer)*s.Layers().Len()
 			}
 			if full {
 				refused++
@@ -465,7 +465,7 @@
 			}
 			first[chain[0].Engine()]++
 			for _, s := range chain {
-				room[s.Engine()] -= (usual.Prompt + usual.Answer) * s.Layers().Len()
+				room[s.Engine()] -= (typicalDemand.Prompt + typicalDemand.Answer) * s.Layers().Len()
 			}
 		}
 	}
@@ -490,12 +490,12 @@
 			}
 			tab.Sync(ups)
 			for b.Loop() {
-				c, err := tab.Choose(time.Second, usual, nil)
+				c, err := tab.Choose(time.Second, typicalDemand, nil)
 				if err != nil {
 					b.Fatal(err)
 				}
-				tab.Begin(c, usual)
-				tab.End(c, usual, true)
+				tab.Begin(c, typicalDemand)
+				tab.End(c, typicalDemand, true)
 			}
 		})
 	}
--- a/internal/route/path/pipe.go
+++ b/internal/route/path/pipe.go
@@ -8,45 +8,45 @@
 )
 
 const (
-	// pipeMost is the longest queue on the way between data centres behind
+	// maxLinkQueue is the longest queue on the way between data centres behind
 	// which a new request may cross, hastePipe the same for an answer that was
 	// broken off and has no other way. Each event of each stream that crosses
 	// waits for the whole queue: beyond the pause that callers take, one more
 	// prompt makes all of them late.
-	pipeMost  = 60 * time.Millisecond
-	hastePipe = 400 * time.Millisecond
+	maxLinkQueue        = 60 * time.Millisecond
+	maxResumedLinkQueue = 400 * time.Millisecond
 )
 
-// Cross counts what a request sends between data centres when it begins on a
+// RecordTransfer counts what a request sends between data centres when it begins on a
 // chain. The other instances, which are told of no transfer, are taken to send
 // as much.
-func (t *Table) Cross(now time.Duration, c spec.Chain, n Need) {
+func (t *Table) RecordTransfer(now time.Duration, c spec.Chain, n Demand) {
 	for i := 1; i < len(c); i++ {
-		if t.centre(c[i-1].Engine()) != t.centre(c[i].Engine()) {
-			t.pipe = max(t.pipe, now) + t.Model.Crossing(n.Prompt+n.Answer)*time.Duration(t.instances()+1)
+		if t.centreOf(c[i-1].Engine()) != t.centreOf(c[i].Engine()) {
+			t.linkBusyUntil = max(t.linkBusyUntil, now) + t.Model.TransferTime(n.Prompt+n.Answer)*time.Duration(t.peerCount()+1)
 		}
 	}
 }
 
-// queue is how long a transfer that begins now waits for those before it.
-func (t *Table) queue(now time.Duration) time.Duration { return max(0, t.pipe-now) }
+// linkQueueDelay is how long a transfer that begins now waits for those before it.
+func (t *Table) linkQueueDelay(now time.Duration) time.Duration { return max(0, t.linkBusyUntil-now) }
 
-// hop is the cost in milliseconds of passing activations from one data centre
+// hopCost is the cost in milliseconds of passing activations from one data centre
 // to another.
-func (t *Table) hop(a Ask, from, to spec.DataCentre) float64 {
+func (t *Table) hopCost(a Query, from, to spec.DataCentre) float64 {
 	if from == to {
 		return 0
 	}
-	most := pipeMost
-	if a.Haste {
-		most = hastePipe
+	most := maxLinkQueue
+	if a.Resumed {
+		most = maxResumedLinkQueue
 	}
-	if t.queue(a.Now) > most {
+	if t.linkQueueDelay(a.Now) > most {
 		return math.Inf(1)
 	}
-	cost := crossing * millis(t.Model.Crossing(a.Prompt+a.Answer))
-	if a.Haste {
-		cost *= haste
+	cost := transferWeight * millis(t.Model.TransferTime(a.Prompt+a.Answer))
+	if a.Resumed {
+		cost *= resumedWeight
 	}
 	return cost + float64(a.Answer)*millis(t.Model.Delay(from, to))
 }
--- a/internal/route/path/table.go
+++ b/internal/route/path/table.go
@@ -16,33 +16,33 @@
 
 // engine is a row of the table.
 type engine struct {
-	up    site.Upstream
-	card  site.Card
-	cells int
-	// pace is how much slower than usual it works. said is what it said here
+	upstream site.Upstream
+	card     site.Card
+	capacity int
+	// slowdown is how much slower than usual it works. said is what it said here
 	// last, and when.
-	pace   float64
-	said   float64
-	saidAt time.Duration
-	// down engines do not answer.
-	down bool
-	// rest is until when it gets no new requests, refused how long it rested
+	slowdown         float64
+	reportedSlowdown float64
+	reportedAt       time.Duration
+	// dead engines do not answer.
+	dead bool
+	// cooldownUntil is until when it gets no new requests, refused how long it rested
 	// for its last refusal; zero once it has served since.
-	rest    time.Duration
-	refused time.Duration
-	// since is when it was first seen to take requests after it took none; zero while
+	cooldownUntil   time.Duration
+	refusalCooldown time.Duration
+	// usableSince is when it was first seen to take requests after it took none; zero while
 	// it takes none.
-	since time.Duration
-	mine  Use
-	// again is the part of mine.Unread that is read once more.
-	again int
-	// others is what the requests of other instances take.
-	others Use
+	usableSince time.Duration
+	local       Usage
+	// retryPrefill is the part of mine.Unread that is read once more.
+	retryPrefill int
+	// remote is what the requests of other instances take.
+	remote Usage
 }
 
-func (e *engine) use() Use {
-	u := e.mine
-	u.add(e.others)
+func (e *engine) usage() Usage {
+	u := e.local
+	u.add(e.remote)
 	return u
 }
 
@@ -52,19 +52,19 @@
 	Centre spec.DataCentre
 	// Random draws from [0, 1); nil always draws 0.
 	Random func() float64
-	// Others is how many other instances choose paths; nil counts those of Peer.
-	Others func() int
+	// PeerCount is how many other instances choose paths; nil counts those of Peer.
+	PeerCount func() int
 
-	engines []*engine
-	byID    map[spec.UpstreamID]*engine
-	peers   map[spec.InstanceID]map[spec.UpstreamID]Use
-	paces   map[spec.InstanceID]map[spec.UpstreamID]float64
-	// pipe is until when the way between data centres is taken.
-	pipe time.Duration
-	// since is when engines that take requests were first seen, centres how many data
+	engines       []*engine
+	byID          map[spec.UpstreamID]*engine
+	peerUsage     map[spec.InstanceID]map[spec.UpstreamID]Usage
+	peerSlowdowns map[spec.InstanceID]map[spec.UpstreamID]float64
+	// linkBusyUntil is until when the way between data centres is taken.
+	linkBusyUntil time.Duration
+	// firstUsableAt is when engines that take requests were first seen, centres how many data
 	// centres engines are in.
-	since   time.Duration
-	centres int
+	firstUsableAt time.Duration
+	centreCount   int
 }
 
 // Sync sets which engines there are. What is known of those that stay is kept;
@@ -81,71 +81,71 @@
 			continue
 		}
 		e := old[up.ID]
-		if e == nil || e.up.Born != up.Born || e.up.Address != up.Address {
-			e = &engine{pace: 1}
+		if e == nil || e.upstream.Born != up.Born || e.upstream.Address != up.Address {
+			e = &engine{slowdown: 1}
 		}
-		e.up = up
+		e.upstream = up
 		e.card = card
-		e.cells = t.Model.Cells(card, up.Held.Layers.Len())
+		e.capacity = t.Model.KVCapacity(card, up.Held.Layers.Len())
 		t.engines = append(t.engines, e)
 		t.byID[up.ID] = e
 	}
-	t.centres = len(centres)
+	t.centreCount = len(centres)
 	// The search for paths goes through engines in the order of their ends.
 	sort.Slice(t.engines, func(i, j int) bool {
-		a, b := t.engines[i].up, t.engines[j].up
+		a, b := t.engines[i].upstream, t.engines[j].upstream
 		if x, y := a.Held.Layers.To(), b.Held.Layers.To(); x != y {
 			return x < y
 		}
 		return a.ID < b.ID
 	})
-	t.sum()
+	t.recompute()
 }
 
-// instances is how many other instances choose paths.
-func (t *Table) instances() int {
-	if t.Others == nil {
-		return len(t.peers)
+// peerCount is how many other instances choose paths.
+func (t *Table) peerCount() int {
+	if t.PeerCount == nil {
+		return len(t.peerUsage)
 	}
-	return t.Others()
+	return t.PeerCount()
 }
 
-// Peer sets what the requests of another instance take; nil forgets it.
-func (t *Table) Peer(from spec.InstanceID, uses map[spec.UpstreamID]Use) {
-	if t.peers == nil {
-		t.peers = map[spec.InstanceID]map[spec.UpstreamID]Use{}
+// SetPeerUsage sets what the requests of another instance take; nil forgets it.
+func (t *Table) SetPeerUsage(from spec.InstanceID, uses map[spec.UpstreamID]Usage) {
+	if t.peerUsage == nil {
+		t.peerUsage = map[spec.InstanceID]map[spec.UpstreamID]Usage{}
 	}
 	if uses == nil {
-		delete(t.peers, from)
+		delete(t.peerUsage, from)
 	} else {
-		t.peers[from] = uses
+		t.peerUsage[from] = uses
 	}
-	t.sum()
+	t.recompute()
 }
 
-func (t *Table) sum() {
+func (t *Table) recompute() {
 	for _, e := range t.engines {
-		e.others = Use{}
-		e.pace = max(1, e.said)
-		for _, paces := range t.paces {
-			e.pace = max(e.pace, paces[e.up.ID])
+		e.remote = Usage{}
+		e.slowdown = max(1, e.reportedSlowdown)
+		for _, paces := range t.peerSlowdowns {
+			e.slowdown = max(e.slowdown, paces[e.upstream.ID])
 		}
 	}
-	for _, uses := range t.peers {
+	for _, uses := range t.peerUsage {
 		for id, u := range uses {
 			if e := t.byID[id]; e != nil {
-				e.others.add(u)
+				e.remote.add(u)
 			}
 		}
 	}
 }
 
-// Mine is what the requests of this instance take.
-func (t *Table) Mine() map[spec.UpstreamID]Use {
-	out := map[spec.UpstreamID]Use{}
+// LocalUsage is what the requests of this instance take.
+func (t *Table) LocalUsage() map[spec.UpstreamID]Usage {
+	out := map[spec.UpstreamID]Usage{}
 	for _, e := range t.engines {
-		if e.mine != (Use{}) {
-			out[e.up.ID] = e.mine
+		if e.local != (Usage{}) {
+			out[e.upstream.ID] = e.local
 		}
 	}
 	return out
@@ -157,14 +157,14 @@
 	if e == nil {
 		return site.Upstream{}, false
 	}
-	return e.up, true
+	return e.upstream, true
 }
 
-// At returns the engine at an address.
-func (t *Table) At(address string) (site.Upstream, bool) {
+// UpstreamAt returns the engine at an address.
+func (t *Table) UpstreamAt(address string) (site.Upstream, bool) {
 	for _, e := range t.engines {
-		if e.up.Address == address {
-			return e.up, true
+		if e.upstream.Address == address {
+			return e.upstream, true
 		}
 	}
 	return site.Upstream{}, false
@@ -174,7 +174,7 @@
 func (t *Table) Engines() []site.Upstream {
 	out := make([]site.Upstream, 0, len(t.engines))
 	for _, e := range t.engines {
-		out = append(out, e.up)
+		out = append(out, e.upstream)
 	}
 	return out
 }
--- a/internal/route/path/use.go
+++ b/internal/route/path/use.go
@@ -6,120 +6,120 @@
 	"fulmarwick/internal/base/spec"
 )
 
-// Use is what requests take of an engine.
-type Use struct {
+// Usage is what requests take of an engine.
+type Usage struct {
 	// Streams is how many requests pass it.
 	Streams int `cbor:"1,keyasint"`
 	// Cells is the memory promised to them, in tokens times layers.
 	Cells int `cbor:"2,keyasint"`
-	// Unread is what is still to be read of their prompts, in tokens times
+	// PendingPrefill is what is still to be read of their prompts, in tokens times
 	// layers.
-	Unread int `cbor:"3,keyasint"`
-	// Spread is the variance of Cells.
-	Spread float64 `cbor:"4,keyasint,omitempty"`
+	PendingPrefill int `cbor:"3,keyasint"`
+	// Variance is the variance of Cells.
+	Variance float64 `cbor:"4,keyasint,omitempty"`
 }
 
-func (u *Use) add(o Use) {
+func (u *Usage) add(o Usage) {
 	u.Streams += o.Streams
 	u.Cells += o.Cells
-	u.Unread += o.Unread
-	u.Spread += o.Spread
+	u.PendingPrefill += o.PendingPrefill
+	u.Variance += o.Variance
 }
 
 // Plus is what both take together.
-func (u Use) Plus(o Use) Use {
+func (u Usage) Plus(o Usage) Usage {
 	u.add(o)
 	return u
 }
 
 // Minus is what is left of u without a part of it.
-func (u Use) Minus(o Use) Use { return u.Plus(o.times(-1)) }
+func (u Usage) Minus(o Usage) Usage { return u.Plus(o.scaled(-1)) }
 
-// times is what n such requests take.
-func (u Use) times(n int) Use {
-	return Use{Streams: n * u.Streams, Cells: n * u.Cells, Unread: n * u.Unread, Spread: float64(n) * u.Spread}
+// scaled is what n such requests take.
+func (u Usage) scaled(n int) Usage {
+	return Usage{Streams: n * u.Streams, Cells: n * u.Cells, PendingPrefill: n * u.PendingPrefill, Variance: float64(n) * u.Variance}
 }
 
 // peak is the memory in tokens times layers that the requests take at most but
 // for one moment in a thousand.
-func (u Use) peak() float64 {
-	return float64(u.Cells) + deviations*math.Sqrt(max(0, u.Spread))
+func (u Usage) peak() float64 {
+	return float64(u.Cells) + peakDeviations*math.Sqrt(max(0, u.Variance))
 }
 
-// deviations is how many standard deviations above its mean a normal sum is
+// peakDeviations is how many standard deviations above its mean a normal sum is
 // once in a thousand moments.
-const deviations = 3.09
+const peakDeviations = 3.09
 
-// Need is what a request takes of each layer.
-type Need struct {
+// Demand is what a request takes of each layer.
+type Demand struct {
 	// Prompt is the tokens to read, Answer those to write.
 	Prompt int
 	Answer int
-	// Hold is the tokens that the request holds at a moment of its run, Spread
+	// MeanTokens is the tokens that the request holds at a moment of its run, Spread
 	// their variance; zero stands for all tokens.
-	Hold   float64
-	Spread float64
-	// Haste is set for an answer that was broken off: its caller has begun to
+	MeanTokens    float64
+	TokenVariance float64
+	// Resumed is set for an answer that was broken off: its caller has begun to
 	// read, and waits for the next event, not for the last one.
-	Haste bool
+	Resumed bool
 }
 
-func (n Need) use(layers int, unread bool) Use {
-	u := Use{Streams: 1, Cells: (n.Prompt + n.Answer) * layers}
-	if n.Hold > 0 {
-		u.Cells = int(n.Hold * float64(layers))
-		u.Spread = n.Spread * float64(layers) * float64(layers)
+func (n Demand) usage(layers int, unread bool) Usage {
+	u := Usage{Streams: 1, Cells: (n.Prompt + n.Answer) * layers}
+	if n.MeanTokens > 0 {
+		u.Cells = int(n.MeanTokens * float64(layers))
+		u.Variance = n.TokenVariance * float64(layers) * float64(layers)
 	}
 	if unread {
-		u.Unread = n.Prompt * layers
+		u.PendingPrefill = n.Prompt * layers
 	}
 	return u
 }
 
 // Begin counts a request in on a chain of which it still reads the prompt.
-func (t *Table) Begin(c spec.Chain, n Need) { t.count(c, n, true, 1) }
+func (t *Table) Begin(c spec.Chain, n Demand) { t.adjustUsage(c, n, true, 1) }
 
-// Wrote tells that the prompt of a request is read.
-func (t *Table) Wrote(c spec.Chain, n Need) {
-	t.count(c, n, true, -1)
-	t.count(c, n, false, 1)
+// PrefillDone tells that the prompt of a request is read.
+func (t *Table) PrefillDone(c spec.Chain, n Demand) {
+	t.adjustUsage(c, n, true, -1)
+	t.adjustUsage(c, n, false, 1)
 	for _, s := range c {
 		if e := t.byID[s.Engine()]; e != nil {
-			e.refused = 0
+			e.refusalCooldown = 0
 		}
 	}
 }
 
-// Reread counts in, or out with a sign of -1, that engines read a prompt once
+// AdjustRetryPrefill counts in, or out with a sign of -1, that engines read a prompt once
 // more: what is behind a dead engine moves to a few others at the same moment.
-func (t *Table) Reread(c spec.Chain, n Need, sign int) {
+func (t *Table) AdjustRetryPrefill(c spec.Chain, n Demand, sign int) {
 	for _, s := range c {
 		if e := t.byID[s.Engine()]; e != nil {
 			cells := sign * n.Prompt * s.Layers().Len()
-			e.mine.Unread = max(0, e.mine.Unread+cells)
-			e.again = max(0, e.again+cells)
+			e.local.PendingPrefill = max(0, e.local.PendingPrefill+cells)
+			e.retryPrefill = max(0, e.retryPrefill+cells)
 		}
 	}
 }
 
 // End counts a request out; unread tells whether it still read its prompt.
-func (t *Table) End(c spec.Chain, n Need, unread bool) { t.count(c, n, unread, -1) }
+func (t *Table) End(c spec.Chain, n Demand, unread bool) { t.adjustUsage(c, n, unread, -1) }
 
-func (t *Table) count(c spec.Chain, n Need, unread bool, sign int) {
+func (t *Table) adjustUsage(c spec.Chain, n Demand, unread bool, sign int) {
 	for _, s := range c {
 		e := t.byID[s.Engine()]
 		if e == nil {
 			continue
 		}
-		e.mine.add(n.use(s.Layers().Len(), unread).times(sign))
+		e.local.add(n.usage(s.Layers().Len(), unread).scaled(sign))
 		// A request that began before its engine was born anew does not count.
-		e.mine.Streams = max(0, e.mine.Streams)
-		e.mine.Cells = max(0, e.mine.Cells)
-		e.mine.Unread = max(0, e.mine.Unread)
-		e.mine.Spread = max(0, e.mine.Spread)
-		if e.mine.Streams == 0 {
+		e.local.Streams = max(0, e.local.Streams)
+		e.local.Cells = max(0, e.local.Cells)
+		e.local.PendingPrefill = max(0, e.local.PendingPrefill)
+		e.local.Variance = max(0, e.local.Variance)
+		if e.local.Streams == 0 {
 			// Sums of fractions leave a rest.
-			e.mine.Cells, e.mine.Spread = 0, 0
+			e.local.Cells, e.local.Variance = 0, 0
 		}
 	}
 }
--- a/internal/route/queue/queue.go
+++ b/internal/route/queue/queue.go
@@ -18,30 +18,30 @@
 )
 
 const (
-	// slots is how many parts of window the ends of requests are counted in.
-	slots = 10
+	// windowBuckets is how many parts of window the ends of requests are counted in.
+	windowBuckets = 10
 	// window is how long ends count. Shorter, the pace of a few ends a second
 	// is not seen; longer, the pace before a loss counts as that after it.
 	window = time.Second
-	// doubt is how many times longer than the pace of ends says a request is
+	// waitSafetyFactor is how many times longer than the pace of ends says a request is
 	// expected to wait: the next ends may come in a bunch.
-	doubt = 1.25
-	// returning is the part of the pace of ends at which those who were turned
+	waitSafetyFactor = 1.25
+	// retryRateShare is the part of the pace of ends at which those who were turned
 	// away are told to come back; new requests need the rest. All of them told
 	// the same second, they met each other there and were lost.
-	returning = 0.25
-	// soonest is the least time after which one who was turned away comes back:
+	retryRateShare = 0.25
+	// minRetryAfter is the least time after which one who was turned away comes back:
 	// about that in which a tenth of the answers of usual size end.
-	soonest = 300 * time.Millisecond
-	// rare is the pause between two ends above which the first in the queue may
+	minRetryAfter = 300 * time.Millisecond
+	// stalledInterval is the pause between two ends above which the first in the queue may
 	// be late: with ends at random a third waits longer than the pause, and a
 	// first event takes 100 ms of a target of 500 ms.
-	rare = 150 * time.Millisecond
-	// unknown is the pause between two ends that is assumed while none is seen.
-	unknown = 100 * time.Millisecond
-	// patience is the part of the time that a caller has left which it can be
+	stalledInterval = 150 * time.Millisecond
+	// defaultInterval is the pause between two ends that is assumed while none is seen.
+	defaultInterval = 100 * time.Millisecond
+	// maxRetryAfterShare is the part of the time that a caller has left which it can be
 	// told to wait; callers keep to no more than a third.
-	patience = 0.33
+	maxRetryAfterShare = 0.33
 )
 
 // Ticket is a request that waits. Fields are set before Join.
@@ -49,49 +49,49 @@
 	Team string
 	// Urgency ranks requests, 0 first.
 	Urgency int
-	// Until is when its answer could no longer begin in time.
-	Until time.Duration
+	// Deadline is when its answer could no longer begin in time.
+	Deadline time.Duration
 
-	joined int
+	sequence int
 }
 
 // Queue is the requests of one service that wait. The zero value is empty. It is
 // not safe for concurrent use.
 type Queue struct {
-	waiting []*Ticket
-	joined  int
-	// ends counts the requests that ended by parts of window, the newest in the
+	waiting      []*Ticket
+	nextSequence int
+	// completions counts the requests that ended by parts of window, the newest in the
 	// part of at.
-	ends [slots]int
-	at   int64
-	// back is when the last one that was turned away was told to come back.
-	back time.Duration
+	completions   [windowBuckets]int
+	currentBucket int64
+	// lastRetryAt is when the last one that was turned away was told to come back.
+	lastRetryAt time.Duration
 }
 
 // Len is how many wait.
 func (q *Queue) Len() int { return len(q.waiting) }
 
-// Ended counts a request that made room.
-func (q *Queue) Ended(now time.Duration) {
-	q.turn(now)
-	q.ends[q.at%slots]++
+// RecordCompletion counts a request that made room.
+func (q *Queue) RecordCompletion(now time.Duration) {
+	q.advanceWindow(now)
+	q.completions[q.currentBucket%windowBuckets]++
 }
 
-// turn clears the parts of the window that are over.
-func (q *Queue) turn(now time.Duration) {
-	at := int64(now / (window / slots))
-	for n := 0; q.at < at && n < slots; n++ {
-		q.at++
-		q.ends[q.at%slots] = 0
+// advanceWindow clears the parts of the window that are over.
+func (q *Queue) advanceWindow(now time.Duration) {
+	at := int64(now / (window / windowBuckets))
+	for n := 0; q.currentBucket < at && n < windowBuckets; n++ {
+		q.currentBucket++
+		q.completions[q.currentBucket%windowBuckets] = 0
 	}
-	q.at = at
+	q.currentBucket = at
 }
 
-// pace is the time between two ends; zero if none was seen.
-func (q *Queue) pace(now time.Duration) time.Duration {
-	q.turn(now)
+// completionInterval is the time between two ends; zero if none was seen.
+func (q *Queue) completionInterval(now time.Duration) time.Duration {
+	q.advanceWindow(now)
 	sum := 0
-	for _, n := range q.ends {
+	for _, n := range q.completions {
 		sum += n
 	}
 	if sum == 0 {
@@ -100,30 +100,30 @@
 	return window / time.Duration(sum)
 }
 
-// expected is the pause between two ends, also while none is seen.
-func (q *Queue) expected(now time.Duration) time.Duration {
-	if pace := q.pace(now); pace > 0 {
+// expectedInterval is the pause between two ends, also while none is seen.
+func (q *Queue) expectedInterval(now time.Duration) time.Duration {
+	if pace := q.completionInterval(now); pace > 0 {
 		return pace
 	}
-	return unknown
+	return defaultInterval
 }
 
-// Stuck reports whether room comes up so rarely that a request that is first in
+// IsStalled reports whether room comes up so rarely that a request that is first in
 // the queue may have to wait until it is late.
-func (q *Queue) Stuck(now time.Duration) bool {
-	pace := q.pace(now)
-	return pace == 0 || pace > rare
+func (q *Queue) IsStalled(now time.Duration) bool {
+	pace := q.completionInterval(now)
+	return pace == 0 || pace > stalledInterval
 }
 
 // Join adds a request, unless those before it will take all room that comes up
 // until it would be late. flying is how many requests a team has at engines.
 func (q *Queue) Join(now time.Duration, t *Ticket, flying func(team string) int) bool {
-	t.joined = q.joined
-	q.joined++
+	t.sequence = q.nextSequence
+	q.nextSequence++
 	q.waiting = append(q.waiting, t)
 	q.sort(flying)
-	wait := doubt * float64(slices.Index(q.waiting, t)) * float64(q.expected(now))
-	if now+time.Duration(wait) > t.Until {
+	wait := waitSafetyFactor * float64(slices.Index(q.waiting, t)) * float64(q.expectedInterval(now))
+	if now+time.Duration(wait) > t.Deadline {
 		q.Leave(t)
 		return false
 	}
@@ -137,14 +137,14 @@
 	}
 }
 
-// Late removes and returns the requests that are not served in time any more,
+// RemoveExpired removes and returns the requests that are not served in time any more,
 // even if the next end comes at once.
-func (q *Queue) Late(now time.Duration, flying func(team string) int) []*Ticket {
+func (q *Queue) RemoveExpired(now time.Duration, flying func(team string) int) []*Ticket {
 	q.sort(flying)
 	var out []*Ticket
 	for place := 0; place < len(q.waiting); {
-		wait := q.expected(now) * time.Duration(max(0, place-1))
-		if now+wait <= q.waiting[place].Until {
+		wait := q.expectedInterval(now) * time.Duration(max(0, place-1))
+		if now+wait <= q.waiting[place].Deadline {
 			place++
 			continue
 		}
@@ -154,8 +154,8 @@
 	return out
 }
 
-// Next are the requests in the order in which they get room.
-func (q *Queue) Next(flying func(team string) int) []*Ticket {
+// Ordered are the requests in the order in which they get room.
+func (q *Queue) Ordered(flying func(team string) int) []*Ticket {
 	q.sort(flying)
 	return slices.Clone(q.waiting)
 }
@@ -174,20 +174,20 @@
 				return x - y
 			}
 		}
-		return a.joined - b.joined
+		return a.sequence - b.sequence
 	})
 }
 
-// Back is after how long one who is turned away should come back: each at a
+// RetryAfter is after how long one who is turned away should come back: each at a
 // time of its own, at a pace that leaves room for new requests. left is how
 // long its caller waits at all.
-func (q *Queue) Back(now, left time.Duration) time.Duration {
-	pause := time.Duration(float64(q.expected(now)) / returning)
-	q.back = max(q.back+pause, now+soonest)
-	after := q.back - now
-	if most := time.Duration(patience * float64(left)); after > most {
+func (q *Queue) RetryAfter(now, left time.Duration) time.Duration {
+	pause := time.Duration(float64(q.expectedInterval(now)) / retryRateShare)
+	q.lastRetryAt = max(q.lastRetryAt+pause, now+minRetryAfter)
+	after := q.lastRetryAt - now
+	if most := time.Duration(maxRetryAfterShare * float64(left)); after > most {
 		// Later than that nobody comes; the next ones are spread anew.
-		q.back = now + soonest
+		q.lastRetryAt = now + minRetryAfter
 		after = most
 	}
 	return after
--- a/internal/route/queue/queue_test.go
+++ b/internal/route/queue/queue_test.go
@@ -13,21 +13,21 @@
 
 const ms = time.Millisecond
 
-// none is a fleet without requests at engines.
-func none(string) int { return 0 }
+// noneRunning is a fleet without requests at engines.
+func noneRunning(string) int { return 0 }
 
 func ExampleQueue() {
 	var q queue.Queue
 	for n := range 20 {
-		q.Ended(time.Duration(n) * 50 * ms)
+		q.RecordCompletion(time.Duration(n) * 50 * ms)
 	}
 	now := time.Second
 	flying := func(team string) int { return map[string]int{"heavy": 40}[team] }
 	for n := range 3 {
-		fmt.Println(q.Join(now, &queue.Ticket{Team: "heavy", Until: now + 100*ms}, flying), n)
+		fmt.Println(q.Join(now, &queue.Ticket{Team: "heavy", Deadline: now + 100*ms}, flying), n)
 	}
-	q.Join(now, &queue.Ticket{Team: "small", Until: now + 100*ms}, flying)
-	fmt.Println(q.Next(flying)[0].Team)
+	q.Join(now, &queue.Ticket{Team: "small", Deadline: now + 100*ms}, flying)
+	fmt.Println(q.Ordered(flying)[0].Team)
 	// Output:
 	// true 0
 	// true 1
@@ -38,26 +38,26 @@
 // Room for two requests comes up each 100 ms, 30 ask each 100 ms, and an answer
 // must begin within 400 ms. Those that are let in are served in time; the
 // others are told at once, before they have waited at all.
-func TestFloodIsTurnedAwayAtOnce(t *testing.T) {
+func TestOverloadIsRejectedOnJoin(t *testing.T) {
 	var q queue.Queue
 	served, lost, refused := 0, 0, 0
 	for now := time.Duration(0); now < 10*time.Second; now += 10 * ms {
 		if now%(50*ms) == 0 {
-			q.Ended(now)
-			if next := q.Next(none); len(next) > 0 {
+			q.RecordCompletion(now)
+			if next := q.Ordered(noneRunning); len(next) > 0 {
 				q.Leave(next[0])
-				if next[0].Until < now {
-					t.Fatalf("got room for a request at %s that was late at %s, want none", now, next[0].Until)
+				if next[0].Deadline < now {
+					t.Fatalf("got room for a request at %s that was late at %s, want none", now, next[0].Deadline)
 				}
 				served++
 			}
 		}
 		for range 3 {
-			if !q.Join(now, &queue.Ticket{Until: now + 400*ms}, none) {
+			if !q.Join(now, &queue.Ticket{Deadline: now + 400*ms}, noneRunning) {
 				refused++
 			}
 		}
-		lost += len(q.Late(now, none))
+		lost += len(q.RemoveExpired(now, noneRunning))
 	}
 	if served < 190 || lost > served/10 || refused < 2500 {
 		t.Errorf("got %d served, %d turned away after a wait and %d at once, want 190 of 200 served and a tenth as many after a wait at most", served, lost, refused)
@@ -66,25 +66,25 @@
 
 // Ends stop coming: an engine died. Who waits is not held until its time is
 // over but told as soon as the pace shows that it will be late.
-func TestLossIsToldAtOnce(t *testing.T) {
+func TestExpiredRequestsAreRemovedEarly(t *testing.T) {
 	var q queue.Queue
 	for n := range 100 {
-		q.Ended(time.Duration(n) * 10 * ms)
+		q.RecordCompletion(time.Duration(n) * 10 * ms)
 	}
 	now := time.Second
 	for range 30 {
-		q.Join(now, &queue.Ticket{Until: now + 400*ms}, none)
+		q.Join(now, &queue.Ticket{Deadline: now + 400*ms}, noneRunning)
 	}
 	before := q.Len()
 	now += 950 * ms
 	// One end a tenth of a second is seen now, and each has 400 ms.
 	for range 10 {
-		q.Ended(now)
+		q.RecordCompletion(now)
 	}
-	for _, ticket := range q.Next(none) {
-		ticket.Until = now + 400*ms
+	for _, ticket := range q.Ordered(noneRunning) {
+		ticket.Deadline = now + 400*ms
 	}
-	if told := len(q.Late(now+50*ms, none)); before < 25 || told < 20 {
+	if told := len(q.RemoveExpired(now+50*ms, noneRunning)); before < 25 || told < 20 {
 		t.Errorf("got %d of %d told that they are late, want most", told, before)
 	}
 }
@@ -92,15 +92,15 @@
 // Hundreds are turned away within a second, while 20 requests end. They come
 // back one after the other, at a quarter of that pace, and none is told to wait
 // for more than a third of its time.
-func TestReturnsAreSpread(t *testing.T) {
+func TestRetryAfterIsSpread(t *testing.T) {
 	var q queue.Queue
 	for n := range 20 {
-		q.Ended(time.Duration(n) * 50 * ms)
+		q.RecordCompletion(time.Duration(n) * 50 * ms)
 	}
 	now := time.Second
 	var at []time.Duration
 	for range 300 {
-		after := q.Back(now, 20*time.Second)
+		after := q.RetryAfter(now, 20*time.Second)
 		if after < 300*ms || after > 6600*ms {
 			t.Fatalf("got a return after %s, want between 300 ms and a third of 20 s", after)
 		}
@@ -124,17 +124,17 @@
 		number := map[*queue.Ticket]int{}
 		for n := range rapid.IntRange(0, 30).Draw(t, "steps") {
 			if len(number) > 0 && rapid.IntRange(0, 3).Draw(t, "leaves") == 0 {
-				gone := q.Next(flying)[0]
+				gone := q.Ordered(flying)[0]
 				q.Leave(gone)
 				delete(number, gone)
 				continue
 			}
-			one := &queue.Ticket{Team: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "team"), Urgency: rapid.IntRange(0, 2).Draw(t, "urgency"), Until: time.Hour}
+			one := &queue.Ticket{Team: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "team"), Urgency: rapid.IntRange(0, 2).Draw(t, "urgency"), Deadline: time.Hour}
 			if q.Join(0, one, flying) {
 				number[one] = n
 			}
 		}
-		next := q.Next(flying)
+		next := q.Ordered(flying)
 		if len(next) != len(number) || q.Len() != len(number) {
 			t.Fatalf("got %d waiting, want %d", len(next), len(number))
 		}
--- a/internal/route/retry/patience.go
+++ b/internal/route/retry/patience.go
@@ -96,7 +96,7 @@
 }
 
 func limit(r *hist.Ratios) float64 {
-	if ratio, ok := r.At(quantile); ok {
+	if ratio, ok := r.Percentile(quantile); ok {
 		return times * max(1, ratio)
 	}
 	return unseen
--- a/internal/route/share/share_test.go
+++ b/internal/route/share/share_test.go
@@ -8,12 +8,12 @@
 	"pgregory.net/rapid"
 )
 
-func full() float64 { return 1 }
+func fullyUsed() float64 { return 1 }
 
 // Nine small teams ask now and then beside a heavy one that asks without end.
 // The heavy one is turned away where the last of the room is taken, the small
 // ones are not.
-func TestHeavyTeamLeavesRoom(t *testing.T) {
+func TestHeavyTeamLeavesReserve(t *testing.T) {
 	var teams share.Teams
 	const room = 200
 	taken, refused := 0, map[string]int{}
@@ -43,7 +43,7 @@
 
 // A team alone has all of the room, and whatever teams do, one with nothing in
 // flight is never turned away for the sake of others.
-func TestSmallTeamsAreLetIn(t *testing.T) {
+func TestIdleTeamsAreAllowed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var teams share.Teams
 		flying := map[string]int{}
@@ -59,14 +59,14 @@
 		}
 		others := 0
 		for _, team := range []string{"a", "b", "c", "d"} {
-			if flying[team] == 0 && !teams.Allow(team, full) {
+			if flying[team] == 0 && !teams.Allow(team, fullyUsed) {
 				t.Fatalf("got team %s with nothing in flight turned away beside %v, want it let in", team, flying)
 			}
 			if team != "a" {
 				others += flying[team]
 			}
 		}
-		if others == 0 && !teams.Allow("a", full) {
+		if others == 0 && !teams.Allow("a", fullyUsed) {
 			t.Fatalf("got team a alone turned away with %d in flight, want it let in", flying["a"])
 		}
 	})
--- a/internal/route/stall/stall.go
+++ b/internal/route/stall/stall.go
@@ -17,135 +17,135 @@
 )
 
 const (
-	// patience is after how many usual pauses a stream counts as silent. Passes
+	// stallGaps is after how many usual pauses a stream counts as silent. Passes
 	// in which others' prompts are read take up to twice the usual.
-	patience = 3
-	// shortest is the least silence that counts: an engine that reads a chunk
+	stallGaps = 3
+	// minStall is the least silence that counts: an engine that reads a chunk
 	// of a prompt between two passes takes up to 60 ms.
-	shortest = 70 * time.Millisecond
-	// many is how many silent streams of one engine are enough to look sooner,
+	minStall = 70 * time.Millisecond
+	// manyStreams is how many silent streams of one engine are enough to look sooner,
 	// after manyShortest: no chance makes so many fall silent at once.
-	many         = 5
-	manyShortest = 42 * time.Millisecond
-	// manyPatience is after how many usual pauses a stream counts among those.
+	manyStreams  = 5
+	manyMinStall = 42 * time.Millisecond
+	// manyStallGaps is after how many usual pauses a stream counts among those.
 	// At 2, instances of a calm day asked 396 times instead of 56.
-	manyPatience = 2.5
-	// unread is the silence that counts before the first event of a stream, on
+	manyStallGaps = 2.5
+	// firstEventTimeout is the silence that counts before the first event of a stream, on
 	// top of what reading its prompt is predicted to take.
-	unread = 350 * time.Millisecond
-	// alone is how much longer a single silent stream must be silent: one may
+	firstEventTimeout = 350 * time.Millisecond
+	// singleStallFactor is how much longer a single silent stream must be silent: one may
 	// be preempted where several are not.
-	alone = 2
-	// repeat is the pause between two questions about the same engine.
-	repeat = 300 * time.Millisecond
+	singleStallFactor = 2
+	// reportInterval is the pause between two questions about the same engine.
+	reportInterval = 300 * time.Millisecond
 )
 
 // Stream is a request in flight as it is seen at one moment.
 type Stream struct {
 	Chain spec.Chain
-	// Last is when its newest event came, or when it was sent.
-	Last time.Duration
+	// LastEvent is when its newest event came, or when it was sent.
+	LastEvent time.Duration
 	// Gap is the usual pause between its events; zero before the second one.
 	Gap time.Duration
-	// Writing tells that its first event has come.
-	Writing bool
+	// Started tells that its first event has come.
+	Started bool
 }
 
-// Watch remembers whom it asked about. It is not safe for concurrent use.
-type Watch struct {
-	asked map[spec.UpstreamID]question
+// Detector remembers whom it asked about. It is not safe for concurrent use.
+type Detector struct {
+	reported map[spec.UpstreamID]report
 }
 
-// question is when an engine was named, and whether with many silent streams.
-type question struct {
-	at   time.Duration
-	many bool
+// report is when an engine was named, and whether with many silent streams.
+type report struct {
+	at          time.Duration
+	manyStreams bool
 }
 
-// sight is what the streams show of one engine.
-type sight struct {
-	newest time.Duration
-	silent int
-	hushed int
-	alone  bool
+// evidence is what the streams show of one engine.
+type evidence struct {
+	lastEvent    time.Duration
+	stalled      int
+	earlyStalled int
+	longStalled  bool
 }
 
-// Doubt is an engine that may be dead. Many tells that so many of its streams
+// Suspect is an engine that may be dead. Many tells that so many of its streams
 // fell silent at once that one question without an answer settles it.
-type Doubt struct {
-	Engine spec.UpstreamID
-	Many   bool
+type Suspect struct {
+	Engine      spec.UpstreamID
+	ManyStreams bool
 }
 
-// Look returns the engines that may be dead, in order of their names.
-func (w *Watch) Look(now time.Duration, streams []Stream) []Doubt {
-	seen := map[spec.UpstreamID]*sight{}
+// Check returns the engines that may be dead, in order of their names.
+func (w *Detector) Check(now time.Duration, streams []Stream) []Suspect {
+	seen := map[spec.UpstreamID]*evidence{}
 	for _, s := range streams {
 		for _, stage := range s.Chain {
 			e := seen[stage.Engine()]
 			if e == nil {
-				e = &sight{}
+				e = &evidence{}
 				seen[stage.Engine()] = e
 			}
-			if s.Writing {
-				e.newest = max(e.newest, s.Last)
+			if s.Started {
+				e.lastEvent = max(e.lastEvent, s.LastEvent)
 			}
 		}
 	}
 	for _, s := range streams {
-		quiet := now - s.Last
+		quiet := now - s.LastEvent
 		for _, stage := range s.Chain {
 			e := seen[stage.Engine()]
 			// An event of any stream after this one fell silent shows that the
 			// engine lives.
-			if e.newest > s.Last+limit(s, shortest, patience)/2 {
+			if e.lastEvent > s.LastEvent+stallThreshold(s, minStall, stallGaps)/2 {
 				continue
 			}
-			if s.Writing && quiet >= limit(s, manyShortest, manyPatience) {
-				e.hushed++
+			if s.Started && quiet >= stallThreshold(s, manyMinStall, manyStallGaps) {
+				e.earlyStalled++
 			}
-			if quiet >= limit(s, shortest, patience) {
-				e.silent++
-				e.alone = e.alone || quiet >= alone*limit(s, shortest, patience)
+			if quiet >= stallThreshold(s, minStall, stallGaps) {
+				e.stalled++
+				e.longStalled = e.longStalled || quiet >= singleStallFactor*stallThreshold(s, minStall, stallGaps)
 			}
 		}
 	}
-	return w.ask(now, seen)
+	return w.selectSuspects(now, seen)
 }
 
-// limit is the silence of a stream that counts.
-func limit(s Stream, least time.Duration, patience float64) time.Duration {
-	if !s.Writing {
-		return unread
+// stallThreshold is the silence of a stream that counts.
+func stallThreshold(s Stream, least time.Duration, patience float64) time.Duration {
+	if !s.Started {
+		return firstEventTimeout
 	}
 	return max(least, time.Duration(patience*float64(s.Gap)))
 }
 
-// suspect reports whether the streams of an engine are reason to ask it.
-func (e *sight) suspect() bool {
-	return e.hushed >= many || e.silent > 1 || e.silent == 1 && e.alone
+// suspicious reports whether the streams of an engine are reason to ask it.
+func (e *evidence) suspicious() bool {
+	return e.earlyStalled >= manyStreams || e.stalled > 1 || e.stalled == 1 && e.longStalled
 }
 
-func (w *Watch) ask(now time.Duration, seen map[spec.UpstreamID]*sight) []Doubt {
-	if w.asked == nil {
-		w.asked = map[spec.UpstreamID]question{}
+func (w *Detector) selectSuspects(now time.Duration, seen map[spec.UpstreamID]*evidence) []Suspect {
+	if w.reported == nil {
+		w.reported = map[spec.UpstreamID]report{}
 	}
-	for id, q := range w.asked {
-		if now-q.at >= repeat {
-			delete(w.asked, id)
+	for id, q := range w.reported {
+		if now-q.at >= reportInterval {
+			delete(w.reported, id)
 		}
 	}
-	var out []Doubt
+	var out []Suspect
 	for id, e := range seen {
-		before, asked := w.asked[id]
-		now := question{at: now, many: e.hushed >= many}
+		before, asked := w.reported[id]
+		now := report{at: now, manyStreams: e.earlyStalled >= manyStreams}
 		// Named for a few streams first, an engine is named again once many
 		// are silent: while the answer is waited for, that settles it.
-		if !e.suspect() || asked && (before.many || !now.many) {
+		if !e.suspicious() || asked && (before.manyStreams || !now.manyStreams) {
 			continue
 		}
-		w.asked[id] = now
-		out = append(out, Doubt{Engine: id, Many: now.many})
+		w.reported[id] = now
+		out = append(out, Suspect{Engine: id, ManyStreams: now.manyStreams})
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Engine < out[j].Engine })
 	return out
--- a/internal/route/stall/stall_test.go
+++ b/internal/route/stall/stall_test.go
@@ -20,11 +20,11 @@
 }
 
 func stream(last time.Duration, engines ...spec.UpstreamID) stall.Stream {
-	return stall.Stream{Chain: chain(engines...), Last: last, Gap: 15 * ms, Writing: true}
+	return stall.Stream{Chain: chain(engines...), LastEvent: last, Gap: 15 * ms, Started: true}
 }
 
-func TestLook(t *testing.T) {
-	reading := stall.Stream{Chain: chain("a", "b"), Last: 800 * ms}
+func TestCheck(t *testing.T) {
+	reading := stall.Stream{Chain: chain("a", "b"), LastEvent: 800 * ms}
 	tests := []struct {
 		name    string
 		streams []stall.Stream
@@ -43,11 +43,11 @@
 		{"prompts take their time", []stall.Stream{reading, reading, reading}, nil},
 	}
 	for _, test := range tests {
-		w := &stall.Watch{}
+		w := &stall.Detector{}
 		var got []spec.UpstreamID
-		for _, d := range w.Look(time.Second, test.streams) {
+		for _, d := range w.Check(time.Second, test.streams) {
 			got = append(got, d.Engine)
-			if d.Many != (len(test.streams) >= 5) {
+			if d.ManyStreams != (len(test.streams) >= 5) {
 				t.Errorf("%s: got %+v, want many only for five streams", test.name, d)
 			}
 		}
@@ -59,12 +59,12 @@
 
 // Streams stay silent behind engines that answer: they are preempted. Their
 // engines are asked again only after a while.
-func TestQuestionsAreSpaced(t *testing.T) {
-	w := &stall.Watch{}
+func TestReportsAreSpaced(t *testing.T) {
+	w := &stall.Detector{}
 	silent := []stall.Stream{stream(0, "a"), stream(0, "a")}
 	asked := 0
 	for now := 100 * ms; now < 1100*ms; now += 10 * ms {
-		asked += len(w.Look(now, silent))
+		asked += len(w.Check(now, silent))
 	}
 	if asked < 2 || asked > 4 {
 		t.Errorf("got %d questions in a second, want 2 to 4", asked)
@@ -73,17 +73,17 @@
 
 // A few streams fall silent first, and the engine is asked; then many are. It
 // is named again, so that the answer need not be waited for any longer.
-func TestManyAreNamedAfterFew(t *testing.T) {
-	w := &stall.Watch{}
+func TestSuspectIsReportedAgainWithManyStreams(t *testing.T) {
+	w := &stall.Detector{}
 	few := []stall.Stream{stream(900*ms, "a"), stream(901*ms, "a")}
 	var all []stall.Stream
 	for n := range 6 {
 		all = append(all, stream(900*ms+time.Duration(n)*ms, "a"))
 	}
-	got := w.Look(975*ms, few)
-	got = append(got, w.Look(985*ms, all)...)
-	got = append(got, w.Look(995*ms, all)...)
-	if want := []stall.Doubt{{Engine: "a"}, {Engine: "a", Many: true}}; !slices.Equal(got, want) {
+	got := w.Check(975*ms, few)
+	got = append(got, w.Check(985*ms, all)...)
+	got = append(got, w.Check(995*ms, all)...)
+	if want := []stall.Suspect{{Engine: "a"}, {Engine: "a", ManyStreams: true}}; !slices.Equal(got, want) {
 		t.Errorf("got %v, want %v", got, want)
 	}
 }
--- a/internal/state/config/config_test.go
+++ b/internal/state/config/config_test.go
@@ -37,7 +37,7 @@
 
 func whole(b *config.Book, name spec.ClassName) time.Duration {
 	c, _ := b.Class(name)
-	return c.Target().Whole()
+	return c.Target().TotalTime()
 }
 
 // All problems of two documents come at once, each with its file, its section
@@ -199,7 +199,7 @@
 		t.Errorf("got %v for a change based on version 2, want a conflict", err)
 	}
 	s, err := a.Show(t.Context())
-	if err != nil || s.Version() != 3 || len(s.Classes()) != 2 || s.Classes()[0].Target().Whole() != 5*time.Second {
+	if err != nil || s.Version() != 3 || len(s.Classes()) != 2 || s.Classes()[0].Target().TotalTime() != 5*time.Second {
 		t.Errorf("got %s, want version 3 with siti's target and no class three", s.Text())
 	}
 }
--- a/internal/state/config/item.go
+++ b/internal/state/config/item.go
@@ -92,7 +92,7 @@
 }
 
 func (i *item) team() spec.Team {
-	return spec.NewTeam(spec.TeamID(i.Hash), i.Name, i.Share).Limited(i.Limit)
+	return spec.NewTeam(spec.TeamID(i.Hash), i.Name, i.Share).WithLimit(i.Limit)
 }
 
 func encode(v any) []byte {
--- a/internal/state/config/spread_test.go
+++ b/internal/state/config/spread_test.go
@@ -238,7 +238,7 @@
 		t.Fatalf("got version %d with %d classes %v, want %d with %d", s.Version(), len(s.Classes()), err, len(history), len(naive))
 	}
 	for _, c := range s.Classes() {
-		if got, want := c.Target().Whole().String(), naive[string(c.Name())]; got != want {
+		if got, want := c.Target().TotalTime().String(), naive[string(c.Name())]; got != want {
 			t.Errorf("got %s for %s, want %s", got, c.Name(), want)
 		}
 	}
--- a/internal/state/feed/feed_test.go
+++ b/internal/state/feed/feed_test.go
@@ -16,10 +16,10 @@
 	"pgregory.net/rapid"
 )
 
-// log is all changes of a table, by version.
-type log []feed.Row
+// changeLog is all changes of a table, by version.
+type changeLog []feed.Row
 
-func (l log) since(version uint64) feed.Page {
+func (l changeLog) changesSince(version uint64) feed.Page {
 	p := feed.Page{Version: uint64(len(l))}
 	newest := map[string]feed.Row{}
 	for _, r := range l {
@@ -33,17 +33,17 @@
 	return p
 }
 
-func (l log) whole(version uint64) feed.Page {
+func (l changeLog) snapshot(version uint64) feed.Page {
 	p := feed.Page{Version: version}
-	for _, r := range l[:version].since(0).Rows {
-		if !r.Gone {
+	for _, r := range l[:version].changesSince(0).Rows {
+		if !r.Deleted {
 			p.Rows = append(p.Rows, r)
 		}
 	}
 	return p
 }
 
-func same(a, b []feed.Row) bool {
+func equalRows(a, b []feed.Row) bool {
 	if len(a) != len(b) {
 		return false
 	}
@@ -60,9 +60,9 @@
 // read it whole from a stale moment. No row ever goes back to an older version,
 // and where a view says to know all up to a version, it does: an instance that
 // said so wrongly would keep what is no more in force.
-func TestViewsAgree(t *testing.T) {
+func TestViewsConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var l log
+		var l changeLog
 		views := []*feed.View{{}, {}, {}}
 		values := 1 << 20
 		if rapid.Bool().Draw(t, "heartbeats") {
@@ -77,8 +77,8 @@
 				}
 				seen[i][r.Key] = r.Version
 			}
-			if v := views[i]; !holds(v, l) {
-				t.Fatalf("view %d: got %v up to %d, want %v", i, v.Rows(), v.Version(), l.whole(v.Version()).Rows)
+			if v := views[i]; !matchesTable(v, l) {
+				t.Fatalf("view %d: got %v up to %d, want %v", i, v.Rows(), v.Version(), l.snapshot(v.Version()).Rows)
 			}
 		}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
@@ -87,39 +87,39 @@
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
 			case 0, 1:
 				r := feed.Row{Key: fmt.Sprint(rapid.IntRange(0, 4).Draw(t, "key")), Version: uint64(len(l) + 1)}
-				r.Gone = rapid.Bool().Draw(t, "gone")
-				if !r.Gone {
+				r.Deleted = rapid.Bool().Draw(t, "gone")
+				if !r.Deleted {
 					r.Value = []byte(fmt.Sprint(rapid.IntRange(0, values-1).Draw(t, "value")))
 				}
 				l = append(l, r)
 			case 2:
 				since := views[i].Version()
-				check(i, views[i].Changes(since, l.since(since)))
+				check(i, views[i].ApplyChanges(since, l.changesSince(since)))
 			case 3:
-				since, p := other.Since(uint64(rapid.IntRange(0, len(l)).Draw(t, "since")))
-				check(i, views[i].Told(since, p.Rows, other.Mark()))
+				since, p := other.ChangesSince(uint64(rapid.IntRange(0, len(l)).Draw(t, "since")))
+				check(i, views[i].ApplyPeerChanges(since, p.Rows, other.Checkpoint()))
 			case 4:
 				at := uint64(rapid.IntRange(0, len(l)).Draw(t, "moment"))
-				check(i, views[i].Whole(l.whole(at)))
+				check(i, views[i].ApplySnapshot(l.snapshot(at)))
 			case 5:
-				views[i].Confirm(other.Mark())
+				views[i].ConfirmVersion(other.Checkpoint())
 				check(i, nil)
 			}
 		}
 		for _, v := range views {
-			v.Changes(v.Version(), l.since(v.Version()))
-			if want := l.whole(uint64(len(l))).Rows; !same(v.Rows(), sorted(want)) {
+			v.ApplyChanges(v.Version(), l.changesSince(v.Version()))
+			if want := l.snapshot(uint64(len(l))).Rows; !equalRows(v.Rows(), sortedRows(want)) {
 				t.Fatalf("got %v, want %v", v.Rows(), want)
 			}
 		}
 	})
 }
 
-// holds reports whether a view has the rows of the table as of its version, but
+// matchesTable reports whether a view has the rows of the table as of its version, but
 // for those that are newer.
-func holds(v *feed.View, l log) bool {
+func matchesTable(v *feed.View, l changeLog) bool {
 	want := map[string]string{}
-	for _, r := range l.whole(v.Version()).Rows {
+	for _, r := range l.snapshot(v.Version()).Rows {
 		want[r.Key] = string(r.Value)
 	}
 	newer := map[string]bool{}
@@ -140,9 +140,9 @@
 	return true
 }
 
-func sorted(rows []feed.Row) []feed.Row {
+func sortedRows(rows []feed.Row) []feed.Row {
 	var v feed.View
-	v.Whole(feed.Page{Rows: rows, Version: 1 << 40})
+	v.ApplySnapshot(feed.Page{Rows: rows, Version: 1 << 40})
 	return v.Rows()
 }
 
@@ -150,53 +150,53 @@
 // whole and never knew the row. It tells another one that has not heard of the
 // drop what changed since. That one must not take it for all: it would send
 // requests to an upstream that is gone for as long as it lives.
-func TestRowDroppedBeforeAStartIsDropped(t *testing.T) {
-	l := log{{Key: "gone", Version: 1, Value: []byte("1")}}
+func TestDeletionBeforeStartReachesPeers(t *testing.T) {
+	l := changeLog{{Key: "gone", Version: 1, Value: []byte("1")}}
 	var old, started feed.View
-	old.Whole(l.whole(1))
-	l = append(l, feed.Row{Key: "gone", Version: 2, Gone: true}, feed.Row{Key: "new", Version: 3, Value: []byte("3")})
-	started.Whole(l.whole(3))
-	tell(&started, &old)
+	old.ApplySnapshot(l.snapshot(1))
+	l = append(l, feed.Row{Key: "gone", Version: 2, Deleted: true}, feed.Row{Key: "new", Version: 3, Value: []byte("3")})
+	started.ApplySnapshot(l.snapshot(3))
+	syncFrom(&started, &old)
 	if rows := old.Rows(); len(rows) != 1 || rows[0].Key != "new" {
 		t.Errorf("got %v at version %d, want the new row alone", rows, old.Version())
 	}
 	// Told before, it must learn it from the store.
-	old.Changes(old.Version(), l.since(old.Version()))
+	old.ApplyChanges(old.Version(), l.changesSince(old.Version()))
 	if rows := old.Rows(); len(rows) != 1 || rows[0].Key != "new" {
 		t.Errorf("got %v after a read of the store, want the new row alone", rows)
 	}
 }
 
-// tell has a view learn from another one what it lacks.
-func tell(from, to *feed.View) {
-	since, p := from.Since(to.Version())
-	to.Told(since, p.Rows, from.Mark())
+// syncFrom has a view learn from another one what it lacks.
+func syncFrom(from, to *feed.View) {
+	since, p := from.ChangesSince(to.Version())
+	to.ApplyPeerChanges(since, p.Rows, from.Checkpoint())
 }
 
 // A heartbeat writes a row anew with the same content: it is told to nobody.
 func TestHeartbeatIsNoChange(t *testing.T) {
-	v := &feed.View{Print: func(_ string, value []byte) uint64 { return uint64(value[0]) }}
-	v.Changes(0, feed.Page{Rows: []feed.Row{{Key: "k", Version: 1, Value: []byte("a1")}}, Version: 1})
-	if got := v.Changes(1, feed.Page{Rows: []feed.Row{{Key: "k", Version: 2, Value: []byte("a2")}}, Version: 2}); len(got) != 0 {
+	v := &feed.View{Fingerprint: func(_ string, value []byte) uint64 { return uint64(value[0]) }}
+	v.ApplyChanges(0, feed.Page{Rows: []feed.Row{{Key: "k", Version: 1, Value: []byte("a1")}}, Version: 1})
+	if got := v.ApplyChanges(1, feed.Page{Rows: []feed.Row{{Key: "k", Version: 2, Value: []byte("a2")}}, Version: 2}); len(got) != 0 {
 		t.Errorf("got %v, want no change", got)
 	}
-	if _, p := v.Since(1); len(p.Rows) != 0 || p.Version != 2 {
+	if _, p := v.ChangesSince(1); len(p.Rows) != 0 || p.Version != 2 {
 		t.Errorf("got %d rows up to %d, want none up to 2", len(p.Rows), p.Version)
 	}
-	if got := v.Changes(2, feed.Page{Rows: []feed.Row{{Key: "k", Version: 3, Value: []byte("b")}}, Version: 3}); len(got) != 1 {
+	if got := v.ApplyChanges(2, feed.Page{Rows: []feed.Row{{Key: "k", Version: 3, Value: []byte("b")}}, Version: 3}); len(got) != 1 {
 		t.Errorf("got %v, want one change", got)
 	}
 }
 
-// source is a table that fails by script.
-type source struct {
-	mu    sync.Mutex
-	log   log
-	errs  []error
-	whole int
+// scriptedSource is a table that fails by script.
+type scriptedSource struct {
+	mu            sync.Mutex
+	log           changeLog
+	errs          []error
+	snapshotReads int
 }
 
-func (s *source) next() error {
+func (s *scriptedSource) nextError() error {
 	if len(s.errs) == 0 {
 		return nil
 	}
@@ -205,16 +205,16 @@
 	return err
 }
 
-func (s *source) Rows(context.Context, string) (feed.Page, error) {
+func (s *scriptedSource) ReadTable(context.Context, string) (feed.Page, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.whole++
-	return s.log.whole(uint64(len(s.log))), s.next()
+	s.snapshotReads++
+	return s.log.snapshot(uint64(len(s.log))), s.nextError()
 }
 
-func (s *source) Feed(ctx context.Context, _ string, since uint64, wait time.Duration) (feed.Page, error) {
+func (s *scriptedSource) ReadChanges(ctx context.Context, _ string, since uint64, wait time.Duration) (feed.Page, error) {
 	s.mu.Lock()
-	err := s.next()
+	err := s.nextError()
 	s.mu.Unlock()
 	if err != nil {
 		return feed.Page{}, err
@@ -225,36 +225,40 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.log.since(since), nil
+	return s.log.changesSince(since), nil
 }
 
-// sink keeps what a follower brings.
-type sink struct {
-	view  feed.View
-	reach []bool
+// recordingSink keeps what a follower brings.
+type recordingSink struct {
+	view      feed.View
+	reachable []bool
 }
 
-func (s *sink) Version(string) uint64                       { return s.view.Version() }
-func (s *sink) Whole(_ string, p feed.Page)                 { s.view.Whole(p) }
-func (s *sink) Changes(_ string, since uint64, p feed.Page) { s.view.Changes(since, p) }
-func (s *sink) Reach(_ string, ok bool)                     { s.reach = append(s.reach, ok) }
+func (s *recordingSink) Version(string) uint64               { return s.view.Version() }
+func (s *recordingSink) ApplySnapshot(_ string, p feed.Page) { s.view.ApplySnapshot(p) }
+
+func (s *recordingSink) ApplyChanges(_ string, since uint64, p feed.Page) {
+	s.view.ApplyChanges(since, p)
+}
+
+func (s *recordingSink) SetReachable(_ string, ok bool) { s.reachable = append(s.reachable, ok) }
 
 // The store refuses, loses its history and answers again. The follower reads
 // whole once more and then has every row; the loss and the return are told
 // once each.
-func TestFollowerOutlivesOutage(t *testing.T) {
+func TestFollowerRecoversFromOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		down := errors.New("down")
-		src := &source{log: log{{Key: "a", Version: 1, Value: []byte("1")}}}
-		got := &sink{}
-		f := &feed.Follower{Table: "t", Source: src, Sink: got, Wait: time.Second, Pause: 100 * time.Millisecond, Log: zap.NewNop()}
+		src := &scriptedSource{log: changeLog{{Key: "a", Version: 1, Value: []byte("1")}}}
+		got := &recordingSink{}
+		f := &feed.Follower{Table: "t", Source: src, Sink: got, PollTimeout: time.Second, PollInterval: 100 * time.Millisecond, Log: zap.NewNop()}
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
 		go func() { f.Run(ctx); close(done) }()
 		time.Sleep(3 * time.Second)
 		src.mu.Lock()
-		src.errs = []error{down, down, down, feed.ErrHistory}
-		src.log = append(src.log, feed.Row{Key: "a", Version: 2, Gone: true}, feed.Row{Key: "b", Version: 3, Value: []byte("3")})
+		src.errs = []error{down, down, down, feed.ErrHistoryLost}
+		src.log = append(src.log, feed.Row{Key: "a", Version: 2, Deleted: true}, feed.Row{Key: "b", Version: 3, Value: []byte("3")})
 		src.mu.Unlock()
 		time.Sleep(10 * time.Second)
 		cancel()
@@ -262,11 +266,11 @@
 		if rows := got.view.Rows(); len(rows) != 1 || rows[0].Key != "b" {
 			t.Errorf("got %v, want b alone", rows)
 		}
-		if want := []bool{true, false, true}; fmt.Sprint(got.reach) != fmt.Sprint(want) {
-			t.Errorf("got %v, want %v", got.reach, want)
+		if want := []bool{true, false, true}; fmt.Sprint(got.reachable) != fmt.Sprint(want) {
+			t.Errorf("got %v, want %v", got.reachable, want)
 		}
-		if src.whole != 2 {
-			t.Errorf("got %d whole reads, want 2", src.whole)
+		if src.snapshotReads != 2 {
+			t.Errorf("got %d whole reads, want 2", src.snapshotReads)
 		}
 	})
 }
--- a/internal/state/feed/view.go
+++ b/internal/state/feed/view.go
@@ -14,16 +14,16 @@
 	"github.com/go-faster/errors"
 )
 
-// ErrHistory means that the store no longer knows all changes since the
+// ErrHistoryLost means that the store no longer knows all changes since the
 // version asked for; only reading the table whole helps.
-var ErrHistory = errors.New("feed: history is gone")
+var ErrHistoryLost = errors.New("feed: history is gone")
 
 // Row is a row as of a version. A row that is gone has no value.
 type Row struct {
 	Key     string `cbor:"1,keyasint"`
 	Version uint64 `cbor:"2,keyasint"`
 	Value   []byte `cbor:"3,keyasint,omitempty"`
-	Gone    bool   `cbor:"4,keyasint,omitempty"`
+	Deleted bool   `cbor:"4,keyasint,omitempty"`
 }
 
 // Page is rows and the version up to which they tell all.
@@ -32,13 +32,13 @@
 	Version uint64
 }
 
-// maxTombs bounds the gone rows remembered. Beyond it the oldest are forgotten
+// maxTombstones bounds the gone rows remembered. Beyond it the oldest are forgotten
 // and a peer that is further behind is told the whole table.
-const maxTombs = 4096
+const maxTombstones = 4096
 
-// Mark is how much of a table is known: all changes up to Version, and a Digest of
+// Checkpoint is how much of a table is known: all changes up to Version, and a Digest of
 // the rows that are there. Two views with the same digest hold the same.
-type Mark struct {
+type Checkpoint struct {
 	Version uint64
 	Digest  uint64
 }
@@ -47,59 +47,59 @@
 // whoever told it, so a late or repeated message changes nothing. It is not
 // safe for concurrent use.
 type View struct {
-	// Print hashes what matters of a row's value, the same at all instances, so
+	// Fingerprint hashes what matters of a row's value, the same at all instances, so
 	// that a heartbeat is no change; nil hashes the value.
-	Print func(key string, value []byte) uint64
+	Fingerprint func(key string, value []byte) uint64
 
-	rows    map[string]entry
-	version uint64
-	digest  uint64
-	tombs   int
-	// floor is the version below which not all gone rows are known.
-	floor uint64
+	rows       map[string]entry
+	version    uint64
+	digest     uint64
+	tombstones int
+	// tombstoneFloor is the version below which not all gone rows are known.
+	tombstoneFloor uint64
 }
 
 // entry is a row as it is held.
 type entry struct {
 	Row
-	print uint64
-	// changed is the version with which the content came; the row may have been
+	hash uint64
+	// contentVersion is the version with which the content came; the row may have been
 	// written anew since.
-	changed uint64
+	contentVersion uint64
 }
 
 // Version is up to where everything is known.
 func (v *View) Version() uint64 { return v.version }
 
-// Mark is how much is known.
-func (v *View) Mark() Mark { return Mark{Version: v.version, Digest: v.digest} }
+// Checkpoint is how much is known.
+func (v *View) Checkpoint() Checkpoint { return Checkpoint{Version: v.version, Digest: v.digest} }
 
-// Confirm raises the version to that of a view which holds the same, without a row
+// ConfirmVersion raises the version to that of a view which holds the same, without a row
 // being told: nothing that matters changed in between.
-func (v *View) Confirm(m Mark) {
+func (v *View) ConfirmVersion(m Checkpoint) {
 	if m.Digest == v.digest {
 		v.version = max(v.version, m.Version)
 	}
 }
 
-// Whole takes a page with all rows of the table and returns what changed.
-func (v *View) Whole(p Page) []Row {
+// ApplySnapshot takes a page with all rows of the table and returns what changed.
+func (v *View) ApplySnapshot(p Page) []Row {
 	if p.Version < v.version {
 		// A stale read knows less than the changes taken since.
 		return nil
 	}
-	changed := v.replace(p)
+	changed := v.replaceAll(p)
 	v.version = p.Version
 	return changed
 }
 
-// Changes takes a page of the store with all changes after since and returns
+// ApplyChanges takes a page of the store with all changes after since and returns
 // those that are new here; all changes since 0 are the whole table. Rows that are
 // newer than what is known are taken in any case; the version rises only if there
 // is no gap between what is known and since.
-func (v *View) Changes(since uint64, p Page) []Row {
+func (v *View) ApplyChanges(since uint64, p Page) []Row {
 	if since == 0 {
-		return v.Whole(p)
+		return v.ApplySnapshot(p)
 	}
 	changed := v.merge(p)
 	if since <= v.version {
@@ -108,19 +108,19 @@
 	return changed
 }
 
-// Told takes the changes after since that another view with that mark tells. The
+// ApplyPeerChanges takes the changes after since that another view with that mark tells. The
 // version rises only if both hold the same after it: the other one may not know
 // of a row that was dropped before it began, or of a change that was undone before
 // it looked.
-func (v *View) Told(since uint64, rows []Row, m Mark) []Row {
+func (v *View) ApplyPeerChanges(since uint64, rows []Row, m Checkpoint) []Row {
 	p := Page{Rows: rows, Version: m.Version}
 	var changed []Row
 	if since == 0 && m.Version >= v.version {
-		changed = v.replace(p)
+		changed = v.replaceAll(p)
 	} else {
 		changed = v.merge(p)
 	}
-	v.Confirm(m)
+	v.ConfirmVersion(m)
 	return changed
 }
 
@@ -129,47 +129,47 @@
 func (v *View) merge(p Page) []Row {
 	var changed []Row
 	for _, r := range p.Rows {
-		if r.Version > v.version && v.put(r) {
+		if r.Version > v.version && v.putIfNewer(r) {
 			changed = append(changed, r)
 		}
 	}
 	return changed
 }
 
-// replace makes the rows those of a whole table, but for newer ones, and returns
+// replaceAll makes the rows those of a whole table, but for newer ones, and returns
 // what changed.
-func (v *View) replace(p Page) []Row {
+func (v *View) replaceAll(p Page) []Row {
 	var changed []Row
 	there := make(map[string]bool, len(p.Rows))
 	for _, r := range p.Rows {
-		there[r.Key] = !r.Gone
+		there[r.Key] = !r.Deleted
 		held, ok := v.rows[r.Key]
 		if ok && held.Version <= p.Version && held.Version > r.Version {
 			// Whoever tells it missed versions in between, but knows what the row is
 			// in the end.
 			r.Version = p.Version
 		}
-		if v.put(r) {
+		if v.putIfNewer(r) {
 			changed = append(changed, r)
 		}
 	}
-	for _, key := range v.keys() {
+	for _, key := range v.sortedKeys() {
 		held := v.rows[key]
-		if held.Gone || there[key] || held.Version > p.Version {
+		if held.Deleted || there[key] || held.Version > p.Version {
 			continue
 		}
-		gone := Row{Key: key, Version: p.Version, Gone: true}
-		v.put(gone)
+		gone := Row{Key: key, Version: p.Version, Deleted: true}
+		v.putIfNewer(gone)
 		changed = append(changed, gone)
 	}
 	// Rows that were dropped before and never held here are not known: telling
 	// the changes since an older version would leave them out.
-	v.floor = max(v.floor, p.Version)
+	v.tombstoneFloor = max(v.tombstoneFloor, p.Version)
 	return changed
 }
 
-// put takes a row that is newer and reports whether it tells something new.
-func (v *View) put(r Row) bool {
+// putIfNewer takes a row that is newer and reports whether it tells something new.
+func (v *View) putIfNewer(r Row) bool {
 	old, held := v.rows[r.Key]
 	if held && old.Version >= r.Version {
 		return false
@@ -177,35 +177,35 @@
 	if v.rows == nil {
 		v.rows = map[string]entry{}
 	}
-	e := entry{Row: r, print: v.print(r), changed: r.Version}
-	same := held && old.Gone == r.Gone && old.print == e.print
+	e := entry{Row: r, hash: v.rowHash(r), contentVersion: r.Version}
+	same := held && old.Deleted == r.Deleted && old.hash == e.hash
 	if same {
-		e.changed = old.changed
+		e.contentVersion = old.contentVersion
 	}
 	v.rows[r.Key] = e
-	v.digest ^= old.print ^ e.print
-	v.tombs += count(e.Gone) - count(old.Gone)
-	if v.tombs > maxTombs {
-		v.forget()
+	v.digest ^= old.hash ^ e.hash
+	v.tombstones += countDeleted(e.Deleted) - countDeleted(old.Deleted)
+	if v.tombstones > maxTombstones {
+		v.pruneTombstones()
 	}
 	return !same
 }
 
-func count(gone bool) int {
+func countDeleted(gone bool) int {
 	if gone {
 		return 1
 	}
 	return 0
 }
 
-// print is the part of a row in the digest; none for a row that is gone.
-func (v *View) print(r Row) uint64 {
-	if r.Gone {
+// rowHash is the part of a row in the digest; none for a row that is gone.
+func (v *View) rowHash(r Row) uint64 {
+	if r.Deleted {
 		return 0
 	}
 	content := xxhash.Sum64(r.Value)
-	if v.Print != nil {
-		content = v.Print(r.Key, r.Value)
+	if v.Fingerprint != nil {
+		content = v.Fingerprint(r.Key, r.Value)
 	}
 	var d xxhash.Digest
 	d.Reset()
@@ -214,31 +214,31 @@
 	return d.Sum64()
 }
 
-// forget drops the older half of the gone rows.
-func (v *View) forget() {
+// pruneTombstones drops the older half of the gone rows.
+func (v *View) pruneTombstones() {
 	var gone []Row
-	for _, key := range v.keys() {
-		if r := v.rows[key]; r.Gone {
+	for _, key := range v.sortedKeys() {
+		if r := v.rows[key]; r.Deleted {
 			gone = append(gone, r.Row)
 		}
 	}
 	sort.Slice(gone, func(i, j int) bool { return gone[i].Version < gone[j].Version })
 	for _, r := range gone[:len(gone)/2] {
 		delete(v.rows, r.Key)
-		v.floor = max(v.floor, r.Version)
-		v.tombs--
+		v.tombstoneFloor = max(v.tombstoneFloor, r.Version)
+		v.tombstones--
 	}
 }
 
-// Since returns all changes after a version. Where not all of them are known it
+// ChangesSince returns all changes after a version. Where not all of them are known it
 // returns the whole table, which is all changes since 0.
-func (v *View) Since(version uint64) (since uint64, p Page) {
-	if version < v.floor {
+func (v *View) ChangesSince(version uint64) (since uint64, p Page) {
+	if version < v.tombstoneFloor {
 		version = 0
 	}
 	p.Version = v.version
-	for _, key := range v.keys() {
-		if r := v.rows[key]; version == 0 || r.changed > version {
+	for _, key := range v.sortedKeys() {
+		if r := v.rows[key]; version == 0 || r.contentVersion > version {
 			p.Rows = append(p.Rows, r.Row)
 		}
 	}
@@ -248,15 +248,15 @@
 // Rows returns the rows that are there, in order of their keys.
 func (v *View) Rows() []Row {
 	var out []Row
-	for _, key := range v.keys() {
-		if r := v.rows[key]; !r.Gone {
+	for _, key := range v.sortedKeys() {
+		if r := v.rows[key]; !r.Deleted {
 			out = append(out, r.Row)
 		}
 	}
 	return out
 }
 
-func (v *View) keys() []string {
+func (v *View) sortedKeys() []string {
 	keys := make([]string, 0, len(v.rows))
 	for key := range v.rows {
 		keys = append(keys, key)
--- a/internal/state/order/order.go
+++ b/internal/state/order/order.go
@@ -28,24 +28,24 @@
 
 // Errors of this package.
 var (
-	// ErrLapsed means that the lease does not allow an act now.
-	ErrLapsed = errors.New("order: lease not held")
-	// ErrStore means that the desired state could not be read or written.
-	ErrStore = errors.New("order: table out of reach")
-	// ErrTaken means that another holder wrote the rows meanwhile.
-	ErrTaken = errors.New("order: another holder took over")
+	// ErrLeaseLost means that the lease does not allow an act now.
+	ErrLeaseLost = errors.New("order: lease not held")
+	// ErrStoreUnavailable means that the desired state could not be read or written.
+	ErrStoreUnavailable = errors.New("order: table out of reach")
+	// ErrSuperseded means that another holder wrote the rows meanwhile.
+	ErrSuperseded = errors.New("order: another holder took over")
 )
 
 const (
-	defaultRetry = 10 * time.Second
-	defaultWait  = 4 * time.Second
-	defaultRate  = 4.0
-	pageRows     = 500
+	defaultRetryInterval   = 10 * time.Second
+	defaultFirstOrderDelay = 4 * time.Second
+	defaultLayersPerSecond = 4.0
+	pageRows               = 500
 )
 
-// Engine sends an order to an engine.
-type Engine interface {
-	Order(ctx context.Context, upstream spec.UpstreamID, o frame.Order) error
+// Sender sends an order to an engine.
+type Sender interface {
+	SendOrder(ctx context.Context, upstream spec.UpstreamID, o frame.Order) error
 }
 
 // Lease says whether this instance may act, as lease.Lease does.
@@ -60,60 +60,60 @@
 	Commit(ctx context.Context, writes []store.Write) (uint64, error)
 }
 
-// Orders are the orders of one duty. Set the exported fields before use.
-type Orders struct {
-	Table   Table
-	Engines Engine
-	Lease   Lease
-	// Name names the duty, such as a data centre; rows are "order/NAME/".
-	Name string
-	// Checks says which engines refuse a number lower than one they saw; the
+// Reconciler are the orders of one duty. Set the exported fields before use.
+type Reconciler struct {
+	Table  Table
+	Sender Sender
+	Lease  Lease
+	// Duty names the duty, such as a data centre; rows are "order/NAME/".
+	Duty string
+	// ChecksFence says which engines refuse a number lower than one they saw; the
 	// deployment's settings tell. Nil means that none does.
-	Checks func(spec.UpstreamID) bool
-	// Wait is the margin of the lease: engines that check nothing get their
+	ChecksFence func(spec.UpstreamID) bool
+	// FirstOrderDelay is the margin of the lease: engines that check nothing get their
 	// first order of a new holder after it, when the former holder's last act
 	// has ended. Zero is 4 s.
-	Wait time.Duration
-	// Retry is how long an engine has to report the end before the order is
+	FirstOrderDelay time.Duration
+	// RetryInterval is how long an engine has to report the end before the order is
 	// sent again; zero is 10 s.
-	Retry time.Duration
-	// Rate is how many layers a second the weight store gives; zero is 4.
-	Rate float64
+	RetryInterval time.Duration
+	// LayersPerSecond is how many layers a second the weight store gives; zero is 4.
+	LayersPerSecond float64
 	// Now is the monotonic clock; nil is time.Now.
 	Now func() time.Time
 	// Meters takes the metrics; nil takes none.
 	Meters *metrics.Set
 
 	mu sync.Mutex
-	// fence is the number under which the rows are known; zero after a lost
+	// adoptedFence is the number under which the rows are known; zero after a lost
 	// answer, when they have to be read anew.
-	fence  uint64
-	wanted map[spec.UpstreamID]*wanted
-	// waiting are wishes that could not be written yet, under the number owner.
-	waiting map[spec.UpstreamID]wish
-	owner   uint64
-	seen    map[spec.UpstreamID]report
-	// free is when the weight store has given what was ordered so far.
-	free time.Time
+	adoptedFence uint64
+	rows         map[spec.UpstreamID]*desiredRow
+	// unwritten are wishes that could not be written yet, under the number owner.
+	unwritten      map[spec.UpstreamID]unwrittenState
+	unwrittenFence uint64
+	reports        map[spec.UpstreamID]report
+	// storeBusyUntil is when the weight store has given what was ordered so far.
+	storeBusyUntil time.Time
 }
 
-// desired is the row of an engine.
-type desired struct {
+// desiredState is the row of an engine.
+type desiredState struct {
 	Engine string       `cbor:"1,keyasint"`
 	Holds  []frame.Hold `cbor:"2,keyasint"`
 	Role   string       `cbor:"3,keyasint,omitempty"`
 	Fence  uint64       `cbor:"4,keyasint"`
 }
 
-// wanted is a row as this holder knows it.
-type wanted struct {
-	desired desired
-	version uint64
-	sent    time.Time
-	tries   int
-	// accepted is the role of the last order that the engine accepted under
+// desiredRow is a row as this holder knows it.
+type desiredRow struct {
+	state    desiredState
+	version  uint64
+	lastSent time.Time
+	tries    int
+	// acceptedRole is the role of the last order that the engine accepted under
 	// this holder; reports do not tell roles.
-	accepted string
+	acceptedRole string
 }
 
 // report is what an engine says that it holds.
@@ -126,20 +126,20 @@
 // under the own number, in one commit: from then on a former holder that wakes
 // can write none of it, since the rows' versions have changed. Set and Round
 // do so by themselves when the rows are not known under the present number.
-func (o *Orders) Adopt(ctx context.Context) error {
-	ctx, cancel, fence, err := o.guard(ctx)
+func (o *Reconciler) Adopt(ctx context.Context) error {
+	ctx, cancel, fence, err := o.guardLease(ctx)
 	if err != nil {
 		return err
 	}
 	defer cancel()
-	all, err := o.load(ctx)
+	all, err := o.loadRows(ctx)
 	if err != nil {
 		return err
 	}
 	var writes []store.Write
-	for _, id := range sorted(all) {
-		all[id].desired.Fence = fence
-		writes = append(writes, o.put(all[id]))
+	for _, id := range sortedIDs(all) {
+		all[id].state.Fence = fence
+		writes = append(writes, o.encodeWrite(all[id]))
 	}
 	if len(writes) > 0 {
 		version, err := o.commit(ctx, writes)
@@ -152,93 +152,93 @@
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.owner != fence {
+	if o.unwrittenFence != fence {
 		// Wishes of an earlier term are out of date.
-		o.waiting = map[spec.UpstreamID]wish{}
+		o.unwritten = map[spec.UpstreamID]unwrittenState{}
 	}
-	o.fence, o.owner, o.wanted = fence, fence, all
+	o.adoptedFence, o.unwrittenFence, o.rows = fence, fence, all
 	return nil
 }
 
-// known adopts the rows unless they are known under the present number.
-func (o *Orders) known(ctx context.Context) error {
-	_, cancel, fence, err := o.guard(ctx)
+// ensureAdopted adopts the rows unless they are known under the present number.
+func (o *Reconciler) ensureAdopted(ctx context.Context) error {
+	_, cancel, fence, err := o.guardLease(ctx)
 	if err != nil {
 		return err
 	}
 	cancel()
-	if o.current(fence) {
+	if o.isAdopted(fence) {
 		return nil
 	}
 	return o.Adopt(ctx)
 }
 
-func (o *Orders) guard(ctx context.Context) (context.Context, context.CancelFunc, uint64, error) {
+func (o *Reconciler) guardLease(ctx context.Context) (context.Context, context.CancelFunc, uint64, error) {
 	ctx, cancel, fence, err := o.Lease.Guard(ctx)
 	if err != nil {
-		return nil, nil, 0, errors.Wrap(ErrLapsed, err.Error())
+		return nil, nil, 0, errors.Wrap(ErrLeaseLost, err.Error())
 	}
 	return ctx, cancel, fence, nil
 }
 
-func (o *Orders) load(ctx context.Context) (map[spec.UpstreamID]*wanted, error) {
-	all := map[spec.UpstreamID]*wanted{}
+func (o *Reconciler) loadRows(ctx context.Context) (map[spec.UpstreamID]*desiredRow, error) {
+	all := map[spec.UpstreamID]*desiredRow{}
 	var bad error
 	err := store.Walk(ctx, o.Table, o.prefix(), 0, pageRows, func(r store.Row) {
-		w := &wanted{version: r.Version()}
-		if err := cbor.Unmarshal(r.Value(), &w.desired); err != nil {
+		w := &desiredRow{version: r.Version()}
+		if err := cbor.Unmarshal(r.Value(), &w.state); err != nil {
 			bad = err
 			return
 		}
-		all[spec.UpstreamID(w.desired.Engine)] = w
+		all[spec.UpstreamID(w.state.Engine)] = w
 	})
 	if err == nil {
 		err = bad
 	}
 	if err != nil {
-		return nil, errors.Wrap(ErrStore, err.Error())
+		return nil, errors.Wrap(ErrStoreUnavailable, err.Error())
 	}
 	return all, nil
 }
 
 // commit converts the errors of the table. After a lost answer the rows are
 // not known any more, so the holder has to adopt them again.
-func (o *Orders) commit(ctx context.Context, writes []store.Write) (uint64, error) {
+func (o *Reconciler) commit(ctx context.Context, writes []store.Write) (uint64, error) {
 	version, err := o.Table.Commit(ctx, writes)
 	switch {
 	case err == nil:
 		return version, nil
 	case errors.Is(err, store.ErrDown):
-		return 0, errors.Wrap(ErrStore, err.Error())
+		return 0, errors.Wrap(ErrStoreUnavailable, err.Error())
 	}
 	o.mu.Lock()
-	o.fence = 0
+	o.adoptedFence = 0
 	o.mu.Unlock()
 	if errors.Is(err, store.ErrConflict) {
-		return 0, ErrTaken
+		return 0, ErrSuperseded
 	}
-	return 0, errors.Wrap(ErrStore, err.Error())
+	return 0, errors.Wrap(ErrStoreUnavailable, err.Error())
 }
 
-func (o *Orders) put(w *wanted) store.Write {
-	data, err := cbor.Marshal(w.desired)
+func (o *Reconciler) encodeWrite(w *desiredRow) store.Write {
+	data, err := cbor.Marshal(w.state)
 	if err != nil {
 		// The row has no field that can fail to encode.
 		panic(err)
 	}
-	return store.Put(o.prefix()+w.desired.Engine, w.version, data)
+	return store.Put(o.prefix()+w.state.Engine, w.version, data)
 }
 
-func (o *Orders) prefix() string { return "order/" + o.Name + "/" }
+func (o *Reconciler) prefix() string { return "order/" + o.Duty + "/" }
 
-func (o *Orders) now() time.Time {
+func (o *Reconciler) now() time.Time {
 	if o.Now == nil {
 		return time.Now()
 	}
 	return o.Now()
 }
 
-func sorted(m map[spec.UpstreamID]*wanted) []spec.UpstreamID {
+func sortedIDs(m map[spec.UpstreamID]*desiredRow) []spec.UpstreamID {
 	var out []spec.UpstreamID
 	for id := range m {
 		out = append(out, id)
--- a/internal/state/order/order_test.go
+++ b/internal/state/order/order_test.go
@@ -19,76 +19,76 @@
 
 const second = time.Second
 
-func layers(version string, from, to int) []frame.Hold {
+func holdLayers(version string, from, to int) []frame.Hold {
 	return []frame.Hold{{Model: "levy", Version: version, Depth: 24, From: from, To: to}}
 }
 
-// machine is an engine that takes orders at once.
-type machine struct {
-	holds  []frame.Hold
-	fence  uint64
-	checks bool
-	seq    uint64
-	orders int
+// fakeEngine is an engine that takes orders at once.
+type fakeEngine struct {
+	holds       []frame.Hold
+	fence       uint64
+	checksFence bool
+	seq         uint64
+	orderCount  int
 }
 
-func (m *machine) take(o frame.Order) error {
-	m.orders++
-	if m.checks && o.Fence < m.fence {
+func (m *fakeEngine) apply(o frame.Order) error {
+	m.orderCount++
+	if m.checksFence && o.Fence < m.fence {
 		return errors.New("old number")
 	}
 	m.fence, m.holds = max(m.fence, o.Fence), o.Holds
 	return nil
 }
 
-func (m *machine) report() frame.Engine {
+func (m *fakeEngine) report() frame.Engine {
 	m.seq++
 	return frame.Engine{Holds: m.holds, Seq: m.seq}
 }
 
-// floor is the engines of a data centre. It keeps back the orders of a held
+// fakeSender is the engines of a data centre. It keeps back the orders of a held
 // sender, as a paused process does between its last check and its send.
-type floor struct {
-	engines map[spec.UpstreamID]*machine
+type fakeSender struct {
+	engines map[spec.UpstreamID]*fakeEngine
 	paused  bool
-	late    []func()
+	delayed []func()
 }
 
-func (f *floor) Order(_ context.Context, id spec.UpstreamID, o frame.Order) error {
+func (f *fakeSender) SendOrder(_ context.Context, id spec.UpstreamID, o frame.Order) error {
 	if f.paused {
-		f.late = append(f.late, func() { _ = f.engines[id].take(o) })
+		f.delayed = append(f.delayed, func() { _ = f.engines[id].apply(o) })
 		return errors.New("timeout")
 	}
-	return f.engines[id].take(o)
+	return f.engines[id].apply(o)
 }
 
 // planner is an instance with its part in the lease and the orders.
 type planner struct {
-	lease  *lease.Lease
-	orders *order.Orders
-	floor  *floor
+	lease      *lease.Lease
+	reconciler *order.Reconciler
+	sender     *fakeSender
 }
 
-func newPlanner(table *infra.Table, name string, engines map[spec.UpstreamID]*machine) *planner {
+func newPlanner(table *infra.Table, name string, engines map[spec.UpstreamID]*fakeEngine) *planner {
 	l := &lease.Lease{Table: table, Name: "place", Owner: name}
-	f := &floor{engines: engines}
-	return &planner{lease: l, floor: f, orders: &order.Orders{
-		Table: table, Engines: f, Lease: l, Name: "klang", Rate: 1e12,
-		Checks: func(id spec.UpstreamID) bool { return engines[id].checks },
+	f := &fakeSender{engines: engines}
+	return &planner{lease: l, sender: f, reconciler: &order.Reconciler{
+		Table: table, Sender: f, Lease: l, Duty: "klang", LayersPerSecond: 1e12,
+		ChecksFence: func(id spec.UpstreamID) bool { return engines[id].checksFence },
 	}}
 }
 
-func (p *planner) see() {
-	for id, m := range p.floor.engines {
-		p.orders.Seen(id, m.report())
+func (p *planner) reportAll() {
+	for id, m := range p.sender.engines {
+		p.reconciler.ApplyReport(id, m.report())
 	}
 }
 
-func both() map[spec.UpstreamID]*machine {
-	return map[spec.UpstreamID]*machine{"checks": {checks: true}, "ignores": {}}
+func newEngines() map[spec.UpstreamID]*fakeEngine {
+	return map[spec.UpstreamID]*fakeEngine{"checks": {checksFence: true}, "ignores": {}}
 }
 
-func must(t interface {
+func mustSucceed(t interface {
 	Helper()
 	Fatal(...any)
 }, err error,
@@ -99,18 +99,18 @@
 	}
 }
 
-func finish(p *planner) int {
+func reconcileUntilSettled(p *planner) int {
 	for range 20 {
-		p.see()
-		_, _ = p.orders.Round(context.Background())
-		p.see()
-		if len(p.orders.Open()) == 0 {
+		p.reportAll()
+		_, _ = p.reconciler.Reconcile(context.Background())
+		p.reportAll()
+		if len(p.reconciler.Unsettled()) == 0 {
 			break
 		}
 		time.Sleep(2 * second)
 		_ = p.lease.Step(context.Background())
 	}
-	return len(p.orders.Open())
+	return len(p.reconciler.Unsettled())
 }
 
 // The holder is paused between its check and its send, with orders for version
@@ -119,31 +119,31 @@
 // obeys, and is put right after its next report. Both end in version 2.
 func TestLateOrdersOfPausedHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		table, engines := &infra.Table{}, both()
+		table, engines := &infra.Table{}, newEngines()
 		a, b := newPlanner(table, "a", engines), newPlanner(table, "b", engines)
-		must(t, a.lease.Step(t.Context()))
-		must(t, a.orders.Adopt(t.Context()))
+		mustSucceed(t, a.lease.Step(t.Context()))
+		mustSucceed(t, a.reconciler.Adopt(t.Context()))
 		for id := range engines {
-			must(t, a.orders.Set(t.Context(), id, layers("1", 0, 12), ""))
+			mustSucceed(t, a.reconciler.SetDesired(t.Context(), id, holdLayers("1", 0, 12), ""))
 		}
 		time.Sleep(5 * second)
-		a.see()
-		a.floor.paused = true
-		if n, err := a.orders.Round(t.Context()); n != 2 || err != nil {
+		a.reportAll()
+		a.sender.paused = true
+		if n, err := a.reconciler.Reconcile(t.Context()); n != 2 || err != nil {
 			t.Fatalf("got %d orders %v, want 2 on their way", n, err)
 		}
 		for !b.lease.Held() {
-			must(t, b.lease.Step(t.Context()))
+			mustSucceed(t, b.lease.Step(t.Context()))
 			time.Sleep(second)
 		}
-		must(t, b.orders.Adopt(t.Context()))
+		mustSucceed(t, b.reconciler.Adopt(t.Context()))
 		for id := range engines {
-			must(t, b.orders.Set(t.Context(), id, layers("2", 0, 12), ""))
+			mustSucceed(t, b.reconciler.SetDesired(t.Context(), id, holdLayers("2", 0, 12), ""))
 		}
-		if open := finish(b); open != 0 {
+		if open := reconcileUntilSettled(b); open != 0 {
 			t.Errorf("got %d engines open, want none", open)
 		}
-		for _, f := range a.floor.late {
+		for _, f := range a.sender.delayed {
 			f()
 		}
 		if got := engines["checks"].holds[0].Version; got != "2" {
@@ -152,11 +152,11 @@
 		if got := engines["ignores"].holds[0].Version; got != "1" {
 			t.Errorf("got version %s on the engine that ignores numbers, want the late 1 (else this proves nothing)", got)
 		}
-		finish(b)
+		reconcileUntilSettled(b)
 		if got := engines["ignores"].holds[0].Version; got != "2" {
 			t.Errorf("got version %s in the end, want 2", got)
 		}
-		if err := a.orders.Set(t.Context(), "checks", layers("1", 0, 12), ""); !errors.Is(err, order.ErrLapsed) {
+		if err := a.reconciler.SetDesired(t.Context(), "checks", holdLayers("1", 0, 12), ""); !errors.Is(err, order.ErrLeaseLost) {
 			t.Errorf("got %v for a wish of the former holder, want ErrLapsed", err)
 		}
 	})
@@ -164,29 +164,29 @@
 
 // The holder dies after it wrote what it wants and ordered one of two engines.
 // The next holder finds the rows and finishes the change.
-func TestNextHolderFinishes(t *testing.T) {
+func TestNextHolderFinishesChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		table, engines := &infra.Table{}, both()
+		table, engines := &infra.Table{}, newEngines()
 		a, b := newPlanner(table, "a", engines), newPlanner(table, "b", engines)
-		must(t, a.lease.Step(t.Context()))
-		must(t, a.orders.Adopt(t.Context()))
+		mustSucceed(t, a.lease.Step(t.Context()))
+		mustSucceed(t, a.reconciler.Adopt(t.Context()))
 		for id := range engines {
-			must(t, a.orders.Set(t.Context(), id, layers("1", 0, 12), "prefill"))
+			mustSucceed(t, a.reconciler.SetDesired(t.Context(), id, holdLayers("1", 0, 12), "prefill"))
 		}
-		a.see()
-		if n, err := a.orders.Round(t.Context()); n != 1 || err != nil {
+		a.reportAll()
+		if n, err := a.reconciler.Reconcile(t.Context()); n != 1 || err != nil {
 			t.Fatalf("got %d orders %v, want one: the other engine waits out the margin", n, err)
 		}
 		for !b.lease.Held() {
-			must(t, b.lease.Step(t.Context()))
+			mustSucceed(t, b.lease.Step(t.Context()))
 			time.Sleep(second)
 		}
-		must(t, b.orders.Adopt(t.Context()))
-		if open := finish(b); open != 0 || len(engines["ignores"].holds) != 1 {
+		mustSucceed(t, b.reconciler.Adopt(t.Context()))
+		if open := reconcileUntilSettled(b); open != 0 || len(engines["ignores"].holds) != 1 {
 			t.Errorf("got %d engines open, want none", open)
 		}
 		reads, writes := table.Counts()
-		must(t, b.orders.Set(t.Context(), "checks", layers("1", 0, 12), "prefill"))
+		mustSucceed(t, b.reconciler.SetDesired(t.Context(), "checks", holdLayers("1", 0, 12), "prefill"))
 		if r, w := table.Counts(); r != reads || w != writes {
 			t.Errorf("got %d reads and %d writes for a wish that stands, want none", r-reads, w-writes)
 		}
@@ -196,23 +196,23 @@
 // The answer of the table to a wish is lost, then the table is out. The holder
 // still has its lease; when the table is back its next round reads the rows,
 // writes the wish that waited and orders it, without anybody asking again.
-func TestWishSurvivesLostAnswerAndOutage(t *testing.T) {
+func TestDesiredStateSurvivesLostResponseAndOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		table, engines := &infra.Table{}, both()
+		table, engines := &infra.Table{}, newEngines()
 		p := newPlanner(table, "a", engines)
-		must(t, p.lease.Step(t.Context()))
-		must(t, p.orders.Adopt(t.Context()))
+		mustSucceed(t, p.lease.Step(t.Context()))
+		mustSucceed(t, p.reconciler.Adopt(t.Context()))
 		table.Fault(infra.Faults{Drop: 1})
-		if err := p.orders.Set(t.Context(), "checks", layers("1", 0, 12), ""); !errors.Is(err, order.ErrStore) {
+		if err := p.reconciler.SetDesired(t.Context(), "checks", holdLayers("1", 0, 12), ""); !errors.Is(err, order.ErrStoreUnavailable) {
 			t.Errorf("got %v for a lost answer, want ErrStore", err)
 		}
 		table.Fault(infra.Faults{Down: true})
-		if err := p.orders.Set(t.Context(), "ignores", layers("1", 0, 12), ""); !errors.Is(err, order.ErrStore) {
+		if err := p.reconciler.SetDesired(t.Context(), "ignores", holdLayers("1", 0, 12), ""); !errors.Is(err, order.ErrStoreUnavailable) {
 			t.Errorf("got %v in the outage, want ErrStore", err)
 		}
 		table.Fault(infra.Faults{})
 		time.Sleep(5 * second)
-		if open := finish(p); open != 0 || len(engines["checks"].holds) != 1 || len(engines["ignores"].holds) != 1 {
+		if open := reconcileUntilSettled(p); open != 0 || len(engines["checks"].holds) != 1 || len(engines["ignores"].holds) != 1 {
 			t.Errorf("got %d engines open and %v, want both engines ordered", open, engines)
 		}
 	})
@@ -222,28 +222,28 @@
 // Orders go out no faster, so that no engine waits with its old layers gone.
 func TestWeightStoreRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		table, engines := &infra.Table{}, map[spec.UpstreamID]*machine{}
+		table, engines := &infra.Table{}, map[spec.UpstreamID]*fakeEngine{}
 		for i := range 10 {
-			engines[spec.UpstreamID(fmt.Sprint("e", i))] = &machine{checks: true}
+			engines[spec.UpstreamID(fmt.Sprint("e", i))] = &fakeEngine{checksFence: true}
 		}
 		p := newPlanner(table, "a", engines)
-		p.orders.Rate = 4
-		must(t, p.lease.Step(t.Context()))
-		must(t, p.orders.Adopt(t.Context()))
+		p.reconciler.LayersPerSecond = 4
+		mustSucceed(t, p.lease.Step(t.Context()))
+		mustSucceed(t, p.reconciler.Adopt(t.Context()))
 		for id := range engines {
-			must(t, p.orders.Set(t.Context(), id, layers("1", 0, 24), ""))
+			mustSucceed(t, p.reconciler.SetDesired(t.Context(), id, holdLayers("1", 0, 24), ""))
 		}
 		start, total := time.Now(), 0
 		for total < 10 {
-			p.see()
-			n, err := p.orders.Round(t.Context())
-			must(t, err)
+			p.reportAll()
+			n, err := p.reconciler.Reconcile(t.Context())
+			mustSucceed(t, err)
 			total += n
 			if most := int(time.Since(start)/(6*second)) + 1; total > most {
 				t.Fatalf("got %d orders after %v, want at most %d", total, time.Since(start), most)
 			}
 			time.Sleep(second)
-			must(t, p.lease.Step(t.Context()))
+			mustSucceed(t, p.lease.Step(t.Context()))
 		}
 		if got := time.Since(start); got > 60*second {
 			t.Errorf("got all ordered after %v, want within 60s", got)
@@ -255,28 +255,28 @@
 // the lease between check and send, table faults, and late orders that arrive
 // at any time. Whatever happened, once one of them holds the lease in peace,
 // engines of both kinds end in what the table says.
-func TestAnyPauseEndsInOrderedState(t *testing.T) {
+func TestEnginesConvergeAfterPauses(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var script []int
 		for range 40 {
 			script = append(script, rapid.IntRange(0, 9).Draw(rt, "step"))
 		}
 		var fault string
-		synctest.Test(t, func(t *testing.T) { fault = play(t, script) })
+		synctest.Test(t, func(t *testing.T) { fault = runScript(t, script) })
 		if fault != "" {
 			rt.Fatal(fault)
 		}
 	})
 }
 
-func play(t *testing.T, script []int) string {
-	table, engines := &infra.Table{}, both()
+func runScript(t *testing.T, script []int) string {
+	table, engines := &infra.Table{}, newEngines()
 	all := []*planner{newPlanner(table, "a", engines), newPlanner(table, "b", engines)}
 	for i, s := range script {
 		p := all[i%2]
 		switch s {
 		case 0:
-			p.floor.paused = !p.floor.paused
+			p.sender.paused = !p.sender.paused
 		case 1:
 			time.Sleep(20 * second)
 		case 2:
@@ -286,18 +286,18 @@
 		case 4:
 			table.Fault(infra.Faults{})
 		case 5:
-			for _, f := range p.floor.late {
+			for _, f := range p.sender.delayed {
 				f()
 			}
-			p.floor.late = nil
+			p.sender.delayed = nil
 		}
-		turn(t.Context(), p, fmt.Sprint(i), s)
+		planOnce(t.Context(), p, fmt.Sprint(i), s)
 		time.Sleep(2 * second)
 	}
 	table.Fault(infra.Faults{})
 	for _, p := range all {
-		p.floor.paused = false
-		for _, f := range p.floor.late {
+		p.sender.paused = false
+		for _, f := range p.sender.delayed {
 			f()
 		}
 	}
@@ -306,15 +306,15 @@
 		_ = winner.lease.Step(t.Context())
 		time.Sleep(second)
 	}
-	if err := winner.orders.Adopt(t.Context()); err != nil {
+	if err := winner.reconciler.Adopt(t.Context()); err != nil {
 		return err.Error()
 	}
 	for id := range engines {
-		if err := winner.orders.Set(t.Context(), id, layers("end", 0, 4), ""); err != nil {
+		if err := winner.reconciler.SetDesired(t.Context(), id, holdLayers("end", 0, 4), ""); err != nil {
 			return err.Error()
 		}
 	}
-	if open := finish(winner); open != 0 {
+	if open := reconcileUntilSettled(winner); open != 0 {
 		return fmt.Sprintf("got %d engines open, want none", open)
 	}
 	for id, m := range engines {
@@ -325,15 +325,15 @@
 	return ""
 }
 
-// turn is what a planner does at each wake-up.
-func turn(ctx context.Context, p *planner, version string, s int) {
+// planOnce is what a planner does at each wake-up.
+func planOnce(ctx context.Context, p *planner, version string, s int) {
 	_ = p.lease.Step(ctx)
 	if p.lease.Held() {
-		_ = p.orders.Adopt(ctx)
+		_ = p.reconciler.Adopt(ctx)
 	}
 	for _, id := range []spec.UpstreamID{"checks", "ignores"} {
-		_ = p.orders.Set(ctx, id, layers(version, s, 12), "")
+		_ = p.reconciler.SetDesired(ctx, id, holdLayers(version, s, 12), "")
 	}
-	p.see()
-	_, _ = p.orders.Round(ctx)
+	p.reportAll()
+	_, _ = p.reconciler.Reconcile(ctx)
 }
--- a/internal/state/order/round.go
+++ b/internal/state/order/round.go
@@ -9,173 +9,175 @@
 	"fulmarwick/internal/base/spec"
 )
 
-// maxBackoff bounds the pause between two orders to an engine that does not
+// maxRetryFactor bounds the pause between two orders to an engine that does not
 // follow, in units of Retry.
-const maxBackoff = 8
+const maxRetryFactor = 8
 
-// Seen takes an engine's report. A report with a lower Seq than the last one
+// ApplyReport takes an engine's report. A report with a lower Seq than the last one
 // is late and dropped, unless the engine restarted and counts from 1 again.
-func (o *Orders) Seen(engine spec.UpstreamID, e frame.Engine) {
+func (o *Reconciler) ApplyReport(engine spec.UpstreamID, e frame.Engine) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.seen == nil {
-		o.seen = map[spec.UpstreamID]report{}
+	if o.reports == nil {
+		o.reports = map[spec.UpstreamID]report{}
 	}
-	if old, ok := o.seen[engine]; ok && e.Seq < old.seq && e.Seq > 1 {
+	if old, ok := o.reports[engine]; ok && e.Seq < old.seq && e.Seq > 1 {
 		return
 	}
-	o.seen[engine] = report{holds: slices.Clone(e.Holds), seq: e.Seq}
+	o.reports[engine] = report{holds: slices.Clone(e.Holds), seq: e.Seq}
 }
 
-// Gone forgets an engine's report; it gets no orders until the next one.
-func (o *Orders) Gone(engine spec.UpstreamID) {
+// RemoveReport forgets an engine's report; it gets no orders until the next one.
+func (o *Reconciler) RemoveReport(engine spec.UpstreamID) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	delete(o.seen, engine)
+	delete(o.reports, engine)
 }
 
-// Open lists the engines that do not report what they should hold, in order.
-func (o *Orders) Open() []spec.UpstreamID {
+// Unsettled lists the engines that do not report what they should hold, in order.
+func (o *Reconciler) Unsettled() []spec.UpstreamID {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	var out []spec.UpstreamID
-	for _, id := range sorted(o.wanted) {
-		if !o.settled(id) {
+	for _, id := range sortedIDs(o.rows) {
+		if !o.isSettled(id) {
 			out = append(out, id)
 		}
 	}
 	return out
 }
 
-// Round sends the orders that are due: to engines that report another state
+// Reconcile sends the orders that are due: to engines that report another state
 // than the desired one, no faster than the weight store gives, and each only
 // while the lease allows. It returns how many it sent.
-func (o *Orders) Round(ctx context.Context) (int, error) {
+func (o *Reconciler) Reconcile(ctx context.Context) (int, error) {
 	sent := 0
-	if err := o.known(ctx); err != nil {
+	if err := o.ensureAdopted(ctx); err != nil {
 		return 0, err
 	}
-	if err := o.rewrite(ctx); err != nil {
+	if err := o.writePending(ctx); err != nil {
 		return 0, err
 	}
-	for _, id := range o.Open() {
-		ord, due := o.due(id)
+	for _, id := range o.Unsettled() {
+		ord, due := o.dueOrder(id)
 		if !due {
 			continue
 		}
-		act, cancel, fence, err := o.guard(ctx)
+		act, cancel, fence, err := o.guardLease(ctx)
 		if err != nil {
 			return sent, err
 		}
-		if !o.current(fence) {
+		if !o.isAdopted(fence) {
 			cancel()
-			return sent, ErrLapsed
+			return sent, ErrLeaseLost
 		}
 		ord.Fence = fence
-		err = o.Engines.Order(act, id, ord)
+		err = o.Sender.SendOrder(act, id, ord)
 		cancel()
-		o.ordered(id, ord, err)
+		o.recordOrder(id, ord, err)
 		sent++
 	}
 	return sent, nil
 }
 
-// current reports whether the desired state is adopted under the number.
-func (o *Orders) current(fence uint64) bool {
+// isAdopted reports whether the desired state is adopted under the number.
+func (o *Reconciler) isAdopted(fence uint64) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.fence == fence
+	return o.adoptedFence == fence
 }
 
-// due returns the order for an engine and whether to send it now.
-func (o *Orders) due(id spec.UpstreamID) (frame.Order, bool) {
+// dueOrder returns the order for an engine and whether to send it now.
+func (o *Reconciler) dueOrder(id spec.UpstreamID) (frame.Order, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := o.now()
-	w, ok := o.wanted[id]
-	r, seen := o.seen[id]
+	w, ok := o.rows[id]
+	r, seen := o.reports[id]
 	switch {
 	case !ok || !seen:
 		return frame.Order{}, false
-	case !w.sent.IsZero() && now.Sub(w.sent) < o.retry(w.tries):
+	case !w.lastSent.IsZero() && now.Sub(w.lastSent) < o.retryDelay(w.tries):
 		return frame.Order{}, false
-	case !o.checks(id) && o.Lease.Since() < o.wait():
+	case !o.checksFence(id) && o.Lease.Since() < o.firstOrderDelay():
 		return frame.Order{}, false
 	}
-	load := missing(w.desired.Holds, r.holds)
-	if load > 0 && now.Before(o.free) {
+	load := missingLayers(w.state.Holds, r.holds)
+	if load > 0 && now.Before(o.storeBusyUntil) {
 		return frame.Order{}, false
 	}
-	o.spend(now, load)
-	return frame.Order{Holds: w.desired.Holds, Role: w.desired.Role}, true
+	o.reserveLoadTime(now, load)
+	return frame.Order{Holds: w.state.Holds, Role: w.state.Role}, true
 }
 
-// spend counts layers against the weight store's rate. What is ordered again
+// reserveLoadTime counts layers against the weight store's rate. What is ordered again
 // counts again: the engine may have begun anew.
-func (o *Orders) spend(now time.Time, layers int) {
-	rate := o.Rate
+func (o *Reconciler) reserveLoadTime(now time.Time, layers int) {
+	rate := o.LayersPerSecond
 	if rate == 0 {
-		rate = defaultRate
+		rate = defaultLayersPerSecond
 	}
-	if o.free.Before(now) {
-		o.free = now
+	if o.storeBusyUntil.Before(now) {
+		o.storeBusyUntil = now
 	}
-	o.free = o.free.Add(time.Duration(float64(layers) / rate * float64(time.Second)))
+	o.storeBusyUntil = o.storeBusyUntil.Add(time.Duration(float64(layers) / rate * float64(time.Second)))
 }
 
-// ordered notes an order. An error changes nothing but the pause: the order
+// recordOrder notes an order. An error changes nothing but the pause: the order
 // may have arrived, and only the report tells.
-func (o *Orders) ordered(id spec.UpstreamID, ord frame.Order, err error) {
+func (o *Reconciler) recordOrder(id spec.UpstreamID, ord frame.Order, err error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	w, ok := o.wanted[id]
+	w, ok := o.rows[id]
 	if !ok {
 		return
 	}
 	if o.Meters != nil {
 		o.Meters.GetOrCreateCounter("fulmarwick_orders_sent_total").Inc()
 	}
-	w.sent = o.now()
+	w.lastSent = o.now()
 	w.tries++
 	if err == nil {
-		w.accepted = ord.Role
+		w.acceptedRole = ord.Role
 	}
 }
 
-// settled reports whether the engine reports its desired state. One that does
+// isSettled reports whether the engine reports its desired state. One that does
 // not report at all is not open: there is nobody to order.
-func (o *Orders) settled(id spec.UpstreamID) bool {
-	r, ok := o.seen[id]
+func (o *Reconciler) isSettled(id spec.UpstreamID) bool {
+	r, ok := o.reports[id]
 	if !ok {
 		return true
 	}
-	w := o.wanted[id]
-	return same(w.desired.Holds, r.holds) && (w.desired.Role == "" || w.accepted == w.desired.Role)
+	w := o.rows[id]
+	return sameLayers(w.state.Holds, r.holds) && (w.state.Role == "" || w.acceptedRole == w.state.Role)
 }
 
-func (o *Orders) checks(id spec.UpstreamID) bool { return o.Checks != nil && o.Checks(id) }
+func (o *Reconciler) checksFence(id spec.UpstreamID) bool {
+	return o.ChecksFence != nil && o.ChecksFence(id)
+}
 
-func (o *Orders) wait() time.Duration {
-	if o.Wait == 0 {
-		return defaultWait
+func (o *Reconciler) firstOrderDelay() time.Duration {
+	if o.FirstOrderDelay == 0 {
+		return defaultFirstOrderDelay
 	}
-	return o.Wait
+	return o.FirstOrderDelay
 }
 
-func (o *Orders) retry(tries int) time.Duration {
-	d := o.Retry
+func (o *Reconciler) retryDelay(tries int) time.Duration {
+	d := o.RetryInterval
 	if d == 0 {
-		d = defaultRetry
+		d = defaultRetryInterval
 	}
-	return d * time.Duration(min(maxBackoff, max(1, tries)))
+	return d * time.Duration(min(maxRetryFactor, max(1, tries)))
 }
 
-// missing counts the layers of want that have does not hold in that version.
-func missing(want, have []frame.Hold) int {
+// missingLayers counts the layers of want that have does not hold in that version.
+func missingLayers(want, have []frame.Hold) int {
 	n := 0
 	for _, w := range want {
 		for layer := w.From; layer < w.To; layer++ {
-			if !holds(have, w, layer) {
+			if !holdsLayer(have, w, layer) {
 				n++
 			}
 		}
@@ -183,7 +185,7 @@
 	return n
 }
 
-func holds(have []frame.Hold, w frame.Hold, layer int) bool {
+func holdsLayer(have []frame.Hold, w frame.Hold, layer int) bool {
 	for _, h := range have {
 		if h.Model == w.Model && h.Version == w.Version && h.From <= layer && layer < h.To {
 			return true
@@ -192,6 +194,6 @@
 	return false
 }
 
-// same reports whether two sets of ranges hold the same layers of the same
+// sameLayers reports whether two sets of ranges hold the same layers of the same
 // versions, however they are cut. Depth and width are the engine's to tell.
-func same(a, b []frame.Hold) bool { return missing(a, b) == 0 && missing(b, a) == 0 }
+func sameLayers(a, b []frame.Hold) bool { return missingLayers(a, b) == 0 && missingLayers(b, a) == 0 }
--- a/internal/wire/chain/api.go
+++ b/internal/wire/chain/api.go
@@ -26,7 +26,7 @@
 type Router interface {
 	Post(ev world.Event)
 	Watch(id spec.RequestID) <-chan world.Command
-	Forget(id spec.RequestID)
+	Unwatch(id spec.RequestID)
 }
 
 // Token is one piece of an answer.
--- a/internal/wire/chain/bench_test.go
+++ b/internal/wire/chain/bench_test.go
@@ -31,7 +31,7 @@
 	return ch
 }
 
-func (f *fixed) Forget(spec.RequestID) {}
+func (f *fixed) Unwatch(spec.RequestID) {}
 
 // longText is a prompt whose answer is as long as the bench wants.
 func longText() string {
--- a/internal/wire/chain/run.go
+++ b/internal/wire/chain/run.go
@@ -109,7 +109,7 @@
 		name:   string(id) + "~" + r.nonce + "-" + strconv.FormatUint(r.runs.Add(1), 10),
 		inputs: inputs{limit: r.Journal},
 	}
-	defer r.Router.Forget(id)
+	defer r.Router.Unwatch(id)
 	defer j.closeAll()
 	r.Router.Post(job.Arrived)
 	err := j.whole(ctx)
--- a/internal/wire/chain/site_test.go
+++ b/internal/wire/chain/site_test.go
@@ -107,7 +107,7 @@
 	return w.ch
 }
 
-func (r *router) Forget(id spec.RequestID) {
+func (r *router) Unwatch(id spec.RequestID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.waits, id)
--- a/internal/wire/entry/call.go
+++ b/internal/wire/entry/call.go
@@ -91,7 +91,7 @@
 func callKey(req *http.Request, class spec.Class) (string, error) {
 	key := req.Header.Get("Idempotency-Key")
 	switch {
-	case key == "" && !class.Repeatable():
+	case key == "" && !class.Retryable():
 		return "", newFault(http.StatusBadRequest, "no-idempotency-key", "A call of this class needs an Idempotency-Key.", RanNo)
 	case key == "":
 		return uuid.NewString(), nil
--- a/internal/wire/flow/flow.go
+++ b/internal/wire/flow/flow.go
@@ -15,42 +15,42 @@
 
 // Errors of this package.
 var (
-	// ErrOrder means that an event is missing: what follows belongs to no
+	// ErrOutOfOrder means that an event is missing: what follows belongs to no
 	// answer that may be passed on.
-	ErrOrder = errors.New("flow: event out of order")
-	// ErrCut means that the answer broke off, perhaps inside an event.
-	ErrCut = errors.New("flow: answer cut")
-	// ErrEvent means that bytes are not an event.
-	ErrEvent = errors.New("flow: not an event")
+	ErrOutOfOrder = errors.New("flow: event out of order")
+	// ErrTruncated means that the answer broke off, perhaps inside an event.
+	ErrTruncated = errors.New("flow: answer cut")
+	// ErrMalformed means that bytes are not an event.
+	ErrMalformed = errors.New("flow: not an event")
 )
 
-// maxEvent bounds one event in bytes.
-const maxEvent = 64 << 10
+// maxEventBytes bounds one event in bytes.
+const maxEventBytes = 64 << 10
 
 // Reader reads whole events.
 type Reader struct {
-	from *bufio.Reader
-	// last is the ID of the last event returned.
-	last int
-	// seen is how many events were read, repeats among them.
-	seen  int
-	event []byte
+	source *bufio.Reader
+	// lastID is the ID of the last event returned.
+	lastID int
+	// eventsRead is how many events were read, repeats among them.
+	eventsRead int
+	event      []byte
 }
 
 // NewReader returns a reader of the answer of one run that begins after the
 // event with the ID last.
 func NewReader(body io.Reader, size, last int) *Reader {
-	return &Reader{from: bufio.NewReaderSize(body, size), last: last}
+	return &Reader{source: bufio.NewReaderSize(body, size), lastID: last}
 }
 
-// Last is the ID of the last event returned.
-func (r *Reader) Last() int { return r.last }
+// LastID is the ID of the last event returned.
+func (r *Reader) LastID() int { return r.lastID }
 
-// Seen is how many events this run has brought.
-func (r *Reader) Seen() int { return r.seen }
+// EventsRead is how many events this run has brought.
+func (r *Reader) EventsRead() int { return r.eventsRead }
 
 // Buffered is how many bytes can be read without waiting.
-func (r *Reader) Buffered() int { return r.from.Buffered() }
+func (r *Reader) Buffered() int { return r.source.Buffered() }
 
 // Next returns the next event, whole, up to and with its empty line. An event
 // that was returned before is skipped: a run may begin with the last event
@@ -58,54 +58,54 @@
 // io.EOF.
 func (r *Reader) Next() ([]byte, error) {
 	for {
-		if err := r.read(); err != nil {
+		if err := r.readEvent(); err != nil {
 			return nil, err
 		}
 		id, ok, err := eventID(r.event)
 		if err != nil {
 			return nil, err
 		}
-		r.seen++
+		r.eventsRead++
 		if !ok {
 			return r.event, nil
 		}
 		switch {
-		case id <= r.last:
+		case id <= r.lastID:
 			continue
-		case id > r.last+1:
-			return nil, errors.Wrapf(ErrOrder, "event %d after %d", id, r.last)
+		case id > r.lastID+1:
+			return nil, errors.Wrapf(ErrOutOfOrder, "event %d after %d", id, r.lastID)
 		}
-		r.last = id
+		r.lastID = id
 		return r.event, nil
 	}
 }
 
-func (r *Reader) read() error {
+func (r *Reader) readEvent() error {
 	r.event = r.event[:0]
 	for {
-		line, err := r.from.ReadSlice('\n')
+		line, err := r.source.ReadSlice('\n')
 		r.event = append(r.event, line...)
 		switch {
 		case err == io.EOF && len(r.event) == 0:
 			return io.EOF
 		case errors.Is(err, bufio.ErrBufferFull):
-			if len(r.event) > maxEvent {
-				return errors.Wrap(ErrEvent, "too long")
+			if len(r.event) > maxEventBytes {
+				return errors.Wrap(ErrMalformed, "too long")
 			}
 			continue
 		case err != nil:
-			return errors.Wrap(ErrCut, err.Error())
-		case len(r.event) > maxEvent:
-			return errors.Wrap(ErrEvent, "too long")
+			return errors.Wrap(ErrTruncated, err.Error())
+		case len(r.event) > maxEventBytes:
+			return errors.Wrap(ErrMalformed, "too long")
 		}
-		if len(bytes.TrimRight(line, "\r\n")) == 0 && ended(r.event) {
+		if len(bytes.TrimRight(line, "\r\n")) == 0 && endsWithBlankLine(r.event) {
 			return nil
 		}
 	}
 }
 
-// ended reports whether the event ends with an empty line.
-func ended(event []byte) bool {
+// endsWithBlankLine reports whether the event ends with an empty line.
+func endsWithBlankLine(event []byte) bool {
 	return len(event) <= 2 || bytes.HasSuffix(event, []byte("\n\n")) || bytes.HasSuffix(event, []byte("\n\r\n"))
 }
 
@@ -120,7 +120,7 @@
 		}
 		id, err := strconv.Atoi(string(bytes.TrimSpace(rest)))
 		if err != nil || id < 0 {
-			return 0, false, errors.Wrap(ErrEvent, "id is not a count")
+			return 0, false, errors.Wrap(ErrMalformed, "id is not a count")
 		}
 		return id, true, nil
 	}
--- a/internal/wire/front/answer.go
+++ b/internal/wire/front/answer.go
@@ -9,24 +9,24 @@
 	"fulmarwick/internal/wire/relay"
 )
 
-// finish writes the final answer unless it was passed on already. It returns
+// writeReply writes the final answer unless it was passed on already. It returns
 // its status, or zero if the connection must be broken.
-func (s *Server) finish(w http.ResponseWriter, reply relay.Reply) int {
+func (s *Server) writeReply(w http.ResponseWriter, reply relay.Reply) int {
 	switch {
 	case reply.Reason == relay.ReasonNone && reply.Header == nil:
 		return http.StatusOK
 	case reply.Reason == relay.ReasonNone:
-		pass(w, reply)
+		writeUpstreamResponse(w, reply)
 		return reply.Status
-	case reply.Begun:
+	case reply.Started:
 		return 0
 	}
 	status := statusOf(reply)
 	after := time.Duration(0)
-	if !reply.Ran {
-		after = reply.After
+	if !reply.MayHaveRun {
+		after = reply.RetryAfter
 	}
-	refuse(w, status, reply.Reason.String(), after)
+	writeRefusal(w, status, reply.Reason.String(), after)
 	return status
 }
 
@@ -34,7 +34,7 @@
 // the call has not run and will not.
 func statusOf(r relay.Reply) int {
 	switch {
-	case !r.Ran:
+	case !r.MayHaveRun:
 		return http.StatusServiceUnavailable
 	case r.Reason == relay.ReasonTimeout:
 		return http.StatusGatewayTimeout
@@ -42,8 +42,8 @@
 	return http.StatusBadGateway
 }
 
-// pass writes an upstream's answer as it is.
-func pass(w http.ResponseWriter, reply relay.Reply) {
+// writeUpstreamResponse writes an upstream's answer as it is.
+func writeUpstreamResponse(w http.ResponseWriter, reply relay.Reply) {
 	copyHeader(w.Header(), reply.Header)
 	w.Header().Set("Content-Length", strconv.Itoa(len(reply.Body)))
 	w.WriteHeader(reply.Status)
@@ -63,8 +63,8 @@
 	}
 }
 
-// refuse writes an answer of the router's own.
-func refuse(w http.ResponseWriter, status int, reason string, after time.Duration) {
+// writeRefusal writes an answer of the router's own.
+func writeRefusal(w http.ResponseWriter, status int, reason string, after time.Duration) {
 	h := w.Header()
 	if after > 0 {
 		h.Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', 3, 64))
@@ -76,17 +76,17 @@
 	_, _ = io.WriteString(w, reason+"\n")
 }
 
-// elsewhere is when a caller comes back whom a stopping instance turned away:
+// stoppingRetryAfter is when a caller comes back whom a stopping instance turned away:
 // at once, to another instance.
-const elsewhere = 20 * time.Millisecond
+const stoppingRetryAfter = 20 * time.Millisecond
 
-// Stopped answers requests that come too late to a stopping instance: they
+// StoppingHandler answers requests that come too late to a stopping instance: they
 // have not run, and another instance takes them.
-type Stopped struct{}
+type StoppingHandler struct{}
 
 // ServeHTTP refuses the request.
-func (Stopped) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
-	refuse(w, http.StatusServiceUnavailable, "instance is stopping", elsewhere)
+func (StoppingHandler) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
+	writeRefusal(w, http.StatusServiceUnavailable, "instance is stopping", stoppingRetryAfter)
 }
 
 // headBytes is the size of a request's head as it was sent.
--- a/internal/wire/front/front.go
+++ b/internal/wire/front/front.go
@@ -20,114 +20,114 @@
 
 // Dialect reads the headers of a caller's request.
 type Dialect interface {
-	Ask(h http.Header) (site.Ask, error)
+	ParseRequest(h http.Header) (site.RequestHeader, error)
 }
 
-// Rules gives what is in force; nil until something is known.
-type Rules interface {
+// ConfigSource gives what is in force; nil until something is known.
+type ConfigSource interface {
 	Config() *site.Config
-	// Await waits for the first configuration; nil if none came in time.
-	Await(ctx context.Context) *site.Config
+	// AwaitConfig waits for the first configuration; nil if none came in time.
+	AwaitConfig(ctx context.Context) *site.Config
 }
 
-// Plain runs calls of plain services.
-type Plain interface {
+// PlainRunner runs calls of plain services.
+type PlainRunner interface {
 	Do(ctx context.Context, c *relay.Call) relay.Reply
 }
 
-// Models runs calls of model services. Without a Reason the answer was passed
+// ModelRunner runs calls of model services. Without a Reason the answer was passed
 // to sink.
-type Models interface {
+type ModelRunner interface {
 	Do(ctx context.Context, c *relay.Call, sink relay.Sink) relay.Reply
 }
 
 const (
 	// defaultDeadline holds for a caller and a route without one.
 	defaultDeadline = time.Minute
-	// defaultBody holds for a configuration without a limit, in bytes.
-	defaultBody = 4 << 20
-	// unready is when to come back to an instance that knows no configuration
+	// defaultMaxBodyBytes holds for a configuration without a limit, in bytes.
+	defaultMaxBodyBytes = 4 << 20
+	// notReadyRetryAfter is when to come back to an instance that knows no configuration
 	// yet: reading it takes a few calls.
-	unready = 300 * time.Millisecond
-	// firstRules is how long a request waits for the first configuration: an
+	notReadyRetryAfter = 300 * time.Millisecond
+	// firstConfigTimeout is how long a request waits for the first configuration: an
 	// answer that begins within 500 ms is still on time, and a slow store needs
 	// 0.25 s for each of the first calls.
-	firstRules = 400 * time.Millisecond
-	// bodyPause bounds the time for reading a body.
-	bodyPause = 15 * time.Second
+	firstConfigTimeout = 400 * time.Millisecond
+	// bodyReadTimeout bounds the time for reading a body.
+	bodyReadTimeout = 15 * time.Second
 	// maxUrgency is the last rank that engines know.
 	maxUrgency = 9
 )
 
 // Server serves callers. Set the exported fields before use.
 type Server struct {
-	Dialect Dialect
-	Rules   Rules
-	Plain   Plain
-	Models  Models
-	// Spans makes a span of each request; nil makes none.
-	Spans trace.TracerProvider
-	// Ended learns how each request ended; nil tells nobody.
-	Ended func(c *relay.Call, r relay.Reply, status int, took time.Duration)
-	// Turned learns of each request that was turned away unread; nil tells
+	Dialect      Dialect
+	ConfigSource ConfigSource
+	PlainRunner  PlainRunner
+	ModelRunner  ModelRunner
+	// TracerProvider makes a span of each request; nil makes none.
+	TracerProvider trace.TracerProvider
+	// OnRequestEnd learns how each request ended; nil tells nobody.
+	OnRequestEnd func(c *relay.Call, r relay.Reply, status int, took time.Duration)
+	// OnReject learns of each request that was turned away unread; nil tells
 	// nobody.
-	Turned func(r *http.Request, status int, reason string)
+	OnReject func(r *http.Request, status int, reason string)
 }
 
 // ServeHTTP serves one request.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	start := time.Now()
-	config := s.rules(r)
+	config := s.currentConfig(r)
 	if config == nil {
-		s.turn(w, r, http.StatusServiceUnavailable, "no configuration yet", unready)
+		s.reject(w, r, http.StatusServiceUnavailable, "no configuration yet", notReadyRetryAfter)
 		return
 	}
-	c, status, reason := s.admit(config, r, start)
+	c, status, reason := s.newCall(config, r, start)
 	if status != 0 {
-		s.turn(w, r, status, reason, 0)
+		s.reject(w, r, status, reason, 0)
 		return
 	}
-	if status, reason := s.read(config, w, r, c); status != 0 {
-		s.turn(w, r, status, reason, 0)
+	if status, reason := s.readRequest(config, w, r, c); status != 0 {
+		s.reject(w, r, status, reason, 0)
 		return
 	}
-	s.run(w, r, c)
+	s.forward(w, r, c)
 }
 
-// turn answers a request that is not run at all.
-func (s *Server) turn(w http.ResponseWriter, r *http.Request, status int, reason string, after time.Duration) {
-	refuse(w, status, reason, after)
-	if s.Turned != nil {
-		s.Turned(r, status, reason)
+// reject answers a request that is not run at all.
+func (s *Server) reject(w http.ResponseWriter, r *http.Request, status int, reason string, after time.Duration) {
+	writeRefusal(w, status, reason, after)
+	if s.OnReject != nil {
+		s.OnReject(r, status, reason)
 	}
 }
 
-// rules is what is in force. A process that has just started waits a moment for
+// currentConfig is what is in force. A process that has just started waits a moment for
 // it: after all instances died their callers are back before the store answers,
 // and who is refused then has no other try left.
-func (s *Server) rules(r *http.Request) *site.Config {
-	if config := s.Rules.Config(); config != nil {
+func (s *Server) currentConfig(r *http.Request) *site.Config {
+	if config := s.ConfigSource.Config(); config != nil {
 		return config
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), firstRules)
+	ctx, cancel := context.WithTimeout(r.Context(), firstConfigTimeout)
 	defer cancel()
-	return s.Rules.Await(ctx)
+	return s.ConfigSource.AwaitConfig(ctx)
 }
 
-// admit finds the route, the team and the time of a request; a status says why
+// newCall finds the route, the team and the time of a request; a status says why
 // it is not served.
-func (s *Server) admit(config *site.Config, r *http.Request, start time.Time) (c *relay.Call, status int, reason string) {
+func (s *Server) newCall(config *site.Config, r *http.Request, start time.Time) (c *relay.Call, status int, reason string) {
 	route := config.Match(r.Host, r.URL.EscapedPath())
 	if route == nil {
 		return nil, http.StatusNotFound, "no such route"
 	}
-	ask, err := s.Dialect.Ask(r.Header)
+	ask, err := s.Dialect.ParseRequest(r.Header)
 	if err != nil {
 		return nil, http.StatusBadRequest, err.Error()
 	}
-	c = &relay.Call{Ask: ask, Route: route, Start: start, Urgency: urgency(route.Priority)}
-	if config.Keyed() && !route.Open {
-		team := config.Team(ask.Key)
+	c = &relay.Call{ParsedHeader: ask, Route: route, Start: start, Urgency: urgency(route.Priority)}
+	if config.RequiresKey() && !route.AuthExempt {
+		team := config.TeamByKey(ask.Key)
 		if team == nil {
 			return nil, http.StatusUnauthorized, "unknown key"
 		}
@@ -136,19 +136,19 @@
 			c.Urgency = urgency(*team.Priority)
 		}
 	}
-	c.Service = config.Service(share(route.Split))
+	c.Service = config.Service(pickService(route.Split))
 	if c.Service == nil {
 		return nil, http.StatusServiceUnavailable, "the route's service is not known"
 	}
-	c.Until = start.Add(limit(ask.Deadline, route.Timeout))
+	c.Deadline = start.Add(requestTimeout(ask.Timeout, route.Timeout))
 	return c, 0, ""
 }
 
 func urgency(priority int) int { return min(maxUrgency, max(0, priority)) }
 
-// limit is the time for a request: that of the caller or of the route,
+// requestTimeout is the time for a request: that of the caller or of the route,
 // whichever ends first.
-func limit(deadline, timeout time.Duration) time.Duration {
+func requestTimeout(deadline, timeout time.Duration) time.Duration {
 	left := defaultDeadline
 	if deadline > 0 {
 		left = deadline
@@ -159,8 +159,8 @@
 	return left
 }
 
-// share draws one of a route's services by weight.
-func share(split []site.Share) string {
+// pickService draws one of a route's services by weight.
+func pickService(split []site.Share) string {
 	sum := 0
 	for _, s := range split {
 		sum += max(0, s.Weight)
@@ -177,14 +177,14 @@
 	return split[0].Service
 }
 
-// read takes the body, and the headers in the form in which they are passed
+// readRequest takes the body, and the headers in the form in which they are passed
 // on.
-func (s *Server) read(config *site.Config, w http.ResponseWriter, r *http.Request, c *relay.Call) (status int, reason string) {
-	most := config.Limits.Body
+func (s *Server) readRequest(config *site.Config, w http.ResponseWriter, r *http.Request, c *relay.Call) (status int, reason string) {
+	most := config.Limits.MaxBodyBytes
 	if most <= 0 {
-		most = defaultBody
+		most = defaultMaxBodyBytes
 	}
-	if config.Limits.Header > 0 && headBytes(r) > config.Limits.Header {
+	if config.Limits.MaxHeaderBytes > 0 && headBytes(r) > config.Limits.MaxHeaderBytes {
 		return http.StatusRequestHeaderFieldsTooLarge, "headers are too large"
 	}
 	if r.ContentLength > most {
@@ -193,7 +193,7 @@
 	if r.ContentLength != 0 {
 		// A caller that stops in its body must not hold the connection for
 		// good. The error is that of a writer without deadlines, as in tests.
-		_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyPause))
+		_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyReadTimeout))
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, most))
 		var large *http.MaxBytesError
 		switch {
@@ -207,23 +207,23 @@
 	}
 	c.Method, c.Path, c.Host = r.Method, r.RequestURI, r.Host
 	c.Header = r.Header
-	relay.Strip(c.Header)
+	relay.StripHopByHopHeaders(c.Header)
 	delete(c.Header, "Content-Length")
 	return 0, ""
 }
 
-func (s *Server) run(w http.ResponseWriter, r *http.Request, c *relay.Call) {
+func (s *Server) forward(w http.ResponseWriter, r *http.Request, c *relay.Call) {
 	var reply relay.Reply
-	r, done := s.traced(r, c)
+	r, done := s.startSpan(r, c)
 	if c.Service.Model == nil {
-		reply = s.Plain.Do(r.Context(), c)
+		reply = s.PlainRunner.Do(r.Context(), c)
 	} else {
-		reply = s.Models.Do(r.Context(), c, &sink{w: w})
+		reply = s.ModelRunner.Do(r.Context(), c, &callerSink{w: w})
 	}
-	status := s.finish(w, reply)
+	status := s.writeReply(w, reply)
 	done(reply, status)
-	if s.Ended != nil {
-		s.Ended(c, reply, status, time.Since(c.Start))
+	if s.OnRequestEnd != nil {
+		s.OnRequestEnd(c, reply, status, time.Since(c.Start))
 	}
 	if status == 0 {
 		// The caller must not take a part for the whole.
--- a/internal/wire/front/span.go
+++ b/internal/wire/front/span.go
@@ -11,20 +11,20 @@
 	"go.opentelemetry.io/otel/trace"
 )
 
-// tracer names the spans of this package.
-const tracer = "fulmarwick/front"
+// tracerName names the spans of this package.
+const tracerName = "fulmarwick/front"
 
-// traced starts the span of a request, under the trace of its caller; done puts
+// startSpan starts the span of a request, under the trace of its caller; done puts
 // its end on the span. Without a provider there is none.
-func (s *Server) traced(r *http.Request, c *relay.Call) (req *http.Request, done func(relay.Reply, int)) {
-	if s.Spans == nil {
+func (s *Server) startSpan(r *http.Request, c *relay.Call) (req *http.Request, done func(relay.Reply, int)) {
+	if s.TracerProvider == nil {
 		return r, func(relay.Reply, int) {}
 	}
 	ctx := propagation.TraceContext{}.Extract(r.Context(), propagation.HeaderCarrier(c.Header))
-	ctx, span := s.Spans.Tracer(tracer).Start(ctx, "front.request", trace.WithSpanKind(trace.SpanKindServer))
-	span.SetAttributes(attribute.String("request", c.Ask.ID), attribute.String("route", c.Route.Name))
+	ctx, span := s.TracerProvider.Tracer(tracerName).Start(ctx, "front.request", trace.WithSpanKind(trace.SpanKindServer))
+	span.SetAttributes(attribute.String("request", c.ParsedHeader.ID), attribute.String("route", c.Route.Name))
 	return r.WithContext(ctx), func(reply relay.Reply, status int) {
-		span.SetAttributes(attribute.Int("status", status), attribute.Int("sent", reply.Tried))
+		span.SetAttributes(attribute.Int("status", status), attribute.Int("sent", reply.SendCount))
 		if reply.Reason != relay.ReasonNone {
 			span.SetStatus(codes.Error, reply.Reason.String())
 		}
--- a/internal/wire/front/span_test.go
+++ b/internal/wire/front/span_test.go
@@ -17,17 +17,17 @@
 
 // A request of a caller that keeps a trace has a span there, with a span below
 // it for each send.
-func TestSpanPerHop(t *testing.T) {
+func TestSpanPerSend(t *testing.T) {
 	back := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Seal", "s")
 		w.WriteHeader(http.StatusOK)
 	}))
 	defer back.Close()
 	kept := tracetest.NewSpanRecorder()
-	o := one{address: back.Listener.Addr().String()}
+	o := singleUpstream{address: back.Listener.Addr().String()}
 	server := httptest.NewServer(&front.Server{
-		Dialect: dialect{}, Rules: newRules(), Spans: sdk.NewTracerProvider(sdk.WithSpanProcessor(kept)),
-		Plain: &relay.Plain{Dialect: dialect{}, Pool: &send.Pool{Timeout: time.Second}, Upstreams: o, Budget: o, Suspects: o},
+		Dialect: dialect{}, ConfigSource: newStaticConfig(), TracerProvider: sdk.NewTracerProvider(sdk.WithSpanProcessor(kept)),
+		PlainRunner: &relay.PlainRunner{Dialect: dialect{}, Pool: &send.Pool{DialTimeout: time.Second}, Upstreams: o, RetryBudget: o, CrashTracker: o},
 	})
 	defer server.Close()
 	req, err := http.NewRequestWithContext(context.Background(), http.MethodGet, server.URL+"/p/1", nil)
