--- a/internal/wire/loop/loop.go
+++ b/internal/wire/loop/loop.go
@@ -22,17 +22,17 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// Every is the longest time between two ticks.
-const Every = 20 * time.Millisecond
+// TickInterval is the longest time between two ticks.
+const TickInterval = 20 * time.Millisecond
 
 const (
-	// DefaultQueue is the most arrivals that wait for a tick if Queue is not
+	// DefaultMaxArrivals is the most arrivals that wait for a tick if Queue is not
 	// set.
-	DefaultQueue = 8192
-	// floodRetry is what callers are told whose arrival found the queue full.
-	floodRetry = time.Second
-	// pending is how many commands wait for one request's goroutine.
-	pending = 4
+	DefaultMaxArrivals = 8192
+	// overloadRetryAfter is what callers are told whose arrival found the queue full.
+	overloadRetryAfter = time.Second
+	// maxPendingCommands is how many commands wait for one request's goroutine.
+	maxPendingCommands = 4
 )
 
 // Logic is the deterministic part.
@@ -43,51 +43,51 @@
 // Loop drives a Logic. Set the exported fields before Run.
 type Loop struct {
 	Logic Logic
-	// Other receives the commands that no request waits for; nil drops them.
+	// HandleOther receives the commands that no request waits for; nil drops them.
 	// It runs between ticks and must not block.
-	Other func(world.Command)
-	// Queue is the most arrivals that wait for a tick.
-	Queue int
+	HandleOther func(world.Command)
+	// MaxArrivals is the most arrivals that wait for a tick.
+	MaxArrivals int
 	// Meters takes the metrics; nil makes a private set.
 	Meters *metrics.Set
 
-	once  sync.Once
-	wake  chan struct{}
-	ended chan struct{}
-	meter meter
-
-	mu       sync.Mutex
-	queue    []world.Event
-	spare    []world.Event
-	arrivals int
-	looks    []func()
-	waits    map[spec.RequestID]chan world.Command
+	once     sync.Once
+	wake     chan struct{}
+	ended    chan struct{}
+	counters loopMetrics
+
+	mu          sync.Mutex
+	queue       []world.Event
+	spareQueue  []world.Event
+	arrivals    int
+	inspections []func()
+	watchers    map[spec.RequestID]chan world.Command
 }
 
-// meter is what the loop tells about itself.
-type meter struct {
-	ticks    *metrics.Counter
-	flooded  *metrics.Counter
-	duration *metrics.Histogram
+// loopMetrics is what the loop tells about itself.
+type loopMetrics struct {
+	ticks           *metrics.Counter
+	refusedArrivals *metrics.Counter
+	tickDuration    *metrics.Histogram
 }
 
 func (l *Loop) init() {
 	l.once.Do(func() {
 		l.wake = make(chan struct{}, 1)
 		l.ended = make(chan struct{})
-		l.waits = map[spec.RequestID]chan world.Command{}
-		if l.Queue == 0 {
-			l.Queue = DefaultQueue
+		l.watchers = map[spec.RequestID]chan world.Command{}
+		if l.MaxArrivals == 0 {
+			l.MaxArrivals = DefaultMaxArrivals
 		}
 		if l.Meters == nil {
 			l.Meters = metrics.NewSet()
 		}
-		l.meter = meter{
-			ticks:    l.Meters.GetOrCreateCounter("fulmarwick_ticks_total"),
-			flooded:  l.Meters.GetOrCreateCounter("fulmarwick_arrivals_flooded_total"),
-			duration: l.Meters.GetOrCreateHistogram("fulmarwick_tick_seconds"),
+		l.counters = loopMetrics{
+			ticks:           l.Meters.GetOrCreateCounter("fulmarwick_ticks_total"),
+			refusedArrivals: l.Meters.GetOrCreateCounter("fulmarwick_arrivals_flooded_total"),
+			tickDuration:    l.Meters.GetOrCreateHistogram("fulmarwick_tick_seconds"),
 		}
-		l.Meters.GetOrCreateGauge("fulmarwick_requests_waited", func() float64 { return float64(l.Waiting()) })
+		l.Meters.GetOrCreateGauge("fulmarwick_requests_waited", func() float64 { return float64(l.WatchCount()) })
 	})
 }
 
@@ -97,10 +97,10 @@
 	l.init()
 	arrived, is := ev.(world.Arrived)
 	l.mu.Lock()
-	if is && l.arrivals >= l.Queue {
+	if is && l.arrivals >= l.MaxArrivals {
 		l.mu.Unlock()
-		l.meter.flooded.Inc()
-		l.deliver(world.Refuse{Request: arrived.Request, Reason: world.ReasonOverload, After: floodRetry})
+		l.counters.refusedArrivals.Inc()
+		l.deliver(world.Refuse{Request: arrived.Request, Reason: world.ReasonOverload, After: overloadRetryAfter})
 		return
 	}
 	if is {
@@ -108,10 +108,10 @@
 	}
 	l.queue = append(l.queue, ev)
 	l.mu.Unlock()
-	l.signal()
+	l.wakeUp()
 }
 
-func (l *Loop) signal() {
+func (l *Loop) wakeUp() {
 	select {
 	case l.wake <- struct{}{}:
 	default:
@@ -122,38 +122,38 @@
 // Forget when the request ended; without it the channel would stay for ever.
 func (l *Loop) Watch(id spec.RequestID) <-chan world.Command {
 	l.init()
-	ch := make(chan world.Command, pending)
+	ch := make(chan world.Command, maxPendingCommands)
 	l.mu.Lock()
-	l.waits[id] = ch
+	l.watchers[id] = ch
 	l.mu.Unlock()
 	return ch
 }
 
-// Forget ends a Watch.
-func (l *Loop) Forget(id spec.RequestID) {
+// Unwatch ends a Watch.
+func (l *Loop) Unwatch(id spec.RequestID) {
 	l.mu.Lock()
-	delete(l.waits, id)
+	delete(l.watchers, id)
 	l.mu.Unlock()
 }
 
-// Waiting is how many requests are watched.
-func (l *Loop) Waiting() int {
+// WatchCount is how many requests are watched.
+func (l *Loop) WatchCount() int {
 	l.init()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.waits)
+	return len(l.watchers)
 }
 
-// Look runs look in the loop's goroutine between two ticks, where the tables
+// Inspect runs look in the loop's goroutine between two ticks, where the tables
 // of the logic may be read, and returns when it ran. The error is that of ctx,
 // or context.Canceled if the loop ended.
-func (l *Loop) Look(ctx context.Context, look func()) error {
+func (l *Loop) Inspect(ctx context.Context, look func()) error {
 	l.init()
 	done := make(chan struct{})
 	l.mu.Lock()
-	l.looks = append(l.looks, func() { look(); close(done) })
+	l.inspections = append(l.inspections, func() { look(); close(done) })
 	l.mu.Unlock()
-	l.signal()
+	l.wakeUp()
 	select {
 	case <-done:
 		return nil
@@ -169,7 +169,7 @@
 	l.init()
 	defer close(l.ended)
 	start := time.Now()
-	ticker := time.NewTicker(Every)
+	ticker := time.NewTicker(TickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -183,36 +183,36 @@
 }
 
 func (l *Loop) tick(start time.Time) {
-	events, looks := l.take()
+	events, looks := l.takeQueued()
 	began := time.Now()
 	for _, c := range l.Logic.Tick(began.Sub(start), events) {
 		l.deliver(c)
 	}
-	l.meter.ticks.Inc()
-	l.meter.duration.UpdateDuration(began)
+	l.counters.ticks.Inc()
+	l.counters.tickDuration.UpdateDuration(began)
 	for _, look := range looks {
 		look()
 	}
 	// The logic may keep an event but not the slice; its room serves again.
 	clear(events)
 	l.mu.Lock()
-	l.spare = events[:0]
+	l.spareQueue = events[:0]
 	l.mu.Unlock()
 }
 
-func (l *Loop) take() ([]world.Event, []func()) {
+func (l *Loop) takeQueued() ([]world.Event, []func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	events, looks := l.queue, l.looks
-	l.queue, l.spare, l.looks, l.arrivals = l.spare, nil, nil, 0
+	events, looks := l.queue, l.inspections
+	l.queue, l.spareQueue, l.inspections, l.arrivals = l.spareQueue, nil, nil, 0
 	return events, looks
 }
 
 func (l *Loop) deliver(c world.Command) {
-	id, ok := target(c)
+	id, ok := requestID(c)
 	if !ok {
-		if l.Other != nil {
-			l.Other(c)
+		if l.HandleOther != nil {
+			l.HandleOther(c)
 		}
 		return
 	}
@@ -220,7 +220,7 @@
 		l.Meters.GetOrCreateCounter(`fulmarwick_refusals_total{reason="` + r.Reason.String() + `"}`).Inc()
 	}
 	l.mu.Lock()
-	ch := l.waits[id]
+	ch := l.watchers[id]
 	l.mu.Unlock()
 	if ch == nil {
 		return
@@ -233,7 +233,7 @@
 	}
 }
 
-func target(c world.Command) (spec.RequestID, bool) {
+func requestID(c world.Command) (spec.RequestID, bool) {
 	switch c := c.(type) {
 	case world.Start:
 		return c.Request, true
--- a/internal/wire/loop/loop_test.go
+++ b/internal/wire/loop/loop_test.go
@@ -14,20 +14,20 @@
 	"fulmarwick/internal/wire/loop"
 )
 
-// echo starts every request that arrives and counts its ticks.
-type echo struct {
-	mu    sync.Mutex
-	ticks int
-	seen  []world.Event
+// echoLogic starts every request that arrives and counts its ticks.
+type echoLogic struct {
+	mu     sync.Mutex
+	ticks  int
+	events []world.Event
 }
 
-func (e *echo) Tick(_ time.Duration, events []world.Event) []world.Command {
+func (e *echoLogic) Tick(_ time.Duration, events []world.Event) []world.Command {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.ticks++
 	var out []world.Command
 	for _, ev := range events {
-		e.seen = append(e.seen, ev)
+		e.events = append(e.events, ev)
 		if a, ok := ev.(world.Arrived); ok {
 			out = append(out, world.Start{Request: a.Request, Attempt: 1})
 		}
@@ -35,14 +35,14 @@
 	return out
 }
 
-func (e *echo) counts() (ticks, seen int) {
+func (e *echoLogic) counts() (ticks, seen int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.ticks, len(e.seen)
+	return e.ticks, len(e.events)
 }
 
-// run starts l in the bubble of the test.
-func run(t *testing.T, l *loop.Loop) {
+// startLoop starts l in the bubble of the test.
+func startLoop(t *testing.T, l *loop.Loop) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -58,8 +58,8 @@
 
 func TestDecisionReachesItsRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := &loop.Loop{Logic: &echo{}}
-		run(t, l)
+		l := &loop.Loop{Logic: &echoLogic{}}
+		startLoop(t, l)
 		for _, id := range []spec.RequestID{"a", "b"} {
 			ch := l.Watch(id)
 			l.Post(world.Arrived{Request: id})
@@ -67,9 +67,9 @@
 			if !ok || got.Request != id {
 				t.Errorf("got %+v, want the start of %s", got, id)
 			}
-			l.Forget(id)
+			l.Unwatch(id)
 		}
-		if got := l.Waiting(); got != 0 {
+		if got := l.WatchCount(); got != 0 {
 			t.Errorf("got %d watched, want 0", got)
 		}
 	})
@@ -77,8 +77,8 @@
 
 func TestTicksWithoutEvents(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		logic := &echo{}
-		run(t, &loop.Loop{Logic: logic})
+		logic := &echoLogic{}
+		startLoop(t, &loop.Loop{Logic: logic})
 		time.Sleep(time.Second + time.Millisecond)
 		synctest.Wait()
 		if got, _ := logic.counts(); got != 50 {
@@ -90,10 +90,10 @@
 // Callers flood the instance with more requests than a tick can take. Those
 // above the bound see their refusal at once, with a time to come back, and
 // never reach the logic; the events that end requests are kept all the same.
-func TestFloodIsRefusedAtOnce(t *testing.T) {
+func TestArrivalsAboveLimitAreRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		logic := &echo{}
-		l := &loop.Loop{Logic: logic, Queue: 3}
+		logic := &echoLogic{}
+		l := &loop.Loop{Logic: logic, MaxArrivals: 3}
 		var refused int
 		var chans []<-chan world.Command
 		for i := range 5 {
@@ -114,7 +114,7 @@
 		if refused != 2 {
 			t.Errorf("got %d refused before the loop ran, want 2", refused)
 		}
-		run(t, l)
+		startLoop(t, l)
 		synctest.Wait()
 		if _, got := logic.counts(); got != 3+5 {
 			t.Errorf("got %d events in the logic, want 3 arrivals and 5 ends", got)
@@ -124,10 +124,10 @@
 
 // A request's goroutine ended, or reads no more, when commands for it come.
 // The loop goes on for the others and keeps nothing.
-func TestEndedRequestHoldsNothingUp(t *testing.T) {
+func TestFinishedRequestDoesNotBlockLoop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := &loop.Loop{Logic: &echo{}}
-		run(t, l)
+		l := &loop.Loop{Logic: &echoLogic{}}
+		startLoop(t, l)
 		l.Watch("deaf")
 		for range 100 {
 			l.Post(world.Arrived{Request: "deaf"})
@@ -137,58 +137,58 @@
 		ch := l.Watch("a")
 		l.Post(world.Arrived{Request: "a"})
 		<-ch
-		l.Forget("a")
-		l.Forget("deaf")
-		if got := l.Waiting(); got != 0 {
+		l.Unwatch("a")
+		l.Unwatch("deaf")
+		if got := l.WatchCount(); got != 0 {
 			t.Errorf("got %d watched, want 0", got)
 		}
 	})
 }
 
-func TestLookRunsBetweenTicks(t *testing.T) {
+func TestInspectRunsBetweenTicks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := &loop.Loop{Logic: &echo{}}
+		l := &loop.Loop{Logic: &echoLogic{}}
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan error, 1)
 		go func() { done <- l.Run(ctx) }()
 		ran := false
-		if err := l.Look(ctx, func() { ran = true }); err != nil || !ran {
+		if err := l.Inspect(ctx, func() { ran = true }); err != nil || !ran {
 			t.Errorf("got %v and ran %v, want nil and true", err, ran)
 		}
 		cancel()
 		if err := <-done; err != nil {
 			t.Errorf("got %v from Run, want nil", err)
 		}
-		if err := l.Look(context.Background(), func() {}); err == nil {
+		if err := l.Inspect(context.Background(), func() {}); err == nil {
 			t.Error("got nil from a loop that ended, want an error")
 		}
 	})
 }
 
-func TestOtherCommandsGoOut(t *testing.T) {
+func TestCommandWithoutRequestReachesHandler(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		got := make(chan world.Command, 1)
-		l := &loop.Loop{Logic: warner{}, Other: func(c world.Command) {
+		l := &loop.Loop{Logic: warningLogic{}, HandleOther: func(c world.Command) {
 			select {
 			case got <- c:
 			default:
 			}
 		}}
-		run(t, l)
+		startLoop(t, l)
 		if c, ok := (<-got).(world.Warn); !ok || c.Print != 7 {
 			t.Errorf("got %+v, want the warning", c)
 		}
 	})
 }
 
-type warner struct{}
+type warningLogic struct{}
 
-func (warner) Tick(time.Duration, []world.Event) []world.Command {
+func (warningLogic) Tick(time.Duration, []world.Event) []world.Command {
 	return []world.Command{world.Warn{Print: 7}}
 }
 
-// known fills the logic with engines of one model, each of which holds all.
-func known(engines int) *core.Logic {
+// logicWithEngines fills the logic with engines of one model, each of which holds all.
+func logicWithEngines(engines int) *core.Logic {
 	logic := &core.Logic{}
 	var events []world.Event
 	for i := range engines {
@@ -212,7 +212,7 @@
 func BenchmarkDecision(b *testing.B) {
 	for _, engines := range []int{33, 600} {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
-			l := &loop.Loop{Logic: known(engines)}
+			l := &loop.Loop{Logic: logicWithEngines(engines)}
 			ctx, cancel := context.WithCancel(b.Context())
 			done := make(chan struct{})
 			go func() { _ = l.Run(ctx); close(done) }()
@@ -226,7 +226,7 @@
 				if _, ok := (<-ch).(world.Start); !ok {
 					b.Fatal("got no start")
 				}
-				l.Forget(id)
+				l.Unwatch(id)
 				l.Post(world.Finished{Request: id, Tokens: 10, OK: true})
 			}
 			cancel()
@@ -235,15 +235,15 @@
 	}
 }
 
-// BenchmarkIdle is the cost of a tick with nothing to do.
-func BenchmarkIdle(b *testing.B) {
+// BenchmarkIdleTick is the cost of a tick with nothing to do.
+func BenchmarkIdleTick(b *testing.B) {
 	for _, engines := range []int{33, 600} {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
-			logic := known(engines)
+			logic := logicWithEngines(engines)
 			now := time.Second
 			b.ReportAllocs()
 			for b.Loop() {
-				now += loop.Every
+				now += loop.TickInterval
 				logic.Tick(now, nil)
 			}
 		})
--- a/internal/wire/relay/call.go
+++ b/internal/wire/relay/call.go
@@ -18,16 +18,16 @@
 
 // Dialect writes the headers for upstreams and reads those of their answers.
 type Dialect interface {
-	Forward(h http.Header, f site.Forward)
-	Answer(status int, h http.Header) site.Answer
+	SetForwardHeaders(h http.Header, f site.ForwardHeader)
+	ParseResponse(status int, h http.Header) site.ResponseHeader
 }
 
 // Call is one request of a caller.
 type Call struct {
-	Ask     site.Ask
-	Route   *site.Route
-	Service *site.Service
-	Team    string
+	ParsedHeader site.RequestHeader
+	Route        *site.Route
+	Service      *site.Service
+	Team         string
 	// Urgency is the rank of the request, 0 first.
 	Urgency int
 
@@ -39,43 +39,43 @@
 
 	// Start is when the request was read, Until when its caller or its route
 	// waits no longer.
-	Start time.Time
-	Until time.Time
+	Start    time.Time
+	Deadline time.Time
 
-	print uint64
+	fingerprint uint64
 }
 
-// Print is the fingerprint by which the request is known when it comes again.
-func (c *Call) Print() uint64 {
-	if c.print == 0 {
-		c.print = crash.Print(c.Team, c.Path, c.Body)
+// Fingerprint is the fingerprint by which the request is known when it comes again.
+func (c *Call) Fingerprint() uint64 {
+	if c.fingerprint == 0 {
+		c.fingerprint = crash.Fingerprint(c.Team, c.Path, c.Body)
 	}
-	return c.print
+	return c.fingerprint
 }
 
-// request is the call in the form for an upstream.
-func (c *Call) request(d Dialect, f site.Forward) *send.Request {
+// newRequest is the call in the form for an upstream.
+func (c *Call) newRequest(d Dialect, f site.ForwardHeader) *send.Request {
 	f.Team = c.Team
-	f.Left = time.Until(c.Until)
+	f.Remaining = time.Until(c.Deadline)
 	f.Urgency = c.Urgency
 	h := maps.Clone(c.Header)
-	d.Forward(h, f)
+	d.SetForwardHeaders(h, f)
 	return &send.Request{Method: c.Method, Path: c.Path, Host: c.Host, Header: h, Body: c.Body}
 }
 
-// Suspects knows the requests on whose runs upstreams die.
-type Suspects interface {
-	// Guilty reports whether a request must not be sent any more.
-	Guilty(print uint64) bool
-	// Innocent tells that a request was answered.
-	Innocent(print uint64)
+// CrashTracker knows the requests on whose runs upstreams die.
+type CrashTracker interface {
+	// IsCulprit reports whether a request must not be sent any more.
+	IsCulprit(print uint64) bool
+	// Clear tells that a request was answered.
+	Clear(print uint64)
 }
 
-// answer reads the head of the answer to the call, past those to others.
-func (c *Call) answer(d Dialect, conn *send.Conn) (resp *http.Response, head site.Answer, err error) {
-	resp, err = conn.Read(c.Method, func(resp *http.Response) bool {
-		head = d.Answer(resp.StatusCode, resp.Header)
-		return head.Request == "" || head.Request == c.Ask.ID
+// readResponse reads the head of the answer to the call, past those to others.
+func (c *Call) readResponse(d Dialect, conn *send.Conn) (resp *http.Response, head site.ResponseHeader, err error) {
+	resp, err = conn.ReadResponse(c.Method, func(resp *http.Response) bool {
+		head = d.ParseResponse(resp.StatusCode, resp.Header)
+		return head.RequestID == "" || head.RequestID == c.ParsedHeader.ID
 	})
 	return resp, head, err
 }
@@ -87,16 +87,16 @@
 
 // The reasons.
 const (
-	ReasonNone    Reason = iota // answered
-	ReasonFull                  // no room
-	ReasonNobody                // no upstream
-	ReasonRefused               // refused by upstreams
-	ReasonLost                  // answer lost
-	ReasonTimeout               // timeout
-	ReasonLeft                  // caller left
-	ReasonPoison                // request crashes upstreams
-	ReasonKept                  // room kept for other teams
-	ReasonSpent                 // attempts used up
+	ReasonNone              Reason = iota // answered
+	ReasonNoCapacity                      // no room
+	ReasonNoUpstream                      // no upstream
+	ReasonRefused                         // refused by upstreams
+	ReasonResponseLost                    // answer lost
+	ReasonTimeout                         // timeout
+	ReasonCallerLeft                      // caller left
+	ReasonPoison                          // request crashes upstreams
+	ReasonReserved                        // room kept for other teams
+	ReasonAttemptsExhausted               // attempts used up
 )
 
 // Reply is the final answer to a call.
@@ -107,39 +107,39 @@
 	Body   []byte
 
 	Reason Reason
-	// Ran tells that an upstream may have run the call; without it the caller
+	// MayHaveRun tells that an upstream may have run the call; without it the caller
 	// is promised that none did or will.
-	Ran bool
-	// After is when the caller should come back; zero says nothing.
-	After time.Duration
-	// Begun tells that a part of the answer was passed on, so that only
+	MayHaveRun bool
+	// RetryAfter is when the caller should come back; zero says nothing.
+	RetryAfter time.Duration
+	// Started tells that a part of the answer was passed on, so that only
 	// breaking the connection tells the caller of the failure.
-	Begun bool
-	// Tried is how many upstreams the call was sent to, Upstreams which ones.
-	Tried     int
+	Started bool
+	// SendCount is how many upstreams the call was sent to, Upstreams which ones.
+	SendCount int
 	Upstreams []spec.UpstreamID
-	// First is the time to the first event of a stream, Pause the longest one
+	// FirstEventLatency is the time to the first event of a stream, Pause the longest one
 	// between events; PauseAt is when that ended and PausePath the engines then.
-	First     time.Duration
-	Pause     time.Duration
-	PauseAt   time.Duration
-	PausePath spec.Chain
+	FirstEventLatency time.Duration
+	MaxEventGap       time.Duration
+	MaxEventGapEnd    time.Duration
+	MaxEventGapPath   spec.Chain
 }
 
-// hopHeaders concern one connection only.
-var hopHeaders = []string{
+// hopByHopHeaders concern one connection only.
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// Strip removes the headers that concern one connection only.
-func Strip(h http.Header) {
+// StripHopByHopHeaders removes the headers that concern one connection only.
+func StripHopByHopHeaders(h http.Header) {
 	for _, list := range h["Connection"] {
 		for name := range splitList(list) {
 			h.Del(name)
 		}
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		delete(h, name)
 	}
 }
--- a/internal/wire/relay/reason_string.go
+++ b/internal/wire/relay/reason_string.go
@@ -9,15 +9,15 @@
 	// Re-run the stringer command to generate them again.
 	var x [1]struct{}
 	_ = x[ReasonNone-0]
-	_ = x[ReasonFull-1]
-	_ = x[ReasonNobody-2]
+	_ = x[ReasonNoCapacity-1]
+	_ = x[ReasonNoUpstream-2]
 	_ = x[ReasonRefused-3]
-	_ = x[ReasonLost-4]
+	_ = x[ReasonResponseLost-4]
 	_ = x[ReasonTimeout-5]
-	_ = x[ReasonLeft-6]
+	_ = x[ReasonCallerLeft-6]
 	_ = x[ReasonPoison-7]
-	_ = x[ReasonKept-8]
-	_ = x[ReasonSpent-9]
+	_ = x[ReasonReserved-8]
+	_ = x[ReasonAttemptsExhausted-9]
 }
 
 const _Reason_name = "answeredno roomno upstreamrefused by upstreamsanswer losttimeoutcaller leftrequest crashes upstreamsroom kept for other teamsattempts used up"
--- a/internal/wire/relay/repeat.go
+++ b/internal/wire/relay/repeat.go
@@ -12,49 +12,49 @@
 )
 
 const (
-	// minPause and maxPause lie between two tries of a stream that was refused or
+	// minRetryBackoff and maxPause lie between two tries of a stream that was refused or
 	// finds no repeat left. Room comes up as other answers end.
-	minPause = 50 * time.Millisecond
-	maxPause = 400 * time.Millisecond
+	minRetryBackoff = 50 * time.Millisecond
+	maxRetryBackoff = 400 * time.Millisecond
 )
 
 // attempt is an engine that ran the request as its first one, or may have.
 type attempt struct {
 	engine spec.UpstreamID
-	// broke tells that the engine broke the run off: if it was leaving, it has ended.
-	broke bool
+	// brokeRunOff tells that the engine broke the run off: if it was leaving, it has ended.
+	brokeRunOff bool
 }
 
-// judge learns from a run that failed.
-func (s *stream) judge(f *Flight, err error) {
+// recordFailure learns from a run that failed.
+func (s *modelCall) recordFailure(f *Run, err error) {
 	if errors.Is(err, errNotRun) || errors.Is(err, errUnsent) {
 		return
 	}
-	s.maybe = true
+	s.mayHaveRun = true
 	chain, _ := f.Chain()
 	first := chain[0].Engine()
-	if errors.Is(err, errStale) && f.Events() == 0 && !s.models.Paths.Down(s.call.Service.Name, first) {
+	if errors.Is(err, errStaleConn) && f.EventCount() == 0 && !s.runner.Paths.IsDead(s.call.Service.Name, first) {
 		return
 	}
-	broke := !f.isMoved() && !errors.Is(err, errStatus)
+	broke := !f.isRerouted() && !errors.Is(err, errEngineStatus)
 	at := slices.IndexFunc(s.attempts, func(a attempt) bool { return a.engine == first })
 	if at < 0 {
-		s.attempts = append(s.attempts, attempt{engine: first, broke: broke})
+		s.attempts = append(s.attempts, attempt{engine: first, brokeRunOff: broke})
 	} else {
-		s.attempts[at].broke = broke
+		s.attempts[at].brokeRunOff = broke
 	}
 }
 
-// mayRunAgain reports whether an attempt is left. Engines that ended do not count:
+// hasAttemptLeft reports whether an attempt is left. Engines that ended do not count:
 // where it matters, they are asked whether they have.
-func (s *stream) mayRunAgain() bool {
-	if len(s.attempts) < s.call.Route.Attempts {
+func (s *modelCall) hasAttemptLeft() bool {
+	if len(s.attempts) < s.call.Route.MaxAttempts {
 		return true
 	}
 	gone := make([]bool, len(s.attempts))
 	var asked sync.WaitGroup
 	for i, a := range s.attempts {
-		asked.Go(func() { gone[i] = s.models.Paths.Gone(s.ctx, s.call.Service.Name, a.engine, a.broke) })
+		asked.Go(func() { gone[i] = s.runner.Paths.ConfirmExited(s.ctx, s.call.Service.Name, a.engine, a.brokeRunOff) })
 	}
 	asked.Wait()
 	var left []attempt
@@ -64,64 +64,64 @@
 		}
 	}
 	s.attempts = left
-	return len(s.attempts) < s.call.Route.Attempts
+	return len(s.attempts) < s.call.Route.MaxAttempts
 }
 
-// again reports whether the request may run once more. One whose caller has a part
+// shouldRetry reports whether the request may run once more. One whose caller has a part
 // of the answer waits for that.
-func (s *stream) again(f *Flight, err error) bool {
+func (s *modelCall) shouldRetry(f *Run, err error) bool {
 	unsent := errors.Is(err, errUnsent)
 	refused := unsent || errors.Is(err, errNotRun)
-	paid := errors.Is(err, errMoved) && f.isPaid()
-	if refused && s.begun {
+	paid := errors.Is(err, errRerouted) && f.isRetryCounted()
+	if refused && s.started {
 		s.refusals++
 	}
-	if s.why = s.spent(err, refused || paid); s.why != ReasonNone {
+	if s.noRetryReason = s.retryBlocker(err, refused || paid); s.noRetryReason != ReasonNone {
 		return false
 	}
-	s.why = ReasonLost
-	if refused && s.begun && !feed.Sleep(s.ctx, pauseAfter(s.refusals)) {
+	s.noRetryReason = ReasonResponseLost
+	if refused && s.started && !feed.Sleep(s.ctx, retryBackoff(s.refusals)) {
 		return false
 	}
-	return unsent || paid || s.repeat()
+	return unsent || paid || s.takeRetry()
 }
 
-// spent is what keeps the request from another run, if anything does. free tells that
+// retryBlocker is what keeps the request from another run, if anything does. free tells that
 // the last one used up no attempt, or that the next one is counted already.
-func (s *stream) spent(err error, free bool) Reason {
+func (s *modelCall) retryBlocker(err error, free bool) Reason {
 	switch {
-	case s.ctx.Err() != nil, errors.Is(err, errCaller), !free && !s.call.Route.Repeatable():
-		return ReasonLost
-	case s.models.Suspects.Guilty(s.call.Print()):
+	case s.ctx.Err() != nil, errors.Is(err, errCallerGone), !free && !s.call.Route.Retryable():
+		return ReasonResponseLost
+	case s.runner.CrashTracker.IsCulprit(s.call.Fingerprint()):
 		return ReasonPoison
-	case s.runs-s.refusals >= maxRuns, !free && !s.mayRunAgain():
-		return ReasonSpent
+	case s.runs-s.refusals >= maxRunsPerRequest, !free && !s.hasAttemptLeft():
+		return ReasonAttemptsExhausted
 	}
 	return ReasonNone
 }
 
-// repeat reports whether the bound on repeats allows another run.
-func (s *stream) repeat() bool {
-	if s.begun {
-		return s.awaitRepeat()
+// takeRetry reports whether the bound on repeats allows another run.
+func (s *modelCall) takeRetry() bool {
+	if s.started {
+		return s.awaitRetry()
 	}
-	return s.models.Budget.Again(s.call.Service.Name)
+	return s.runner.RetryBudget.AllowRetry(s.call.Service.Name)
 }
 
-// pauseAfter is the pause after so many refusals or looks for a repeat.
-func pauseAfter(times int) time.Duration {
-	pause := minPause
+// retryBackoff is the pause after so many refusals or looks for a repeat.
+func retryBackoff(times int) time.Duration {
+	pause := minRetryBackoff
 	for range times - 1 {
-		pause = min(2*pause, maxPause)
+		pause = min(2*pause, maxRetryBackoff)
 	}
 	return pause
 }
 
-// awaitRepeat waits until a repeat is allowed; false if the caller leaves or the time
+// awaitRetry waits until a repeat is allowed; false if the caller leaves or the time
 // is over before that.
-func (s *stream) awaitRepeat() bool {
-	for n := 1; !s.models.Budget.Again(s.call.Service.Name); n++ {
-		if !feed.Sleep(s.ctx, pauseAfter(n)) {
+func (s *modelCall) awaitRetry() bool {
+	for n := 1; !s.runner.RetryBudget.AllowRetry(s.call.Service.Name); n++ {
+		if !feed.Sleep(s.ctx, retryBackoff(n)) {
 			return false
 		}
 	}
--- a/internal/wire/relay/run.go
+++ b/internal/wire/relay/run.go
@@ -13,131 +13,131 @@
 	"github.com/go-faster/errors"
 )
 
-// fly makes one run.
-func (s *stream) fly(f *Flight) error {
+// runOnce makes one run.
+func (s *modelCall) runOnce(f *Run) error {
 	chain, hops := f.Chain()
 	first := chain[0].Engine()
-	conn, err := s.models.Pool.Get(s.ctx, hops[0].Address, s.fresh || !s.call.Route.Repeatable())
+	conn, err := s.runner.Pool.Get(s.ctx, hops[0].Address, s.forceNewConn || !s.call.Route.Retryable())
 	if err != nil {
 		if s.ctx.Err() == nil {
-			s.models.Paths.Doubt(s.call.Service.Name, first)
+			s.runner.Paths.ReportConnFailure(s.call.Service.Name, first)
 		}
 		s.avoid = append(s.avoid, first)
 		return errUnsent
 	}
 	stop := context.AfterFunc(s.ctx, conn.Close)
 	defer stop()
-	if !f.onMove(conn.Close) || s.ctx.Err() != nil {
+	if !f.onReroute(conn.Close) || s.ctx.Err() != nil {
 		conn.Close()
 		return errUnsent
 	}
-	defer f.onMove(nil)
-	forward := site.Forward{Expect: first, Path: hops, After: s.last}
-	if err := conn.Write(s.call.request(s.models.Dialect, forward), s.call.Until); err != nil {
+	defer f.onReroute(nil)
+	forward := site.ForwardHeader{Expect: first, Path: hops, LastEventID: s.lastEventID}
+	if err := conn.WriteRequest(s.call.newRequest(s.runner.Dialect, forward), s.call.Deadline); err != nil {
 		conn.Close()
-		return s.cut(f, conn, err)
+		return s.classifyBreak(f, conn, err)
 	}
-	conn.SetReadDeadline(s.call.Until)
-	return s.read(f, conn)
+	conn.SetReadDeadline(s.call.Deadline)
+	return s.readResponse(f, conn)
 }
 
-// cut finds out why a run broke.
-func (s *stream) cut(f *Flight, conn *send.Conn, err error) error {
+// classifyBreak finds out why a run broke.
+func (s *modelCall) classifyBreak(f *Run, conn *send.Conn, err error) error {
 	switch {
-	case f.isMoved():
-		return errMoved
+	case f.isRerouted():
+		return errRerouted
 	case errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(s.ctx.Err(), context.DeadlineExceeded):
 		return errTimeout
 	case s.ctx.Err() != nil:
-		return errCaller
+		return errCallerGone
 	}
-	if conn.Reused() && f.Events() == 0 {
+	if conn.Reused() && f.EventCount() == 0 {
 		// The engine may just have closed a kept connection. A new one tells
 		// whether it lives.
-		s.fresh = true
-		return errStale
+		s.forceNewConn = true
+		return errStaleConn
 	}
 	chain, _ := f.Chain()
-	s.models.Paths.Doubt(s.call.Service.Name, chain[0].Engine())
+	s.runner.Paths.ReportConnFailure(s.call.Service.Name, chain[0].Engine())
 	s.avoid = append(s.avoid, chain[0].Engine())
 	return err
 }
 
-// read takes the answer of a run.
-func (s *stream) read(f *Flight, conn *send.Conn) error {
-	resp, head, err := s.call.answer(s.models.Dialect, conn)
+// readResponse takes the answer of a run.
+func (s *modelCall) readResponse(f *Run, conn *send.Conn) error {
+	resp, head, err := s.call.readResponse(s.runner.Dialect, conn)
 	if err != nil {
 		conn.Close()
-		return s.cut(f, conn, err)
+		return s.classifyBreak(f, conn, err)
 	}
 	// A body that is not read to its end belongs to a connection that is closed
 	// by then, so that this does not wait for the rest.
 	defer func() { _ = resp.Body.Close() }()
-	if head.NotRun || resp.StatusCode != http.StatusOK || !head.Sealed {
-		err := s.rejected(f, resp, head)
+	if head.NotExecuted || resp.StatusCode != http.StatusOK || !head.Sealed {
+		err := s.handleRejection(f, resp, head)
 		conn.Close()
 		return err
 	}
-	err = s.events(f, resp)
+	err = s.forwardEvents(f, resp)
 	if err != nil {
 		conn.Close()
-		if errors.Is(err, errCaller) {
+		if errors.Is(err, errCallerGone) {
 			return err
 		}
-		return s.cut(f, conn, err)
+		return s.classifyBreak(f, conn, err)
 	}
-	s.models.Pool.Return(conn, resp)
+	s.runner.Pool.Release(conn, resp)
 	return nil
 }
 
-// rejected takes an answer that is no stream.
-func (s *stream) rejected(f *Flight, resp *http.Response, head site.Answer) error {
-	s.avoid = append(s.avoid, s.models.Paths.Refused(f, head.Fault))
-	if head.NotRun {
+// handleRejection takes an answer that is no stream.
+func (s *modelCall) handleRejection(f *Run, resp *http.Response, head site.ResponseHeader) error {
+	s.avoid = append(s.avoid, s.runner.Paths.RecordRefusal(f, head.FailedAddress))
+	if head.NotExecuted {
 		return errNotRun
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxPlain))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxPlainBodyBytes))
 	if err != nil || !head.Sealed {
 		return errors.Wrap(send.ErrRead, "failure without its whole body or seal")
 	}
-	Strip(resp.Header)
-	s.answer = &Reply{Status: resp.StatusCode, Header: resp.Header, Body: body, Ran: true, Tried: s.runs}
-	return errStatus
+	StripHopByHopHeaders(resp.Header)
+	s.errorReply = &Reply{Status: resp.StatusCode, Header: resp.Header, Body: body, MayHaveRun: true, SendCount: s.runs}
+	return errEngineStatus
 }
 
-// events passes on the events of a run.
-func (s *stream) events(f *Flight, resp *http.Response) error {
-	r := flow.NewReader(resp.Body, eventBuffer, s.last)
+// forwardEvents passes on the events of a run.
+func (s *modelCall) forwardEvents(f *Run, resp *http.Response) error {
+	r := flow.NewReader(resp.Body, eventBufferBytes, s.lastEventID)
 	for {
 		event, err := r.Next()
 		if errors.Is(err, io.EOF) {
 			// An answer may have no event left after the one that its caller
 			// has; without its head it would look like an answer of ours.
-			s.head(resp)
+			s.writeHead(resp)
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		f.touch()
-		s.pace.event(s.call.Start, f)
-		if r.Seen() == 1 {
-			s.models.Paths.Wrote(f)
+		f.recordEvent()
+		s.timing.record(s.call.Start, f)
+		if r.EventsRead() == 1 {
+			s.runner.Paths.RecordFirstEvent(f)
 		}
-		s.head(resp)
-		if err := s.sink.Event(event, r.Buffered() == 0); err != nil {
-			return errors.Wrap(errCaller, err.Error())
+		s.writeHead(resp)
+		if err := s.sink.WriteEvent(event, r.Buffered() == 0); err != nil {
+			return errors.Wrap(errCallerGone, err.Error())
 		}
-		s.last = r.Last()
+		s.lastEventID = r.LastID()
 	}
 }
 
-// head passes on the head of the first run that brings an answer.
-func (s *stream) head(resp *http.Response) {
-	if s.begun {
+// writeHead passes on the head of the first run that brings an answer.
+func (s *modelCall) writeHead(resp *http.Response) {
+	if s.started {
 		return
 	}
-	s.begun = true
-	Strip(resp.Header)
-	s.sink.Head(resp.StatusCode, resp.Header)
+	s.started = true
+	StripHopByHopHeaders(resp.Header)
+	s.sink.WriteHead(resp.StatusCode, resp.Header)
 }
--- a/internal/wire/relay/span.go
+++ b/internal/wire/relay/span.go
@@ -10,23 +10,23 @@
 	"go.opentelemetry.io/otel/trace"
 )
 
-// tracer names the spans of this package.
-const tracer = "fulmarwick/relay"
+// tracerName names the spans of this package.
+const tracerName = "fulmarwick/relay"
 
-// hop starts the span of one send to an upstream, under that of the request;
+// startSendSpan starts the span of one send to an upstream, under that of the request;
 // none where spans of the request are not kept.
-func hop(ctx context.Context, up spec.UpstreamID) trace.Span {
+func startSendSpan(ctx context.Context, up spec.UpstreamID) trace.Span {
 	parent := trace.SpanFromContext(ctx)
 	if !parent.IsRecording() {
 		return trace.SpanFromContext(context.Background())
 	}
-	_, span := parent.TracerProvider().Tracer(tracer).Start(ctx, "relay.send",
+	_, span := parent.TracerProvider().Tracer(tracerName).Start(ctx, "relay.send",
 		trace.WithSpanKind(trace.SpanKindClient), trace.WithAttributes(attribute.String("upstream", string(up))))
 	return span
 }
 
-// landed ends the span of a send.
-func landed(span trace.Span, err error) {
+// endSendSpan ends the span of a send.
+func endSendSpan(span trace.Span, err error) {
 	if err != nil {
 		span.SetStatus(codes.Error, err.Error())
 	}
--- a/internal/wire/send/conn.go
+++ b/internal/wire/send/conn.go
@@ -31,21 +31,21 @@
 )
 
 const (
-	// readBuffer holds the head of an answer, or a few events, in bytes.
-	readBuffer = 2 << 10
-	// maxForeign is how many answers to other requests are skipped on one
+	// readBufferBytes holds the head of an answer, or a few events, in bytes.
+	readBufferBytes = 2 << 10
+	// maxSkippedResponses is how many answers to other requests are skipped on one
 	// connection before it is given up.
-	maxForeign = 3
+	maxSkippedResponses = 3
 )
 
 // Conn is a connection to an upstream that serves one request at a time.
 type Conn struct {
 	Address string
 
-	net    net.Conn
-	buffer *bufio.Reader
-	reused bool
-	since  time.Time
+	conn      net.Conn
+	reader    *bufio.Reader
+	reused    bool
+	idleSince time.Time
 }
 
 // Reused reports whether the connection has served a request before, so that
@@ -53,10 +53,10 @@
 func (c *Conn) Reused() bool { return c.reused }
 
 // Close ends the connection; the upstream drops the request that it serves.
-func (c *Conn) Close() { _ = c.net.Close() }
+func (c *Conn) Close() { _ = c.conn.Close() }
 
 // SetReadDeadline bounds the next reads; the zero time does not.
-func (c *Conn) SetReadDeadline(t time.Time) { _ = c.net.SetReadDeadline(t) }
+func (c *Conn) SetReadDeadline(t time.Time) { _ = c.conn.SetReadDeadline(t) }
 
 // Request is one request in wire form.
 type Request struct {
@@ -68,8 +68,8 @@
 	Body   []byte
 }
 
-// Write sends the request in one piece.
-func (c *Conn) Write(r *Request, until time.Time) error {
+// WriteRequest sends the request in one piece.
+func (c *Conn) WriteRequest(r *Request, until time.Time) error {
 	var b bytes.Buffer
 	b.Grow(512 + len(r.Body))
 	b.WriteString(r.Method)
@@ -88,18 +88,18 @@
 	}
 	b.WriteString("\r\n")
 	b.Write(r.Body)
-	_ = c.net.SetWriteDeadline(until)
-	if _, err := c.net.Write(b.Bytes()); err != nil {
+	_ = c.conn.SetWriteDeadline(until)
+	if _, err := c.conn.Write(b.Bytes()); err != nil {
 		return errors.Wrap(ErrWrite, err.Error())
 	}
 	return nil
 }
 
-// Read returns the head of the answer that mine accepts. A second answer to an
+// ReadResponse returns the head of the answer that mine accepts. A second answer to an
 // earlier request may lie where this one's answer is due; it is skipped.
-func (c *Conn) Read(method string, mine func(*http.Response) bool) (*http.Response, error) {
-	for range maxForeign {
-		resp, err := http.ReadResponse(c.buffer, &http.Request{Method: method})
+func (c *Conn) ReadResponse(method string, mine func(*http.Response) bool) (*http.Response, error) {
+	for range maxSkippedResponses {
+		resp, err := http.ReadResponse(c.reader, &http.Request{Method: method})
 		if err != nil {
 			return nil, errors.Wrap(ErrRead, err.Error())
 		}
@@ -109,7 +109,7 @@
 		if mine(resp) {
 			return resp, nil
 		}
-		if ends(resp) {
+		if closesConn(resp) {
 			break
 		}
 		if err := resp.Body.Close(); err != nil {
@@ -119,18 +119,18 @@
 	return nil, errors.Wrap(ErrRead, "answer of another request")
 }
 
-// ends reports whether the connection ends with an answer.
-func ends(resp *http.Response) bool {
+// closesConn reports whether the connection ends with an answer.
+func closesConn(resp *http.Response) bool {
 	return resp.Close || resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
 }
 
-// quiet reports whether an idle connection is still open with nothing to read.
+// isOpenAndEmpty reports whether an idle connection is still open with nothing to read.
 // Whatever lies there belongs to no request that will be sent on it.
-func (c *Conn) quiet() bool {
-	if c.buffer.Buffered() > 0 {
+func (c *Conn) isOpenAndEmpty() bool {
+	if c.reader.Buffered() > 0 {
 		return false
 	}
-	sc, ok := c.net.(syscall.Conn)
+	sc, ok := c.conn.(syscall.Conn)
 	if !ok {
 		return true
 	}
@@ -150,7 +150,7 @@
 
 // dial opens a connection.
 func (p *Pool) dial(ctx context.Context, address string) (*Conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, p.Timeout)
+	ctx, cancel := context.WithTimeout(ctx, p.DialTimeout)
 	defer cancel()
 	open := p.Dial
 	if open == nil {
@@ -160,5 +160,5 @@
 	if err != nil {
 		return nil, errors.Wrap(ErrDial, err.Error())
 	}
-	return &Conn{Address: address, net: n, buffer: bufio.NewReaderSize(n, readBuffer), since: time.Now()}, nil
+	return &Conn{Address: address, conn: n, reader: bufio.NewReaderSize(n, readBufferBytes), idleSince: time.Now()}, nil
 }
--- a/internal/wire/send/pool.go
+++ b/internal/wire/send/pool.go
@@ -9,21 +9,21 @@
 )
 
 const (
-	// maxIdle is how many unused connections are kept for an upstream.
-	maxIdle = 32
-	// maxRest is how long a connection may be unused. Upstreams close theirs
+	// maxIdlePerUpstream is how many unused connections are kept for an upstream.
+	maxIdlePerUpstream = 32
+	// maxIdleTime is how long a connection may be unused. Upstreams close theirs
 	// after a time that most of them tell; this stays below the shortest seen.
-	maxRest = 4 * time.Second
+	maxIdleTime = 4 * time.Second
 )
 
 // Pool keeps connections to upstreams. Set the exported fields before use.
 type Pool struct {
-	// Timeout bounds the time of opening a connection.
-	Timeout time.Duration
+	// DialTimeout bounds the time of opening a connection.
+	DialTimeout time.Duration
 	// Dial opens a connection; nil uses the network.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// Opened is called for each new connection; nil if no one counts.
-	Opened func()
+	// OnDial is called for each new connection; nil if no one counts.
+	OnDial func()
 
 	mu   sync.Mutex
 	idle map[string][]*Conn
@@ -34,23 +34,23 @@
 // must not meet a close that is already on its way.
 func (p *Pool) Get(ctx context.Context, address string, fresh bool) (*Conn, error) {
 	for !fresh {
-		c := p.take(address)
+		c := p.takeIdle(address)
 		if c == nil {
 			break
 		}
-		if time.Since(c.since) < maxRest && c.quiet() {
+		if time.Since(c.idleSince) < maxIdleTime && c.isOpenAndEmpty() {
 			c.reused = true
 			return c, nil
 		}
 		c.Close()
 	}
-	if p.Opened != nil {
-		p.Opened()
+	if p.OnDial != nil {
+		p.OnDial()
 	}
 	return p.dial(ctx, address)
 }
 
-func (p *Pool) take(address string) *Conn {
+func (p *Pool) takeIdle(address string) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	all := p.idle[address]
@@ -62,10 +62,10 @@
 	return c
 }
 
-// Return gives a connection back whose answer was read to its end; one that ends
+// Release gives a connection back whose answer was read to its end; one that ends
 // with the answer is closed.
-func (p *Pool) Return(c *Conn, resp *http.Response) {
-	if ends(resp) {
+func (p *Pool) Release(c *Conn, resp *http.Response) {
+	if closesConn(resp) {
 		c.Close()
 		return
 	}
@@ -75,29 +75,29 @@
 // Put gives a connection back whose answer was read to its end.
 func (p *Pool) Put(c *Conn) {
 	c.SetReadDeadline(time.Time{})
-	c.since = time.Now()
+	c.idleSince = time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.idle == nil {
 		p.idle = map[string][]*Conn{}
 	}
 	all := p.idle[c.Address]
-	if len(all) >= maxIdle || c.buffer.Buffered() > 0 {
+	if len(all) >= maxIdlePerUpstream || c.reader.Buffered() > 0 {
 		c.Close()
 		return
 	}
 	p.idle[c.Address] = append(all, c)
 }
 
-// Keep closes the unused connections of addresses that are not kept, and those
+// CloseUnused closes the unused connections of addresses that are not kept, and those
 // that were unused for long.
-func (p *Pool) Keep(keep map[string]bool) {
+func (p *Pool) CloseUnused(keep map[string]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for address, all := range p.idle {
 		rest := all[:0]
 		for _, c := range all {
-			if keep[address] && time.Since(c.since) < maxRest {
+			if keep[address] && time.Since(c.idleSince) < maxIdleTime {
 				rest = append(rest, c)
 				continue
 			}
--- a/internal/wire/send/send_test.go
+++ b/internal/wire/send/send_test.go
@@ -16,8 +16,8 @@
 	"github.com/go-faster/errors"
 )
 
-// serve answers each connection by script until the test ends.
-func serve(t *testing.T, script func(net.Conn, *bufio.Reader)) string {
+// startServer answers each connection by script until the test ends.
+func startServer(t *testing.T, script func(net.Conn, *bufio.Reader)) string {
 	t.Helper()
 	l, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
@@ -39,13 +39,13 @@
 	return l.Addr().String()
 }
 
-func request() *send.Request {
+func newRequest() *send.Request {
 	return &send.Request{Method: http.MethodPost, Path: "/x?a=1", Host: "h.example", Header: http.Header{"Id": {"mine"}}, Body: []byte("body")}
 }
 
-func mine(resp *http.Response) bool { return resp.Header.Get("Id") == "mine" }
+func isOwnResponse(resp *http.Response) bool { return resp.Header.Get("Id") == "mine" }
 
-func get(t *testing.T, p *send.Pool, address string, fresh bool) *send.Conn {
+func getConn(t *testing.T, p *send.Pool, address string, fresh bool) *send.Conn {
 	t.Helper()
 	c, err := p.Get(context.Background(), address, fresh)
 	if err != nil {
@@ -54,16 +54,16 @@
 	return c
 }
 
-func answer(w io.Writer, id string) {
+func writeResponse(w io.Writer, id string) {
 	_, _ = fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: 2\r\n\r\n%s", id, id[:2])
 }
 
-func later() time.Time { return time.Now().Add(10 * time.Second) }
+func writeDeadline() time.Time { return time.Now().Add(10 * time.Second) }
 
 // The caller gets its own answer though a second answer to the request before
 // lies on the kept connection where this one is due.
-func TestAnswerOfAnotherRequestIsSkipped(t *testing.T) {
-	address := serve(t, func(c net.Conn, r *bufio.Reader) {
+func TestResponseToEarlierRequestIsSkipped(t *testing.T) {
+	address := startServer(t, func(c net.Conn, r *bufio.Reader) {
 		for n := 0; ; n++ {
 			req, err := http.ReadRequest(r)
 			if err != nil {
@@ -71,21 +71,21 @@
 			}
 			_, _ = io.Copy(io.Discard, req.Body)
 			if n > 0 {
-				answer(c, "late")
+				writeResponse(c, "late")
 			}
-			answer(c, "mine")
+			writeResponse(c, "mine")
 		}
 	})
-	p := &send.Pool{Timeout: time.Second}
+	p := &send.Pool{DialTimeout: time.Second}
 	for n := range 2 {
-		c := get(t, p, address, false)
+		c := getConn(t, p, address, false)
 		if got, want := c.Reused(), n > 0; got != want {
 			t.Errorf("got reused %v, want %v", got, want)
 		}
-		if err := c.Write(request(), later()); err != nil {
+		if err := c.WriteRequest(newRequest(), writeDeadline()); err != nil {
 			t.Fatal(err)
 		}
-		resp, err := c.Read(http.MethodPost, mine)
+		resp, err := c.ReadResponse(http.MethodPost, isOwnResponse)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -100,7 +100,7 @@
 // caller gets an error and the service sees it once: nothing sends it again.
 func TestRequestIsWrittenOnce(t *testing.T) {
 	var seen atomic.Int32
-	address := serve(t, func(_ net.Conn, r *bufio.Reader) {
+	address := startServer(t, func(_ net.Conn, r *bufio.Reader) {
 		req, err := http.ReadRequest(r)
 		if err != nil {
 			return
@@ -110,11 +110,11 @@
 			seen.Add(1)
 		}
 	})
-	c := get(t, &send.Pool{Timeout: time.Second}, address, true)
-	if err := c.Write(request(), later()); err != nil {
+	c := getConn(t, &send.Pool{DialTimeout: time.Second}, address, true)
+	if err := c.WriteRequest(newRequest(), writeDeadline()); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := c.Read(http.MethodPost, mine); !errors.Is(err, send.ErrRead) {
+	if _, err := c.ReadResponse(http.MethodPost, isOwnResponse); !errors.Is(err, send.ErrRead) {
 		t.Errorf("got %v, want ErrRead", err)
 	}
 	if got := seen.Load(); got != 1 {
@@ -124,16 +124,16 @@
 
 // A kept connection that the upstream closed, or on which bytes of nobody's
 // answer lie, is not used again.
-func TestBrokenIdleConnectionIsLeft(t *testing.T) {
+func TestUnusableIdleConnectionIsDiscarded(t *testing.T) {
 	for name, end := range map[string]string{"closed": "", "more bytes": "junk"} {
 		ready := make(chan struct{}, 1)
-		address := serve(t, func(c net.Conn, r *bufio.Reader) {
+		address := startServer(t, func(c net.Conn, r *bufio.Reader) {
 			req, err := http.ReadRequest(r)
 			if err != nil {
 				return
 			}
 			_, _ = io.Copy(io.Discard, req.Body)
-			answer(c, "mine")
+			writeResponse(c, "mine")
 			_, _ = io.WriteString(c, end)
 			if end == "" {
 				_ = c.Close()
@@ -141,12 +141,12 @@
 			ready <- struct{}{}
 			_, _ = r.ReadByte()
 		})
-		p := &send.Pool{Timeout: time.Second}
-		c := get(t, p, address, false)
-		if err := c.Write(request(), later()); err != nil {
+		p := &send.Pool{DialTimeout: time.Second}
+		c := getConn(t, p, address, false)
+		if err := c.WriteRequest(newRequest(), writeDeadline()); err != nil {
 			t.Fatal(err)
 		}
-		resp, err := c.Read(http.MethodPost, mine)
+		resp, err := c.ReadResponse(http.MethodPost, isOwnResponse)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -156,7 +156,7 @@
 		// The end of the connection is on its way over loopback.
 		var got *send.Conn
 		for range 200 {
-			if got = get(t, p, address, false); !got.Reused() {
+			if got = getConn(t, p, address, false); !got.Reused() {
 				break
 			}
 			p.Put(got)
@@ -168,13 +168,13 @@
 	}
 }
 
-func TestRefusedConnectionIsUnsent(t *testing.T) {
+func TestRefusedConnectionIsDialError(t *testing.T) {
 	l, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	_ = l.Close()
-	_, err = (&send.Pool{Timeout: time.Second}).Get(context.Background(), l.Addr().String(), false)
+	_, err = (&send.Pool{DialTimeout: time.Second}).Get(context.Background(), l.Addr().String(), false)
 	if !errors.Is(err, send.ErrDial) {
 		t.Errorf("got %v, want ErrDial", err)
 	}
