--- a/internal/app/edge/mesh.go
+++ b/internal/app/edge/mesh.go
@@ -10,9 +10,9 @@
 	"fulmarwick/internal/base/spec"
 	"fulmarwick/internal/fleet/mesh"
 	"fulmarwick/internal/fleet/node"
-	"fulmarwick/internal/route/again"
 	"fulmarwick/internal/route/crash"
 	"fulmarwick/internal/route/path"
+	"fulmarwick/internal/route/resend"
 	"fulmarwick/internal/state/feed"
 	"fulmarwick/internal/state/store"
 	"fulmarwick/internal/wire/peer"
@@ -232,10 +232,10 @@
 }
 
 // Retries is how often the own requests were sent.
-func (c *meshNode) Retries() map[string]again.Usage { return c.router.localRetries() }
+func (c *meshNode) Retries() map[string]resend.Usage { return c.router.localRetries() }
 
 // ReceiveRetries takes how often requests of other instances were sent.
-func (c *meshNode) ReceiveRetries(from spec.InstanceID, repeats map[string]again.Usage) {
+func (c *meshNode) ReceiveRetries(from spec.InstanceID, repeats map[string]resend.Usage) {
 	c.router.applyPeerRetries(from, repeats)
 }
 
--- a/internal/app/edge/order.go
+++ b/internal/app/edge/order.go
@@ -6,7 +6,7 @@
 
 	"fulmarwick/internal/base/site"
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/route/grid"
+	"fulmarwick/internal/route/layout"
 
 	"github.com/go-faster/errors"
 	"go.uber.org/zap"
@@ -40,7 +40,7 @@
 
 // areLoadsSlow reports whether loads take long, by those that were seen or else by what is
 // published; p.mu is held.
-func (p *planner) areLoadsSlow(m *site.Model, orders []grid.Order) bool {
+func (p *planner) areLoadsSlow(m *site.Model, orders []layout.Order) bool {
 	if p.averageLoadTime > 0 || len(orders) == 0 {
 		return p.averageLoadTime >= slowLoadTime
 	}
@@ -56,7 +56,7 @@
 }
 
 // issueOrder gives one order.
-func (p *planner) issueOrder(ctx context.Context, service string, o grid.Order) {
+func (p *planner) issueOrder(ctx context.Context, service string, o layout.Order) {
 	p.router.mu.Lock()
 	up, ok := p.router.service(service).model.Upstream(o.ID)
 	p.router.mu.Unlock()
@@ -99,7 +99,7 @@
 // sendOrder reads how many orders an engine has accepted and gives one that only
 // this state of the engine takes: an order carried out late, or one of another
 // planner, then changes nothing.
-func (p *planner) sendOrder(ctx context.Context, up site.Upstream, o grid.Order, fence uint64) (expect int, err error) {
+func (p *planner) sendOrder(ctx context.Context, up site.Upstream, o layout.Order, fence uint64) (expect int, err error) {
 	report, err := p.engines.Report(ctx, up.Address)
 	switch {
 	case err != nil:
--- a/internal/app/edge/plain.go
+++ b/internal/app/edge/plain.go
@@ -6,7 +6,7 @@
 	"fulmarwick/internal/base/site"
 	"fulmarwick/internal/base/spec"
 	"fulmarwick/internal/route/crash"
-	"fulmarwick/internal/route/least"
+	"fulmarwick/internal/route/ewma"
 )
 
 // Pick returns the upstream of a plain service for the next request.
@@ -17,12 +17,12 @@
 }
 
 // RecordOutcome learns how a request ended.
-func (r *router) RecordOutcome(up site.Upstream, print uint64, took time.Duration, end least.Outcome) {
+func (r *router) RecordOutcome(up site.Upstream, print uint64, took time.Duration, end ewma.Outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	g := r.service(up.Service)
 	g.plain.RecordOutcome(r.now(), up.ID, took, end)
-	if end == least.OutcomeLost {
+	if end == ewma.OutcomeLost {
 		g.lostAnswers = append(g.lostAnswers, lostAnswer{death: crash.Event{Fingerprint: print, Upstream: up.ID, Incarnation: up.Born, RanMs: took.Milliseconds()}, at: r.now()})
 		g.lostAnswers = g.lostAnswers[max(0, len(g.lostAnswers)-maxLostAnswers):]
 	}
--- a/internal/app/edge/plan.go
+++ b/internal/app/edge/plan.go
@@ -8,7 +8,7 @@
 
 	"fulmarwick/internal/base/site"
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/route/grid"
+	"fulmarwick/internal/route/layout"
 	"fulmarwick/internal/state/lease"
 
 	"go.uber.org/zap"
@@ -59,16 +59,16 @@
 // rounds allows at each of them.
 type cachedPlan struct {
 	model   *site.Model
-	engines []grid.Engine
-	orders  []grid.Order
+	engines []layout.Engine
+	orders  []layout.Order
 }
 
 // planFor returns the orders for a service; p.mu is held.
-func (p *planner) planFor(name string, v planInput) []grid.Order {
+func (p *planner) planFor(name string, v planInput) []layout.Order {
 	last, ok := p.plans[name]
 	if !ok || v.model != last.model || !slices.Equal(v.engines, last.engines) {
 		p.countPlan()
-		last = cachedPlan{model: v.model, engines: v.engines, orders: grid.Plan(v.model, v.engines)}
+		last = cachedPlan{model: v.model, engines: v.engines, orders: layout.Plan(v.model, v.engines)}
 		p.plans[name] = last
 	}
 	return last.orders
@@ -111,10 +111,10 @@
 }
 
 // dueOrders are the orders for each service.
-func (p *planner) dueOrders(now time.Time) map[string][]grid.Order {
+func (p *planner) dueOrders(now time.Time) map[string][]layout.Order {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	out := map[string][]grid.Order{}
+	out := map[string][]layout.Order{}
 	// Requests wait for the router's lock; they need not wait for the plan.
 	for name, v := range p.planInputs(now) {
 		if !v.anyLoaded && (now.Sub(p.listChangedAt) < listSettleTime || now.Sub(p.start) < minProcessAge) {
@@ -122,7 +122,7 @@
 		}
 		orders := p.delayMoves(name, v.engines, p.planFor(name, v), now)
 		if v.anyLoaded && p.areLoadsSlow(v.model, orders) {
-			orders = grid.LimitLoads(v.model, v.engines, orders)
+			orders = layout.LimitLoads(v.model, v.engines, orders)
 		}
 		if len(orders) > 0 {
 			out[name] = orders
@@ -134,7 +134,7 @@
 // planInput is what a plan for a service is made of.
 type planInput struct {
 	model   *site.Model
-	engines []grid.Engine
+	engines []layout.Engine
 	// anyLoaded tells that any engine holds layers.
 	anyLoaded bool
 }
@@ -160,12 +160,12 @@
 // gets its layers again, and one that this instance alone cannot reach is not
 // missing. Without the lease none of them is moved: where the store is out of reach
 // for all, nobody would learn what it holds then.
-func (p *planner) delayMoves(name string, engines []grid.Engine, orders []grid.Order, now time.Time) []grid.Order {
+func (p *planner) delayMoves(name string, engines []layout.Engine, orders []layout.Order, now time.Time) []layout.Order {
 	holds := map[spec.UpstreamID]bool{}
 	for _, e := range engines {
 		holds[e.ID] = e.Held.Len() > 0
 	}
-	var out []grid.Order
+	var out []layout.Order
 	moves := false
 	for _, o := range orders {
 		moves = moves || holds[o.ID]
@@ -186,13 +186,13 @@
 
 // layoutEngines are the engines of a group for the plan. One that was ordered
 // lately counts as if it held what it was told.
-func (p *planner) layoutEngines(g *serviceState, now time.Time) (out []grid.Engine, held bool) {
+func (p *planner) layoutEngines(g *serviceState, now time.Time) (out []layout.Engine, held bool) {
 	for _, up := range g.model.Engines() {
 		card, ok := g.model.Model.Card(up.Card)
 		if !ok || up.State != site.StateReady || g.model.DeadOrUnlisted(up.ID) {
 			continue
 		}
-		e := grid.Engine{ID: up.ID, Centre: up.Centre, Card: card, Held: up.Held.Layers}
+		e := layout.Engine{ID: up.ID, Centre: up.Centre, Card: card, Held: up.Held.Layers}
 		if o, ok := p.lastOrders[up.ID]; ok && o.incarnation == up.Born && now.Before(o.retryAt) {
 			e.Held, e.Loading = o.layers, up.Held.Layers != o.layers
 			if !e.Loading && !o.seenInList {
--- a/internal/app/edge/router.go
+++ b/internal/app/edge/router.go
@@ -9,12 +9,12 @@
 	"fulmarwick/internal/app/setup"
 	"fulmarwick/internal/base/site"
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/route/again"
 	"fulmarwick/internal/route/crash"
-	"fulmarwick/internal/route/guess"
-	"fulmarwick/internal/route/least"
+	"fulmarwick/internal/route/ewma"
+	"fulmarwick/internal/route/length"
 	"fulmarwick/internal/route/path"
 	"fulmarwick/internal/route/queue"
+	"fulmarwick/internal/route/resend"
 	"fulmarwick/internal/route/share"
 	"fulmarwick/internal/wire/relay"
 )
@@ -23,11 +23,11 @@
 type serviceState struct {
 	name      string
 	upstreams []site.Upstream
-	plain     least.Balancer
+	plain     ewma.Balancer
 	model     *path.Table
 	// answerLengths is how long answers get against what callers guess.
-	answerLengths guess.Estimator
-	retryBudget   again.Budget
+	answerLengths length.Estimator
+	retryBudget   resend.Budget
 	// runs are the runs of model requests.
 	runs  map[*relay.Run]*runState
 	teams share.Teams
@@ -80,7 +80,7 @@
 // setRetryBounds sets how often requests of the service may be sent again.
 func (g *serviceState) setRetryBounds(b setup.Retry) {
 	if g.retryBudget.Window != b.Window {
-		g.retryBudget = again.Budget{}
+		g.retryBudget = resend.Budget{}
 	}
 	g.retryBudget.Ratio, g.retryBudget.Allowance, g.retryBudget.Window, g.retryBudget.RampUp = b.Ratio, b.Allowance, b.Window, b.Window
 }
--- a/internal/app/edge/share.go
+++ b/internal/app/edge/share.go
@@ -4,9 +4,9 @@
 	"time"
 
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/route/again"
 	"fulmarwick/internal/route/crash"
 	"fulmarwick/internal/route/path"
+	"fulmarwick/internal/route/resend"
 )
 
 // takeCrashes are the deaths of upstreams since the last call.
@@ -59,15 +59,15 @@
 
 // peerRetryReport is what other instances told of their repeats.
 type peerRetryReport struct {
-	counts     map[string]again.Usage
+	counts     map[string]resend.Usage
 	receivedAt time.Duration
 }
 
 // localRetries is how often requests of this instance were sent, by service.
-func (r *router) localRetries() map[string]again.Usage {
+func (r *router) localRetries() map[string]resend.Usage {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := make(map[string]again.Usage, len(r.services))
+	out := make(map[string]resend.Usage, len(r.services))
 	for name, g := range r.services {
 		out[name] = g.retryBudget.Usage(r.now())
 	}
@@ -75,7 +75,7 @@
 }
 
 // applyPeerRetries takes how often requests of others were sent; nil forgets it.
-func (r *router) applyPeerRetries(from spec.InstanceID, counts map[string]again.Usage) {
+func (r *router) applyPeerRetries(from spec.InstanceID, counts map[string]resend.Usage) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if counts == nil {
@@ -86,8 +86,8 @@
 }
 
 // peerRetryCount is what other instances did lately for a service; r.mu is held.
-func (r *router) peerRetryCount(service string) again.Usage {
-	var sum again.Usage
+func (r *router) peerRetryCount(service string) resend.Usage {
+	var sum resend.Usage
 	for _, t := range r.peerRetries {
 		if r.now()-t.receivedAt < peerRetriesTTL {
 			sum = sum.Plus(t.counts[service])
--- a/internal/app/edge/watch.go
+++ b/internal/app/edge/watch.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"fulmarwick/internal/base/awake"
+	"fulmarwick/internal/base/pause"
 	"fulmarwick/internal/base/site"
 	"fulmarwick/internal/base/spec"
 	"fulmarwick/internal/route/stall"
@@ -100,7 +100,7 @@
 	newTicker     func(every time.Duration) (ticks <-chan time.Time, stop func())
 
 	// clock is the time in which this process could hear engines.
-	clock awake.Detector
+	clock pause.Detector
 
 	mu             sync.Mutex
 	lastBusy       time.Time
@@ -116,7 +116,7 @@
 }
 
 func newWatcher(r *router, e engineClient, log *zap.Logger) *watcher {
-	return &watcher{router: r, engines: e, log: log, stallDetectors: map[string]*stall.Detector{}, probes: map[spec.UpstreamID]*probe{}, deadReports: map[spec.UpstreamID]deadReport{}, leaving: map[spec.UpstreamID]departure{}, newTicker: newRealTicker, clock: awake.Detector{TickInterval: checkInterval, MinPause: busyTickDelay}}
+	return &watcher{router: r, engines: e, log: log, stallDetectors: map[string]*stall.Detector{}, probes: map[spec.UpstreamID]*probe{}, deadReports: map[spec.UpstreamID]deadReport{}, leaving: map[spec.UpstreamID]departure{}, newTicker: newRealTicker, clock: pause.Detector{TickInterval: checkInterval, MinPause: busyTickDelay}}
 }
 
 // newRealTicker is a ticker of the real clock.
--- a/internal/base/awake/awake.go
+++ b/internal/base/pause/pause.go
@@ -1,4 +1,4 @@
-// Package awake measures for how long a process got no processor, so that what it
+// Package pause measures for how long a process got no processor, so that what it
 // concludes from the silence of others counts only time in which it could have
 // heard them.
 //
@@ -6,7 +6,7 @@
 // before it takes an engine for dead. The idea that a failure detector has to doubt
 // itself first is that of local health in Lifeguard (Dadgar, Phillips, Currey,
 // "Lifeguard: Local Health Awareness for More Accurate Failure Detection", 2018).
-package awake
+package pause
 
 import (
 	"sync"
--- a/internal/base/awake/awake_test.go
+++ b/internal/base/pause/pause_test.go
@@ -1,11 +1,11 @@
-package awake_test
+package pause_test
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"fulmarwick/internal/base/awake"
+	"fulmarwick/internal/base/pause"
 )
 
 func at(ms int) time.Time { return time.UnixMilli(int64(ms)) }
@@ -13,7 +13,7 @@
 // A process ticks every 10 ms and stands still twice. What lies in the pauses is
 // lost, also in part, and also in one that is not over for the clock.
 func TestPausedBetween(t *testing.T) {
-	c := &awake.Detector{TickInterval: 10 * time.Millisecond, MinPause: 5 * time.Millisecond}
+	c := &pause.Detector{TickInterval: 10 * time.Millisecond, MinPause: 5 * time.Millisecond}
 	for _, ms := range []int{0, 10, 21, 30, 140, 150, 160, 300} {
 		c.Tick(at(ms))
 	}
@@ -40,7 +40,7 @@
 }
 
 func ExampleDetector() {
-	c := &awake.Detector{TickInterval: 10 * time.Millisecond, MinPause: 5 * time.Millisecond}
+	c := &pause.Detector{TickInterval: 10 * time.Millisecond, MinPause: 5 * time.Millisecond}
 	c.Tick(at(0))
 	fmt.Println(c.Tick(at(10)), c.Tick(at(610)), c.PausedBetween(at(0), at(610)))
 	// Output: 0s 590ms 600ms
--- a/internal/fakes/depot/rate_test.go
+++ b/internal/fakes/depot/rate_test.go
@@ -11,7 +11,7 @@
 	"fulmarwick/internal/base/spec"
 	"fulmarwick/internal/fakes/depot"
 	"fulmarwick/internal/fakes/drive"
-	"fulmarwick/internal/route/grid"
+	"fulmarwick/internal/route/layout"
 	"fulmarwick/platform/stand"
 )
 
@@ -22,15 +22,15 @@
 		Slots: 192, Layers: s.Deployment.Layers, LayerMB: s.Deployment.LayerMB, TokenBytes: s.Deployment.TokenBytes, PrefillRate: s.Deployment.PrefillRate,
 		StepTime: 1020 * time.Microsecond, TimePerSequence: 7140 * time.Nanosecond, TimePer1kTokens: 9560 * time.Nanosecond, TypicalPrompt: s.Deployment.TypicalPrompt, TypicalAnswer: s.Deployment.TypicalAnswer,
 	}
-	by := map[string][]grid.Engine{}
+	by := map[string][]layout.Engine{}
 	for _, e := range s.Engines() {
 		from, to := e.LoadedLayers()
 		card := site.Card{Name: e.Card.Name, MemoryMB: e.Card.MemoryMB, StepFactor: e.Card.StepFactor, PrefillFactor: e.Card.PrefillFactor}
-		by[e.Zone] = append(by[e.Zone], grid.Engine{ID: spec.UpstreamID(e.ID), Card: card, Held: spec.NewLayers(from, to)})
+		by[e.Zone] = append(by[e.Zone], layout.Engine{ID: spec.UpstreamID(e.ID), Card: card, Held: spec.NewLayers(from, to)})
 	}
 	sum := 0.0
 	for _, engines := range by {
-		sum += grid.Rate(m, engines)
+		sum += layout.Rate(m, engines)
 	}
 	return sum
 }
--- a/internal/fleet/mesh/mesh_test.go
+++ b/internal/fleet/mesh/mesh_test.go
@@ -10,9 +10,9 @@
 	"fulmarwick/internal/base/spec"
 	"fulmarwick/internal/fleet/mesh"
 	"fulmarwick/internal/fleet/node"
-	"fulmarwick/internal/route/again"
 	"fulmarwick/internal/route/crash"
 	"fulmarwick/internal/route/path"
+	"fulmarwick/internal/route/resend"
 	"fulmarwick/internal/state/feed"
 
 	"github.com/fxamacker/cbor/v2"
@@ -89,11 +89,11 @@
 	m.streams[from] = uses["s"]["e"].Streams
 }
 
-func (m *member) Retries() map[string]again.Usage {
-	return map[string]again.Usage{"s": {Instances: 1, Requests: 2}}
+func (m *member) Retries() map[string]resend.Usage {
+	return map[string]resend.Usage{"s": {Instances: 1, Requests: 2}}
 }
 
-func (m *member) ReceiveRetries(from spec.InstanceID, repeats map[string]again.Usage) {
+func (m *member) ReceiveRetries(from spec.InstanceID, repeats map[string]resend.Usage) {
 	m.requestsFrom[from] = repeats["s"].Requests
 }
 func (m *member) ReceiveSlowdowns(spec.InstanceID, map[spec.UpstreamID]float64) {}
--- a/internal/fleet/mesh/message.go
+++ b/internal/fleet/mesh/message.go
@@ -4,9 +4,9 @@
 	"time"
 
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/route/again"
 	"fulmarwick/internal/route/crash"
 	"fulmarwick/internal/route/path"
+	"fulmarwick/internal/route/resend"
 	"fulmarwick/internal/state/feed"
 )
 
@@ -46,7 +46,7 @@
 	RosterDigest uint64   `cbor:"16,keyasint,omitempty"`
 	Roster       []Member `cbor:"17,keyasint,omitempty"`
 	// Retries is how often requests were sent, by service.
-	Retries map[string]again.Usage `cbor:"18,keyasint,omitempty"`
+	Retries map[string]resend.Usage `cbor:"18,keyasint,omitempty"`
 }
 
 // Scope is whose requests a message is about.
@@ -95,7 +95,7 @@
 	// SyncAge is how long ago the store last told of all tables; negative if never.
 	SyncAge() time.Duration
 	Slowdowns() map[spec.UpstreamID]float64
-	Retries() map[string]again.Usage
+	Retries() map[string]resend.Usage
 	// ChangesSince returns the changes after a version, or the whole table since 0.
 	ChangesSince(table string, version uint64) (since uint64, p feed.Page)
 	// TakeFailures returns the engines found dead and the deaths of upstreams with the
@@ -110,7 +110,7 @@
 	// them: an instance, a cell, or all.
 	ReceiveUsage(from spec.InstanceID, uses map[string]map[spec.UpstreamID]path.Usage)
 	ReceiveSlowdowns(from spec.InstanceID, paces map[spec.UpstreamID]float64)
-	ReceiveRetries(from spec.InstanceID, repeats map[string]again.Usage)
+	ReceiveRetries(from spec.InstanceID, repeats map[string]resend.Usage)
 	ReceiveRows(table string, since uint64, rows []feed.Row, m feed.Checkpoint, from spec.InstanceID)
 	// ReceiveCheckpoint tells how much another instance knows.
 	ReceiveCheckpoint(table string, m feed.Checkpoint)
--- a/internal/fleet/mesh/sum.go
+++ b/internal/fleet/mesh/sum.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/route/again"
 	"fulmarwick/internal/route/path"
+	"fulmarwick/internal/route/resend"
 )
 
 const (
@@ -30,7 +30,7 @@
 type load struct {
 	usage     usage
 	slowdowns map[spec.UpstreamID]float64
-	retries   map[string]again.Usage
+	retries   map[string]resend.Usage
 }
 
 // usage is what requests take, by service and engine.
@@ -163,7 +163,7 @@
 }
 
 func newLoad() load {
-	return load{usage: usage{}, slowdowns: map[spec.UpstreamID]float64{}, retries: map[string]again.Usage{}}
+	return load{usage: usage{}, slowdowns: map[spec.UpstreamID]float64{}, retries: map[string]resend.Usage{}}
 }
 
 // add adds what other instances told.
--- a/internal/route/least/least.go
+++ b/internal/route/ewma/ewma.go
@@ -1,4 +1,4 @@
-// Package least chooses among the upstreams of a plain service the one that is
+// Package ewma chooses among the upstreams of a plain service the one that is
 // expected to answer first.
 //
 // It imports base/site and base/spec. Package app/edge keeps one Table per
@@ -7,7 +7,7 @@
 // What is known of an upstream comes from its own answers: how long they took,
 // how many failed, how old those still due are. A health check can be good
 // while requests fail, so none is asked.
-package least
+package ewma
 
 import (
 	"math"
--- a/internal/route/least/least_test.go
+++ b/internal/route/ewma/ewma_test.go
@@ -1,4 +1,4 @@
-package least_test
+package ewma_test
 
 import (
 	"testing"
@@ -6,7 +6,7 @@
 
 	"fulmarwick/internal/base/site"
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/route/least"
+	"fulmarwick/internal/route/ewma"
 )
 
 const ms = time.Millisecond
@@ -15,20 +15,20 @@
 	return site.Upstream{ID: spec.UpstreamID(id), Service: "desk", Address: id, Centre: "east", Slots: 6, Born: 1}
 }
 
-func newBalancer() *least.Balancer {
-	t := &least.Balancer{DataCentre: "east"}
+func newBalancer() *ewma.Balancer {
+	t := &ewma.Balancer{DataCentre: "east"}
 	t.SetUpstreams([]site.Upstream{testUpstream("a"), testUpstream("b"), testUpstream("c")})
 	return t
 }
 
 // countPicks replays requests, ten a second, and counts where they go. end tells
 // how a request ends there and after how long.
-func countPicks(t *testing.T, tab *least.Balancer, from time.Duration, n int, end func(id spec.UpstreamID) (least.Outcome, time.Duration)) map[spec.UpstreamID]int {
+func countPicks(t *testing.T, tab *ewma.Balancer, from time.Duration, n int, end func(id spec.UpstreamID) (ewma.Outcome, time.Duration)) map[spec.UpstreamID]int {
 	t.Helper()
 	type due struct {
 		id  spec.UpstreamID
 		at  time.Duration
-		end least.Outcome
+		end ewma.Outcome
 	}
 	var flying []due
 	got := map[spec.UpstreamID]int{}
@@ -65,28 +65,28 @@
 func TestFailingUpstreamIsAvoidedUntilItRecovers(t *testing.T) {
 	tests := []struct {
 		name string
-		end  least.Outcome
+		end  ewma.Outcome
 		took time.Duration
 		most int
 	}{
-		{"fails nearly all", least.OutcomeFailed, 30 * ms, 60},
-		{"refuses", least.OutcomeRefused, ms, 60},
-		{"loses answers", least.OutcomeLost, 30 * ms, 60},
-		{"is twelve times slower", least.OutcomeOK, 360 * ms, 60},
-		{"hangs", least.OutcomeLost, 3 * time.Second, 40},
+		{"fails nearly all", ewma.OutcomeFailed, 30 * ms, 60},
+		{"refuses", ewma.OutcomeRefused, ms, 60},
+		{"loses answers", ewma.OutcomeLost, 30 * ms, 60},
+		{"is twelve times slower", ewma.OutcomeOK, 360 * ms, 60},
+		{"hangs", ewma.OutcomeLost, 3 * time.Second, 40},
 	}
 	for _, test := range tests {
 		tab := newBalancer()
-		got := countPicks(t, tab, time.Second, 300, func(id spec.UpstreamID) (least.Outcome, time.Duration) {
+		got := countPicks(t, tab, time.Second, 300, func(id spec.UpstreamID) (ewma.Outcome, time.Duration) {
 			if id == "b" {
 				return test.end, test.took
 			}
-			return least.OutcomeOK, 30 * ms
+			return ewma.OutcomeOK, 30 * ms
 		})
 		if got["b"] == 0 || got["b"] > test.most {
 			t.Errorf("%s: got %d of 300 requests there, want 1 to %d", test.name, got["b"], test.most)
 		}
-		after := countPicks(t, tab, 40*time.Second, 300, func(spec.UpstreamID) (least.Outcome, time.Duration) { return least.OutcomeOK, 30 * ms })
+		after := countPicks(t, tab, 40*time.Second, 300, func(spec.UpstreamID) (ewma.Outcome, time.Duration) { return ewma.OutcomeOK, 30 * ms })
 		if after["b"] < 50 {
 			t.Errorf("%s: got %d of 300 requests once it is sound, want 50 or more", test.name, after["b"])
 		}
--- a/internal/route/grid/fresh_test.go
+++ b/internal/route/layout/fresh_test.go
@@ -1,4 +1,4 @@
-package grid_test
+package layout_test
 
 import (
 	"fmt"
@@ -9,13 +9,13 @@
 
 	"fulmarwick/internal/base/site"
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/route/grid"
+	"fulmarwick/internal/route/layout"
 
 	"pgregory.net/rapid"
 )
 
 // newFleetFor is engines by data centre and card of a model.
-func newFleetFor(m *site.Model, counts [][]int) []grid.Engine {
+func newFleetFor(m *site.Model, counts [][]int) []layout.Engine {
 	out := newFleet(counts)
 	at := 0
 	for _, centre := range counts {
@@ -79,8 +79,8 @@
 
 // evenSplit gives each engine the next layers in proportion to its memory, in
 // the order of the list: a placement without a plan.
-func evenSplit(m *site.Model, engines []grid.Engine) []grid.Engine {
-	out := append([]grid.Engine(nil), engines...)
+func evenSplit(m *site.Model, engines []layout.Engine) []layout.Engine {
+	out := append([]layout.Engine(nil), engines...)
 	at := 0
 	for i := range out {
 		n := max(1, m.MaxLayers(out[i].Card)*2/3)
@@ -96,9 +96,9 @@
 // byMemory builds chains for a fixed memory of 60,000 tokens in each data
 // centre, with layers in proportion to memory, and gives what is left over the
 // ranges behind which there is least.
-func byMemory(m *site.Model, engines []grid.Engine) []grid.Engine {
+func byMemory(m *site.Model, engines []layout.Engine) []layout.Engine {
 	const wanted = 60000
-	out := append([]grid.Engine(nil), engines...)
+	out := append([]layout.Engine(nil), engines...)
 	sort.SliceStable(out, func(i, j int) bool { return out[i].Card.StepFactor < out[j].Card.StepFactor })
 	need := float64(m.Layers) * (m.LayerMB + wanted*m.TokenLayerMB())
 	for _, centre := range centresOf(out) {
@@ -135,7 +135,7 @@
 	return out
 }
 
-func centresOf(engines []grid.Engine) []spec.DataCentre {
+func centresOf(engines []layout.Engine) []spec.DataCentre {
 	seen := map[spec.DataCentre]bool{}
 	var out []spec.DataCentre
 	for _, e := range engines {
@@ -156,20 +156,20 @@
 }
 
 // totalRate is the rate that all data centres carry.
-func totalRate(m *site.Model, engines []grid.Engine) float64 {
+func totalRate(m *site.Model, engines []layout.Engine) float64 {
 	sum := 0.0
 	for _, c := range centresOf(engines) {
-		sum += grid.Rate(m, inCentre(engines, c))
+		sum += layout.Rate(m, inCentre(engines, c))
 	}
 	return sum
 }
 
 // servedShare is the part of a load that is carried when one engine is gone, as the
 // mean over all engines.
-func servedShare(m *site.Model, engines []grid.Engine, load float64) float64 {
+func servedShare(m *site.Model, engines []layout.Engine, load float64) float64 {
 	sum := 0.0
 	for i := range engines {
-		rest := append(append([]grid.Engine(nil), engines[:i]...), engines[i+1:]...)
+		rest := append(append([]layout.Engine(nil), engines[:i]...), engines[i+1:]...)
 		sum += min(1, totalRate(m, rest)/load)
 	}
 	return sum / float64(len(engines))
@@ -183,7 +183,7 @@
 	for _, s := range deployments {
 		m := s.model()
 		engines := newFleetFor(m, s.counts)
-		plan, plain, memory := applyOrders(engines, grid.Plan(m, engines)), evenSplit(m, engines), byMemory(m, engines)
+		plan, plain, memory := applyOrders(engines, layout.Plan(m, engines)), evenSplit(m, engines), byMemory(m, engines)
 		load := 0.6 * max(totalRate(m, plan), totalRate(m, plain), totalRate(m, memory))
 		got, a, b := servedShare(m, plan, load), servedShare(m, plain, load), servedShare(m, memory, load)
 		t.Logf("%s: %.3f of %.0f requests a second without an engine, even split %.3f, by memory %.3f", s.name, got, load, a, b)
@@ -206,10 +206,10 @@
 			counts[rapid.IntRange(0, 2).Draw(t, "card")]++
 		}
 		engines := newFleet([][]int{counts})
-		worth := func(es []grid.Engine) float64 { return grid.Rate(m, es) + meanRateWithoutOne(m, es) }
+		worth := func(es []layout.Engine) float64 { return layout.Rate(m, es) + meanRateWithoutOne(m, es) }
 		best := 0.0
 		var try func(i int)
-		all := append([]grid.Engine(nil), engines...)
+		all := append([]layout.Engine(nil), engines...)
 		try = func(i int) {
 			if i == len(all) {
 				best = max(best, worth(all))
@@ -224,7 +224,7 @@
 			all[i].Held = spec.Layers{}
 		}
 		try(0)
-		got := worth(applyOrders(engines, grid.Plan(m, engines)))
+		got := worth(applyOrders(engines, layout.Plan(m, engines)))
 		if got < 0.5*best {
 			t.Fatalf("got a worth of %.2f, want half of the best one's %.2f at least", got, best)
 		}
@@ -232,10 +232,10 @@
 }
 
 // meanRateWithoutOne is the rate without an engine, as the mean over all engines.
-func meanRateWithoutOne(m *site.Model, engines []grid.Engine) float64 {
+func meanRateWithoutOne(m *site.Model, engines []layout.Engine) float64 {
 	sum := 0.0
 	for i := range engines {
-		sum += grid.Rate(m, append(append([]grid.Engine(nil), engines[:i]...), engines[i+1:]...))
+		sum += layout.Rate(m, append(append([]layout.Engine(nil), engines[:i]...), engines[i+1:]...))
 	}
 	return sum / float64(len(engines))
 }
@@ -247,11 +247,11 @@
 func TestSparesTakeOver(t *testing.T) {
 	m := unlikeCardsModel()
 	engines := newFleetFor(m, [][]int{{2, 4, 4}, {1, 6, 6}, {1, 10, 4}})
-	engines = applyOrders(engines, grid.Plan(m, engines))
+	engines = applyOrders(engines, layout.Plan(m, engines))
 	for i, dead := range engines {
-		rest := append(append([]grid.Engine(nil), engines[:i]...), engines[i+1:]...)
-		after := applyOrders(rest, grid.Plan(m, rest))
-		before, now := grid.Rate(m, inCentre(engines, dead.Centre)), grid.Rate(m, inCentre(after, dead.Centre))
+		rest := append(append([]layout.Engine(nil), engines[:i]...), engines[i+1:]...)
+		after := applyOrders(rest, layout.Plan(m, rest))
+		before, now := layout.Rate(m, inCentre(engines, dead.Centre)), layout.Rate(m, inCentre(after, dead.Centre))
 		if now < before/10 {
 			t.Errorf("got %.1f requests a second after %s with %s died, want a tenth of %.1f at least", now, dead.ID, dead.Held, before)
 		}
@@ -284,13 +284,13 @@
 		m := timedModel()
 		test.change(m)
 		engines := newFleetFor(m, typicalCounts)
-		orders := grid.Plan(m, engines)
+		orders := layout.Plan(m, engines)
 		for _, o := range orders {
 			if e := byID(engines, o.ID); float64(o.Layers.Len())*m.LayerMB > e.Card.MemoryMB {
 				t.Errorf("%s: got order %s for %.0f MB, want one that fits", test.name, o.Layers, e.Card.MemoryMB)
 			}
 		}
-		if after := applyOrders(engines, orders); test.serves && (len(orders) == 0 || grid.Rate(m, after) <= 0) {
+		if after := applyOrders(engines, orders); test.serves && (len(orders) == 0 || layout.Rate(m, after) <= 0) {
 			t.Errorf("%s: got %d orders that serve nothing, want a plan", test.name, len(orders))
 		}
 	}
@@ -298,10 +298,10 @@
 
 func ExampleRate() {
 	m := timedModel()
-	engines := []grid.Engine{
+	engines := []layout.Engine{
 		{ID: "a", Card: m.Cards[0], Held: spec.NewLayers(0, 40)}, {ID: "b", Card: m.Cards[0], Held: spec.NewLayers(40, 80)},
 	}
-	fmt.Println(grid.Rate(m, engines) > 0, grid.Rate(m, engines[:1]))
+	fmt.Println(layout.Rate(m, engines) > 0, layout.Rate(m, engines[:1]))
 	// Output: true 0
 }
 
@@ -310,7 +310,7 @@
 	m := unlikeCardsModel()
 	engines := newFleetFor(m, [][]int{{8, 20, 35}, {6, 28, 30}, {4, 40, 19}})
 	for b.Loop() {
-		grid.Plan(m, engines)
+		layout.Plan(m, engines)
 	}
 }
 
@@ -318,11 +318,11 @@
 func BenchmarkPlanRepair(b *testing.B) {
 	m := unlikeCardsModel()
 	engines := newFleetFor(m, [][]int{{8, 20, 35}, {6, 28, 30}, {4, 40, 19}})
-	engines = applyOrders(engines, grid.Plan(m, engines))
+	engines = applyOrders(engines, layout.Plan(m, engines))
 	for i := range 6 {
 		engines[i*30].Held = spec.Layers{}
 	}
 	for b.Loop() {
-		grid.Plan(m, engines)
+		layout.Plan(m, engines)
 	}
 }
--- a/internal/route/grid/grid.go
+++ b/internal/route/layout/layout.go
@@ -1,4 +1,4 @@
-// Package grid decides which layers each engine of a service holds.
+// Package layout decides which layers each engine of a service holds.
 //
 // It imports base/site and base/spec. The instance that holds the duty of
 // planning asks it for orders. It does no I/O and reads no clock.
@@ -9,7 +9,7 @@
 // engines carry when any one of them is gone (rate.go, area.go): memory behind
 // the poorest layer over the time for which requests hold it. A whole placement
 // (fresh.go) is made once; losses are mended engine by engine (mend.go).
-package grid
+package layout
 
 import (
 	"slices"
--- a/internal/route/grid/grid_test.go
+++ b/internal/route/layout/layout_test.go
@@ -1,4 +1,4 @@
-package grid_test
+package layout_test
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 
 	"fulmarwick/internal/base/site"
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/route/grid"
+	"fulmarwick/internal/route/layout"
 
 	"pgregory.net/rapid"
 )
@@ -22,13 +22,13 @@
 }
 
 // newFleet is engines by data centre and card.
-func newFleet(counts [][]int) []grid.Engine {
-	var out []grid.Engine
+func newFleet(counts [][]int) []layout.Engine {
+	var out []layout.Engine
 	for z, zone := range counts {
 		for card, n := range zone {
 			for range n {
 				id := spec.UpstreamID(fmt.Sprintf("e%03d", len(out)))
-				out = append(out, grid.Engine{ID: id, Centre: spec.DataCentre(fmt.Sprintf("z%d", z)), Card: cards[card]})
+				out = append(out, layout.Engine{ID: id, Centre: spec.DataCentre(fmt.Sprintf("z%d", z)), Card: cards[card]})
 			}
 		}
 	}
@@ -38,8 +38,8 @@
 // typicalCounts is the site of today.
 var typicalCounts = [][]int{{1, 3, 8}, {1, 6, 5}, {2, 2, 5}}
 
-func applyOrders(engines []grid.Engine, orders []grid.Order) []grid.Engine {
-	out := append([]grid.Engine(nil), engines...)
+func applyOrders(engines []layout.Engine, orders []layout.Order) []layout.Engine {
+	out := append([]layout.Engine(nil), engines...)
 	for _, o := range orders {
 		for i := range out {
 			if out[i].ID == o.ID {
@@ -51,7 +51,7 @@
 }
 
 // tokensPerLayer is the memory for requests behind each layer.
-func tokensPerLayer(m *site.Model, engines []grid.Engine) []float64 {
+func tokensPerLayer(m *site.Model, engines []layout.Engine) []float64 {
 	out := make([]float64, m.Layers)
 	for _, e := range engines {
 		for l := e.Held.From(); l < e.Held.To(); l++ {
@@ -75,8 +75,8 @@
 func TestInitialPlacement(t *testing.T) {
 	m := model()
 	engines := newFleet(typicalCounts)
-	got := applyOrders(engines, grid.Plan(m, engines))
-	naive := append([]grid.Engine(nil), engines...)
+	got := applyOrders(engines, layout.Plan(m, engines))
+	naive := append([]layout.Engine(nil), engines...)
 	next := map[int]int{}
 	for i := range naive {
 		n := 20
@@ -90,7 +90,7 @@
 		t.Errorf("got %.0f tokens behind the weakest layer, want 1.1 times the %.0f of equal stages", a, b)
 	}
 	for _, centre := range []spec.DataCentre{"z0", "z1", "z2"} {
-		var near []grid.Engine
+		var near []layout.Engine
 		for _, e := range got {
 			if e.Centre == centre {
 				near = append(near, e)
@@ -116,8 +116,8 @@
 			counts = append(counts, []int{rapid.IntRange(0, 3).Draw(t, "a100"), rapid.IntRange(0, 6).Draw(t, "l40s"), rapid.IntRange(0, 9).Draw(t, "l4")})
 		}
 		all := newFleet(counts)
-		all = applyOrders(all, grid.Plan(m, all))
-		var engines []grid.Engine
+		all = applyOrders(all, layout.Plan(m, all))
+		var engines []layout.Engine
 		idle := true
 		comeBack := rapid.Bool().Draw(t, "come back")
 		for _, e := range all {
@@ -134,7 +134,7 @@
 		if len(engines) == 0 {
 			return
 		}
-		orders := grid.Plan(m, engines)
+		orders := layout.Plan(m, engines)
 		after := applyOrders(engines, orders)
 		moves := map[spec.DataCentre]int{}
 		for _, o := range orders {
@@ -161,7 +161,7 @@
 }
 
 // isSettled reports whether no engine is empty or loads.
-func isSettled(engines []grid.Engine) bool {
+func isSettled(engines []layout.Engine) bool {
 	for _, e := range engines {
 		if e.Held.Len() == 0 || e.Loading {
 			return false
@@ -170,18 +170,18 @@
 	return true
 }
 
-func byID(engines []grid.Engine, id spec.UpstreamID) grid.Engine {
+func byID(engines []layout.Engine, id spec.UpstreamID) layout.Engine {
 	for _, e := range engines {
 		if e.ID == id {
 			return e
 		}
 	}
-	return grid.Engine{}
+	return layout.Engine{}
 }
 
 // inCentre are the engines of a data centre.
-func inCentre(engines []grid.Engine, centre spec.DataCentre) []grid.Engine {
-	var out []grid.Engine
+func inCentre(engines []layout.Engine, centre spec.DataCentre) []layout.Engine {
+	var out []layout.Engine
 	for _, e := range engines {
 		if e.Centre == centre {
 			out = append(out, e)
@@ -197,11 +197,11 @@
 func TestPlanRebalancesAfterLoss(t *testing.T) {
 	m := model()
 	engines := newFleet(typicalCounts)
-	engines = applyOrders(engines, grid.Plan(m, engines))
-	if orders := grid.Plan(m, engines); len(orders) > 0 {
+	engines = applyOrders(engines, layout.Plan(m, engines))
+	if orders := layout.Plan(m, engines); len(orders) > 0 {
 		t.Fatalf("got orders %v for the whole site, want none", orders)
 	}
-	var left []grid.Engine
+	var left []layout.Engine
 	lost := 0
 	for _, e := range engines {
 		if lost < 8 && e.Held.From() < 40 && e.Held.To() > 20 && e.Card.Name != "a100" {
@@ -213,7 +213,7 @@
 	before := minOf(tokensPerLayer(m, left))
 	moves := 0
 	for ; moves < 10; moves++ {
-		orders := grid.Plan(m, left)
+		orders := layout.Plan(m, left)
 		if len(orders) == 0 {
 			break
 		}
@@ -233,9 +233,9 @@
 	for i, l := range [][2]int{{0, 25}, {25, 45}, {45, 62}, {62, 80}, {0, 10}, {0, 10}, {0, 10}} {
 		engines[i].Held = spec.NewLayers(l[0], l[1])
 	}
-	want := grid.Plan(m, engines)
-	tiny := grid.Engine{ID: "tiny", Centre: "z0", Card: site.Card{Name: "tiny", MemoryMB: 900, StepFactor: 1, PrefillFactor: 1}}
-	got := grid.Plan(m, append(engines, tiny))
+	want := layout.Plan(m, engines)
+	tiny := layout.Engine{ID: "tiny", Centre: "z0", Card: site.Card{Name: "tiny", MemoryMB: 900, StepFactor: 1, PrefillFactor: 1}}
+	got := layout.Plan(m, append(engines, tiny))
 	if len(want) != 1 || !slices.Equal(got, want) {
 		t.Errorf("got orders %v beside a useless card, want one as without it: %v", got, want)
 	}
@@ -246,11 +246,11 @@
 func TestReturningEngineFillsGap(t *testing.T) {
 	m := model()
 	engines := newFleet(typicalCounts)
-	engines = applyOrders(engines, grid.Plan(m, engines))
+	engines = applyOrders(engines, layout.Plan(m, engines))
 	for i := range engines {
 		was := engines[i].Held
 		engines[i].Held = spec.Layers{}
-		orders := grid.Plan(m, engines)
+		orders := layout.Plan(m, engines)
 		if len(orders) != 1 || orders[0].ID != engines[i].ID {
 			t.Fatalf("got %v, want one order for %s", orders, engines[i].ID)
 		}
@@ -268,8 +268,8 @@
 func TestLostRangeIsReassigned(t *testing.T) {
 	m := model()
 	engines := newFleet([][]int{{0, 10, 0}})
-	engines = applyOrders(engines, grid.Plan(m, engines))
-	var left []grid.Engine
+	engines = applyOrders(engines, layout.Plan(m, engines))
+	var left []layout.Engine
 	for _, e := range engines {
 		if !e.Held.Has(40) {
 			left = append(left, e)
@@ -278,7 +278,7 @@
 	if minOf(tokensPerLayer(m, left)) > 0 {
 		t.Fatal("got layer 40 still held, want none")
 	}
-	orders := grid.Plan(m, left)
+	orders := layout.Plan(m, left)
 	after := applyOrders(left, orders)
 	if len(orders) == 0 || minOf(tokensPerLayer(m, after)) <= 0 {
 		t.Errorf("got orders %v, want every layer held after them", orders)
--- a/internal/route/grid/mend.go
+++ b/internal/route/layout/mend.go
@@ -1,4 +1,4 @@
-package grid
+package layout
 
 import (
 	"slices"
--- a/internal/route/grid/orders_test.go
+++ b/internal/route/layout/orders_test.go
@@ -1,4 +1,4 @@
-package grid_test
+package layout_test
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 
 	"fulmarwick/internal/base/site"
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/route/grid"
+	"fulmarwick/internal/route/layout"
 
 	"pgregory.net/rapid"
 )
@@ -53,11 +53,11 @@
 // plan has a planner send one of its orders, after the engine's report.
 func (o *planners) plan(t *rapid.T) {
 	list := o.snapshots[rapid.IntRange(0, 1).Draw(t, "planner")]
-	var engines []grid.Engine
+	var engines []layout.Engine
 	for _, s := range list {
-		engines = append(engines, grid.Engine{ID: s.id, Centre: "c", Card: s.card, Held: s.held})
+		engines = append(engines, layout.Engine{ID: s.id, Centre: "c", Card: s.card, Held: s.held})
 	}
-	due := grid.Plan(o.model, engines)
+	due := layout.Plan(o.model, engines)
 	if len(due) == 0 {
 		return
 	}
--- a/internal/route/grid/parts_test.go
+++ b/internal/route/layout/parts_test.go
@@ -1,10 +1,10 @@
-package grid_test
+package layout_test
 
 import (
 	"testing"
 
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/route/grid"
+	"fulmarwick/internal/route/layout"
 )
 
 // Guards against a plan of a large data centre that takes longer than it lasts: it is
@@ -12,12 +12,12 @@
 func TestLargeCentreIsPlannedInParts(t *testing.T) {
 	m := unlikeCardsModel()
 	engines := newFleetFor(m, [][]int{{16, 56, 56}})
-	before := grid.Plan(m, engines)
+	before := layout.Plan(m, engines)
 	if len(before) < len(engines)*9/10 {
 		t.Fatalf("got %d orders for %d engines, want most of them placed", len(before), len(engines))
 	}
 	after := map[spec.UpstreamID]spec.Layers{}
-	for _, o := range grid.Plan(m, engines[1:]) {
+	for _, o := range layout.Plan(m, engines[1:]) {
 		after[o.ID] = o.Layers
 	}
 	changed := 0
@@ -36,8 +36,8 @@
 func TestPartsCoverForEachOther(t *testing.T) {
 	m := unlikeCardsModel()
 	engines := newFleetFor(m, [][]int{{16, 56, 56}})
-	engines = applyOrders(engines, grid.Plan(m, engines))
-	var left []grid.Engine
+	engines = applyOrders(engines, layout.Plan(m, engines))
+	var left []layout.Engine
 	for i, e := range engines {
 		if i%5 > 0 {
 			left = append(left, e)
@@ -46,7 +46,7 @@
 	if minOf(tokensPerLayer(m, left)) == 0 {
 		t.Fatal("got a layer that no engine holds, want a loss that leaves all")
 	}
-	if moved := grid.Plan(m, left); len(moved) > 1 {
+	if moved := layout.Plan(m, left); len(moved) > 1 {
 		t.Errorf("got %d engines moved, want one at most while every layer is held", len(moved))
 	}
 }
@@ -60,6 +60,6 @@
 	}
 	engines := newFleetFor(m, counts)
 	for b.Loop() {
-		grid.Plan(m, engines)
+		layout.Plan(m, engines)
 	}
 }
--- a/internal/route/grid/turn_test.go
+++ b/internal/route/layout/turn_test.go
@@ -1,10 +1,10 @@
-package grid_test
+package layout_test
 
 import (
 	"testing"
 
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/route/grid"
+	"fulmarwick/internal/route/layout"
 )
 
 // Guards against a model that is whole only when the last of many engines has loaded:
@@ -18,7 +18,7 @@
 	held(1, 0, 30)
 	held(2, 30, 60)
 	engines[3].Held, engines[3].Loading = spec.NewLayers(30, 60), true
-	orders := []grid.Order{
+	orders := []layout.Order{
 		{ID: engines[0].ID, Layers: spec.NewLayers(0, 20)},
 		{ID: engines[4].ID, Layers: spec.NewLayers(0, 10)},
 		{ID: engines[5].ID, Layers: spec.NewLayers(60, 70)},
@@ -39,7 +39,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			m.MaxParallelLoads = test.loads
-			got := grid.LimitLoads(m, engines, orders)
+			got := layout.LimitLoads(m, engines, orders)
 			if len(got) != len(test.want) {
 				t.Fatalf("got %v, want %d orders", got, len(test.want))
 			}
--- a/internal/route/grid/wait_test.go
+++ b/internal/route/layout/wait_test.go
@@ -1,11 +1,11 @@
-package grid_test
+package layout_test
 
 import (
 	"runtime"
 	"testing"
 	"time"
 
-	"fulmarwick/internal/route/grid"
+	"fulmarwick/internal/route/layout"
 )
 
 // BenchmarkSchedulingDelayDuringPlan measures for how long another goroutine waits at most for
@@ -19,7 +19,7 @@
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			grid.Plan(m, engines)
+			layout.Plan(m, engines)
 		}()
 		for running := true; running; {
 			start := time.Now()
--- a/internal/route/guess/guess.go
+++ b/internal/route/length/length.go
@@ -1,4 +1,4 @@
-// Package guess learns how long answers get against what their callers guess,
+// Package length learns how long answers get against what their callers guess,
 // and says how much memory a request holds while it runs.
 //
 // It imports the standard library. Package app/edge keeps one Book per service,
@@ -11,7 +11,7 @@
 // its last moment only, and engines would turn requests away half full. So what
 // counts is the sum at any moment: its mean, and its variance for the risk that
 // a moment is above it.
-package guess
+package length
 
 const (
 	// priorWeight is how many answers the assumption counts that lengths are evenly
--- a/internal/route/guess/guess_test.go
+++ b/internal/route/length/length_test.go
@@ -1,4 +1,4 @@
-package guess_test
+package length_test
 
 import (
 	"fmt"
@@ -6,13 +6,13 @@
 	"math/rand/v2"
 	"testing"
 
-	"fulmarwick/internal/route/guess"
+	"fulmarwick/internal/route/length"
 
 	"pgregory.net/rapid"
 )
 
 func ExampleEstimator_HeldTokens() {
-	var b guess.Estimator
+	var b length.Estimator
 	mean, variance := b.HeldTokens("draft", 800, 300, 0)
 	fmt.Printf("%.0f %.0f\n", mean, math.Sqrt(variance))
 	for range 400 {
@@ -31,10 +31,10 @@
 // twentieth less than what they hold at the end of their answers.
 func TestHeldTokensAgainstSimulation(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
-	length := func() float64 { return 200 * math.Exp(0.6*random.NormFloat64()) }
-	var b guess.Estimator
+	drawLength := func() float64 { return 200 * math.Exp(0.6*random.NormFloat64()) }
+	var b length.Estimator
 	for range 2000 {
-		b.Observe("a", 200, int(length()))
+		b.Observe("a", 200, int(drawLength()))
 	}
 	mean, variance := b.HeldTokens("a", 700, 200, 0)
 	const flying = 60
@@ -45,9 +45,9 @@
 		sum := 0.0
 		for range flying {
 			// A request is met at a moment with a chance that grows with its length.
-			l := length()
+			l := drawLength()
 			for random.Float64()*2000 > l {
-				l = length()
+				l = drawLength()
 			}
 			sum += 700 + random.Float64()*l
 			whole += (700 + l) / moments
@@ -68,7 +68,7 @@
 // promised holds the prompt and never more than prompt and longest answer.
 func TestHeldTokensAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var b guess.Estimator
+		var b length.Estimator
 		for range rapid.IntRange(0, 50).Draw(t, "answers") {
 			b.Observe("a", rapid.IntRange(-1, 5000).Draw(t, "guess"), rapid.IntRange(-1, 50000).Draw(t, "tokens"))
 		}
--- a/internal/route/again/again.go
+++ b/internal/route/resend/resend.go
@@ -1,4 +1,4 @@
-// Package again bounds how many requests of a service are sent more than once.
+// Package resend bounds how many requests of a service are sent more than once.
 //
 // It imports the standard library. Package relay asks it before it sends a
 // request to a second upstream. It does no I/O and reads no clock.
@@ -8,7 +8,7 @@
 // also while they cannot reach each other. While they hear each other each keeps half
 // of that for itself, and the other halves are a pool for those whose requests are
 // refused: faults meet a few instances at a time.
-package again
+package resend
 
 import "time"
 
--- a/internal/route/again/again_test.go
+++ b/internal/route/resend/resend_test.go
@@ -1,10 +1,10 @@
-package again_test
+package resend_test
 
 import (
 	"testing"
 	"time"
 
-	"fulmarwick/internal/route/again"
+	"fulmarwick/internal/route/resend"
 
 	"pgregory.net/rapid"
 )
@@ -40,9 +40,9 @@
 func TestFleetRetriesStayWithinLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 33).Draw(t, "instances")
-		budgets := make([]*again.Budget, n)
+		budgets := make([]*resend.Budget, n)
 		for i := range budgets {
-			budgets[i] = &again.Budget{Ratio: ratio, Allowance: allowance, Window: window}
+			budgets[i] = &resend.Budget{Ratio: ratio, Allowance: allowance, Window: window}
 		}
 		var first, more [60]int
 		for tick := range 60 {
@@ -52,7 +52,7 @@
 				b.RecordRequest(now)
 				first[tick]++
 				for range 8 {
-					if b.AllowRetry(now, n, again.Usage{}) {
+					if b.AllowRetry(now, n, resend.Usage{}) {
 						more[tick]++
 					}
 				}
@@ -63,15 +63,15 @@
 }
 
 func TestBudgetIsUsed(t *testing.T) {
-	b := &again.Budget{Ratio: ratio, Allowance: allowance, Window: window}
+	b := &resend.Budget{Ratio: ratio, Allowance: allowance, Window: window}
 	got := 0
-	for b.AllowRetry(0, 4, again.Usage{}) {
+	for b.AllowRetry(0, 4, resend.Usage{}) {
 		got++
 	}
 	if want := 39; got != want {
 		t.Errorf("got %d repeats, want %d: eight tenths of a quarter of the allowance", got, want)
 	}
-	if !b.AllowRetry(2*window, 4, again.Usage{}) {
+	if !b.AllowRetry(2*window, 4, resend.Usage{}) {
 		t.Error("got no repeat two windows later, want one")
 	}
 }
@@ -87,9 +87,9 @@
 		// least is the part of the bound that is used at least.
 		least float64
 	}{{4, 79, 0.7}, {33, 640, 0.7}} {
-		budgets := make([]*again.Budget, test.instances)
+		budgets := make([]*resend.Budget, test.instances)
 		for i := range budgets {
-			budgets[i] = &again.Budget{Ratio: ratio, Allowance: allowance, Window: window}
+			budgets[i] = &resend.Budget{Ratio: ratio, Allowance: allowance, Window: window}
 		}
 		first, more := 0, 0
 		for k := range 10 * test.rate {
@@ -101,7 +101,7 @@
 			budgets[at].RecordRequest(now)
 			first++
 			for range 4 {
-				if budgets[at].AllowRetry(now, test.instances, again.Usage{}) {
+				if budgets[at].AllowRetry(now, test.instances, resend.Usage{}) {
 					more++
 				}
 			}
@@ -127,11 +127,11 @@
 		greedy := rapid.IntRange(1, n).Draw(t, "greedy")
 		late := rapid.IntRange(0, 3).Draw(t, "rounds until heard")
 		const rounds = 150
-		budgets := make([]*again.Budget, n)
+		budgets := make([]*resend.Budget, n)
 		for i := range budgets {
-			budgets[i] = &again.Budget{Ratio: ratio, Allowance: allowance, Window: window}
+			budgets[i] = &resend.Budget{Ratio: ratio, Allowance: allowance, Window: window}
 		}
-		var counts [rounds][]again.Usage
+		var counts [rounds][]resend.Usage
 		var first, more [rounds]int
 		for k := range rounds {
 			now := time.Duration(k) * round
@@ -146,7 +146,7 @@
 				if i >= greedy && i < n-lost {
 					continue
 				}
-				var others again.Usage
+				var others resend.Usage
 				for j, c := range counts[max(0, k-late)][:n-lost] {
 					if j != i && i < n-lost {
 						others = others.Plus(c)
@@ -165,8 +165,8 @@
 // others use none.
 func TestPoolServesLoadedInstance(t *testing.T) {
 	const instances = 118
-	b := &again.Budget{Ratio: ratio, Allowance: 774, Window: window}
-	others := again.Usage{Instances: instances - 1, Requests: 5400}
+	b := &resend.Budget{Ratio: ratio, Allowance: 774, Window: window}
+	others := resend.Usage{Instances: instances - 1, Requests: 5400}
 	got := 0
 	for k := range 50 {
 		for b.AllowRetry(time.Duration(k)*200*time.Millisecond, instances, others) {
@@ -187,13 +187,13 @@
 	)
 	var first, more [2 * rounds]int
 	for process, young := range []time.Duration{0, window} {
-		b := &again.Budget{Ratio: ratio, Allowance: allowance, Window: window, RampUp: young}
+		b := &resend.Budget{Ratio: ratio, Allowance: allowance, Window: window, RampUp: young}
 		for k := range rounds {
 			now := time.Duration(k) * round
 			b.RecordRequest(now)
 			first[process*rounds+k]++
 			// The former process takes its part evenly, the one after it all at once.
-			for n := 0; (process == 1 || n < 2) && b.AllowRetry(now, 1, again.Usage{}); n++ {
+			for n := 0; (process == 1 || n < 2) && b.AllowRetry(now, 1, resend.Usage{}); n++ {
 				more[process*rounds+k]++
 			}
 		}
@@ -208,8 +208,8 @@
 // that it serves nobody: the shares of a small deployment are below one.
 func TestSmallPoolIsUsed(t *testing.T) {
 	const instances = 13
-	b := &again.Budget{Ratio: ratio, Allowance: 40.7, Window: window}
-	others := again.Usage{Instances: instances - 1, Requests: 260}
+	b := &resend.Budget{Ratio: ratio, Allowance: 40.7, Window: window}
+	others := resend.Usage{Instances: instances - 1, Requests: 260}
 	got := 0
 	for k := range 50 {
 		now := window + time.Duration(k)*200*time.Millisecond
--- a/internal/wire/send/send_test.go
+++ b/internal/wire/client/client_test.go
@@ -1,4 +1,4 @@
-package send_test
+package client_test
 
 import (
 	"bufio"
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"fulmarwick/internal/wire/send"
+	"fulmarwick/internal/wire/client"
 
 	"github.com/go-faster/errors"
 )
@@ -39,13 +39,13 @@
 	return l.Addr().String()
 }
 
-func newRequest() *send.Request {
-	return &send.Request{Method: http.MethodPost, Path: "/x?a=1", Host: "h.example", Header: http.Header{"Id": {"mine"}}, Body: []byte("body")}
+func newRequest() *client.Request {
+	return &client.Request{Method: http.MethodPost, Path: "/x?a=1", Host: "h.example", Header: http.Header{"Id": {"mine"}}, Body: []byte("body")}
 }
 
 func isOwnResponse(resp *http.Response) bool { return resp.Header.Get("Id") == "mine" }
 
-func getConn(t *testing.T, p *send.Pool, address string, fresh bool) *send.Conn {
+func getConn(t *testing.T, p *client.Pool, address string, fresh bool) *client.Conn {
 	t.Helper()
 	c, err := p.Get(context.Background(), address, fresh)
 	if err != nil {
@@ -76,7 +76,7 @@
 			writeResponse(c, "mine")
 		}
 	})
-	p := &send.Pool{DialTimeout: time.Second}
+	p := &client.Pool{DialTimeout: time.Second}
 	for n := range 2 {
 		c := getConn(t, p, address, false)
 		if got, want := c.Reused(), n > 0; got != want {
@@ -110,11 +110,11 @@
 			seen.Add(1)
 		}
 	})
-	c := getConn(t, &send.Pool{DialTimeout: time.Second}, address, true)
+	c := getConn(t, &client.Pool{DialTimeout: time.Second}, address, true)
 	if err := c.WriteRequest(newRequest(), writeDeadline()); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := c.ReadResponse(http.MethodPost, isOwnResponse); !errors.Is(err, send.ErrRead) {
+	if _, err := c.ReadResponse(http.MethodPost, isOwnResponse); !errors.Is(err, client.ErrRead) {
 		t.Errorf("got %v, want ErrRead", err)
 	}
 	if got := seen.Load(); got != 1 {
@@ -141,7 +141,7 @@
 			ready <- struct{}{}
 			_, _ = r.ReadByte()
 		})
-		p := &send.Pool{DialTimeout: time.Second}
+		p := &client.Pool{DialTimeout: time.Second}
 		c := getConn(t, p, address, false)
 		if err := c.WriteRequest(newRequest(), writeDeadline()); err != nil {
 			t.Fatal(err)
@@ -154,7 +154,7 @@
 		<-ready
 		p.Put(c)
 		// The end of the connection is on its way over loopback.
-		var got *send.Conn
+		var got *client.Conn
 		for range 200 {
 			if got = getConn(t, p, address, false); !got.Reused() {
 				break
@@ -174,8 +174,8 @@
 		t.Fatal(err)
 	}
 	_ = l.Close()
-	_, err = (&send.Pool{DialTimeout: time.Second}).Get(context.Background(), l.Addr().String(), false)
-	if !errors.Is(err, send.ErrDial) {
+	_, err = (&client.Pool{DialTimeout: time.Second}).Get(context.Background(), l.Addr().String(), false)
+	if !errors.Is(err, client.ErrDial) {
 		t.Errorf("got %v, want ErrDial", err)
 	}
 }
--- a/internal/wire/send/conn.go
+++ b/internal/wire/client/conn.go
@@ -1,10 +1,10 @@
-// Package send makes single HTTP exchanges with upstreams. Each request is
+// Package client makes single HTTP exchanges with upstreams. Each request is
 // written once and never again by itself, and an answer counts only if it is
 // for this request.
 //
 // It imports the standard library. Packages front and edge use it for plain
 // services and for engines.
-package send
+package client
 
 import (
 	"bufio"
--- a/internal/wire/send/pool.go
+++ b/internal/wire/client/pool.go
@@ -1,4 +1,4 @@
-package send
+package client
 
 import (
 	"context"
--- a/internal/wire/flow/flow.go
+++ b/internal/wire/events/events.go
@@ -1,8 +1,8 @@
-// Package flow reads the events of an answer and joins the answers of several
+// Package events reads the events of an answer and joins the answers of several
 // runs of a request into one.
 //
 // It imports the standard library. Package front passes on what it returns.
-package flow
+package events
 
 import (
 	"bufio"
--- a/internal/wire/flow/flow_test.go
+++ b/internal/wire/events/events_test.go
@@ -1,4 +1,4 @@
-package flow_test
+package events_test
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"fulmarwick/internal/wire/flow"
+	"fulmarwick/internal/wire/events"
 
 	"github.com/go-faster/errors"
 	"pgregory.net/rapid"
@@ -26,7 +26,7 @@
 
 // readAll returns what a reader brings after the event last, and how it ends.
 func readAll(body string, last int) (string, int, error) {
-	r := flow.NewReader(strings.NewReader(body), bufferBytes, last)
+	r := events.NewReader(strings.NewReader(body), bufferBytes, last)
 	var b strings.Builder
 	for {
 		e, err := r.Next()
@@ -49,14 +49,14 @@
 		{"whole", newEvents(1, 3), 0, newEvents(1, 3), io.EOF},
 		{"begins where the former run ended", newEvents(4, 5), 3, newEvents(4, 5), io.EOF},
 		{"repeats what is known", newEvents(2, 5), 3, newEvents(4, 5), io.EOF},
-		{"leaves one out", newEvent(1) + newEvent(3), 0, newEvent(1), flow.ErrOutOfOrder},
-		{"ends inside an event", newEvent(1) + "id: 2\ndata: pi", 0, newEvent(1), flow.ErrTruncated},
-		{"ends before the empty line", newEvent(1) + "id: 2\ndata: piece 2\n", 0, newEvent(1), flow.ErrTruncated},
+		{"leaves one out", newEvent(1) + newEvent(3), 0, newEvent(1), events.ErrOutOfOrder},
+		{"ends inside an event", newEvent(1) + "id: 2\ndata: pi", 0, newEvent(1), events.ErrTruncated},
+		{"ends before the empty line", newEvent(1) + "id: 2\ndata: piece 2\n", 0, newEvent(1), events.ErrTruncated},
 		{"longer than the buffer", long, 0, long, io.EOF},
 		{"with a line before the id", "weight-versions: 2\n" + newEvent(1), 0, "weight-versions: 2\n" + newEvent(1), io.EOF},
 		{"carriage returns", "id: 1\r\ndata: a\r\n\r\n", 0, "id: 1\r\ndata: a\r\n\r\n", io.EOF},
-		{"id is no number", "id: x\ndata: a\n\n", 0, "", flow.ErrMalformed},
-		{"no end", strings.Repeat("x", 70<<10), 0, "", flow.ErrMalformed},
+		{"id is no number", "id: x\ndata: a\n\n", 0, "", events.ErrMalformed},
+		{"no end", strings.Repeat("x", 70<<10), 0, "", events.ErrMalformed},
 		{"nothing", "", 7, "", io.EOF},
 	}
 	for _, test := range tests {
--- a/internal/wire/front/front_test.go
+++ b/internal/wire/front/front_test.go
@@ -14,10 +14,10 @@
 
 	"fulmarwick/internal/base/site"
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/route/least"
+	"fulmarwick/internal/route/ewma"
+	"fulmarwick/internal/wire/client"
 	"fulmarwick/internal/wire/front"
 	"fulmarwick/internal/wire/relay"
-	"fulmarwick/internal/wire/send"
 )
 
 // dialect is headers with names of its own.
@@ -78,12 +78,12 @@
 func (o singleUpstream) Pick(string, []spec.UpstreamID) (site.Upstream, bool) {
 	return o.upstream(), true
 }
-func (o singleUpstream) RecordOutcome(site.Upstream, uint64, time.Duration, least.Outcome) {}
-func (o singleUpstream) StartCooldown(site.Upstream)                                       {}
-func (o singleUpstream) ApplyReportedLoad(site.Upstream, site.Load)                        {}
-func (o singleUpstream) ExpectedLatency(site.Upstream) time.Duration                       { return time.Second }
-func (o singleUpstream) RecordRequest(string)                                              {}
-func (o singleUpstream) AllowRetry(string) bool                                            { return true }
+func (o singleUpstream) RecordOutcome(site.Upstream, uint64, time.Duration, ewma.Outcome) {}
+func (o singleUpstream) StartCooldown(site.Upstream)                                      {}
+func (o singleUpstream) ApplyReportedLoad(site.Upstream, site.Load)                       {}
+func (o singleUpstream) ExpectedLatency(site.Upstream) time.Duration                      { return time.Second }
+func (o singleUpstream) RecordRequest(string)                                             {}
+func (o singleUpstream) AllowRetry(string) bool                                           { return true }
 
 func (o singleUpstream) IsCulprit(uint64) bool                            { return false }
 func (o singleUpstream) Clear(uint64)                                     {}
@@ -109,7 +109,7 @@
 	back := httptest.NewServer(upstream)
 	t.Cleanup(back.Close)
 	o := singleUpstream{address: back.Listener.Addr().String()}
-	pool := &send.Pool{DialTimeout: time.Second}
+	pool := &client.Pool{DialTimeout: time.Second}
 	s := &front.Server{
 		Dialect: dialect{}, ConfigSource: newStaticConfig(),
 		PlainRunner: &relay.PlainRunner{Dialect: dialect{}, Pool: pool, Upstreams: o, RetryBudget: o, CrashTracker: o},
--- a/internal/wire/front/span_test.go
+++ b/internal/wire/front/span_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
+	"fulmarwick/internal/wire/client"
 	"fulmarwick/internal/wire/front"
 	"fulmarwick/internal/wire/relay"
-	"fulmarwick/internal/wire/send"
 
 	sdk "go.opentelemetry.io/otel/sdk/trace"
 	"go.opentelemetry.io/otel/sdk/trace/tracetest"
@@ -27,7 +27,7 @@
 	o := singleUpstream{address: back.Listener.Addr().String()}
 	server := httptest.NewServer(&front.Server{
 		Dialect: dialect{}, ConfigSource: newStaticConfig(), TracerProvider: sdk.NewTracerProvider(sdk.WithSpanProcessor(kept)),
-		PlainRunner: &relay.PlainRunner{Dialect: dialect{}, Pool: &send.Pool{DialTimeout: time.Second}, Upstreams: o, RetryBudget: o, CrashTracker: o},
+		PlainRunner: &relay.PlainRunner{Dialect: dialect{}, Pool: &client.Pool{DialTimeout: time.Second}, Upstreams: o, RetryBudget: o, CrashTracker: o},
 	})
 	defer server.Close()
 	req, err := http.NewRequestWithContext(context.Background(), http.MethodGet, server.URL+"/p/1", nil)
--- a/internal/wire/relay/call.go
+++ b/internal/wire/relay/call.go
@@ -1,7 +1,7 @@
 // Package relay runs a caller's request on upstreams: it sends, judges what
 // comes back, and sends again where that is allowed.
 //
-// It imports base/site, state/feed, wire/send, wire/flow and the logic packages for
+// It imports base/site, state/feed, wire/client, wire/events and the logic packages for
 // their types. Package front calls it for each request; app/edge puts it together.
 package relay
 
@@ -13,7 +13,7 @@
 	"fulmarwick/internal/base/site"
 	"fulmarwick/internal/base/spec"
 	"fulmarwick/internal/route/crash"
-	"fulmarwick/internal/wire/send"
+	"fulmarwick/internal/wire/client"
 )
 
 // Dialect writes the headers for upstreams and reads those of their answers.
@@ -54,13 +54,13 @@
 }
 
 // newRequest is the call in the form for an upstream.
-func (c *Call) newRequest(d Dialect, f site.ForwardHeader) *send.Request {
+func (c *Call) newRequest(d Dialect, f site.ForwardHeader) *client.Request {
 	f.Team = c.Team
 	f.Remaining = time.Until(c.Deadline)
 	f.Urgency = c.Urgency
 	h := maps.Clone(c.Header)
 	d.SetForwardHeaders(h, f)
-	return &send.Request{Method: c.Method, Path: c.Path, Host: c.Host, Header: h, Body: c.Body}
+	return &client.Request{Method: c.Method, Path: c.Path, Host: c.Host, Header: h, Body: c.Body}
 }
 
 // CrashTracker knows the requests on whose runs upstreams die.
@@ -72,7 +72,7 @@
 }
 
 // readResponse reads the head of the answer to the call, past those to others.
-func (c *Call) readResponse(d Dialect, conn *send.Conn) (resp *http.Response, head site.ResponseHeader, err error) {
+func (c *Call) readResponse(d Dialect, conn *client.Conn) (resp *http.Response, head site.ResponseHeader, err error) {
 	resp, err = conn.ReadResponse(c.Method, func(resp *http.Response) bool {
 		head = d.ParseResponse(resp.StatusCode, resp.Header)
 		return head.RequestID == "" || head.RequestID == c.ParsedHeader.ID
--- a/internal/wire/relay/model.go
+++ b/internal/wire/relay/model.go
@@ -9,7 +9,7 @@
 	"fulmarwick/internal/route/path"
 	"fulmarwick/internal/route/share"
 	"fulmarwick/internal/state/feed"
-	"fulmarwick/internal/wire/send"
+	"fulmarwick/internal/wire/client"
 
 	"github.com/go-faster/errors"
 )
@@ -77,7 +77,7 @@
 // ModelRunner runs model requests. Set the exported fields before use.
 type ModelRunner struct {
 	Dialect     Dialect
-	Pool        *send.Pool
+	Pool        *client.Pool
 	Paths       PathSelector
 	RetryBudget RetryBudget
 	// CrashTracker knows requests that crash engines.
--- a/internal/wire/relay/plain.go
+++ b/internal/wire/relay/plain.go
@@ -8,8 +8,8 @@
 
 	"fulmarwick/internal/base/site"
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/route/least"
-	"fulmarwick/internal/wire/send"
+	"fulmarwick/internal/route/ewma"
+	"fulmarwick/internal/wire/client"
 
 	"github.com/go-faster/errors"
 )
@@ -19,7 +19,7 @@
 type UpstreamSelector interface {
 	Pick(service string, avoid []spec.UpstreamID) (site.Upstream, bool)
 	// RecordOutcome learns how the request with a fingerprint ended.
-	RecordOutcome(up site.Upstream, print uint64, took time.Duration, end least.Outcome)
+	RecordOutcome(up site.Upstream, print uint64, took time.Duration, end ewma.Outcome)
 	StartCooldown(up site.Upstream)
 	ApplyReportedLoad(up site.Upstream, l site.Load)
 	ExpectedLatency(up site.Upstream) time.Duration
@@ -50,7 +50,7 @@
 // PlainRunner runs calls on plain services. Set the exported fields before use.
 type PlainRunner struct {
 	Dialect     Dialect
-	Pool        *send.Pool
+	Pool        *client.Pool
 	Upstreams   UpstreamSelector
 	RetryBudget RetryBudget
 	// CrashTracker knows requests that crash upstreams.
@@ -226,16 +226,16 @@
 	span := startSendSpan(ctx, up.ID)
 	t := p.exchange(ctx, c, up)
 	endSendSpan(span, t.err)
-	end := least.OutcomeOK
+	end := ewma.OutcomeOK
 	switch {
 	case t.notRun || t.unsent:
-		end = least.OutcomeRefused
+		end = ewma.OutcomeRefused
 	case t.err != nil && errors.Is(ctx.Err(), context.Canceled):
-		end = least.OutcomeUnknown
+		end = ewma.OutcomeUnknown
 	case t.err != nil:
-		end = least.OutcomeLost
+		end = ewma.OutcomeLost
 	case !t.succeeded():
-		end = least.OutcomeFailed
+		end = ewma.OutcomeFailed
 	}
 	p.Upstreams.RecordOutcome(up, c.Fingerprint(), time.Since(start), end)
 	return t
@@ -267,7 +267,7 @@
 }
 
 // readResponse takes an answer. The connection is kept if it ended properly.
-func (p *PlainRunner) readResponse(conn *send.Conn, c *Call, up site.Upstream) (reply *Reply, notRun bool, err error) {
+func (p *PlainRunner) readResponse(conn *client.Conn, c *Call, up site.Upstream) (reply *Reply, notRun bool, err error) {
 	resp, head, err := c.readResponse(p.Dialect, conn)
 	if err != nil {
 		conn.Close()
@@ -278,7 +278,7 @@
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxPlainBodyBytes+1))
 	if err != nil || len(body) > maxPlainBodyBytes {
 		conn.Close()
-		return nil, false, errors.Wrap(send.ErrRead, "answer cut or too long")
+		return nil, false, errors.Wrap(client.ErrRead, "answer cut or too long")
 	}
 	p.Pool.Release(conn, resp)
 	if head.Load != nil {
@@ -286,7 +286,7 @@
 	}
 	if !head.NotExecuted && !head.Sealed {
 		// Bytes without a seal are not an answer that may be passed on.
-		return nil, false, errors.Wrapf(send.ErrRead, "answer with status %d has no seal", resp.StatusCode)
+		return nil, false, errors.Wrapf(client.ErrRead, "answer with status %d has no seal", resp.StatusCode)
 	}
 	StripHopByHopHeaders(resp.Header)
 	return &Reply{Status: resp.StatusCode, Header: resp.Header, Body: body}, head.NotExecuted, nil
--- a/internal/wire/relay/run.go
+++ b/internal/wire/relay/run.go
@@ -7,8 +7,8 @@
 	"os"
 
 	"fulmarwick/internal/base/site"
-	"fulmarwick/internal/wire/flow"
-	"fulmarwick/internal/wire/send"
+	"fulmarwick/internal/wire/client"
+	"fulmarwick/internal/wire/events"
 
 	"github.com/go-faster/errors"
 )
@@ -42,7 +42,7 @@
 }
 
 // classifyBreak finds out why a run broke.
-func (s *modelCall) classifyBreak(f *Run, conn *send.Conn, err error) error {
+func (s *modelCall) classifyBreak(f *Run, conn *client.Conn, err error) error {
 	switch {
 	case f.isRerouted():
 		return errRerouted
@@ -64,7 +64,7 @@
 }
 
 // readResponse takes the answer of a run.
-func (s *modelCall) readResponse(f *Run, conn *send.Conn) error {
+func (s *modelCall) readResponse(f *Run, conn *client.Conn) error {
 	resp, head, err := s.call.readResponse(s.runner.Dialect, conn)
 	if err != nil {
 		conn.Close()
@@ -98,7 +98,7 @@
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxPlainBodyBytes))
 	if err != nil || !head.Sealed {
-		return errors.Wrap(send.ErrRead, "failure without its whole body or seal")
+		return errors.Wrap(client.ErrRead, "failure without its whole body or seal")
 	}
 	StripHopByHopHeaders(resp.Header)
 	s.errorReply = &Reply{Status: resp.StatusCode, Header: resp.Header, Body: body, MayHaveRun: true, SendCount: s.runs}
@@ -107,7 +107,7 @@
 
 // forwardEvents passes on the events of a run.
 func (s *modelCall) forwardEvents(f *Run, resp *http.Response) error {
-	r := flow.NewReader(resp.Body, eventBufferBytes, s.lastEventID)
+	r := events.NewReader(resp.Body, eventBufferBytes, s.lastEventID)
 	for {
 		event, err := r.Next()
 		if errors.Is(err, io.EOF) {
