--- a/internal/route/grid/parts_test.go
+++ b/internal/route/layout/parts_test.go
@@ -1,23 +1,23 @@
-package grid_test
+package layout_test
 
 import (
 	"testing"
 
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/route/grid"
+	"fulmarwick/internal/route/layout"
 )
 
 // Guards against a plan of a large data centre that takes longer than it lasts: it is
 // made in parts, so that an engine more or less changes the orders of its part alone.
 func TestLargeCentreIsPlannedInParts(t *testing.T) {
-	m := small()
-	engines := fleetOf(m, [][]int{{16, 56, 56}})
-	before := grid.Plan(m, engines)
+	m := unlikeCardsModel()
+	engines := newFleetFor(m, [][]int{{16, 56, 56}})
+	before := layout.Plan(m, engines)
 	if len(before) < len(engines)*9/10 {
 		t.Fatalf("got %d orders for %d engines, want most of them placed", len(before), len(engines))
 	}
 	after := map[spec.UpstreamID]spec.Layers{}
-	for _, o := range grid.Plan(m, engines[1:]) {
+	for _, o := range layout.Plan(m, engines[1:]) {
 		after[o.ID] = o.Layers
 	}
 	changed := 0
@@ -33,33 +33,33 @@
 
 // Guards against a part of a large data centre that gives up layers to fill a gap
 // which another part of it fills.
-func TestPartsShareTheirLayers(t *testing.T) {
-	m := small()
-	engines := fleetOf(m, [][]int{{16, 56, 56}})
-	engines = held(engines, grid.Plan(m, engines))
-	var left []grid.Engine
+func TestPartsCoverForEachOther(t *testing.T) {
+	m := unlikeCardsModel()
+	engines := newFleetFor(m, [][]int{{16, 56, 56}})
+	engines = applyOrders(engines, layout.Plan(m, engines))
+	var left []layout.Engine
 	for i, e := range engines {
 		if i%5 > 0 {
 			left = append(left, e)
 		}
 	}
-	if least(tokens(m, left)) == 0 {
+	if minOf(tokensPerLayer(m, left)) == 0 {
 		t.Fatal("got a layer that no engine holds, want a loss that leaves all")
 	}
-	if moved := grid.Plan(m, left); len(moved) > 1 {
+	if moved := layout.Plan(m, left); len(moved) > 1 {
 		t.Errorf("got %d engines moved, want one at most while every layer is held", len(moved))
 	}
 }
 
 // BenchmarkLargeCentre plans 936 engines of five data centres at once.
 func BenchmarkLargeCentre(b *testing.B) {
-	m := small()
+	m := unlikeCardsModel()
 	counts := [][]int{}
 	for range 5 {
 		counts = append(counts, []int{18, 66, 103})
 	}
-	engines := fleetOf(m, counts)
+	engines := newFleetFor(m, counts)
 	for b.Loop() {
-		grid.Plan(m, engines)
+		layout.Plan(m, engines)
 	}
 }
--- a/internal/route/grid/turn_test.go
+++ b/internal/route/layout/turn_test.go
@@ -1,24 +1,24 @@
-package grid_test
+package layout_test
 
 import (
 	"testing"
 
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/route/grid"
+	"fulmarwick/internal/route/layout"
 )
 
 // Guards against a model that is whole only when the last of many engines has loaded:
 // loads beyond those at full speed share it.
-func TestLoadsTakeTurns(t *testing.T) {
-	m := small()
-	m.Loads = 3
-	engines := fleetOf(m, [][]int{{4, 0, 8}})
+func TestConcurrentLoadsAreLimited(t *testing.T) {
+	m := unlikeCardsModel()
+	m.MaxParallelLoads = 3
+	engines := newFleetFor(m, [][]int{{4, 0, 8}})
 	held := func(i, from, to int) { engines[i].Held = spec.NewLayers(from, to) }
 	held(0, 0, 30)
 	held(1, 0, 30)
 	held(2, 30, 60)
 	engines[3].Held, engines[3].Loading = spec.NewLayers(30, 60), true
-	orders := []grid.Order{
+	orders := []layout.Order{
 		{ID: engines[0].ID, Layers: spec.NewLayers(0, 20)},
 		{ID: engines[4].ID, Layers: spec.NewLayers(0, 10)},
 		{ID: engines[5].ID, Layers: spec.NewLayers(60, 70)},
@@ -38,8 +38,8 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			m.Loads = test.loads
-			got := grid.Turn(m, engines, orders)
+			m.MaxParallelLoads = test.loads
+			got := layout.LimitLoads(m, engines, orders)
 			if len(got) != len(test.want) {
 				t.Fatalf("got %v, want %d orders", got, len(test.want))
 			}
