--- a/internal/route/path/choose.go
+++ b/internal/route/path/choose.go
@@ -10,73 +10,76 @@
 	"github.com/go-faster/errors"
 )
 
-// ErrNoMemory means that no path has memory for the request now.
-var ErrNoMemory = errors.New("path: no engines with room")
+// ErrNoMemory means that no path has enough free KV memory for the request at present.
+var ErrNoMemory = errors.New("path: no engines with enough free KV memory")
 
-// ErrOverloaded means that the first event would come after callers have left.
-var ErrOverloaded = errors.New("path: engines are too busy")
+// ErrOverloaded means that the predicted first event would come after callers have
+// given up.
+var ErrOverloaded = errors.New("path: engines are overloaded")
 
-// ErrNoPath means that no engines cover all layers.
-var ErrNoPath = errors.New("path: layers without an engine")
+// ErrNoPath means that no usable engines cover all layers.
+var ErrNoPath = errors.New("path: no engines cover all layers")
 
 const (
-	// remoteEntryMs is the time in milliseconds that a first engine in another data
-	// centre is taken to cost: the bytes of the answer are paid for.
+	// remoteEntryMs is the cost in milliseconds of a first engine in another data
+	// centre. The traffic of the answer between data centres is charged for.
 	remoteEntryMs = 10.0
-	// transferWeight weighs the time for which a request fills the pipe between data
-	// centres, in which all others wait.
+	// transferWeight is the weight of the time for which a request occupies the link
+	// between data centres. All other transfers wait during that time.
 	transferWeight = 12.0
-	// occupancyPenaltyMs is the time in milliseconds added for an engine whose memory is
-	// promised to the last cell, so that load moves to slower free engines
-	// before none is left to take over from one that dies.
+	// occupancyPenaltyMs is the cost in milliseconds added for an engine whose KV
+	// memory is promised completely. It moves load to slower free engines before none
+	// is left to take over from an engine that dies.
 	occupancyPenaltyMs = 1500.0
-	// costJitter is the most by which costs are raised at random, hasteBlur the same
-	// for answers that were broken off: all instances choose for these at the
-	// same moment, when an engine has died.
-	costJitter        = 0.5
+	// costJitter is the largest random increase of a cost, as a fraction.
+	costJitter = 0.5
+	// resumedCostJitter is costJitter for resumed streams. It is larger because all
+	// instances choose paths for these at the same moment, when an engine has died.
 	resumedCostJitter = 0.7
-	// maxFirstEventLatency is the longest predicted time to the first event for which a
-	// request is taken. Callers leave after two seconds without one, and then
-	// the prompt was read in vain while it held up others; the prediction does
-	// not see the passes that a prompt waits for.
+	// maxFirstEventLatency is the longest predicted time to the first event for which
+	// a request is accepted. Callers give up after two seconds without an event. The
+	// prompt has then been read for nothing and has delayed others. The prediction doesn't
+	// include the passes that a prompt waits for.
 	maxFirstEventLatency = 900 * time.Millisecond
-	// resumedWeight weighs the time to the next event of an answer that was broken off
-	// against the rest: when an engine dies its streams are read again all at
-	// once, and what counts is that none waits long for it.
+	// resumedWeight is the weight of the time to the next event of a resumed stream
+	// against the other costs. When an engine dies, the prompts of all its streams are
+	// read again at once, and none of them should wait long.
 	resumedWeight = 6
 )
 
-// Query is a question for a path over the layers [From, To).
+// Query asks for a path over the layers [From, To).
 type Query struct {
 	Demand
-	// Now is the time on the clock of Rest.
+	// Now is the present time on the clock that cooldowns use.
 	Now      time.Duration
 	From, To int
-	// Avoid are engines not to be used.
+	// Avoid reports whether an engine must not be used. It may be nil.
 	Avoid func(spec.UpstreamID) bool
-	// CentreBefore and After are the data centres on both sides of the gap.
+	// CentreBefore and CentreAfter are the data centres before and after the layers.
 	CentreBefore, CentreAfter spec.DataCentre
 }
 
-// Choose returns the cheapest path by predicted time over all layers.
-func (t *Table) Choose(now time.Duration, n Demand, avoid func(spec.UpstreamID) bool) (spec.Chain, error) {
-	c, err := t.Find(Query{Demand: n, Now: now, To: t.Model.Layers, Avoid: avoid, CentreBefore: t.Centre, CentreAfter: t.Centre})
-	if err == nil && !n.Resumed && t.PredictFirstEvent(c, n) > maxFirstEventLatency {
+// Choose returns the path over all layers with the lowest predicted cost.
+func (t *Table) Choose(now time.Duration, d Demand, avoid func(spec.UpstreamID) bool) (spec.Chain, error) {
+	c, err := t.Find(Query{Demand: d, Now: now, To: t.Model.Layers, Avoid: avoid, CentreBefore: t.Centre, CentreAfter: t.Centre})
+	if err == nil && !d.Resumed && t.PredictFirstEvent(c, d) > maxFirstEventLatency {
 		return nil, ErrOverloaded
 	}
 	return c, err
 }
 
-// allows reports whether an engine may be on the path.
-func (a *Query) allows(e *engine) bool {
+// allows reports whether an engine may be part of the path.
+func (q *Query) allows(e *engine) bool {
 	held := e.upstream.Held.Layers
-	if !e.usable(a.Now) || held.To() <= a.From || held.From() >= a.To {
+	if !e.usable(q.Now) || held.To() <= q.From || held.From() >= q.To {
 		return false
 	}
-	return a.Avoid == nil || !a.Avoid(e.upstream.ID)
+	return q.Avoid == nil || !q.Avoid(e.upstream.ID)
 }
 
-// step is the cheapest way found to the end of an engine's layers.
+// step is an engine appended to the cheapest path found to the start of its layers.
+// cost is the cost of that path including the engine; prev is the index of the step
+// before, or -1.
 type step struct {
 	engine *engine
 	layers spec.Layers
@@ -84,117 +87,121 @@
 	prev   int
 }
 
-// search are the steps of a search.
+// search is the state of a path search.
 type search struct {
 	steps []step
-	// cheapest are the cheapest steps to the end of each layer, one for each data centre:
-	// any other costs as much more, whatever follows.
+	// cheapest lists, for each layer, the cheapest steps that end there, one for each
+	// data centre. A step in the same data centre that costs more stays more
+	// expensive by the same amount, whatever follows.
 	cheapest [][]int
 }
 
-// add takes a step.
-func (w *search) add(a Query, s step) {
-	w.steps = append(w.steps, s)
-	at, last := s.layers.To()-a.From, len(w.steps)-1
-	for i, other := range w.cheapest[at] {
-		if o := w.steps[other]; o.engine.upstream.Centre == s.engine.upstream.Centre {
-			if s.cost < o.cost {
-				w.cheapest[at][i] = last
+// add appends a step and updates the cheapest steps at its end.
+func (s *search) add(q Query, next step) {
+	s.steps = append(s.steps, next)
+	at, last := next.layers.To()-q.From, len(s.steps)-1
+	for i, other := range s.cheapest[at] {
+		if o := s.steps[other]; o.engine.upstream.Centre == next.engine.upstream.Centre {
+			if next.cost < o.cost {
+				s.cheapest[at][i] = last
 			}
 			return
 		}
 	}
-	w.cheapest[at] = append(w.cheapest[at], last)
+	s.cheapest[at] = append(s.cheapest[at], last)
 }
 
-// Find returns the cheapest path for a question. Engines come in the order of
-// their ends, so each way is complete before another one builds on it.
-func (t *Table) Find(a Query) (spec.Chain, error) {
-	w := &search{cheapest: make([][]int, a.To-a.From+1)}
-	full := false
-	best, bestCost := -1, math.Inf(1)
+// Find returns the cheapest path for a query. Engines are sorted by the end of their
+// layers, so all steps to a layer are known before another step starts there.
+func (t *Table) Find(q Query) (spec.Chain, error) {
+	state := &search{cheapest: make([][]int, q.To-q.From+1)}
+	anyLacksMemory := false
+	bestEnd, bestCost := -1, math.Inf(1)
 	for _, e := range t.engines {
-		t.updateUsableSince(a.Now, e)
-		if !a.allows(e) {
+		t.updateUsableSince(q.Now, e)
+		if !q.allows(e) {
 			continue
 		}
-		s, ok, tight := t.extendPath(a, w, e)
-		full = full || tight
+		s, ok, lacksMemory := t.extendPath(q, state, e)
+		anyLacksMemory = anyLacksMemory || lacksMemory
 		if !ok {
 			continue
 		}
-		w.add(a, s)
-		if s.layers.To() == a.To {
-			if cost := s.cost + t.exitCost(a, e.upstream.Centre); cost < bestCost {
-				best, bestCost = len(w.steps)-1, cost
+		state.add(q, s)
+		if s.layers.To() == q.To {
+			if cost := s.cost + t.exitCost(q, e.upstream.Centre); cost < bestCost {
+				bestEnd, bestCost = len(state.steps)-1, cost
 			}
 		}
 	}
-	if best < 0 {
-		if full {
+	if bestEnd < 0 {
+		if anyLacksMemory {
 			return nil, ErrNoMemory
 		}
 		return nil, ErrNoPath
 	}
-	return buildChain(w.steps, best), nil
+	return buildChain(state.steps, bestEnd), nil
 }
 
-// extendPath finds the cheapest way to use e after one of the steps, or as the first
-// engine. tight tells that e lacks the memory, or the way to it the room.
-func (t *Table) extendPath(a Query, w *search, e *engine) (out step, ok, tight bool) {
+// extendPath finds the cheapest way to append e to one of the steps, or to use it as
+// the first engine. lacksMemory is set if e has too little free KV memory, or if the
+// link to it is too busy.
+func (t *Table) extendPath(q Query, state *search, e *engine) (out step, ok, lacksMemory bool) {
 	held := e.upstream.Held.Layers
-	to := min(held.To(), a.To)
+	to := min(held.To(), q.To)
 	cost := math.Inf(1)
-	chance := (1 + t.jitter(a.Resumed)) * t.slowStartFactor(a.Now, e)
-	// load is the cost of the layers after one, if e has the memory for them.
-	load := func(from int) (c float64, fits bool) {
-		c, fits = t.engineCost(a.Now, a.Demand, e, to-from)
-		tight = tight || !fits
-		return c * chance, fits
+	factor := (1 + t.jitter(q.Resumed)) * t.slowStartFactor(q.Now, e)
+	// layersCost is the cost of the layers [from, to) on e, and whether e has the KV
+	// memory for them.
+	layersCost := func(from int) (c float64, fits bool) {
+		c, fits = t.engineCost(q.Now, q.Demand, e, to-from)
+		lacksMemory = lacksMemory || !fits
+		return c * factor, fits
 	}
 	consider := func(from int, c, base float64, before int) {
-		tight = tight || math.IsInf(base, 1)
+		lacksMemory = lacksMemory || math.IsInf(base, 1)
 		if base+c < cost {
 			cost = base + c
 			out = step{engine: e, layers: spec.NewLayers(from, to), cost: cost, prev: before}
 			ok = true
 		}
 	}
-	if held.From() <= a.From {
-		if c, fits := load(a.From); fits {
-			consider(a.From, c, t.entryCost(a, e.upstream.Centre), -1)
+	if held.From() <= q.From {
+		if c, fits := layersCost(q.From); fits {
+			consider(q.From, c, t.entryCost(q, e.upstream.Centre), -1)
 		}
 	}
-	for at := max(held.From(), a.From+1); at < to; at++ {
-		ends := w.cheapest[at-a.From]
+	for at := max(held.From(), q.From+1); at < to; at++ {
+		ends := state.cheapest[at-q.From]
 		if len(ends) == 0 {
 			continue
 		}
-		c, fits := load(at)
+		c, fits := layersCost(at)
 		if !fits {
 			continue
 		}
 		for _, i := range ends {
-			s := w.steps[i]
-			consider(at, c, s.cost+t.hopCost(a, s.engine.upstream.Centre, e.upstream.Centre), i)
+			s := state.steps[i]
+			consider(at, c, s.cost+t.hopCost(q, s.engine.upstream.Centre, e.upstream.Centre), i)
 		}
 	}
-	return out, ok, tight
+	return out, ok, lacksMemory
 }
 
 func buildChain(steps []step, at int) spec.Chain {
-	var back []spec.Stage
+	var reversed []spec.Stage
 	for ; at >= 0; at = steps[at].prev {
-		back = append(back, spec.NewStage(steps[at].engine.upstream.ID, steps[at].layers))
+		reversed = append(reversed, spec.NewStage(steps[at].engine.upstream.ID, steps[at].layers))
 	}
-	chain := make(spec.Chain, 0, len(back))
-	for i := len(back) - 1; i >= 0; i-- {
-		chain = append(chain, back[i])
+	chain := make(spec.Chain, 0, len(reversed))
+	for i := len(reversed) - 1; i >= 0; i-- {
+		chain = append(chain, reversed[i])
 	}
 	return chain
 }
 
-// Hops are a chain in the form that engines take.
+// Hops converts a chain to the form that is sent to engines. It returns nil if an
+// engine is no longer listed.
 func (t *Table) Hops(c spec.Chain) []site.Hop {
 	out := make([]site.Hop, 0, len(c))
 	for _, s := range c {
--- a/internal/route/path/cost.go
+++ b/internal/route/path/cost.go
@@ -6,48 +6,51 @@
 	"fulmarwick/internal/base/spec"
 )
 
-// PredictFirstEvent is the predicted time to the first event of a request over a chain:
-// its prompt is read after those that are unread, and goes through all passes.
-func (t *Table) PredictFirstEvent(c spec.Chain, n Demand) time.Duration {
+// PredictFirstEvent returns the predicted time to the first event of a request over a
+// chain. Its prompt is read after the pending ones and then goes through all passes.
+func (t *Table) PredictFirstEvent(c spec.Chain, d Demand) time.Duration {
 	var ms float64
 	for _, s := range c {
 		if e := t.byID[s.Engine()]; e != nil {
-			ms += t.prefillTime(e, float64(n.Prompt*s.Layers().Len()+e.usage().PendingPrefill))
+			ms += t.prefillTime(e, float64(d.Prompt*s.Layers().Len()+e.usage().PendingPrefill))
 		}
 	}
 	return time.Duration(ms*float64(time.Millisecond)) + t.PredictStep(c)*time.Duration(t.Model.StepsPerPass)
 }
 
-// prefillTime is the time in milliseconds in which e reads tokens times layers.
-func (t *Table) prefillTime(e *engine, cells float64) float64 {
-	return e.card.PrefillFactor * e.slowdown * 1000 / t.Model.PrefillRate / float64(t.Model.Layers) * cells
+// prefillTime returns the time in milliseconds in which e reads tokens, given in
+// token-layers.
+func (t *Table) prefillTime(e *engine, tokenLayers float64) float64 {
+	return e.card.PrefillFactor * e.slowdown * 1000 / t.Model.PrefillRate / float64(t.Model.Layers) * tokenLayers
 }
 
-// jitter is the part by which an engine's cost is raised at random. Instances
-// that know of each other's choices only after a while would else all choose
+// jitter returns the fraction by which an engine's cost is raised at random. Instances
+// learn of each other's choices with a delay. Without jitter all of them would choose
 // the same engines at once.
-func (t *Table) jitter(haste bool) float64 {
+func (t *Table) jitter(resumed bool) float64 {
 	switch {
 	case t.Random == nil:
 		return 0
-	case haste:
+	case resumed:
 		return resumedCostJitter * t.Random()
 	}
 	return costJitter * t.Random()
 }
 
 const (
-	// slowStartDuration is how long an engine that takes requests anew is preferred less than
-	// its load says, in a fleet whose instances hear of each other's choices only after
-	// a while: all see it empty.
+	// slowStartDuration is how long the cost of a newly usable engine is raised above
+	// what its load says. In a large fleet, instances learn of each other's choices
+	// with a delay, so all see the engine empty.
 	slowStartDuration = 2 * time.Second
-	// slowStartMinPeers is how many other instances hear of each other soon enough; each
-	// slowStartEach more raise the cost of such an engine at first by the whole of it.
-	slowStartMinPeers     = 40
+	// slowStartMinPeers is the number of other instances up to which choices become
+	// known early enough.
+	slowStartMinPeers = 40
+	// slowStartPeersPerUnit is how many peers beyond slowStartMinPeers raise the cost
+	// of a newly usable engine at first by its whole amount.
 	slowStartPeersPerUnit = 26.0
 )
 
-// slowStartFactor is the factor on the cost of an engine that takes requests anew.
+// slowStartFactor returns the factor on the cost of a newly usable engine.
 func (t *Table) slowStartFactor(now time.Duration, e *engine) float64 {
 	age := now - e.usableSince
 	if age >= slowStartDuration {
@@ -55,81 +58,83 @@
 	}
 	raise := float64(max(0, t.peerCount()-slowStartMinPeers)) / slowStartPeersPerUnit * (1 - float64(age)/float64(slowStartDuration))
 	if e.usableSince == t.firstUsableAt && t.Random != nil {
-		// This instance is as new as the engine seems, and so are others perhaps:
-		// by chance each prefers other engines.
+		// This instance started when it first saw the engine, and other instances may
+		// have started with it. A random part makes each prefer other engines.
 		raise *= t.Random()
 	}
 	return 1 + raise
 }
 
-// unreportedPrefill is what an engine probably has to read for other instances that started
-// with this one and are not heard yet: each chose as this one did.
+// unreportedPrefill estimates what an engine has to read for other instances that
+// started together with this one and have reported nothing yet. Each is assumed to
+// have chosen as this one did.
 func (t *Table) unreportedPrefill(now time.Duration, e *engine) int {
 	age := now - t.firstUsableAt
 	if age >= slowStartDuration || e.remote.Streams > 0 {
 		return 0
 	}
-	near := float64(t.peerCount()) / float64(max(1, t.centreCount))
-	return int(float64(e.local.PendingPrefill) * near * (1 - float64(age)/float64(slowStartDuration)))
+	peersPerCentre := float64(t.peerCount()) / float64(max(1, t.centreCount))
+	return int(float64(e.local.PendingPrefill) * peersPerCentre * (1 - float64(age)/float64(slowStartDuration)))
 }
 
-// entryCost is the cost of the way to the first engine of a path or of its part.
-func (t *Table) entryCost(a Query, to spec.DataCentre) float64 {
-	if a.From > 0 {
-		return t.hopCost(a, a.CentreBefore, to)
+// entryCost returns the cost of reaching the first engine of a path or of a part of
+// it.
+func (t *Table) entryCost(q Query, to spec.DataCentre) float64 {
+	if q.From > 0 {
+		return t.hopCost(q, q.CentreBefore, to)
 	}
-	if a.CentreBefore != to {
+	if q.CentreBefore != to {
 		return remoteEntryMs
 	}
 	return 0
 }
 
-// exitCost is the cost of the way from the last engine of a part to the next.
-func (t *Table) exitCost(a Query, from spec.DataCentre) float64 {
-	if a.To == t.Model.Layers {
+// exitCost returns the cost of reaching the stage after the last engine of a part.
+func (t *Table) exitCost(q Query, from spec.DataCentre) float64 {
+	if q.To == t.Model.Layers {
 		return 0
 	}
-	return t.hopCost(a, from, a.CentreAfter)
+	return t.hopCost(q, from, q.CentreAfter)
 }
 
-// engineCost is the time in milliseconds that e is predicted to add to a request for
-// so many layers.
-func (t *Table) engineCost(now time.Duration, n Demand, e *engine, layers int) (ms float64, fits bool) {
-	u := e.usage()
+// engineCost returns the time in milliseconds that e is predicted to add to a request
+// for the given number of layers, and whether its KV memory suffices.
+func (t *Table) engineCost(now time.Duration, d Demand, e *engine, layers int) (ms float64, fits bool) {
+	current := e.usage()
 	limit := float64(e.capacity)
-	with := u
-	with.add(n.usage(layers, false))
-	after := with.peak()
-	if after > limit {
+	total := current
+	total.add(d.usage(layers, false))
+	peak := total.peak()
+	if peak > limit {
 		return 0, false
 	}
 	share := float64(layers) / float64(t.Model.Layers)
-	write := float64(n.Answer) * t.passTime(e, u, 1)
-	unread := u.PendingPrefill + t.unreportedPrefill(now, e)
-	if n.Resumed {
-		// The other instances move their streams in the same moment, and what
-		// they chose is known only after it.
-		unread += e.retryPrefill * t.peerCount()
+	generate := float64(d.Answer) * t.passTime(e, current, 1)
+	pendingPrefill := current.PendingPrefill + t.unreportedPrefill(now, e)
+	if d.Resumed {
+		// The other instances move their streams at the same moment, and their choices
+		// become known only afterwards.
+		pendingPrefill += e.retryPrefill * t.peerCount()
 	}
-	read := t.prefillTime(e, float64(n.Prompt*layers+unread))
-	fill := after / limit
-	if n.Resumed {
-		read *= resumedWeight
+	prefill := t.prefillTime(e, float64(d.Prompt*layers+pendingPrefill))
+	utilization := peak / limit
+	if d.Resumed {
+		prefill *= resumedWeight
 	}
-	return write + read + occupancyPenaltyMs*share*fill*fill, true
+	return generate + prefill + occupancyPenaltyMs*share*utilization*utilization, true
 }
 
-// passTime is the time in milliseconds of a step of e with so many more requests
-// than use it. A pass runs all that wait, so a request that needs a few of an
-// engine's layers takes as long as those that need them all.
-func (t *Table) passTime(e *engine, u Usage, more int) float64 {
+// passTime returns the time in milliseconds of a step of e with additional requests on
+// top of its usage. A pass runs all waiting requests, so a request that needs only a
+// few of the engine's layers takes as long as one that needs all of them.
+func (t *Table) passTime(e *engine, u Usage, additional int) float64 {
 	held := float64(e.upstream.Held.Layers.Len())
 	context := float64(u.Cells) / max(1, held) / 1000
-	work := millis(t.Model.StepTime) + millis(t.Model.TimePerSequence)*float64(u.Streams+more) + millis(t.Model.TimePer1kTokens)*context
+	work := millis(t.Model.StepTime) + millis(t.Model.TimePerSequence)*float64(u.Streams+additional) + millis(t.Model.TimePer1kTokens)*context
 	return held / float64(t.Model.Layers) * e.card.StepFactor * e.slowdown * work
 }
 
-// PredictStep is the predicted time of one token over a chain.
+// PredictStep returns the predicted time of one token over a chain.
 func (t *Table) PredictStep(c spec.Chain) time.Duration {
 	var ms float64
 	for i, s := range c {
@@ -139,8 +144,8 @@
 		}
 		ms += t.passTime(e, e.usage(), 0)
 		if i > 0 {
-			if before := t.byID[c[i-1].Engine()]; before != nil {
-				ms += millis(t.Model.Delay(before.upstream.Centre, e.upstream.Centre))
+			if previous := t.byID[c[i-1].Engine()]; previous != nil {
+				ms += millis(t.Model.Delay(previous.upstream.Centre, e.upstream.Centre))
 			}
 		}
 	}
--- a/internal/route/path/health.go
+++ b/internal/route/path/health.go
@@ -7,36 +7,37 @@
 	"fulmarwick/internal/base/spec"
 )
 
-// ApplyReport takes an engine's report: it answers, at that pace. It returns false if
-// the engine is not the one that is listed or holds less since it started anew,
-// so that it is as good as dead until the list shows what it holds. One that
-// holds less since it was told to hold other layers serves on what passes them,
-// and gets nothing new until the list shows what it holds.
-func (t *Table) ApplyReport(now time.Duration, id spec.UpstreamID, r site.Report) bool {
+// ApplyReport applies an engine's report: the engine is alive and has the reported
+// slowdown. It returns false if the engine has another start time than the listed one,
+// or if it holds fewer layers because it restarted. The engine then counts as dead
+// until the list shows what it holds. An engine that holds fewer layers because of a
+// load order finishes its requests, but gets no new ones until the list shows its new
+// layers.
+func (t *Table) ApplyReport(now time.Duration, id spec.UpstreamID, report site.Report) bool {
 	e := t.byID[id]
 	if e == nil {
 		return true
 	}
-	if r.Born != 0 && r.Born != e.upstream.Born {
+	if report.Born != 0 && report.Born != e.upstream.Born {
 		return false
 	}
-	if !r.Held.Layers.Covers(e.upstream.Held.Layers) {
-		// A start clears the count of orders.
-		if r.OrdersAccepted == 0 {
+	if !report.Held.Layers.Covers(e.upstream.Held.Layers) {
+		// A restart resets the number of accepted orders.
+		if report.OrdersAccepted == 0 {
 			return false
 		}
 		e.cooldownUntil = max(e.cooldownUntil, now+layerChangeCooldown)
 	}
 	e.dead = false
-	if r.Slowdown > 0 {
-		e.reportedSlowdown, e.reportedAt = r.Slowdown, now
+	if report.Slowdown > 0 {
+		e.reportedSlowdown, e.reportedAt = report.Slowdown, now
 		t.recompute()
 	}
 	return true
 }
 
-// LocalSlowdowns are the engines that said here that they are slow. After forget it
-// counts no more: they may have recovered.
+// LocalSlowdowns returns the engines that reported to this instance that they are
+// slow. A report expires after slowdownTTL, since the engine may have recovered.
 func (t *Table) LocalSlowdowns(now time.Duration) map[spec.UpstreamID]float64 {
 	out := map[spec.UpstreamID]float64{}
 	for _, e := range t.engines {
@@ -51,28 +52,29 @@
 }
 
 const (
-	// slowdownThreshold is the pace from which an engine counts as slow; reports of sound
-	// ones differ by a few percent.
+	// slowdownThreshold is the slowdown factor above which an engine counts as slow.
+	// Reports of healthy engines differ by a few percent.
 	slowdownThreshold = 1.15
-	// slowdownTTL is how long what an engine said of its pace counts without being
-	// said again.
+	// slowdownTTL is how long a reported slowdown counts if it isn't reported again.
 	slowdownTTL = 4 * time.Second
 )
 
-// SetPeerSlowdowns takes what engines told another instance; nil forgets it.
-func (t *Table) SetPeerSlowdowns(from spec.InstanceID, paces map[spec.UpstreamID]float64) {
-	if len(paces) == 0 && len(t.peerSlowdowns[from]) == 0 {
+// SetPeerSlowdowns sets the slowdowns that engines reported to another instance; nil
+// removes them.
+func (t *Table) SetPeerSlowdowns(from spec.InstanceID, slowdowns map[spec.UpstreamID]float64) {
+	if len(slowdowns) == 0 && len(t.peerSlowdowns[from]) == 0 {
 		return
 	}
 	if t.peerSlowdowns == nil {
 		t.peerSlowdowns = map[spec.InstanceID]map[spec.UpstreamID]float64{}
 	}
-	t.peerSlowdowns[from] = paces
+	t.peerSlowdowns[from] = slowdowns
 	t.recompute()
 }
 
-// MarkDead marks an engine that does not answer. It gets no requests until it is
-// heard of again. It returns false if there is nothing new in that.
+// MarkDead marks an engine that doesn't respond. It gets no requests until it reports
+// again. MarkDead returns false if the engine isn't listed, is marked already or has
+// another start time.
 func (t *Table) MarkDead(id spec.UpstreamID, born int64) bool {
 	e := t.byID[id]
 	if e == nil || e.dead || e.upstream.Born != born {
@@ -82,7 +84,7 @@
 	return true
 }
 
-// StartCooldown gives an engine no new requests until a time.
+// StartCooldown gives an engine no new requests until the given time.
 func (t *Table) StartCooldown(id spec.UpstreamID, until time.Duration) {
 	if e := t.byID[id]; e != nil {
 		e.cooldownUntil = until
@@ -90,22 +92,23 @@
 }
 
 const (
-	// layerChangeCooldown is how long an engine gets no new runs that changes its layers:
-	// the list shows it within a heartbeat.
+	// layerChangeCooldown is how long an engine gets no new runs when it changes its
+	// layers. The list shows the change within a heartbeat.
 	layerChangeCooldown = 1200 * time.Millisecond
-	// minRefusalCooldown is how long an engine that refused a run gets no new one: what
-	// it holds and whether it leaves is known from the list by then, or the crowd
-	// on it has turned over.
+	// minRefusalCooldown is how long an engine gets no new runs after it refused one.
+	// By then the list shows what it holds and whether it is leaving, or part of its
+	// load has finished.
 	minRefusalCooldown = 300 * time.Millisecond
-	// maxRefusalCooldown bounds the rest of an engine that goes on refusing. One that
-	// was told to hold other layers refuses for seconds, until it has loaded them
-	// and the list shows them; asked again and again by every instance, it would use
-	// up the bound on repeats.
+	// maxRefusalCooldown is the longest cooldown of an engine that keeps refusing. An
+	// engine that received a load order refuses for seconds, until it has loaded the
+	// layers and the list shows them. If every instance asked it repeatedly, the limit
+	// on retries would be used up.
 	maxRefusalCooldown = 2400 * time.Millisecond
 )
 
-// RecordRefusal gives an engine that refused a run no new ones for a while, twice as
-// long as before if it has served none since.
+// RecordRefusal starts the cooldown of an engine that refused a run. The cooldown
+// doubles, up to maxRefusalCooldown, if the engine has served no run since its last
+// refusal.
 func (t *Table) RecordRefusal(now time.Duration, id spec.UpstreamID) {
 	e := t.byID[id]
 	if e == nil || now < e.cooldownUntil {
@@ -115,19 +118,19 @@
 	e.cooldownUntil = now + e.refusalCooldown
 }
 
-// ListedDead reports whether an engine that is listed does not answer.
+// ListedDead reports whether an engine is listed and marked dead.
 func (t *Table) ListedDead(id spec.UpstreamID) bool {
 	e := t.byID[id]
 	return e != nil && e.dead
 }
 
-// DeadOrUnlisted reports whether an engine does not answer or is no longer listed.
+// DeadOrUnlisted reports whether an engine is marked dead or no longer listed.
 func (t *Table) DeadOrUnlisted(id spec.UpstreamID) bool {
 	e := t.byID[id]
 	return e == nil || e.dead
 }
 
-// DeadEngines are the engines that do not answer.
+// DeadEngines returns the engines that are marked dead.
 func (t *Table) DeadEngines() []site.Upstream {
 	var out []site.Upstream
 	for _, e := range t.engines {
@@ -142,7 +145,7 @@
 	return !e.dead && now >= e.cooldownUntil && e.upstream.State == site.StateReady && e.upstream.Held.Layers.Len() > 0
 }
 
-// updateUsableSince notes since when an engine takes requests.
+// updateUsableSince records since when an engine has been usable.
 func (t *Table) updateUsableSince(now time.Duration, e *engine) {
 	switch {
 	case !e.usable(now):
--- a/internal/route/path/path_test.go
+++ b/internal/route/path/path_test.go
@@ -41,7 +41,7 @@
 	return t
 }
 
-// twoChains is two chains of four engines, one in each data centre.
+// twoChains returns two chains of four engines, one in each data centre.
 func twoChains() *path.Table {
 	var ups []site.Upstream
 	for i := range 4 {
@@ -68,13 +68,13 @@
 	tab := twoChains()
 	for _, s := range choose(t, tab) {
 		if u, _ := tab.Upstream(s.Engine()); u.Centre != "east" {
-			t.Errorf("got engine %s in %s, want the own data centre", u.ID, u.Centre)
+			t.Errorf("got engine %s in %s, want the local data centre", u.ID, u.Centre)
 		}
 	}
 }
 
-// Requests come faster than they end. They spread over both chains before
-// either is full, and what fits no more is told at once.
+// Requests arrive faster than they end. They must use both chains before either is
+// full, and a request that doesn't fit must be rejected at once.
 func TestLoadSpreadsBeforeChainsAreFull(t *testing.T) {
 	tab := twoChains()
 	first := map[spec.UpstreamID]int{}
@@ -85,7 +85,7 @@
 			break
 		}
 		if err != nil || n > 1000 {
-			t.Fatalf("got %v after %d requests, want ErrFull", err, n)
+			t.Fatalf("got %v after %d requests, want ErrNoMemory", err, n)
 		}
 		tab.Begin(c, typicalDemand)
 		first[c[0].Engine()]++
@@ -110,15 +110,16 @@
 	}
 	tab.MarkDead("e2", 1)
 	if _, err := tab.Choose(0, typicalDemand, nil); !errors.Is(err, path.ErrNoPath) {
-		t.Errorf("got %v with no engine for a range, want ErrNone", err)
+		t.Errorf("got %v with no engine for a range, want ErrNoPath", err)
 	}
 	if tab.ApplyReport(time.Second, "e2", site.Report{Held: site.Range{}}) {
-		t.Error("got an engine that lost its layers as sound, want it dead")
+		t.Error("got ApplyReport true for an engine that lost its layers, want false")
 	}
 }
 
-// A stage dies midway. The chain keeps the others, whose memory holds what
-// they read, and never lists an engine twice; the first cannot be replaced.
+// A stage dies during a request. The repaired chain keeps the other stages, whose KV
+// memory holds what they have read, and lists no engine twice. The first stage can't
+// be replaced.
 func TestRepairKeepsLiveStages(t *testing.T) {
 	tab := twoChains()
 	c := choose(t, tab)
@@ -128,25 +129,25 @@
 		t.Errorf("got %s and %v, want %s with another engine for its third", got, err, c)
 	}
 	if _, err := tab.Repair(0, c, typicalDemand, func(id spec.UpstreamID) bool { return id == c[0].Engine() }); !errors.Is(err, path.ErrNoPath) {
-		t.Errorf("got %v for a dead first stage, want ErrNone", err)
+		t.Errorf("got %v for a dead first stage, want ErrNoPath", err)
 	}
 }
 
-// What other instances send counts until they are forgotten.
+// The usage of other instances counts until it is removed.
 func TestPeerUsageCounts(t *testing.T) {
 	tab := twoChains()
 	full := map[spec.UpstreamID]path.Usage{"e0": {Streams: 40, Cells: 700000}}
 	tab.SetPeerUsage("other", full)
 	if c := choose(t, tab); c.Uses("e0") {
-		t.Errorf("got %s, want no engine that others filled", c)
+		t.Errorf("got %s, want no engine filled by another instance", c)
 	}
 	tab.SetPeerUsage("other", nil)
 	if c := choose(t, tab); !c.Uses("e0") {
-		t.Errorf("got %s after the other one is forgotten, want e0", c)
+		t.Errorf("got %s after the peer's usage was removed, want e0", c)
 	}
 }
 
-// An engine is born anew under its ID: what was counted on it before is gone.
+// An engine restarts under the same ID. The usage counted on it before must be gone.
 func TestRestartedEngineLosesUsage(t *testing.T) {
 	tab := twoChains()
 	c := choose(t, tab)
@@ -163,8 +164,8 @@
 	}
 }
 
-// Whatever ranges are held, a path that is found covers all layers once and in
-// order, by engines that hold their parts; and one is found if there is any.
+// For random ranges of layers: a path covers all layers once and in order, each by an
+// engine that holds them. If a path exists, one is found.
 func TestPathsCoverAllLayers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var ups []site.Upstream
@@ -193,8 +194,8 @@
 	})
 }
 
-// greedyCoverage is how far a naive search gets that always goes on with the engine
-// that ends last.
+// greedyCoverage returns how many layers a greedy search covers that always continues
+// with the engine that ends last.
 func greedyCoverage(ups []site.Upstream) int {
 	at := 0
 	for {
@@ -211,10 +212,10 @@
 	}
 }
 
-// The replay of a crowded hour: two fast chains and a slow one, on which each
-// request stays as long as its path is predicted to take. Taking whole chains
-// in turn fills the slow one while the fast ones have room; the choice serves a
-// tenth more at three quarters of what fits, and at all of it.
+// Replays the load of a busy hour on two fast chains and a slow one. Each request stays
+// as long as its path is predicted to take. Round robin over whole chains fills the
+// slow one while the fast ones have free capacity. Choose must serve a tenth more, at
+// three quarters of the capacity and at all of it.
 func TestChooseServesMoreThanRoundRobin(t *testing.T) {
 	for _, rate := range []int{30, 40} {
 		compareAtRate(t, rate)
@@ -222,9 +223,9 @@
 }
 
 func compareAtRate(t *testing.T, rate int) {
-	ours, refused := replayLoad(t, rate, func(tab *path.Table, _ int) (spec.Chain, error) { return tab.Choose(0, typicalDemand, nil) })
+	served, refused := replayLoad(t, rate, func(tab *path.Table, _ int) (spec.Chain, error) { return tab.Choose(0, typicalDemand, nil) })
 	chains := [][]string{{"e0", "e1", "e2", "e3"}, {"w0", "w1", "w2", "w3"}, {"s0", "s1", "s2", "s3", "s4", "s5", "s6", "s7"}}
-	naive, _ := replayLoad(t, rate, func(tab *path.Table, n int) (spec.Chain, error) {
+	roundRobin, _ := replayLoad(t, rate, func(tab *path.Table, n int) (spec.Chain, error) {
 		var c spec.Chain
 		for _, id := range chains[n%len(chains)] {
 			u, _ := tab.Upstream(spec.UpstreamID(id))
@@ -236,8 +237,8 @@
 		}
 		return c, nil
 	})
-	if ours < 1.1*naive {
-		t.Errorf("%d/s: got %.0f requests served and %d refused, want 1.1 times the %.0f of whole chains in turn", rate, ours, refused, naive)
+	if served < 1.1*roundRobin {
+		t.Errorf("%d/s: got %.0f requests served and %d refused, want 1.1 times the %.0f of round robin", rate, served, refused, roundRobin)
 	}
 }
 
@@ -260,23 +261,23 @@
 		ups = append(ups, engine(fmt.Sprintf("s%d", i), "l4", "east", 10*i, 10*i+10))
 	}
 	tab := table(ups...)
-	type flight struct {
+	type activeRequest struct {
 		chain spec.Chain
 		until float64
 	}
-	var flying []flight
+	var active []activeRequest
 	for n := range rate * 20 {
 		now := float64(n) / float64(rate)
-		rest := flying[:0]
-		for _, f := range flying {
+		remaining := active[:0]
+		for _, f := range active {
 			if f.until > now {
-				rest = append(rest, f)
+				remaining = append(remaining, f)
 				continue
 			}
 			tab.End(f.chain, typicalDemand, false)
 			served++
 		}
-		flying = rest
+		active = remaining
 		c, err := pick(tab, n)
 		if err != nil {
 			refused++
@@ -288,14 +289,15 @@
 		if math.IsNaN(took) || took <= 0 {
 			t.Fatalf("got %f s for %s, want a time", took, c)
 		}
-		flying = append(flying, flight{chain: c, until: now + took})
+		active = append(active, activeRequest{chain: c, until: now + took})
 	}
 	return served, refused
 }
 
-// An engine dies and all instances move its streams at the same moment. Each
-// takes it that the others move as many to where it moves its own: they spread
-// over all engines that hold the layers, not over the fastest ones alone.
+// An engine dies and all instances move its streams at the same moment. Each instance
+// assumes that the others move as many streams to the engines that it chooses. So the
+// streams must spread over all engines that hold the layers, not only over the fastest
+// ones.
 func TestResumedStreamsSpread(t *testing.T) {
 	n := path.Demand{Prompt: 800, Answer: 200, Resumed: true}
 	used := func(peers int) int {
@@ -326,13 +328,13 @@
 		return len(seen)
 	}
 	if alone, among := used(0), used(32); among <= alone {
-		t.Errorf("got %d engines used among 32 others and %d alone, want more among others", among, alone)
+		t.Errorf("got %d engines used with 32 peers and %d without, want more with peers", among, alone)
 	}
 }
 
-// An engine was told to hold other layers and refuses for three seconds, while
-// the list still shows the former ones. It is asked a few times and not at every
-// chance; once it has served again, one refusal counts like the first.
+// An engine received an order for other layers and refuses for three seconds, while
+// the list still shows its former layers. It must be asked a few times, not at every
+// opportunity. Once it has served a run again, one refusal counts like the first.
 func TestRepeatedRefusalsExtendCooldown(t *testing.T) {
 	tab := table(engine("a", "a100", "east", 0, 40), engine("b", "a100", "east", 40, 80))
 	asked := 0
@@ -359,8 +361,9 @@
 	}
 }
 
-// Guards against all instances of a large fleet sending what comes in one moment to
-// engines that have just loaded their layers, since each sees them empty.
+// Guards against all instances of a large fleet sending the requests of one moment to
+// engines that have just loaded their layers, since each instance sees these engines
+// empty.
 func TestNewEnginesAreNotOverloaded(t *testing.T) {
 	const (
 		instances = 118
@@ -368,7 +371,7 @@
 		streams   = 16
 	)
 	usual := path.Demand{Prompt: 774, Answer: 200}
-	rushed := func(others int) int {
+	countNewEngineUsers := func(others int) int {
 		n := 0
 		for k := range uint64(instances) {
 			random := rand.New(rand.NewPCG(k, 1))
@@ -379,18 +382,18 @@
 					ups = append(ups, engine(fmt.Sprintf("c%d-%d", c, i), "l40s", "east", 20*i, 20*i+20))
 				}
 			}
-			fresh := ups
+			withNew := ups
 			for i := range 4 {
-				fresh = append(fresh, engine(fmt.Sprintf("new-%d", i), "l40s", "east", 20*i, 20*i+20))
+				withNew = append(withNew, engine(fmt.Sprintf("new-%d", i), "l40s", "east", 20*i, 20*i+20))
 			}
 			tab.Sync(ups)
-			uses := map[spec.UpstreamID]path.Usage{}
+			usages := map[spec.UpstreamID]path.Usage{}
 			for _, up := range ups {
-				uses[up.ID] = path.Usage{Streams: streams, Cells: streams * 874 * 20, PendingPrefill: 1500 * 20}
+				usages[up.ID] = path.Usage{Streams: streams, Cells: streams * 874 * 20, PendingPrefill: 1500 * 20}
 			}
-			tab.SetPeerUsage("all", uses)
+			tab.SetPeerUsage("all", usages)
 			choose(t, tab)
-			tab.Sync(fresh)
+			tab.Sync(withNew)
 			chain, err := tab.Choose(10*time.Second, usual, nil)
 			if err != nil {
 				t.Fatal(err)
@@ -404,20 +407,20 @@
 		}
 		return n
 	}
-	t.Logf("%d of %d choose the new engines as if alone, %d knowing of the others", rushed(0), instances, rushed(instances-1))
-	if got, want := rushed(instances-1), instances/2; got > want {
-		t.Errorf("got %d of %d at the new engines in one moment, want half at most", got, instances)
+	t.Logf("%d of %d instances choose the new engines with a peer count of 0, %d with all peers counted", countNewEngineUsers(0), instances, countNewEngineUsers(instances-1))
+	if got, want := countNewEngineUsers(instances-1), instances/2; got > want {
+		t.Errorf("got %d of %d instances that choose the new engines at once, want half at most", got, instances)
 	}
 }
 
 // Guards against requests that engines refuse after all instances of a large fleet
-// started at the same moment: none knows yet what the others send where.
+// started at the same moment. No instance knows yet where the others send requests.
 func TestSimultaneouslyStartedInstancesSpread(t *testing.T) {
 	const (
-		// near instances of one data centre take requests, each those of its callers
-		// who came while it was away.
-		near     = 24
-		requests = 8
+		// localInstances instances of one data centre accept requests, each those of
+		// the callers who arrived while it was away.
+		localInstances = 24
+		requests       = 8
 	)
 	var ups []site.Upstream
 	for i := range 4 {
@@ -433,15 +436,15 @@
 			ups = append(ups, engine(fmt.Sprintf("c%d-%d", c, i), "l4", "east", 8*i, 8*i+8))
 		}
 	}
-	room := map[spec.UpstreamID]int{}
+	free := map[spec.UpstreamID]int{}
 	for _, up := range ups {
 		m := model()
 		card, _ := m.Card(up.Card)
-		room[up.ID] = m.KVCapacity(card, up.Held.Layers.Len())
+		free[up.ID] = m.KVCapacity(card, up.Held.Layers.Len())
 	}
 	refused, first := 0, map[spec.UpstreamID]int{}
 	var tabs []*path.Table
-	for k := range uint64(near) {
+	for k := range uint64(localInstances) {
 		random := rand.New(rand.NewPCG(k, 1))
 		tab := &path.Table{Model: model(), Centre: "east", Random: random.Float64, PeerCount: func() int { return 117 }}
 		tab.Sync(ups)
@@ -455,27 +458,27 @@
 				continue
 			}
 			tab.Begin(chain, typicalDemand)
-			full := false
+			lacksMemory := false
 			for _, s := range chain {
-				full = full || room[s.Engine()] < (typicalDemand.Prompt+typicalDemand.Answer)*s.Layers().Len()
+				lacksMemory = lacksMemory || free[s.Engine()] < (typicalDemand.Prompt+typicalDemand.Answer)*s.Layers().Len()
 			}
-			if full {
+			if lacksMemory {
 				refused++
 				continue
 			}
 			first[chain[0].Engine()]++
 			for _, s := range chain {
-				room[s.Engine()] -= (typicalDemand.Prompt + typicalDemand.Answer) * s.Layers().Len()
+				free[s.Engine()] -= (typicalDemand.Prompt + typicalDemand.Answer) * s.Layers().Len()
 			}
 		}
 	}
-	t.Logf("%d of %d refused, first engines %v", refused, near*requests, first)
-	if refused > near*requests/20 {
-		t.Errorf("got %d of %d requests refused, want a twentieth at most", refused, near*requests)
+	t.Logf("%d of %d refused, first engines %v", refused, localInstances*requests, first)
+	if refused > localInstances*requests/20 {
+		t.Errorf("got %d of %d requests refused, want a twentieth at most", refused, localInstances*requests)
 	}
 }
 
-// BenchmarkChoose chooses a path among 200 and 3,000 engines of five data centres.
+// BenchmarkChoose chooses a path among 200 and 3,000 engines in five data centres.
 func BenchmarkChoose(b *testing.B) {
 	for _, chains := range []int{8, 120} {
 		b.Run(fmt.Sprint(25*chains), func(b *testing.B) {
--- a/internal/route/path/table.go
+++ b/internal/route/path/table.go
@@ -1,9 +1,9 @@
-// Package path chooses the engines that a model request passes. Engines hold
-// ranges of layers; a path covers all layers once and in order.
+// Package path chooses the engines for a model request. Engines hold ranges of layers;
+// a path covers all layers once and in order.
 //
-// It imports base/site and base/spec. Package app/edge keeps one Table per
-// service, tells it of engines and of requests that begin and end, and asks it
-// for paths. It does no I/O and reads no clock.
+// It imports base/site and base/spec. Package app/edge keeps one Table per service,
+// updates it when engines change and when requests begin and end, and asks it for
+// paths. It does no I/O and reads no clock.
 package path
 
 import (
@@ -19,24 +19,26 @@
 	upstream site.Upstream
 	card     site.Card
 	capacity int
-	// slowdown is how much slower than usual it works. said is what it said here
-	// last, and when.
+	// slowdown is how many times slower than usual the engine works. reportedSlowdown
+	// is its last report to this instance, received at reportedAt.
 	slowdown         float64
 	reportedSlowdown float64
 	reportedAt       time.Duration
-	// dead engines do not answer.
+	// dead is set while the engine doesn't respond.
 	dead bool
-	// cooldownUntil is until when it gets no new requests, refused how long it rested
-	// for its last refusal; zero once it has served since.
+	// cooldownUntil is the time until which the engine gets no new requests.
+	// refusalCooldown is the length of the cooldown for its last refusal; zero once it
+	// has served a run since.
 	cooldownUntil   time.Duration
 	refusalCooldown time.Duration
-	// usableSince is when it was first seen to take requests after it took none; zero while
-	// it takes none.
+	// usableSince is when the engine was first seen usable after it was not; zero
+	// while it isn't usable.
 	usableSince time.Duration
 	local       Usage
-	// retryPrefill is the part of mine.Unread that is read once more.
+	// retryPrefill is the part of local.PendingPrefill that is read again for resumed
+	// streams.
 	retryPrefill int
-	// remote is what the requests of other instances take.
+	// remote is the usage by requests of other instances.
 	remote Usage
 }
 
@@ -46,52 +48,53 @@
 	return u
 }
 
-// Table is the engines of one service. It is not safe for concurrent use.
+// Table holds the engines of one service. It is not safe for concurrent use.
 type Table struct {
 	Model  *site.Model
 	Centre spec.DataCentre
-	// Random draws from [0, 1); nil always draws 0.
+	// Random returns a number in [0, 1); nil stands for always 0.
 	Random func() float64
-	// PeerCount is how many other instances choose paths; nil counts those of Peer.
+	// PeerCount returns how many other instances choose paths; if nil, those known
+	// from SetPeerUsage count.
 	PeerCount func() int
 
 	engines       []*engine
 	byID          map[spec.UpstreamID]*engine
 	peerUsage     map[spec.InstanceID]map[spec.UpstreamID]Usage
 	peerSlowdowns map[spec.InstanceID]map[spec.UpstreamID]float64
-	// linkBusyUntil is until when the way between data centres is taken.
+	// linkBusyUntil is the time until which the link between data centres is occupied.
 	linkBusyUntil time.Duration
-	// firstUsableAt is when engines that take requests were first seen, centres how many data
-	// centres engines are in.
+	// firstUsableAt is when a usable engine was first seen.
 	firstUsableAt time.Duration
-	centreCount   int
+	// centreCount is the number of data centres with engines.
+	centreCount int
 }
 
-// Sync sets which engines there are. What is known of those that stay is kept;
-// one that was born anew under its ID is another engine.
-func (t *Table) Sync(ups []site.Upstream) {
+// Sync sets the list of engines. The state of engines that stay is kept. An engine
+// with the same ID but another start time or address counts as a new engine.
+func (t *Table) Sync(upstreams []site.Upstream) {
 	old := t.byID
 	t.engines = t.engines[:0:0]
 	t.byID = map[spec.UpstreamID]*engine{}
 	centres := map[spec.DataCentre]bool{}
-	for _, up := range ups {
-		centres[up.Centre] = true
-		card, ok := t.Model.Card(up.Card)
+	for _, upstream := range upstreams {
+		centres[upstream.Centre] = true
+		card, ok := t.Model.Card(upstream.Card)
 		if !ok {
 			continue
 		}
-		e := old[up.ID]
-		if e == nil || e.upstream.Born != up.Born || e.upstream.Address != up.Address {
+		e := old[upstream.ID]
+		if e == nil || e.upstream.Born != upstream.Born || e.upstream.Address != upstream.Address {
 			e = &engine{slowdown: 1}
 		}
-		e.upstream = up
+		e.upstream = upstream
 		e.card = card
-		e.capacity = t.Model.KVCapacity(card, up.Held.Layers.Len())
+		e.capacity = t.Model.KVCapacity(card, upstream.Held.Layers.Len())
 		t.engines = append(t.engines, e)
-		t.byID[up.ID] = e
+		t.byID[upstream.ID] = e
 	}
 	t.centreCount = len(centres)
-	// The search for paths goes through engines in the order of their ends.
+	// The path search needs the engines sorted by the end of their layers.
 	sort.Slice(t.engines, func(i, j int) bool {
 		a, b := t.engines[i].upstream, t.engines[j].upstream
 		if x, y := a.Held.Layers.To(), b.Held.Layers.To(); x != y {
@@ -102,7 +105,7 @@
 	t.recompute()
 }
 
-// peerCount is how many other instances choose paths.
+// peerCount returns how many other instances choose paths.
 func (t *Table) peerCount() int {
 	if t.PeerCount == nil {
 		return len(t.peerUsage)
@@ -110,15 +113,15 @@
 	return t.PeerCount()
 }
 
-// SetPeerUsage sets what the requests of another instance take; nil forgets it.
-func (t *Table) SetPeerUsage(from spec.InstanceID, uses map[spec.UpstreamID]Usage) {
+// SetPeerUsage sets the usage by requests of another instance; nil removes it.
+func (t *Table) SetPeerUsage(from spec.InstanceID, usages map[spec.UpstreamID]Usage) {
 	if t.peerUsage == nil {
 		t.peerUsage = map[spec.InstanceID]map[spec.UpstreamID]Usage{}
 	}
-	if uses == nil {
+	if usages == nil {
 		delete(t.peerUsage, from)
 	} else {
-		t.peerUsage[from] = uses
+		t.peerUsage[from] = usages
 	}
 	t.recompute()
 }
@@ -127,12 +130,12 @@
 	for _, e := range t.engines {
 		e.remote = Usage{}
 		e.slowdown = max(1, e.reportedSlowdown)
-		for _, paces := range t.peerSlowdowns {
-			e.slowdown = max(e.slowdown, paces[e.upstream.ID])
+		for _, slowdowns := range t.peerSlowdowns {
+			e.slowdown = max(e.slowdown, slowdowns[e.upstream.ID])
 		}
 	}
-	for _, uses := range t.peerUsage {
-		for id, u := range uses {
+	for _, usages := range t.peerUsage {
+		for id, u := range usages {
 			if e := t.byID[id]; e != nil {
 				e.remote.add(u)
 			}
@@ -140,7 +143,7 @@
 	}
 }
 
-// LocalUsage is what the requests of this instance take.
+// LocalUsage returns the usage by requests of this instance.
 func (t *Table) LocalUsage() map[spec.UpstreamID]Usage {
 	out := map[spec.UpstreamID]Usage{}
 	for _, e := range t.engines {
@@ -151,7 +154,7 @@
 	return out
 }
 
-// Upstream returns the row of an engine.
+// Upstream returns the listed upstream of an engine.
 func (t *Table) Upstream(id spec.UpstreamID) (site.Upstream, bool) {
 	e := t.byID[id]
 	if e == nil {
@@ -170,7 +173,7 @@
 	return site.Upstream{}, false
 }
 
-// Engines returns the rows of all engines.
+// Engines returns the listed upstreams of all engines.
 func (t *Table) Engines() []site.Upstream {
 	out := make([]site.Upstream, 0, len(t.engines))
 	for _, e := range t.engines {
