--- a/internal/route/layout/deal.go
+++ b/internal/route/layout/assign.go
@@ -5,15 +5,15 @@
 	"fulmarwick/internal/base/spec"
 )
 
-// model is a model with the least memory in tokens that an engine must have
-// behind its layers.
+// model is a model with the KV memory, in tokens, that an engine must at least have
+// free behind its layers.
 type model struct {
 	*site.Model
 	minTokens float64
 }
 
-// withMinTokens is a model for engines to be planned. Where they have no memory for a
-// few requests at a time, one is better than none.
+// withMinTokens sets the minimum for the given engines. If their memory doesn't
+// suffice for several concurrent requests, the minimum is one request.
 func withMinTokens(m *site.Model, engines []Engine) model {
 	out := model{Model: m, minTokens: minConcurrentRequests * typicalTokens(m)}
 	if !fitsModel(out, engines, out.minTokens) {
@@ -22,12 +22,14 @@
 	return out
 }
 
-// layersThatFit is how many layers a card holds beside memory for so many tokens.
-func layersThatFit(m model, c site.Card, tokens float64) int {
-	return min(m.Layers, int(c.MemoryMB/(m.LayerMB+tokens*m.TokenLayerMB())))
+// layersThatFit returns how many layers a card holds beside KV memory for that many
+// tokens.
+func layersThatFit(m model, card site.Card, tokens float64) int {
+	return min(m.Layers, int(card.MemoryMB/(m.LayerMB+tokens*m.TokenLayerMB())))
 }
 
-// fitsModel reports whether engines together hold all layers beside so many tokens.
+// fitsModel reports whether engines together hold all layers beside KV memory for that
+// many tokens.
 func fitsModel(m model, engines []Engine, tokens float64) bool {
 	sum := 0
 	for _, e := range engines {
@@ -37,14 +39,15 @@
 }
 
 const (
-	// maxSearchTokens bounds the search for the room of a chain in tokens, far above
-	// any card's; halvings then finds it to a token.
+	// maxSearchTokens is the upper bound of the search for the KV memory of a chain in
+	// tokens, far above that of any card.
 	maxSearchTokens = 1e8
-	bisectionSteps  = 27
+	// bisectionSteps is the number of halvings that find it to within a token.
+	bisectionSteps = 27
 )
 
-// maxChainTokens is the most tokens beside which engines together hold all layers; zero
-// if there are none.
+// maxChainTokens returns the most tokens of KV memory beside which engines together
+// hold all layers; zero if they don't hold them all.
 func maxChainTokens(m model, engines []Engine) float64 {
 	low, high := 0.0, maxSearchTokens
 	for range bisectionSteps {
@@ -57,10 +60,11 @@
 	return low
 }
 
-// assignLayers splits all layers among the engines of a chain so that the poorest has
-// most room. Shares in proportion to memory are rounded: a card of 14 GB that
-// gets 7 layers of 1.75 GB instead of 6 has half the room, and the chain no more
-// than that. What is left over is taken off the engine that is slowest.
+// assignLayers splits all layers among the engines of a chain so that the engine with
+// the least KV memory has as much as possible. It doesn't round shares in proportion
+// to memory: a card of 14 GB that gets 7 layers of 1.75 GB instead of 6 has half the
+// KV memory, which then limits the whole chain. Surplus layers are taken off the
+// slowest engine.
 func assignLayers(m model, chain []Engine) []Engine {
 	tokens := maxChainTokens(m, chain)
 	counts, sum := make([]int, len(chain)), 0
@@ -80,13 +84,14 @@
 	return out
 }
 
-// slowestEngine is the engine of a chain in whose layers a request spends most time.
+// slowestEngine returns the engine of a chain in whose layers a request spends most
+// time.
 func slowestEngine(m model, chain []Engine, counts []int) int {
-	at, most := 0, -1.0
+	slowest, maxMs := 0, -1.0
 	for i, n := range counts {
-		if ms := float64(n) * layerTime(m.Model, chain[i].Card); n > 0 && ms > most {
-			at, most = i, ms
+		if ms := float64(n) * layerTime(m.Model, chain[i].Card); n > 0 && ms > maxMs {
+			slowest, maxMs = i, ms
 		}
 	}
-	return at
+	return slowest
 }
--- a/internal/route/layout/fresh_test.go
+++ b/internal/route/layout/initial_test.go
@@ -14,7 +14,7 @@
 	"pgregory.net/rapid"
 )
 
-// newFleetFor is engines by data centre and card of a model.
+// newFleetFor returns engines by data centre and card of a model.
 func newFleetFor(m *site.Model, counts [][]int) []layout.Engine {
 	out := newFleet(counts)
 	at := 0
@@ -29,7 +29,7 @@
 	return out
 }
 
-// timedModel is the usual model with what work costs.
+// timedModel returns the basic model with the times of steps and reads.
 func timedModel() *site.Model {
 	m := model()
 	m.StepTime, m.TimePerSequence, m.TimePer1kTokens = 1020*time.Microsecond, 7140*time.Nanosecond, 9560*time.Nanosecond
@@ -37,7 +37,8 @@
 	return m
 }
 
-// unlikeCardsModel is a model whose cards differ most: much memory, little, and slow ones.
+// unlikeCardsModel returns a model whose cards differ greatly: one with much memory,
+// one with little, one slow.
 func unlikeCardsModel() *site.Model {
 	m := timedModel()
 	m.TokenBytes, m.PrefillRate, m.TypicalAnswer = 590000, 164000, 215
@@ -45,7 +46,8 @@
 	return m
 }
 
-// fewLargeLayersModel is a model of few large layers on cards of two kinds, with long prompts.
+// fewLargeLayersModel returns a model of few large layers on cards of two kinds, with
+// long prompts.
 func fewLargeLayersModel() *site.Model {
 	m := timedModel()
 	m.Layers, m.LayerMB, m.TypicalPrompt, m.TypicalAnswer = 24, 5200, 2600, 90
@@ -53,7 +55,7 @@
 	return m
 }
 
-// singleCardModel is a model on one kind of card.
+// singleCardModel returns a model on one kind of card.
 func singleCardModel() *site.Model {
 	m := timedModel()
 	m.Layers, m.LayerMB, m.TypicalPrompt, m.TypicalAnswer = 48, 900, 300, 500
@@ -61,24 +63,24 @@
 	return m
 }
 
-// deployments are deployments: those of the three users, their larger ones, and
-// others with unlike cards, data centres of unequal size, and too little memory.
+// deployments are the fleets of three users, larger versions of them, and others with
+// unlike cards, data centres of unequal size, and too little memory.
 var deployments = []struct {
 	name   string
 	model  func() *site.Model
 	counts [][]int
 }{
-	{"levy assistant and bookings", timedModel, typicalCounts},
-	{"the same grown", timedModel, [][]int{{2, 9, 22}, {2, 15, 12}, {4, 6, 14}}},
-	{"cylinders", unlikeCardsModel, [][]int{{2, 4, 4}, {1, 6, 6}, {1, 10, 4}}},
-	{"the same grown", unlikeCardsModel, [][]int{{4, 10, 11}, {3, 14, 16}, {2, 24, 9}}},
+	{"typical fleet", timedModel, typicalCounts},
+	{"typical fleet, larger", timedModel, [][]int{{2, 9, 22}, {2, 15, 12}, {4, 6, 14}}},
+	{"unlike cards", unlikeCardsModel, [][]int{{2, 4, 4}, {1, 6, 6}, {1, 10, 4}}},
+	{"unlike cards, larger", unlikeCardsModel, [][]int{{4, 10, 11}, {3, 14, 16}, {2, 24, 9}}},
 	{"one large data centre and two small ones", fewLargeLayersModel, [][]int{{4, 6}, {1, 2}, {0, 3}}},
 	{"one kind of card", singleCardModel, [][]int{{7}, {5}}},
 	{"a single data centre", unlikeCardsModel, [][]int{{2, 12, 9}}},
 }
 
-// evenSplit gives each engine the next layers in proportion to its memory, in
-// the order of the list: a placement without a plan.
+// evenSplit gives each engine the next layers in proportion to its memory, in the
+// order of the list: a placement without planning.
 func evenSplit(m *site.Model, engines []layout.Engine) []layout.Engine {
 	out := append([]layout.Engine(nil), engines...)
 	at := 0
@@ -93,14 +95,14 @@
 	return out
 }
 
-// byMemory builds chains for a fixed memory of 60,000 tokens in each data
-// centre, with layers in proportion to memory, and gives what is left over the
-// ranges behind which there is least.
+// byMemory builds chains for a fixed KV memory of 60,000 tokens in each data centre,
+// with layers in proportion to memory. It gives the remaining engines the ranges
+// behind which there is least KV memory.
 func byMemory(m *site.Model, engines []layout.Engine) []layout.Engine {
-	const wanted = 60000
+	const kvTokens = 60000
 	out := append([]layout.Engine(nil), engines...)
 	sort.SliceStable(out, func(i, j int) bool { return out[i].Card.StepFactor < out[j].Card.StepFactor })
-	need := float64(m.Layers) * (m.LayerMB + wanted*m.TokenLayerMB())
+	need := float64(m.Layers) * (m.LayerMB + kvTokens*m.TokenLayerMB())
 	for _, centre := range centresOf(out) {
 		for chain, got := []int(nil), 0.0; ; chain, got = nil, 0 {
 			for i, e := range out {
@@ -121,11 +123,11 @@
 		}
 	}
 	for i, e := range out {
-		if n := min(m.Layers, int(math.Round(e.Card.MemoryMB/(m.LayerMB+wanted*m.TokenLayerMB())))); e.Held.Len() == 0 && n > 0 {
+		if n := min(m.Layers, int(math.Round(e.Card.MemoryMB/(m.LayerMB+kvTokens*m.TokenLayerMB())))); e.Held.Len() == 0 && n > 0 {
 			at, best := 0, math.Inf(1)
-			behind := tokensPerLayer(m, out)
+			available := tokensPerLayer(m, out)
 			for from := 0; from+n <= m.Layers; from++ {
-				if sum := sumOf(behind[from : from+n]); sum < best {
+				if sum := sumOf(available[from : from+n]); sum < best {
 					at, best = from, sum
 				}
 			}
@@ -155,7 +157,7 @@
 	return sum
 }
 
-// totalRate is the rate that all data centres carry.
+// totalRate returns the rate that all data centres carry.
 func totalRate(m *site.Model, engines []layout.Engine) float64 {
 	sum := 0.0
 	for _, c := range centresOf(engines) {
@@ -164,37 +166,38 @@
 	return sum
 }
 
-// servedShare is the part of a load that is carried when one engine is gone, as the
-// mean over all engines.
+// servedShare returns the share of a load that is carried after the loss of one
+// engine, as the mean over all engines.
 func servedShare(m *site.Model, engines []layout.Engine, load float64) float64 {
 	sum := 0.0
 	for i := range engines {
-		rest := append(append([]layout.Engine(nil), engines[:i]...), engines[i+1:]...)
-		sum += min(1, totalRate(m, rest)/load)
+		others := append(append([]layout.Engine(nil), engines[:i]...), engines[i+1:]...)
+		sum += min(1, totalRate(m, others)/load)
 	}
 	return sum / float64(len(engines))
 }
 
-// Cards of unlike memory and speed stand in data centres of unlike size, and any
-// one engine may be gone. Under a load of six tenths of what the engines could
-// carry, the plan then serves no less than a split without a plan, and than
-// chains by memory alone, on every shape.
+// Cards differ in memory and speed, data centres differ in size, and any one engine
+// may be lost. Under a load of six tenths of what the engines could carry, the plan
+// must serve at least as much as an even split and as chains by memory alone, in every
+// deployment.
 func TestPlanAgainstSimplePlacements(t *testing.T) {
 	for _, s := range deployments {
 		m := s.model()
 		engines := newFleetFor(m, s.counts)
-		plan, plain, memory := applyOrders(engines, layout.Plan(m, engines)), evenSplit(m, engines), byMemory(m, engines)
-		load := 0.6 * max(totalRate(m, plan), totalRate(m, plain), totalRate(m, memory))
-		got, a, b := servedShare(m, plan, load), servedShare(m, plain, load), servedShare(m, memory, load)
-		t.Logf("%s: %.3f of %.0f requests a second without an engine, even split %.3f, by memory %.3f", s.name, got, load, a, b)
+		plan, even, proportional := applyOrders(engines, layout.Plan(m, engines)), evenSplit(m, engines), byMemory(m, engines)
+		load := 0.6 * max(totalRate(m, plan), totalRate(m, even), totalRate(m, proportional))
+		got, a, b := servedShare(m, plan, load), servedShare(m, even, load), servedShare(m, proportional, load)
+		t.Logf("%s: %.3f of %.0f requests a second after the loss of one engine, even split %.3f, by memory %.3f", s.name, got, load, a, b)
 		if got < a || got < b {
-			t.Errorf("%s: got %.3f of the load without an engine, want no less than %.3f and %.3f", s.name, got, a, b)
+			t.Errorf("%s: got %.3f of the load after the loss of one engine, want at least %.3f and %.3f", s.name, got, a, b)
 		}
 	}
 }
 
-// With few engines and layers every placement can be tried. The plan is never
-// far from the best of them in what is left without an engine and with all.
+// With few engines and layers, all placements can be tried. The score of the plan must
+// be at least half that of the best of them. The score counts the rate with all
+// engines and the mean rate without one.
 func TestPlanAgainstExhaustiveSearch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := timedModel()
@@ -206,13 +209,13 @@
 			counts[rapid.IntRange(0, 2).Draw(t, "card")]++
 		}
 		engines := newFleet([][]int{counts})
-		worth := func(es []layout.Engine) float64 { return layout.Rate(m, es) + meanRateWithoutOne(m, es) }
+		score := func(es []layout.Engine) float64 { return layout.Rate(m, es) + meanRateWithoutOne(m, es) }
 		best := 0.0
 		var try func(i int)
 		all := append([]layout.Engine(nil), engines...)
 		try = func(i int) {
 			if i == len(all) {
-				best = max(best, worth(all))
+				best = max(best, score(all))
 				return
 			}
 			for from := 0; from < m.Layers; from++ {
@@ -224,14 +227,15 @@
 			all[i].Held = spec.Layers{}
 		}
 		try(0)
-		got := worth(applyOrders(engines, layout.Plan(m, engines)))
+		got := score(applyOrders(engines, layout.Plan(m, engines)))
 		if got < 0.5*best {
-			t.Fatalf("got a worth of %.2f, want half of the best one's %.2f at least", got, best)
+			t.Fatalf("got a score of %.2f, want at least half of the best score %.2f", got, best)
 		}
 	})
 }
 
-// meanRateWithoutOne is the rate without an engine, as the mean over all engines.
+// meanRateWithoutOne returns the rate after the loss of one engine, as the mean over
+// all engines.
 func meanRateWithoutOne(m *site.Model, engines []layout.Engine) float64 {
 	sum := 0.0
 	for i := range engines {
@@ -240,39 +244,40 @@
 	return sum / float64(len(engines))
 }
 
-// An engine that alone holds layers of its data centre dies and does not come
-// back. No request can be served there any more, and the other data centres have
-// to carry its load, until spare engines take its layers: they are ordered to at
-// the first plan.
+// An engine that is the only holder of layers in its data centre dies and doesn't
+// return. No request can be served there any more, and the other data centres have to
+// carry its load, until spare engines take its layers. The first plan must order them
+// to.
 func TestSparesTakeOver(t *testing.T) {
 	m := unlikeCardsModel()
 	engines := newFleetFor(m, [][]int{{2, 4, 4}, {1, 6, 6}, {1, 10, 4}})
 	engines = applyOrders(engines, layout.Plan(m, engines))
 	for i, dead := range engines {
-		rest := append(append([]layout.Engine(nil), engines[:i]...), engines[i+1:]...)
-		after := applyOrders(rest, layout.Plan(m, rest))
+		others := append(append([]layout.Engine(nil), engines[:i]...), engines[i+1:]...)
+		after := applyOrders(others, layout.Plan(m, others))
 		before, now := layout.Rate(m, inCentre(engines, dead.Centre)), layout.Rate(m, inCentre(after, dead.Centre))
 		if now < before/10 {
-			t.Errorf("got %.1f requests a second after %s with %s died, want a tenth of %.1f at least", now, dead.ID, dead.Held, before)
+			t.Errorf("got %.1f requests a second after %s with %s died, want at least a tenth of %.1f", now, dead.ID, dead.Held, before)
 		}
 	}
 }
 
-// What a platform publishes may be missing or make no sense. The plan then holds
-// what can be held, and no engine is told to hold more than its memory.
+// Values that a platform publishes may be missing or invalid. The plan must still
+// place the layers that fit, and must not order an engine to hold more than its
+// memory.
 func TestIncompleteModels(t *testing.T) {
 	tests := []struct {
 		name   string
 		change func(*site.Model)
 		serves bool
 	}{
-		{"no usual sizes", func(m *site.Model) { m.TypicalPrompt, m.TypicalAnswer = 0, 0 }, true},
+		{"no typical sizes", func(m *site.Model) { m.TypicalPrompt, m.TypicalAnswer = 0, 0 }, true},
 		{"no answers", func(m *site.Model) { m.TypicalAnswer = 0 }, true},
 		{"no times", func(m *site.Model) { m.StepTime, m.TimePerSequence, m.TimePer1kTokens, m.PrefillRate = 0, 0, 0, 0 }, true},
-		{"no paces", func(m *site.Model) {
+		{"no speed factors", func(m *site.Model) {
 			m.Cards = []site.Card{{Name: "x", MemoryMB: 72000}, {Name: "y", MemoryMB: 43200}, {Name: "z", MemoryMB: 21600}}
 		}, true},
-		{"no memory of tokens", func(m *site.Model) { m.TokenBytes = 0 }, true},
+		{"no KV memory per token", func(m *site.Model) { m.TokenBytes = 0 }, true},
 		{"no slots", func(m *site.Model) { m.Slots = 0 }, true},
 		{"no layers", func(m *site.Model) { m.Layers = 0 }, false},
 		{"layers without size", func(m *site.Model) { m.LayerMB = 0 }, false},
@@ -305,7 +310,7 @@
 	// Output: true 0
 }
 
-// BenchmarkPlanEmptyFleet plans 190 engines of three data centres at once.
+// BenchmarkPlanEmptyFleet plans 190 empty engines of three data centres at once.
 func BenchmarkPlanEmptyFleet(b *testing.B) {
 	m := unlikeCardsModel()
 	engines := newFleetFor(m, [][]int{{8, 20, 35}, {6, 28, 30}, {4, 40, 19}})
@@ -314,7 +319,7 @@
 	}
 }
 
-// BenchmarkPlanRepair plans 190 engines, six of which came back empty.
+// BenchmarkPlanRepair plans 190 engines, six of which restarted empty.
 func BenchmarkPlanRepair(b *testing.B) {
 	m := unlikeCardsModel()
 	engines := newFleetFor(m, [][]int{{8, 20, 35}, {6, 28, 30}, {4, 40, 19}})
--- a/internal/route/layout/layout.go
+++ b/internal/route/layout/layout.go
@@ -1,14 +1,15 @@
 // Package layout decides which layers each engine of a service holds.
 //
-// It imports base/site and base/spec. The instance that holds the duty of
-// planning asks it for orders. It does no I/O and reads no clock.
+// It imports base/site and base/spec. The instance that holds the planning lease asks
+// it for orders. It does no I/O and reads no clock.
 //
-// Engines that together hold all layers carry requests. Activations between
-// data centres are slow and paid for, so each data centre is planned by itself
-// where its engines suffice. What counts is the rate of usual requests that
-// engines carry when any one of them is gone (rate.go, area.go): memory behind
-// the poorest layer over the time for which requests hold it. A whole placement
-// (fresh.go) is made once; losses are mended engine by engine (mend.go).
+// Engines that together hold all layers serve requests. Activations between data
+// centres are slow and charged for, so each data centre is planned separately if its
+// engines suffice. A placement is rated by how many typical requests per second its
+// engines carry with all of them and with any one lost (rate.go, placement.go). That
+// depends on the KV memory behind the layer that has least, and on how long requests
+// hold it. A placement for engines that hold nothing (initial.go) is made once; losses
+// are repaired engine by engine (repair.go).
 package layout
 
 import (
@@ -19,13 +20,13 @@
 	"fulmarwick/internal/base/spec"
 )
 
-// Engine is an engine to be planned for.
+// Engine is an engine to plan for.
 type Engine struct {
 	ID     spec.UpstreamID
 	Centre spec.DataCentre
 	Card   site.Card
 	Held   spec.Layers
-	// Loading is set while what it holds was ordered and is not there yet.
+	// Loading is set while the engine still loads the layers in Held.
 	Loading bool
 }
 
@@ -35,50 +36,50 @@
 	Layers spec.Layers
 }
 
-// Plan returns the orders that are due: a whole placement where no engine holds
-// anything yet, else a range for each engine that is empty. Engines that hold
-// something are left alone, unless their data centre lacks layers or gains much
-// by one move.
+// Plan returns the load orders that are due. If no engine holds layers yet, it is a
+// complete placement; otherwise each empty engine gets a range. Engines that hold
+// layers keep them, unless their data centre lacks layers or gains much by one move.
 func Plan(m *site.Model, engines []Engine) []Order {
 	if m.Layers <= 0 || m.LayerMB <= 0 {
 		return nil
 	}
 	var orders []Order
-	all := withMinTokens(m, engines)
-	for _, near := range planningGroups(all, engines) {
-		if slices.ContainsFunc(near, func(e Engine) bool { return e.Held.Len() > 0 }) {
-			orders = append(orders, diffOrders(near, repair(all, near))...)
+	sized := withMinTokens(m, engines)
+	for _, group := range planningGroups(sized, engines) {
+		if slices.ContainsFunc(group, func(e Engine) bool { return e.Held.Len() > 0 }) {
+			orders = append(orders, diffOrders(group, repair(sized, group))...)
 		} else {
-			orders = append(orders, diffOrders(near, placeAll(all, near))...)
+			orders = append(orders, diffOrders(group, placeAll(sized, group))...)
 		}
 	}
 	return orders
 }
 
-// planningGroups are the engines that are planned together, the fastest first: those of
-// each data centre that has memory for the model, and all others.
+// planningGroups returns the groups of engines that are planned together, the fastest
+// engines first: one group for each data centre with enough memory for the model, and
+// one for all other engines.
 func planningGroups(m model, engines []Engine) [][]Engine {
 	sorted := append([]Engine(nil), engines...)
 	sort.Slice(sorted, func(i, j int) bool { return faster(sorted[i], sorted[j]) })
 	var centres []spec.DataCentre
-	by := map[spec.DataCentre][]Engine{}
+	byCentre := map[spec.DataCentre][]Engine{}
 	for _, e := range sorted {
-		if by[e.Centre] == nil {
+		if byCentre[e.Centre] == nil {
 			centres = append(centres, e.Centre)
 		}
-		by[e.Centre] = append(by[e.Centre], e)
+		byCentre[e.Centre] = append(byCentre[e.Centre], e)
 	}
 	slices.Sort(centres)
 	var out [][]Engine
-	alone := map[spec.DataCentre]bool{}
+	separate := map[spec.DataCentre]bool{}
 	for _, c := range centres {
-		if fitsModel(m, by[c], m.minTokens) {
-			out, alone[c] = append(out, by[c]), true
+		if fitsModel(m, byCentre[c], m.minTokens) {
+			out, separate[c] = append(out, byCentre[c]), true
 		}
 	}
-	rest := slices.DeleteFunc(sorted, func(e Engine) bool { return alone[e.Centre] })
-	if len(rest) > 0 {
-		out = append(out, rest)
+	remaining := slices.DeleteFunc(sorted, func(e Engine) bool { return separate[e.Centre] })
+	if len(remaining) > 0 {
+		out = append(out, remaining)
 	}
 	return out
 }
@@ -90,7 +91,7 @@
 	return a.ID < b.ID
 }
 
-// diffOrders are the orders that turn one placement into another.
+// diffOrders returns the orders that turn one placement into another.
 func diffOrders(before, after []Engine) []Order {
 	held := map[spec.UpstreamID]spec.Layers{}
 	for _, e := range before {
--- a/internal/route/layout/layout_test.go
+++ b/internal/route/layout/layout_test.go
@@ -21,11 +21,11 @@
 	return &site.Model{Slots: 192, Layers: 80, LayerMB: 1750, TokenBytes: 918000, LoadTime: 14 * time.Second, Cards: cards}
 }
 
-// newFleet is engines by data centre and card.
+// newFleet returns engines by data centre and card.
 func newFleet(counts [][]int) []layout.Engine {
 	var out []layout.Engine
-	for z, zone := range counts {
-		for card, n := range zone {
+	for z, cardCounts := range counts {
+		for card, n := range cardCounts {
 			for range n {
 				id := spec.UpstreamID(fmt.Sprintf("e%03d", len(out)))
 				out = append(out, layout.Engine{ID: id, Centre: spec.DataCentre(fmt.Sprintf("z%d", z)), Card: cards[card]})
@@ -35,7 +35,7 @@
 	return out
 }
 
-// typicalCounts is the site of today.
+// typicalCounts are the engines of a typical deployment.
 var typicalCounts = [][]int{{1, 3, 8}, {1, 6, 5}, {2, 2, 5}}
 
 func applyOrders(engines []layout.Engine, orders []layout.Order) []layout.Engine {
@@ -50,7 +50,7 @@
 	return out
 }
 
-// tokensPerLayer is the memory for requests behind each layer.
+// tokensPerLayer returns the KV memory for requests behind each layer, in tokens.
 func tokensPerLayer(m *site.Model, engines []layout.Engine) []float64 {
 	out := make([]float64, m.Layers)
 	for _, e := range engines {
@@ -69,44 +69,43 @@
 	return out
 }
 
-// Placed by the plan, the engines of today hold more requests behind their
-// weakest layer than with equal stages of 20 and 10 layers, and each data
-// centre holds a chain of its own.
+// The initial placement of a typical fleet must have more KV memory behind its weakest
+// layer than equal stages of 20 and 10 layers, and each data centre must hold a
+// complete chain.
 func TestInitialPlacement(t *testing.T) {
 	m := model()
 	engines := newFleet(typicalCounts)
 	got := applyOrders(engines, layout.Plan(m, engines))
-	naive := append([]layout.Engine(nil), engines...)
+	equal := append([]layout.Engine(nil), engines...)
 	next := map[int]int{}
-	for i := range naive {
+	for i := range equal {
 		n := 20
-		if naive[i].Card.Name == "l4" {
+		if equal[i].Card.Name == "l4" {
 			n = 10
 		}
-		naive[i].Held = spec.NewLayers(next[n], next[n]+n)
+		equal[i].Held = spec.NewLayers(next[n], next[n]+n)
 		next[n] = (next[n] + n) % m.Layers
 	}
-	if a, b := minOf(tokensPerLayer(m, got)), minOf(tokensPerLayer(m, naive)); a < 1.1*b {
+	if a, b := minOf(tokensPerLayer(m, got)), minOf(tokensPerLayer(m, equal)); a < 1.1*b {
 		t.Errorf("got %.0f tokens behind the weakest layer, want 1.1 times the %.0f of equal stages", a, b)
 	}
 	for _, centre := range []spec.DataCentre{"z0", "z1", "z2"} {
-		var near []layout.Engine
+		var local []layout.Engine
 		for _, e := range got {
 			if e.Centre == centre {
-				near = append(near, e)
+				local = append(local, e)
 			}
 		}
-		if minOf(tokensPerLayer(m, near)) <= 0 {
+		if minOf(tokensPerLayer(m, local)) <= 0 {
 			t.Errorf("got layers without an engine in %s, want all", centre)
 		}
 	}
 }
 
-// Whatever engines there are and whichever died or left before: no order is
-// beyond an engine's memory; none leaves a data centre less memory behind its
-// weakest layer; an engine that holds layers gets an order only where its
-// data centre lacks one, or as the only one there while nothing else is due or
-// loads.
+// For any set of engines, some of which died or left: no order exceeds the memory of
+// its engine, and none reduces the KV memory behind the weakest layer of a data
+// centre. An engine that holds layers gets an order only if its data centre lacks a
+// layer, or as the only order there while no engine is empty or loading.
 func TestPlanIsSafe(t *testing.T) {
 	m := model()
 	rapid.Check(t, func(t *rapid.T) {
@@ -118,17 +117,17 @@
 		all := newFleet(counts)
 		all = applyOrders(all, layout.Plan(m, all))
 		var engines []layout.Engine
-		idle := true
-		comeBack := rapid.Bool().Draw(t, "come back")
+		noneEmptyOrLoading := true
+		restarts := rapid.Bool().Draw(t, "come back")
 		for _, e := range all {
 			if rapid.IntRange(0, 3).Draw(t, "dies") == 0 {
-				if !comeBack {
+				if !restarts {
 					continue
 				}
 				e.Held = spec.Layers{}
 			}
 			e.Loading = rapid.IntRange(0, 20).Draw(t, "loading") == 0
-			idle = idle && e.Held.Len() > 0 && !e.Loading
+			noneEmptyOrLoading = noneEmptyOrLoading && e.Held.Len() > 0 && !e.Loading
 			engines = append(engines, e)
 		}
 		if len(engines) == 0 {
@@ -160,7 +159,7 @@
 	})
 }
 
-// isSettled reports whether no engine is empty or loads.
+// isSettled reports whether no engine is empty or loading.
 func isSettled(engines []layout.Engine) bool {
 	for _, e := range engines {
 		if e.Held.Len() == 0 || e.Loading {
@@ -179,7 +178,7 @@
 	return layout.Engine{}
 }
 
-// inCentre are the engines of a data centre.
+// inCentre returns the engines of a data centre.
 func inCentre(engines []layout.Engine, centre spec.DataCentre) []layout.Engine {
 	var out []layout.Engine
 	for _, e := range engines {
@@ -190,16 +189,16 @@
 	return out
 }
 
-// A quarter of the engines is lost for good, all those that hold one part of
-// the model but one. Requests are turned away for want of room there, while
-// memory behind the other layers is free: engines are moved one after the
-// other, until no move is worth its load.
+// A quarter of the engines is lost for good, namely all but one of the engines that
+// hold one part of the model. Requests are rejected for lack of KV memory there, while
+// memory behind the other layers is free. Engines must be moved one after the other,
+// until no move is worth its load time.
 func TestPlanRebalancesAfterLoss(t *testing.T) {
 	m := model()
 	engines := newFleet(typicalCounts)
 	engines = applyOrders(engines, layout.Plan(m, engines))
 	if orders := layout.Plan(m, engines); len(orders) > 0 {
-		t.Fatalf("got orders %v for the whole site, want none", orders)
+		t.Fatalf("got orders %v for the complete fleet, want none", orders)
 	}
 	var left []layout.Engine
 	lost := 0
@@ -224,9 +223,10 @@
 	}
 }
 
-// One stage of a chain has little room and spare engines stand elsewhere, so
-// that requests are turned away until one is moved. A card that is too small for
-// any layer stays empty for good: it must not count as work to be done first.
+// One stage of a chain has little KV memory while spare engines hold other layers, so
+// requests are rejected until a spare is moved. A card that is too small for any layer
+// stays empty for good. It must not block the move as an engine that has to be filled
+// first.
 func TestUnusableCardDoesNotBlockMoves(t *testing.T) {
 	m := model()
 	engines := newFleet([][]int{{1, 6, 0}})
@@ -237,33 +237,33 @@
 	tiny := layout.Engine{ID: "tiny", Centre: "z0", Card: site.Card{Name: "tiny", MemoryMB: 900, StepFactor: 1, PrefillFactor: 1}}
 	got := layout.Plan(m, append(engines, tiny))
 	if len(want) != 1 || !slices.Equal(got, want) {
-		t.Errorf("got orders %v beside a useless card, want one as without it: %v", got, want)
+		t.Errorf("got orders %v with an unusable card, want the same one as without it: %v", got, want)
 	}
 }
 
-// An engine of a chain dies and comes back empty. It gets the range that no
-// other engine of its data centre holds.
+// An engine of a chain dies and restarts empty. It must get the range that no other
+// engine of its data centre holds.
 func TestReturningEngineFillsGap(t *testing.T) {
 	m := model()
 	engines := newFleet(typicalCounts)
 	engines = applyOrders(engines, layout.Plan(m, engines))
 	for i := range engines {
-		was := engines[i].Held
+		previous := engines[i].Held
 		engines[i].Held = spec.Layers{}
 		orders := layout.Plan(m, engines)
 		if len(orders) != 1 || orders[0].ID != engines[i].ID {
 			t.Fatalf("got %v, want one order for %s", orders, engines[i].ID)
 		}
 		after := minOf(tokensPerLayer(m, applyOrders(engines, orders)))
-		engines[i].Held = was
+		engines[i].Held = previous
 		if before := minOf(tokensPerLayer(m, engines)); after < 0.8*before {
-			t.Errorf("got %.0f tokens behind the weakest layer after %s came back, want eight tenths of %.0f", after, engines[i].ID, before)
+			t.Errorf("got %.0f tokens behind the weakest layer after %s came back, want at least eight tenths of %.0f", after, engines[i].ID, before)
 		}
 	}
 }
 
-// All engines that hold a range die for good and none is empty. Another one
-// gives up what others hold as well and takes the range: no request could be
+// All engines that hold a range die for good, and no engine is empty. Another engine
+// must give up layers that others hold as well and take the range: no request could be
 // served without it.
 func TestLostRangeIsReassigned(t *testing.T) {
 	m := model()
--- a/internal/route/layout/turn.go
+++ b/internal/route/layout/loads.go
@@ -6,10 +6,10 @@
 	"fulmarwick/internal/base/site"
 )
 
-// LimitLoads returns the orders that may be given now: so many that no more engines load at
-// once than do so at full speed. Loads beyond that share it, and none of them would
-// end before all do. Layers that no engine holds or loads come first, then engines
-// that hold nothing.
+// LimitLoads returns the orders that may be sent now: no more engines may load at once
+// than can load at full speed. Additional loads would share that speed, and none of
+// them would end before all do. Layers that no engine holds or loads come first, then
+// engines that hold nothing.
 func LimitLoads(m *site.Model, engines []Engine, orders []Order) []Order {
 	if m.MaxParallelLoads <= 0 {
 		return orders
@@ -25,14 +25,14 @@
 	return out[:min(max(0, free), len(out))]
 }
 
-// How urgent orders are.
+// Urgency of orders, the least urgent first.
 const (
 	urgencyMove = iota
 	urgencyEmpty
 	urgencyMissing
 )
 
-// urgency ranks an order, the most urgent highest.
+// urgency returns the urgency of an order.
 func urgency(engines []Engine, o Order) int {
 	for l := o.Layers.From(); l < o.Layers.To(); l++ {
 		if countHolders(engines, l) == 0 {
--- a/internal/route/layout/turn_test.go
+++ b/internal/route/layout/loads_test.go
@@ -7,8 +7,8 @@
 	"fulmarwick/internal/route/layout"
 )
 
-// Guards against a model that is whole only when the last of many engines has loaded:
-// loads beyond those at full speed share it.
+// Guards against a model that is complete only when the last of many engines has
+// loaded: loads beyond those at full speed share it.
 func TestConcurrentLoadsAreLimited(t *testing.T) {
 	m := unlikeCardsModel()
 	m.MaxParallelLoads = 3
@@ -30,11 +30,11 @@
 		loads int
 		want  []int
 	}{
-		{"one loads, two may", 3, []int{2, 3}},
-		{"what is missing, then the empty", 5, []int{2, 3, 1, 4}},
-		{"none is free", 1, nil},
-		{"no bound is published", 0, []int{0, 1, 2, 3, 4}},
-		{"room for all", 9, []int{2, 3, 1, 4, 0}},
+		{"one loading, two allowed", 3, []int{2, 3}},
+		{"missing layers, then empty engines", 5, []int{2, 3, 1, 4}},
+		{"no load allowed", 1, nil},
+		{"no limit published", 0, []int{0, 1, 2, 3, 4}},
+		{"all allowed", 9, []int{2, 3, 1, 4, 0}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/route/layout/orders_test.go
+++ b/internal/route/layout/orders_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// slot is an address with the engine that has it now.
+// slot is an address with the engine that uses it at present.
 type slot struct {
 	id     spec.UpstreamID
 	card   site.Card
@@ -19,17 +19,17 @@
 	orders int
 }
 
-// pendingOrder is an order on its way to an address.
+// pendingOrder is an order that was sent to an address and hasn't arrived.
 type pendingOrder struct {
 	slot           int
 	engine         spec.UpstreamID
 	layers         spec.Layers
 	expectedOrders int
-	// plannedFrom is what its planner was told that the engine held.
+	// plannedFrom is the range that the engine had reported to the planner.
 	plannedFrom spec.Layers
 }
 
-// planners are two planners, the list that each has read, and what is on its way.
+// planners is two planners, the list that each has read, and the pending orders.
 type planners struct {
 	t         *rapid.T
 	model     *site.Model
@@ -39,73 +39,75 @@
 	nextID    int
 }
 
-func (o *planners) newID() spec.UpstreamID {
-	o.nextID++
-	return spec.UpstreamID(fmt.Sprintf("i%02d", o.nextID))
+func (p *planners) newID() spec.UpstreamID {
+	p.nextID++
+	return spec.UpstreamID(fmt.Sprintf("i%02d", p.nextID))
 }
 
-// refresh has one planner read the list; the other's stays as old as it is.
-func (o *planners) refresh(t *rapid.T) {
-	p := rapid.IntRange(0, 1).Draw(t, "planner")
-	o.snapshots[p] = append([]slot(nil), o.slots...)
+// refresh lets one planner read the list. The list of the other planner stays as it
+// is.
+func (p *planners) refresh(t *rapid.T) {
+	planner := rapid.IntRange(0, 1).Draw(t, "planner")
+	p.snapshots[planner] = append([]slot(nil), p.slots...)
 }
 
-// plan has a planner send one of its orders, after the engine's report.
-func (o *planners) plan(t *rapid.T) {
-	list := o.snapshots[rapid.IntRange(0, 1).Draw(t, "planner")]
+// plan lets a planner send one of its orders, after a report of the engine.
+func (p *planners) plan(t *rapid.T) {
+	list := p.snapshots[rapid.IntRange(0, 1).Draw(t, "planner")]
 	var engines []layout.Engine
 	for _, s := range list {
 		engines = append(engines, layout.Engine{ID: s.id, Centre: "c", Card: s.card, Held: s.held})
 	}
-	due := layout.Plan(o.model, engines)
-	if len(due) == 0 {
+	orders := layout.Plan(p.model, engines)
+	if len(orders) == 0 {
 		return
 	}
-	d := due[rapid.IntRange(0, len(due)-1).Draw(t, "order")]
-	for at, s := range list {
-		if now := o.slots[at]; s.id == d.ID && now.held == s.held {
-			o.pending = append(o.pending, pendingOrder{slot: at, engine: s.id, layers: d.Layers, expectedOrders: now.orders, plannedFrom: now.held})
+	order := orders[rapid.IntRange(0, len(orders)-1).Draw(t, "order")]
+	for index, s := range list {
+		if current := p.slots[index]; s.id == order.ID && current.held == s.held {
+			p.pending = append(p.pending, pendingOrder{slot: index, engine: s.id, layers: order.Layers, expectedOrders: current.orders, plannedFrom: current.held})
 		}
 	}
 }
 
-// deliver carries out an order, perhaps long after newer ones.
-func (o *planners) deliver(t *rapid.T) {
-	if len(o.pending) == 0 {
-		t.Skip("nothing on its way")
+// deliver carries out a pending order, possibly long after newer ones.
+func (p *planners) deliver(t *rapid.T) {
+	if len(p.pending) == 0 {
+		t.Skip("no pending orders")
 	}
-	n := rapid.IntRange(0, len(o.pending)-1).Draw(t, "letter")
-	l := o.pending[n]
-	o.pending = append(o.pending[:n:n], o.pending[n+1:]...)
-	s := &o.slots[l.slot]
-	if s.id != l.engine || s.orders != l.expectedOrders {
+	n := rapid.IntRange(0, len(p.pending)-1).Draw(t, "letter")
+	order := p.pending[n]
+	p.pending = append(p.pending[:n:n], p.pending[n+1:]...)
+	s := &p.slots[order.slot]
+	if s.id != order.engine || s.orders != order.expectedOrders {
 		return
 	}
-	if float64(l.layers.Len())*o.model.LayerMB > s.card.MemoryMB {
-		t.Fatalf("got %s for a card of %.0f MB, want what it holds", l.layers, s.card.MemoryMB)
+	if float64(order.layers.Len())*p.model.LayerMB > s.card.MemoryMB {
+		t.Fatalf("got %s for a card of %.0f MB, want layers that fit", order.layers, s.card.MemoryMB)
 	}
-	if s.held != l.plannedFrom {
-		t.Fatalf("got an order that undoes %s, given for an engine with %s", s.held, l.plannedFrom)
+	if s.held != order.plannedFrom {
+		t.Fatalf("got an order that undoes %s, planned for an engine with %s", s.held, order.plannedFrom)
 	}
-	s.held, s.orders = l.layers, s.orders+1
+	s.held, s.orders = order.layers, s.orders+1
 }
 
-// replace ends an engine; another one, perhaps smaller, gets its address.
-func (o *planners) replace(t *rapid.T) {
-	at := rapid.IntRange(0, len(o.slots)-1).Draw(t, "address")
-	o.slots[at] = slot{id: o.newID(), card: rapid.SampledFrom(cards).Draw(t, "card")}
+// replace removes an engine. Another one, possibly smaller, gets its address.
+func (p *planners) replace(t *rapid.T) {
+	index := rapid.IntRange(0, len(p.slots)-1).Draw(t, "address")
+	p.slots[index] = slot{id: p.newID(), card: rapid.SampledFrom(cards).Draw(t, "card")}
 }
 
-// Two planners, one of which believes that it still has the duty, plan from
-// lists of different age. Orders come late, in any order or never, and addresses
-// go to other engines meanwhile. No engine is told to hold more than it can, and
-// no order undoes what an engine was told after its planner had asked it.
+// Two planners plan from lists of different age; one of them wrongly assumes that it
+// still holds the planning lease. Orders arrive late, in any order or never, and
+// addresses pass to other engines meanwhile. No engine may be told to hold more than
+// fits, and no order may undo a newer order that the engine received after the planner
+// had asked it.
 func TestLateOrdersUndoNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		o := &planners{t: t, model: model()}
+		p := &planners{t: t, model: model()}
 		for range rapid.IntRange(6, 14).Draw(t, "engines") {
-			o.slots = append(o.slots, slot{id: o.newID(), card: rapid.SampledFrom(cards).Draw(t, "card")})
+			p.slots = append(p.slots, slot{id: p.newID(), card: rapid.SampledFrom(cards).Draw(t, "card")})
 		}
-		t.Repeat(map[string]func(*rapid.T){"read": o.refresh, "plan": o.plan, "deliver": o.deliver, "replace": o.replace})
+		t.Repeat(map[string]func(*rapid.T){"read": p.refresh, "plan": p.plan, "deliver": p.deliver, "replace": p.replace})
 	})
 }
--- a/internal/route/layout/parts_test.go
+++ b/internal/route/layout/parts_test.go
@@ -7,8 +7,9 @@
 	"fulmarwick/internal/route/layout"
 )
 
-// Guards against a plan of a large data centre that takes longer than it lasts: it is
-// made in parts, so that an engine more or less changes the orders of its part alone.
+// Guards against a plan of a large data centre that takes longer to compute than it
+// stays valid. The plan is made in parts, so that one engine more or less changes only
+// the orders of its part.
 func TestLargeCentreIsPlannedInParts(t *testing.T) {
 	m := unlikeCardsModel()
 	engines := newFleetFor(m, [][]int{{16, 56, 56}})
@@ -27,26 +28,26 @@
 		}
 	}
 	if changed > len(engines)/2 {
-		t.Errorf("got other layers for %d of %d engines once one is away, want half at most", changed, len(engines))
+		t.Errorf("got other layers for %d of %d engines after the loss of one, want half at most", changed, len(engines))
 	}
 }
 
-// Guards against a part of a large data centre that gives up layers to fill a gap
-// which another part of it fills.
+// Guards against one part of a large data centre giving up layers to fill a gap that
+// another part fills.
 func TestPartsCoverForEachOther(t *testing.T) {
 	m := unlikeCardsModel()
 	engines := newFleetFor(m, [][]int{{16, 56, 56}})
 	engines = applyOrders(engines, layout.Plan(m, engines))
-	var left []layout.Engine
+	var remaining []layout.Engine
 	for i, e := range engines {
 		if i%5 > 0 {
-			left = append(left, e)
+			remaining = append(remaining, e)
 		}
 	}
-	if minOf(tokensPerLayer(m, left)) == 0 {
+	if minOf(tokensPerLayer(m, remaining)) == 0 {
 		t.Fatal("got a layer that no engine holds, want a loss that leaves all")
 	}
-	if moved := layout.Plan(m, left); len(moved) > 1 {
+	if moved := layout.Plan(m, remaining); len(moved) > 1 {
 		t.Errorf("got %d engines moved, want one at most while every layer is held", len(moved))
 	}
 }
--- a/internal/route/layout/mend.go
+++ b/internal/route/layout/repair.go
@@ -6,15 +6,15 @@
 	"fulmarwick/internal/base/spec"
 )
 
-// minMoveGain is how many times the rate must grow by a move of an engine that
-// serves: while it loads, for a second or two, it serves nothing, and one more
-// loss nearby would undo the gain.
+// minMoveGain is the factor by which the rate must grow for an engine that serves to
+// be moved. While it loads, for a second or two, it serves nothing, and another loss
+// in the data centre at that time would undo the gain.
 const minMoveGain = 1.15
 
-// repair returns how the engines of an area, some of which hold layers, should
-// hold them, those that change at least: empty ones take what is worth most; where
-// layers are missing still, spare engines take these; else the one move is made that
-// gains much, unless an engine loads: what that brings is not there yet.
+// repair returns the placement of engines of which some hold layers, with as few
+// changes as possible. Empty engines take the ranges with the highest score. If layers
+// are still missing, spare engines take them. Otherwise the one move with a large gain
+// is made, unless an engine is loading: the gain from its layers isn't there yet.
 func repair(m model, engines []Engine) []Engine {
 	parts := splitParts(m, engines)
 	var out []Engine
@@ -35,7 +35,7 @@
 	return engines
 }
 
-// placeEmpty places the engines that hold nothing beside those that do.
+// placeEmpty places the engines that hold nothing beside those that hold layers.
 func placeEmpty(m model, engines []Engine) []Engine {
 	var held, empty []Engine
 	for _, e := range engines {
@@ -48,14 +48,14 @@
 	if len(empty) == 0 {
 		return engines
 	}
-	a := newPlacement(m, held, maxChainRate(m, engines))
+	p := newPlacement(m, held, maxChainRate(m, engines))
 	for _, e := range empty {
-		a.place(e)
+		p.place(e)
 	}
-	return a.engines
+	return p.engines
 }
 
-// firstMissingRange is the first range of layers that no engine holds.
+// firstMissingRange returns the first range of layers that no engine holds.
 func firstMissingRange(m model, engines []Engine) spec.Layers {
 	from := 0
 	for from < m.Layers && countHolders(engines, from) > 0 {
@@ -68,9 +68,9 @@
 	return spec.NewLayers(from, to)
 }
 
-// coverMissing has engines of which others hold every layer take the layers that none
-// holds: without them no request is served here at all. Nothing is moved where
-// that does not suffice.
+// coverMissing gives missing layers to spare engines, whose own layers are all held by
+// others: without the missing layers, no request can be served in the data centre. If
+// the spares don't suffice, nothing is moved.
 func coverMissing(m model, engines []Engine) []Engine {
 	out := append([]Engine(nil), engines...)
 	for range out {
@@ -87,23 +87,24 @@
 	return engines
 }
 
-// bestSpare is the spare engine that covers most of a gap, of several the slowest,
-// which serves least where it is; -1 if there is none.
-func bestSpare(m model, engines []Engine, gap int) int {
-	at, most := -1, 0
+// bestSpare returns the spare engine that covers most of a gap, or -1 if there is
+// none. Of several, it prefers the slowest, which serves least with its present
+// layers.
+func bestSpare(m model, engines []Engine, gapLen int) int {
+	spare, maxCovered := -1, 0
 	for i, e := range engines {
-		n := min(gap, layersThatFit(m, e.Card, m.minTokens))
-		if n == 0 || n < most || e.Loading || !isSpare(engines, i) {
+		n := min(gapLen, layersThatFit(m, e.Card, m.minTokens))
+		if n == 0 || n < maxCovered || e.Loading || !isSpare(engines, i) {
 			continue
 		}
-		if n > most || e.Card.StepFactor > engines[at].Card.StepFactor {
-			at, most = i, n
+		if n > maxCovered || e.Card.StepFactor > engines[spare].Card.StepFactor {
+			spare, maxCovered = i, n
 		}
 	}
-	return at
+	return spare
 }
 
-// isSpare reports whether others hold every layer of an engine.
+// isSpare reports whether other engines hold every layer of an engine.
 func isSpare(engines []Engine, i int) bool {
 	held := engines[i].Held
 	for l := held.From(); l < held.To(); l++ {
@@ -114,11 +115,11 @@
 	return held.Len() > 0
 }
 
-// bestMove moves the one spare engine by which the rate grows most, if that
-// leaves no less room behind the poorest layer.
+// bestMove moves the one spare engine that raises the rate most, if this doesn't
+// reduce the KV memory behind the layer that has least.
 func bestMove(m model, engines []Engine) []Engine {
-	best, at, to := minMoveGain*Rate(m.Model, engines), -1, spec.Layers{}
-	poorest := minLayerTokens(m, engines)
+	bestRate, at, to := minMoveGain*Rate(m.Model, engines), -1, spec.Layers{}
+	minTokens := minLayerTokens(m, engines)
 	for i, e := range engines {
 		if !isSpare(engines, i) {
 			continue
@@ -126,9 +127,9 @@
 		others := withoutEngine(engines, i)
 		for _, held := range candidateRanges(m, others, e.Card) {
 			e.Held = held
-			with := slices.Concat(others, []Engine{e})
-			if r := Rate(m.Model, with); r > best && minLayerTokens(m, with) >= poorest {
-				best, at, to = r, i, held
+			moved := slices.Concat(others, []Engine{e})
+			if r := Rate(m.Model, moved); r > bestRate && minLayerTokens(m, moved) >= minTokens {
+				bestRate, at, to = r, i, held
 			}
 		}
 	}
@@ -140,7 +141,7 @@
 	return out
 }
 
-// minLayerTokens is the memory in tokens behind the layer that has least.
+// minLayerTokens returns the KV memory in tokens behind the layer that has least.
 func minLayerTokens(m model, engines []Engine) float64 {
 	tokens := make([]float64, m.Layers)
 	for _, e := range engines {
--- a/internal/route/layout/wait_test.go
+++ b/internal/route/layout/scheduling_test.go
@@ -8,8 +8,8 @@
 	"fulmarwick/internal/route/layout"
 )
 
-// BenchmarkSchedulingDelayDuringPlan measures for how long another goroutine waits at most for
-// the only processor while a plan for 90 engines is worked out.
+// BenchmarkSchedulingDelayDuringPlan measures how long another goroutine waits at most
+// for the only processor while 90 engines are planned.
 func BenchmarkSchedulingDelayDuringPlan(b *testing.B) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	m := unlikeCardsModel()
