--- a/internal/route/share/share_test.go
+++ b/internal/route/share/share_test.go
@@ -10,64 +10,64 @@
 
 func fullyUsed() float64 { return 1 }
 
-// Nine small teams ask now and then beside a heavy one that asks without end.
-// The heavy one is turned away where the last of the room is taken, the small
-// ones are not.
+// Nine small teams send occasional requests beside a heavy team that sends without
+// pause. Once only the reserve is left, the heavy team must be rejected, the small
+// ones must not.
 func TestHeavyTeamLeavesReserve(t *testing.T) {
 	var teams share.Teams
-	const room = 200
-	taken, refused := 0, map[string]int{}
-	ask := func(team string) {
-		if taken == room || !teams.Allow(team, func() float64 { return float64(taken) / room }) {
-			refused[team]++
+	const capacity = 200
+	inUse, rejected := 0, map[string]int{}
+	request := func(team string) {
+		if inUse == capacity || !teams.Allow(team, func() float64 { return float64(inUse) / capacity }) {
+			rejected[team]++
 			return
 		}
 		teams.Begin(team)
-		taken++
+		inUse++
 	}
 	for n := range 1000 {
-		ask("heavy")
+		request("heavy")
 		if n%100 == 99 {
-			ask(string(rune('a' + n/100)))
+			request(string(rune('a' + n/100)))
 		}
 	}
-	if refused["heavy"] < 800 || taken < room*19/20 {
-		t.Errorf("got %d refusals of the heavy team with %d of %d taken, want it turned away at 95%%", refused["heavy"], taken, room)
+	if rejected["heavy"] < 800 || inUse < capacity*19/20 {
+		t.Errorf("got %d rejections of the heavy team with %d of %d in use, want it rejected at 95%%", rejected["heavy"], inUse, capacity)
 	}
-	for team, n := range refused {
+	for team, n := range rejected {
 		if team != "heavy" && n > 0 {
-			t.Errorf("got %d refusals of %s, want none", n, team)
+			t.Errorf("got %d rejections of %s, want none", n, team)
 		}
 	}
 }
 
-// A team alone has all of the room, and whatever teams do, one with nothing in
-// flight is never turned away for the sake of others.
+// A team alone may use the whole capacity. Whatever the other teams do, a team with
+// nothing in flight is never rejected in favour of others.
 func TestIdleTeamsAreAllowed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var teams share.Teams
-		flying := map[string]int{}
+		inFlight := map[string]int{}
 		for range rapid.IntRange(0, 60).Draw(t, "steps") {
 			team := rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "team")
-			if flying[team] > 0 && rapid.Bool().Draw(t, "ends") {
+			if inFlight[team] > 0 && rapid.Bool().Draw(t, "ends") {
 				teams.End(team)
-				flying[team]--
+				inFlight[team]--
 			} else {
 				teams.Begin(team)
-				flying[team]++
+				inFlight[team]++
 			}
 		}
 		others := 0
 		for _, team := range []string{"a", "b", "c", "d"} {
-			if flying[team] == 0 && !teams.Allow(team, fullyUsed) {
-				t.Fatalf("got team %s with nothing in flight turned away beside %v, want it let in", team, flying)
+			if inFlight[team] == 0 && !teams.Allow(team, fullyUsed) {
+				t.Fatalf("got team %s with nothing in flight rejected with %v in flight, want it allowed", team, inFlight)
 			}
 			if team != "a" {
-				others += flying[team]
+				others += inFlight[team]
 			}
 		}
 		if others == 0 && !teams.Allow("a", fullyUsed) {
-			t.Fatalf("got team a alone turned away with %d in flight, want it let in", flying["a"])
+			t.Fatalf("got team a alone rejected with %d in flight, want it allowed", inFlight["a"])
 		}
 	})
 }
