--- a/internal/route/path/health.go
+++ b/internal/route/path/health.go
@@ -75,9 +75,9 @@
 // MarkDead marks an engine that doesn't respond. It gets no requests until it reports
 // again. MarkDead returns false if the engine isn't listed, is marked already or has
 // another start time.
-func (t *Table) MarkDead(id spec.UpstreamID, born int64) bool {
+func (t *Table) MarkDead(id spec.UpstreamID, startTime int64) bool {
 	e := t.byID[id]
-	if e == nil || e.dead || e.upstream.Born != born {
+	if e == nil || e.dead || e.upstream.Born != startTime {
 		return false
 	}
 	e.dead = true
