--- a/internal/fleet/mesh/cell.go
+++ b/internal/fleet/mesh/cell.go
@@ -11,34 +11,37 @@
 )
 
 const (
-	// maxFlatFleet is up to how many instances each one exchanges messages with each. In
-	// larger fleets that would cost each of them more the more there are.
+	// maxFlatFleet is the largest number of instances that exchange messages pairwise.
+	// In larger fleets the cost for each instance would grow with the size of the
+	// fleet.
 	maxFlatFleet = 40
-	// maxCellSize is how many instances a cell has at most, as far as a hash splits a
-	// data centre evenly.
+	// maxCellSize is the most instances in a cell, as far as a hash splits a data
+	// centre evenly.
 	maxCellSize = 24
-	// headsPerCell is how many heads a cell has: one may die without a gap.
+	// headsPerCell is how many heads a cell has: one may die without an interruption.
 	headsPerCell = 2
-	// headTimeout is after how long without a message from a head the next one by rank takes
-	// part: a change waits for whoever should pass it on.
+	// headTimeout is how long a head may send no message before the next instance by
+	// rank takes part as a head. A change waits meanwhile for the head that should pass
+	// it on.
 	headTimeout = 700 * time.Millisecond
 )
 
-// cell is a part of the instances of one data centre. Its heads exchange messages
-// with all of its members and with the heads of the other cells; the others
-// exchange messages with their heads alone.
+// cell is a group of instances in one data centre. Its heads exchange messages with all
+// of its members and with the heads of the other cells. The other members exchange
+// messages with the heads of their cell only.
 type cell struct {
 	name string
-	// ranked are its members, those that should be heads first.
+	// ranked are the members of the cell, in the order in which they are preferred as
+	// heads.
 	ranked []spec.InstanceID
-	// heads are those that are its heads now, contacts are those that would be but
-	// are not heard. They get messages, so that both sides find each other again
-	// after a cut.
+	// heads are the current heads. contacts are members with a better rank that are
+	// unresponsive. They still get messages, so that both sides find each other again
+	// after a network partition.
 	heads    []spec.InstanceID
 	contacts []spec.InstanceID
 }
 
-// layout is how instances are grouped. A flat fleet has no cells.
+// layout is how instances are grouped into cells. A flat fleet has no cells.
 type layout struct {
 	cells    []*cell
 	local    *cell
@@ -89,8 +92,9 @@
 	return out
 }
 
-// electHeads finds the heads of the own cell and, for a head, of the others: the first
-// ones by rank that are heard, or that may not have had the time to be.
+// electHeads determines the heads of the local cell and, if this instance is a head,
+// those of the other cells: the first instances by rank that are responsive or that may
+// not have had time to answer.
 func (l *Logic) electHeads(now time.Duration) {
 	if !l.cellsAssigned {
 		l.assignCells()
@@ -125,13 +129,13 @@
 	}
 }
 
-// clearHeads drops the heads of a cell that this instance has nothing to do with.
+// clearHeads drops the heads of a cell with which this instance exchanges no messages.
 func (l *Logic) clearHeads(c *cell) {
 	c.heads, c.contacts = c.heads[:0], c.contacts[:0]
 	l.resetProbes(c.ranked)
 }
 
-// resetProbes notes that instances are not asked to be heads.
+// resetProbes notes that instances are not being probed as heads.
 func (l *Logic) resetProbes(ids []spec.InstanceID) {
 	for _, id := range ids {
 		if p := l.peers[id]; p != nil {
@@ -140,8 +144,8 @@
 	}
 }
 
-// isResponsive reports whether an instance is heard, or has been asked for too short a
-// time to tell.
+// isResponsive reports whether an instance sent a message within headTimeout, or has
+// been probed for less than that.
 func (l *Logic) isResponsive(now time.Duration, p *peer) bool {
 	switch {
 	case p.alive:
@@ -152,13 +156,13 @@
 	return now-p.probedSince < headTimeout
 }
 
-// isHead reports whether this instance is one of the heads of its cell. All are in
-// a flat fleet.
+// isHead reports whether this instance is one of the heads of its cell. In a flat fleet
+// every instance is.
 func (l *Logic) isHead() bool {
 	return l.layout.isFlat() || slices.Contains(l.layout.local.heads, l.ID)
 }
 
-// inCell reports whether an instance is in the cell of this one.
+// inCell reports whether an instance is in the cell of this instance.
 func (l *Logic) inCell(id spec.InstanceID) bool { return l.layout.cellByID[id] == l.layout.local }
 
 // isHeadOf reports whether an instance is a head of its cell.
@@ -167,9 +171,9 @@
 	return l.layout.isFlat() || c != nil && slices.Contains(c.heads, id)
 }
 
-// isPrimary reports whether this instance is the one head of its cell that another
-// instance hears from in full. The other head sends it only what shows that it
-// lives and what it holds.
+// isPrimary reports whether this instance is the head of its cell that sends full
+// messages to another instance. The other head sends it only proof that it is alive and
+// the checkpoints of its tables.
 func (l *Logic) isPrimary(id spec.InstanceID) bool {
 	return l.layout.isFlat() || rank.IsFirst(string(id), l.layout.local.heads, l.ID)
 }
--- a/internal/fleet/mesh/cell_test.go
+++ b/internal/fleet/mesh/cell_test.go
@@ -9,13 +9,14 @@
 	"fulmarwick/internal/fleet/node"
 )
 
-// large is how many instances a large fleet has, larger what is designed for.
+// large is the size of a large fleet, designFleet the size for which the mesh is
+// designed.
 const (
 	large       = 118
 	designFleet = 360
 )
 
-// remoteStreams is how many streams of other instances a member knows of.
+// remoteStreams returns how many streams of other instances a member knows of.
 func (m *member) remoteStreams() int {
 	n := 0
 	for _, streams := range m.streams {
@@ -24,8 +25,8 @@
 	return n
 }
 
-// checkTotals checks that each of n live members counts all and knows the load of all
-// others, each once.
+// checkTotals checks that each of n live members counts all instances and knows the
+// load of all others, each once.
 func (f *fleet) checkTotals(t *testing.T, n int) {
 	t.Helper()
 	for _, id := range f.ids() {
@@ -33,21 +34,21 @@
 			continue
 		}
 		m := f.members[id]
-		first := 0
+		requests := 0
 		for _, sent := range m.requestsFrom {
-			first += sent
+			requests += sent
 		}
-		if first != 2*(n-1) {
-			t.Errorf("%s: got %d requests of others, want %d", id, first, 2*(n-1))
+		if requests != 2*(n-1) {
+			t.Errorf("%s: got %d requests of other instances, want %d", id, requests, 2*(n-1))
 		}
 		if m.remoteStreams() != n-1 || m.logic.Count() != n {
-			t.Errorf("%s: got %d streams of others and %d instances, want %d and %d", id, m.remoteStreams(), m.logic.Count(), n-1, n)
+			t.Errorf("%s: got %d streams of other instances and %d instances, want %d and %d", id, m.remoteStreams(), m.logic.Count(), n-1, n)
 		}
 	}
 }
 
-// Guards against requests that count twice or not at all where their load is summed
-// up on the way.
+// Guards against requests that count twice or not at all where their load is summed up
+// on the way.
 func TestLargeFleetCountsLoadOnce(t *testing.T) {
 	for _, n := range append([]int{40, 41}, sizes...) {
 		t.Run(fmt.Sprintf("%d instances", n), func(t *testing.T) {
@@ -58,13 +59,15 @@
 	}
 }
 
-// Guards against messages that each instance sends more of, the more there are.
+// Guards against a message rate per instance that grows with the size of the fleet.
 func TestMessageRateIsBoundedInLargeFleets(t *testing.T) {
 	const (
-		// membersMost and headsMost are messages a second that a member and a head of a
-		// cell may send: two, or one to each member and to each other head, in each round.
-		membersMost = 2 * 5
-		headsMost   = (40 + 2*20) * 5
+		// maxMemberRate is how many messages a second a plain member may send: two in
+		// each round.
+		maxMemberRate = 2 * 5
+		// maxHeadRate is the limit for a head of a cell: one to each member and to each
+		// other head in each round.
+		maxHeadRate = (40 + 2*20) * 5
 	)
 	for _, n := range append([]int{33}, sizes...) {
 		f := newFleet(n)
@@ -72,28 +75,28 @@
 		clear(f.messagesSent)
 		clear(f.bytesSent)
 		f.run(4*time.Second, 9*time.Second)
-		busy, most, bytes := 0, 0, 0
+		busy, highest, bytes := 0, 0, 0
 		for id, sent := range f.messagesSent {
-			most, bytes = max(most, sent/5), max(bytes, f.bytesSent[id]/5)
-			if sent/5 > membersMost {
+			highest, bytes = max(highest, sent/5), max(bytes, f.bytesSent[id]/5)
+			if sent/5 > maxMemberRate {
 				busy++
 			}
 		}
-		t.Logf("%d instances: %d messages and %d bytes a second at most, %d of them send more than %d", n, most, bytes, busy, membersMost)
-		if n > 40 && (most > headsMost || busy > n/4) {
-			t.Errorf("%d instances: got %d messages a second at most and %d that send more than %d, want %d and a quarter", n, most, busy, membersMost, headsMost)
+		t.Logf("%d instances: %d messages and %d bytes a second at most, %d of them send more than %d", n, highest, bytes, busy, maxMemberRate)
+		if n > 40 && (highest > maxHeadRate || busy > n/4) {
+			t.Errorf("%d instances: got %d messages a second at most and %d that send more than %d, want %d and a quarter", n, highest, busy, maxMemberRate, maxHeadRate)
 		}
 	}
 }
 
-// Guards against sums that fill the link of those who hear them, or of the way between
+// Guards against sums that saturate the links of their receivers, or the links between
 // data centres, where there are many engines.
 func TestLargeSumsAreSentLessOften(t *testing.T) {
 	const (
-		// nearMost and farMost are bytes a second that an instance may hear from another
-		// one, in its own data centre and in another one.
-		nearMost, farMost = 24 << 10, 12 << 10
-		engines           = 600
+		// maxLocalRate and maxRemoteRate are how many bytes a second an instance may receive from
+		// another one, in the same data centre and from a different one.
+		maxLocalRate, maxRemoteRate = 24 << 10, 12 << 10
+		engines                     = 600
 	)
 	f := newFleet(large)
 	f.engines = engines
@@ -101,19 +104,19 @@
 	clear(f.bytesReceived)
 	f.run(5*time.Second, 15*time.Second)
 	f.checkTotals(t, large)
-	for way, bytes := range f.bytesReceived {
-		most := farMost
-		if centreOf(way[0]) == centreOf(way[1]) {
-			most = nearMost
+	for link, bytes := range f.bytesReceived {
+		limit := maxRemoteRate
+		if centreOf(link[0]) == centreOf(link[1]) {
+			limit = maxLocalRate
 		}
-		if bytes/10 > most {
-			t.Fatalf("got %d bytes a second from %s to %s, want %d at most", bytes/10, way[1], way[0], most)
+		if bytes/10 > limit {
+			t.Fatalf("got %d bytes a second from %s to %s, want %d at most", bytes/10, link[1], link[0], limit)
 		}
 	}
 }
 
-// Guards against news that are told several times or not at all on their way through
-// the heads: the deaths of upstreams count against requests.
+// Guards against failure reports that arrive several times or not at all after their
+// way through the heads: crashes of upstreams count against requests.
 func TestDeadEngineIsReportedOnce(t *testing.T) {
 	f := newFleet(large)
 	f.run(0, 4*time.Second)
@@ -122,27 +125,27 @@
 		f.run(f.now+tickInterval, f.now+5*tickInterval)
 		for id, m := range f.members {
 			if got := len(m.deadReportsFrom); id != finder && got != 1 {
-				t.Errorf("found by %s: %s heard of it %d times, want once", finder, id, got)
+				t.Errorf("found by %s: %s received the report %d times, want once", finder, id, got)
 			}
 			m.deadReportsFrom = nil
 		}
 	}
 }
 
-// Guards against load that is forgotten or counted twice, and duties that nobody
-// holds, after heads of cells have died and come back.
+// Guards against load that is dropped or counted twice, and duties without a holder,
+// after heads of cells have died and come back.
 func TestHeadsAreReplaced(t *testing.T) {
 	f := newFleet(large)
 	f.run(0, 4*time.Second)
-	gone := 0
+	frozen := 0
 	for _, id := range f.ids() {
 		if f.members[id].logic.DutyRank("plan") < 3 || f.members[id].logic.DutyRank("read") < 3 {
 			f.frozen[id] = true
-			gone++
+			frozen++
 		}
 	}
 	f.run(4*time.Second, 24*time.Second)
-	f.checkTotals(t, large-gone)
+	f.checkTotals(t, large-frozen)
 	first := 0
 	for id, m := range f.members {
 		if !f.frozen[id] && m.logic.DutyRank("plan") == 0 {
@@ -150,15 +153,15 @@
 		}
 	}
 	if first != 1 {
-		t.Errorf("got %d first places, want 1", first)
+		t.Errorf("got %d first ranks, want 1", first)
 	}
 	clear(f.frozen)
 	f.run(24*time.Second, 30*time.Second)
 	f.checkTotals(t, large)
 }
 
-// Guards against a fleet that stays in parts: instances that start together find
-// only those in the roster that wrote their rows before them.
+// Guards against a fleet that stays split: instances that start together find in the
+// roster only those that wrote their rows before them.
 func TestPartialRostersAreMerged(t *testing.T) {
 	f := newFleet(large)
 	ids := f.ids()
@@ -174,19 +177,19 @@
 }
 
 // Guards against a fleet that starts anew and in which each instance takes the whole
-// bound on repeats for its own, since it has heard of no other one yet.
+// retry budget for itself, since it has received no message from another one yet.
 func TestStartingInstancesShareTheRetryBudget(t *testing.T) {
 	f := newFleet(large)
 	for _, id := range f.ids() {
 		if got := f.members[id].logic.BudgetShares(); got < large {
-			t.Errorf("%s: got the bound shared by %d before the start, want %d or more", id, got, large)
+			t.Errorf("%s: got the budget shared by %d before the start, want %d or more", id, got, large)
 		}
 	}
 	f.linkDown = func(_, _ spec.InstanceID) bool { return true }
 	f.run(0, time.Second)
 	for _, id := range f.ids() {
 		if got := f.members[id].logic.BudgetShares(); got < large {
-			t.Errorf("%s: got the bound shared by %d before any is heard, want %d or more", id, got, large)
+			t.Errorf("%s: got the budget shared by %d before any message, want %d or more", id, got, large)
 		}
 	}
 	f.linkDown = nil
@@ -194,13 +197,13 @@
 	f.checkTotals(t, large)
 	for _, id := range f.ids() {
 		if got := f.members[id].logic.BudgetShares(); got != large {
-			t.Errorf("%s: got the bound shared by %d, want %d", id, got, large)
+			t.Errorf("%s: got the budget shared by %d, want %d", id, got, large)
 		}
 	}
 }
 
-// Guards against load that is forgotten until the next round, when an instance tells
-// others of a change between two rounds.
+// Guards against load that is dropped until the next round, when an instance sends a
+// change between two rounds.
 func TestChangeBetweenRoundsKeepsLoad(t *testing.T) {
 	for seed := range 6 {
 		f := newNamedFleet(large, fmt.Sprintf("b%d-", seed))
--- a/internal/fleet/mesh/chaos_test.go
+++ b/internal/fleet/mesh/chaos_test.go
@@ -13,23 +13,24 @@
 	"pgregory.net/rapid"
 )
 
-// settleTime is how long nothing goes wrong before an instance is bound to know
-// changes in time.
+// settleTime is how long there are no faults before an instance has to learn of changes
+// in time.
 const settleTime = 3 * time.Second
 
-// faults is what goes wrong in a fleet.
+// faults are the active faults of a fleet.
 type faults struct {
-	// refusedByStore are turned away by the store, cut pairs do not hear each other.
+	// refusedByStore are members that the store rejects. cutLinks are links that lose
+	// all messages.
 	refusedByStore map[spec.InstanceID]bool
 	cutLinks       map[[2]spec.InstanceID]bool
 }
 
-// faultKinds are the kinds of trouble.
+// faultKinds are the kinds of faults.
 var faultKinds = []string{"silent", "refused", "cut one way", "restart"}
 
-// toggle makes one thing go wrong, or right again. draw draws a number below another
-// one for what it names.
-func (tr *faults) toggle(f *fleet, draw func(below int, what string) int) {
+// toggle starts or ends one fault. draw returns a number below a limit for a named
+// choice.
+func (fs *faults) toggle(f *fleet, draw func(below int, what string) int) {
 	ids := f.ids()
 	id := ids[draw(len(ids), "instance")]
 	other := ids[draw(len(ids), "other")]
@@ -37,15 +38,15 @@
 	case "silent":
 		f.frozen[id] = !f.frozen[id]
 	case "refused":
-		tr.refusedByStore[id] = !tr.refusedByStore[id]
+		fs.refusedByStore[id] = !fs.refusedByStore[id]
 	case "cut one way":
-		tr.cutLinks[[2]spec.InstanceID{id, other}] = !tr.cutLinks[[2]spec.InstanceID{id, other}]
+		fs.cutLinks[[2]spec.InstanceID{id, other}] = !fs.cutLinks[[2]spec.InstanceID{id, other}]
 	case "restart":
 		f.restart(id)
 	}
 }
 
-// restart ends an instance and starts it anew: it knows nothing.
+// restart replaces an instance with a new process that knows nothing.
 func (f *fleet) restart(id spec.InstanceID) {
 	var peers []node.Peer
 	for _, other := range f.ids() {
@@ -55,54 +56,53 @@
 	f.inbox[id] = []node.Event{node.Listed{Peers: peers}}
 }
 
-// Instances freeze, start anew, are turned away by the store and lose each other
-// one way or both, in any order and at once, while rows change. When all of it is
-// over for three seconds, callers of no instance may be served by what was in
-// force before: a change is known everywhere within two seconds, and so are all
-// before it.
+// Instances freeze, restart, are rejected by the store and lose each other's messages
+// one way or both, in any order and at once, while rows change. Three seconds after the
+// last fault, no instance may serve callers by an old state: a change, and all changes
+// before it, must be known everywhere within two seconds.
 func TestFleetConvergesAfterFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(below int, what string) int { return rapid.IntRange(0, below-1).Draw(t, what) }
-		if late := convergeAfterFaults(2+draw(6, "instances"), 1+draw(12, "steps"), draw); len(late) > 0 {
-			t.Fatalf("got %v without the change after %s, want none", late, maxPropagation)
+		if behind := convergeAfterFaults(2+draw(6, "instances"), 1+draw(12, "steps"), draw); len(behind) > 0 {
+			t.Fatalf("got %v without the change after %s, want none", behind, maxPropagation)
 		}
 	})
 }
 
-// Guards against instances of a large fleet that never hear of a change again after
-// the heads of their cells, or all that know it, were out of reach.
+// Guards against instances of a large fleet that never learn of a change after the
+// heads of their cells, or all instances that know it, were out of reach.
 func TestLargeFleetConvergesAfterFaults(t *testing.T) {
 	for seed := range 2 * seedsLarge {
 		random := rand.New(rand.NewPCG(seed, 3))
 		draw := func(below int, _ string) int { return random.IntN(below) }
-		if late := convergeAfterFaults(41+draw(30, ""), 10+draw(60, ""), draw); len(late) > 0 {
-			t.Errorf("seed %d: got %v without the change after %s, want none", seed, late, maxPropagation)
+		if behind := convergeAfterFaults(41+draw(30, ""), 10+draw(60, ""), draw); len(behind) > 0 {
+			t.Errorf("seed %d: got %v without the change after %s, want none", seed, behind, maxPropagation)
 		}
 	}
 }
 
-// convergeAfterFaults plays steps of trouble on a fleet, ends all of it, and returns the instances
-// that do not know a change in time after that.
+// convergeAfterFaults toggles faults in a fleet for some steps, ends all of them, and
+// returns the instances that do not know a change in time after that.
 func convergeAfterFaults(instances, steps int, draw func(below int, what string) int) []spec.InstanceID {
 	f := newFleet(instances)
-	tr := faults{refusedByStore: map[spec.InstanceID]bool{}, cutLinks: map[[2]spec.InstanceID]bool{}}
-	f.storeRefuses = func(id spec.InstanceID) bool { return tr.refusedByStore[id] }
-	f.dropMessage = func(from, to spec.InstanceID, _ mesh.Message) bool { return tr.cutLinks[[2]spec.InstanceID{from, to}] }
-	r := &fakeStore{}
-	r.put(changedKey, "old")
-	now := f.runWithStore(r, tickInterval, time.Second, nil)
+	fs := faults{refusedByStore: map[spec.InstanceID]bool{}, cutLinks: map[[2]spec.InstanceID]bool{}}
+	f.storeRefuses = func(id spec.InstanceID) bool { return fs.refusedByStore[id] }
+	f.dropMessage = func(from, to spec.InstanceID, _ mesh.Message) bool { return fs.cutLinks[[2]spec.InstanceID{from, to}] }
+	store := &fakeStore{}
+	store.put(changedKey, "old")
+	now := f.runWithStore(store, tickInterval, time.Second, nil)
 	for n := range steps {
-		tr.toggle(f, draw)
+		fs.toggle(f, draw)
 		if draw(2, "change") == 1 {
-			r.put(changedKey, fmt.Sprint(n%2))
+			store.put(changedKey, fmt.Sprint(n%2))
 		}
-		now = f.runWithStore(r, now, now+time.Duration(1+draw(40, "ticks"))*tickInterval, nil)
+		now = f.runWithStore(store, now, now+time.Duration(1+draw(40, "ticks"))*tickInterval, nil)
 	}
-	clear(tr.refusedByStore)
-	clear(tr.cutLinks)
+	clear(fs.refusedByStore)
+	clear(fs.cutLinks)
 	clear(f.frozen)
-	now = f.runWithStore(r, now, now+settleTime, nil)
-	version := r.put(changedKey, "last")
-	f.runWithStore(r, now, now+maxPropagation, func() bool { return len(f.membersBehind(version)) == 0 })
+	now = f.runWithStore(store, now, now+settleTime, nil)
+	version := store.put(changedKey, "last")
+	f.runWithStore(store, now, now+maxPropagation, func() bool { return len(f.membersBehind(version)) == 0 })
 	return f.membersBehind(version)
 }
--- a/internal/fleet/mesh/duty.go
+++ b/internal/fleet/mesh/duty.go
@@ -8,17 +8,18 @@
 )
 
 const (
-	// maxReadAge is how old what another instance read may be for this one to read
-	// nothing itself, times its place among the readers. With the pause between
-	// messages a change is known within the two seconds that it may take, also
-	// if the first reader dies.
+	// maxReadAge is how old a store read of another instance may be for this instance
+	// to skip its own, times one plus its rank among the readers. Together with the
+	// interval between messages, a change is known within the two seconds that it may
+	// take, even if the first reader dies.
 	maxReadAge = 600 * time.Millisecond
-	// maxDutyRank is how many places of readers are told apart.
+	// maxDutyRank is how many ranks of readers are distinguished.
 	maxDutyRank = 3
 )
 
-// DutyRank is the place of this instance among those that may hold a duty: 0 is
-// the first one. All that hear each other agree. Only heads hold duties.
+// DutyRank returns the rank of this instance among the candidates for a duty: 0 is the
+// first. All instances that receive each other's messages agree on it. Only heads hold
+// duties.
 func (l *Logic) DutyRank(duty string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -34,12 +35,13 @@
 	return maxDutyRank
 }
 
-// readDuty is the duty of reading the store for all.
+// readDuty is the duty of reading the store for all instances.
 const readDuty = "read"
 
-// SkipsStoreReads reports whether others read the store often enough for this one not
-// to: with a few dozen instances their calls would cost more than anything
-// else, and each would learn the same. One that they know more than reads.
+// SkipsStoreReads reports whether other instances read the store often enough for this
+// one not to. With a few dozen instances their store calls would cost more than
+// anything else, and each would learn the same. An instance that lags behind the others
+// always reads.
 func (l *Logic) SkipsStoreReads() bool {
 	place := l.DutyRank(readDuty)
 	l.mu.Lock()
--- a/internal/fleet/mesh/mesh.go
+++ b/internal/fleet/mesh/mesh.go
@@ -1,14 +1,16 @@
-// Package mesh is the deterministic logic of an instance among others: it tells
-// them what its requests take of the engines, which engines it found dead, and what
-// it learned from the store that they lack.
+// Package mesh is the deterministic logic by which an instance exchanges state with the
+// others: it sends them how much of the engines its requests use, which engines it
+// found dead, and which changes it read from the store that they lack.
 //
-// A few dozen instances all tell each other. In larger fleets those of a data centre
-// form cells, whose heads sum up what the requests of their cells take, exchange the
-// sums with the heads of other cells, and tell their members the rest: what a member
-// sends and hears does not grow with the fleet.
+// In fleets of up to a few dozen instances, each exchanges messages with each. In
+// larger fleets the instances of a data centre form cells. The heads of a cell sum up
+// the load of its requests, exchange the sums with the heads of other cells, and send
+// their members the load of the rest of the fleet. So what a member sends and receives
+// does not grow with the fleet.
 //
-// It imports base/spec, fleet/node for the events and commands of the wire, and
-// fleet/rank. Package peer drives it by Tick; app/edge fills it. It does no I/O.
+// It imports base/spec, fleet/node for the events and commands of the wire, fleet/rank,
+// state/feed, and the packages of route whose state it exchanges. Package peer drives
+// it by Tick; app/edge provides its state. It does no I/O.
 package mesh
 
 import (
@@ -25,17 +27,18 @@
 )
 
 const (
-	// roundInterval is the pause between two messages to each instance: what others
+	// roundInterval is the interval between two messages to each instance. What others
 	// sent to an engine is known before a tenth of its queue has turned over.
 	roundInterval = 200 * time.Millisecond
-	// peerTimeout is after how long without a message an instance counts no more.
+	// peerTimeout is how long an instance may send no message before its load no longer
+	// counts.
 	peerTimeout = 1500 * time.Millisecond
-	// countTimeout is how long an instance that fell silent still counts for what
-	// all share: it may serve callers while it cannot be heard.
+	// countTimeout is how long an unresponsive instance still counts as a sharer of
+	// fleet-wide limits: it may serve callers while its messages do not arrive.
 	countTimeout = 15 * time.Second
-	// maxUnknownPeers is how many other instances there may be before any are known.
+	// maxUnknownPeers is how many other instances are assumed before any are known.
 	maxUnknownPeers = 1000
-	// lagCheckInterval is the least pause between two looks for what this instance lacks.
+	// lagCheckInterval is the minimum interval between two checks for missing changes.
 	lagCheckInterval = 50 * time.Millisecond
 )
 
@@ -45,92 +48,98 @@
 	url      string
 	lastSeen time.Duration
 	alive    bool
-	// isFormerVersion tells that it is of the former version of the program, which does not
-	// show what it holds.
+	// isFormerVersion means that the peer runs the former version of the program, which
+	// does not send digests of its tables.
 	isFormerVersion bool
-	// marks is how much it knows of each table.
-	marks map[string]feed.Checkpoint
-	// sentUpdates is up to where it was told of each table, and when. charge is up to
-	// where this instance has to see to that; lacks is since when it knows less.
+	// checkpoints is how much of each table the peer knows.
+	checkpoints map[string]feed.Checkpoint
+	// sentUpdates is the version of each table up to which this instance updated the
+	// peer, and when. assignedVersions is the version up to which this instance has to
+	// see that the peer is updated. behindSince is since when the peer lags behind.
 	sentUpdates      map[string]sentUpdate
 	assignedVersions map[string]uint64
 	behindSince      map[string]time.Duration
-	// lastSync is when the store last told it of all tables; negative if never.
+	// lastSync is when the peer was last in sync with the store for all tables;
+	// negative if never.
 	lastSync time.Duration
 
 	centre spec.DataCentre
-	// version is that of its row in the roster, digest that of the instances that it
-	// knows; rosterAt is when it was last told them.
+	// version is the version of the peer's row in the roster. digest is the digest of
+	// the instances that the peer knows. rosterSentAt is when the roster was last sent
+	// to it.
 	version      uint64
 	digest       uint64
 	rosterSentAt time.Duration
-	// isHead tells that it is one of the heads of its cell by its own word.
+	// isHead means that the peer reports itself as a head of its cell.
 	isHead bool
-	// initiates tells that it exchanges messages with this instance of its own accord.
+	// initiates means that the peer sends messages on its own, not only replies.
 	initiates bool
-	// probedSince is since when it is asked without having been heard.
+	// probedSince is since when the peer has been probed without a message from it.
 	probedSince time.Duration
-	// load is what it last told of its own requests; nil if that does not count.
+	// load is the last reported load of the peer's own requests; nil if it does not
+	// count.
 	load *load
-	// nextSumAt is from when on it is told the next sum.
+	// nextSumAt is the earliest time for the next sum to the peer.
 	nextSumAt time.Duration
 }
 
-// Logic is one instance's part. Set the exported fields before use.
+// Logic is the mesh logic of one instance. Set the exported fields before use.
 type Logic struct {
 	ID         spec.InstanceID
 	DataCentre spec.DataCentre
 	URL        string
 	Local      LocalState
 	Receiver   Receiver
-	// Now is the clock that Passive reads, for callers outside of the ticks.
+	// Now is the clock for callers outside of the ticks, such as SkipsStoreReads.
 	Now func() time.Time
 
 	peers       map[spec.InstanceID]*peer
 	sortedPeers []*peer
 	nextRound   time.Duration
 	lags        map[string]lag
-	// relayPending tells that others are to be told before the next beat.
+	// relayPending means that updates have to be relayed before the next round.
 	relayPending bool
-	// lagCheckedAt is when it was last looked for what this instance lacks.
+	// lagCheckedAt is when this instance last checked for missing changes.
 	lagCheckedAt time.Duration
 
 	layout        layout
 	cellsAssigned bool
-	// rosterReceived tells that the roster was read.
+	// rosterReceived means that the roster has been read.
 	rosterReceived bool
-	// version is that of the own row in the roster, rosterDigest that of all known.
+	// version is the version of this instance's row in the roster. rosterDigest is the
+	// digest of all known instances; zero if it has to be computed.
 	version      uint64
 	rosterDigest uint64
-	// sums is what requests of cells and of all others take, counts how many
-	// instances those are, and passing the events to be passed on.
+	// sums is the load of other cells or of all other instances. cellCounts is how many
+	// instances these are. failuresToForward are failure reports that a head has to
+	// pass on.
 	sums              map[spec.InstanceID]loadSum
 	cellCounts        map[string]instanceCount
 	failuresToForward []failures
 
 	mu        sync.Mutex
 	peerCount int
-	// maxPeers is how many others there may be.
+	// maxPeers is the upper limit of the number of other instances.
 	maxPeers int
-	// isFollower tells that this instance is no head and holds no duty.
+	// isFollower means that this instance is no head and holds no duty.
 	isFollower bool
 	candidates []spec.InstanceID
 	start      time.Time
 	lastSync   time.Duration
-	// isLagging tells that others know more for longer than patience.
+	// isLagging means that other instances have known more for longer than lagTimeout.
 	isLagging bool
 }
 
-// Count is how many instances there are, this one among them.
+// Count returns the number of instances, including this one.
 func (l *Logic) Count() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return 1 + l.peerCount
 }
 
-// BudgetShares is how many instances may share what is bounded for all, this one among
-// them: after a start those that are known and not heard yet count as well, and before
-// any are known there may be many.
+// BudgetShares returns how many instances may share a fleet-wide limit, including this
+// one. After a start, known instances from which no message has come yet count as well.
+// Before any are known, there may be many.
 func (l *Logic) BudgetShares() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -140,33 +149,33 @@
 	return 1 + max(l.peerCount, l.maxPeers)
 }
 
-// Tick takes events and returns what is to be sent.
+// Tick processes events and returns the messages to send.
 func (l *Logic) Tick(now time.Duration, events []node.Event) []node.Command {
 	l.handleEvents(now, events)
 	if l.lagCheckedAt == 0 || now-l.lagCheckedAt >= lagCheckInterval {
 		l.lagCheckedAt = now
 		l.checkLag(now)
 	}
-	news := l.Local.TakeChangedVersions()
-	if len(news) > 0 {
-		l.claimChanges(news, l.Local.Checkpoints())
+	changed := l.Local.TakeChangedVersions()
+	if len(changed) > 0 {
+		l.claimChanges(changed, l.Local.Checkpoints())
 	}
-	hurry := l.relayPending
+	relay := l.relayPending
 	l.relayPending = false
 	switch {
-	case now >= l.nextRound || len(news) > 0 || len(l.failuresToForward) > 0 || l.Local.HasUrgent():
+	case now >= l.nextRound || len(changed) > 0 || len(l.failuresToForward) > 0 || l.Local.HasUrgent():
 		l.nextRound = now + roundInterval
 		l.dropUnresponsive(now)
 		l.electHeads(now)
 		l.expireSums(now)
 		return l.sendRound(now)
-	case hurry:
+	case relay:
 		return l.sendRelayed(now)
 	}
 	return nil
 }
 
-// handleEvents takes what came since the last tick.
+// handleEvents processes the events since the last tick.
 func (l *Logic) handleEvents(now time.Duration, events []node.Event) {
 	if l.peers == nil {
 		l.peers = map[spec.InstanceID]*peer{}
@@ -197,8 +206,8 @@
 func (l *Logic) handleMessage(now time.Duration, ev node.Heard) {
 	var m Message
 	if err := cbor.Unmarshal(ev.Data, &m); err != nil {
-		// A message of another version of the program tells nothing; its
-		// sender counts as silent.
+		// A message of another version of the program is ignored; its sender counts as
+		// unresponsive.
 		return
 	}
 	p := l.ensurePeer(ev.From)
@@ -224,30 +233,30 @@
 	}
 	l.queueFailures(p, m)
 	l.handleTables(p, m.Tables)
-	p.marks = make(map[string]feed.Checkpoint, len(m.Versions))
+	p.checkpoints = make(map[string]feed.Checkpoint, len(m.Versions))
 	for name := range m.Versions {
-		if mark, ok := m.checkpoint(name); ok {
-			p.marks[name] = mark
-			l.Receiver.ReceiveCheckpoint(name, mark)
+		if checkpoint, ok := m.checkpoint(name); ok {
+			p.checkpoints[name] = checkpoint
+			l.Receiver.ReceiveCheckpoint(name, checkpoint)
 		}
 	}
 }
 
-// aheadVersion is the highest version up to which another instance knows a table while it
-// holds something else than this one; zero if there is none.
-func (l *Logic) aheadVersion(table string, mine feed.Checkpoint) uint64 {
+// aheadVersion returns the highest version up to which another instance knows a table
+// while its content differs from the local one; zero if there is none.
+func (l *Logic) aheadVersion(table string, local feed.Checkpoint) uint64 {
 	version := uint64(0)
 	for _, p := range l.peersByID() {
-		if m, ok := p.marks[table]; ok && m.Digest != mine.Digest && m.Version > max(mine.Version, version) {
-			version = m.Version
+		if remote, ok := p.checkpoints[table]; ok && remote.Digest != local.Digest && remote.Version > max(local.Version, version) {
+			version = remote.Version
 		}
 	}
 	return version
 }
 
-// dropUnresponsive drops the instances that are not heard any more.
+// dropUnresponsive drops the instances from which no more messages arrive.
 func (l *Logic) dropUnresponsive(now time.Duration) {
-	read := time.Duration(-1)
+	lastSync := time.Duration(-1)
 	var alive []spec.InstanceID
 	for _, p := range l.peersByID() {
 		if p.alive && now-p.lastSeen >= peerTimeout {
@@ -258,7 +267,7 @@
 		if !p.alive {
 			continue
 		}
-		read = max(read, p.lastSync)
+		lastSync = max(lastSync, p.lastSync)
 		if l.layout.isFlat() || p.isHead {
 			alive = append(alive, p.id)
 		}
@@ -267,12 +276,12 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.maxPeers = expected
-	l.peerCount, l.candidates, l.lastSync, l.isFollower = count, alive, read, !l.isHead()
+	l.peerCount, l.candidates, l.lastSync, l.isFollower = count, alive, lastSync, !l.isHead()
 	l.start = l.Now().Add(-now)
 }
 
-// expectedPeers is how many other instances there may be while this one is too young to have
-// heard all.
+// expectedPeers returns how many other instances there may be while this one is too
+// young to have received a message from each.
 func (l *Logic) expectedPeers(now time.Duration) int {
 	switch {
 	case now >= countTimeout:
@@ -283,7 +292,7 @@
 	return len(l.peers)
 }
 
-// peersByID are all other instances in the order of their names.
+// peersByID returns all other instances, sorted by ID.
 func (l *Logic) peersByID() []*peer {
 	if len(l.sortedPeers) == len(l.peers) {
 		return l.sortedPeers
--- a/internal/fleet/mesh/mesh_test.go
+++ b/internal/fleet/mesh/mesh_test.go
@@ -18,23 +18,24 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// member is one instance as the logic sees it.
+// member is one instance and the state that its logic reads and writes.
 type member struct {
 	logic          *mesh.Logic
 	view           feed.View
 	unreportedDead []spec.UpstreamID
 
 	used map[spec.InstanceID]int
-	// streams is how many streams the last told loads have, by who they are of.
+	// streams is the number of streams in the last reported loads, by their source.
 	streams map[spec.InstanceID]int
-	// requestsFrom is how many requests they sent for the first time.
+	// requestsFrom is how many first attempts the sources reported.
 	requestsFrom    map[spec.InstanceID]int
 	joined          map[spec.InstanceID]bool
 	tablesReceived  int
 	deadReportsFrom []spec.InstanceID
 
-	// changedVersions tells that the store brought a change; polled is the last read and
-	// readAt the same for what is told of it, zero for none.
+	// changedVersions are the table versions that the store changed. lastPoll is the
+	// time of the last read. lastSync is the time of the last sync that is reported to
+	// others; zero for none.
 	changedVersions    map[string]uint64
 	lastPoll, lastSync time.Duration
 	fleet              *fleet
@@ -42,14 +43,14 @@
 
 const table = "t"
 
-// tickInterval is the pause between two ticks of the logic.
+// tickInterval is the interval between two ticks of the logic.
 const tickInterval = 50 * time.Millisecond
 
 func (m *member) HasUrgent() bool { return len(m.unreportedDead) > 0 }
 func (m *member) TakeChangedVersions() map[string]uint64 {
-	news := m.changedVersions
+	changed := m.changedVersions
 	m.changedVersions = nil
-	return news
+	return changed
 }
 
 func (m *member) Usage() map[string]map[spec.UpstreamID]path.Usage {
@@ -84,26 +85,26 @@
 	return dead, nil
 }
 
-func (m *member) ReceiveUsage(from spec.InstanceID, uses map[string]map[spec.UpstreamID]path.Usage) {
+func (m *member) ReceiveUsage(from spec.InstanceID, usage map[string]map[spec.UpstreamID]path.Usage) {
 	m.used[from]++
-	m.streams[from] = uses["s"]["e"].Streams
+	m.streams[from] = usage["s"]["e"].Streams
 }
 
 func (m *member) Retries() map[string]resend.Usage {
 	return map[string]resend.Usage{"s": {Instances: 1, Requests: 2}}
 }
 
-func (m *member) ReceiveRetries(from spec.InstanceID, repeats map[string]resend.Usage) {
-	m.requestsFrom[from] = repeats["s"].Requests
+func (m *member) ReceiveRetries(from spec.InstanceID, retries map[string]resend.Usage) {
+	m.requestsFrom[from] = retries["s"].Requests
 }
 func (m *member) ReceiveSlowdowns(spec.InstanceID, map[spec.UpstreamID]float64) {}
-func (m *member) ReceiveRows(_ string, since uint64, rows []feed.Row, mark feed.Checkpoint, _ spec.InstanceID) {
+func (m *member) ReceiveRows(_ string, since uint64, rows []feed.Row, checkpoint feed.Checkpoint, _ spec.InstanceID) {
 	m.tablesReceived++
-	m.view.ApplyPeerChanges(since, rows, mark)
+	m.view.ApplyPeerChanges(since, rows, checkpoint)
 }
 
-func (m *member) ReceiveCheckpoint(_ string, mark feed.Checkpoint) { m.view.ConfirmVersion(mark) }
-func (m *member) ReportLag(string, uint64, uint64)                 {}
+func (m *member) ReceiveCheckpoint(_ string, c feed.Checkpoint) { m.view.ConfirmVersion(c) }
+func (m *member) ReportLag(string, uint64, uint64)              {}
 func (m *member) ReceiveDead(from spec.InstanceID, _ []spec.UpstreamID) {
 	m.deadReportsFrom = append(m.deadReportsFrom, from)
 }
@@ -115,31 +116,32 @@
 	delete(m.requestsFrom, id)
 }
 
-// fleet is instances that tick together; lost and drop lose messages, and those
-// that are silent do nothing.
+// fleet is a set of instances that tick together. linkDown and dropMessage lose
+// messages. Frozen members do nothing.
 type fleet struct {
 	members     map[spec.InstanceID]*member
 	inbox       map[spec.InstanceID][]node.Event
 	linkDown    func(from, to spec.InstanceID) bool
 	dropMessage func(from, to spec.InstanceID, m mesh.Message) bool
 	frozen      map[spec.InstanceID]bool
-	// onlyReader is the one member that the store answers, empty for all; it turns away
-	// those that are refused.
+	// onlyReader is the only member that the store answers; empty for all. storeRefuses
+	// reports whether the store rejects a member.
 	onlyReader   spec.InstanceID
 	storeRefuses func(spec.InstanceID) bool
 	now          time.Duration
 	sent         int
-	// messagesSent and bytesBy are how many messages and bytes each member sent.
+	// messagesSent and bytesSent are how many messages and bytes each member sent.
 	messagesSent, bytesSent map[spec.InstanceID]int
-	// bytesReceived is how many bytes each member got from each other one.
+	// bytesReceived is how many bytes each member received from each other one.
 	bytesReceived map[[2]spec.InstanceID]int
-	// engines is how many engines they use together beside the one that all do.
+	// engines is how many engines the members use together, besides the one that all
+	// use.
 	engines int
 }
 
 func newFleet(n int) *fleet { return newNamedFleet(n, "i") }
 
-// newNamedFleet opens a fleet of n members; their names begin with a prefix.
+// newNamedFleet returns a fleet of n members whose names begin with a prefix.
 func newNamedFleet(n int, prefix string) *fleet {
 	f := &fleet{bytesReceived: map[[2]spec.InstanceID]int{}, members: map[spec.InstanceID]*member{}, inbox: map[spec.InstanceID][]node.Event{}, frozen: map[spec.InstanceID]bool{}, messagesSent: map[spec.InstanceID]int{}, bytesSent: map[spec.InstanceID]int{}}
 	var peers []node.Peer
@@ -154,16 +156,16 @@
 	return f
 }
 
-// centreCount is how many data centres the members of a fleet are in.
+// centreCount is in how many data centres the members of a fleet are.
 const centreCount = 5
 
-// centreOf is the data centre of a member, by the number that ends its name.
+// centreOf returns the data centre of a member, by the last digit of its name.
 func centreOf(id spec.InstanceID) spec.DataCentre {
 	n := int(id[len(id)-1]-'0') % centreCount
 	return spec.DataCentre(fmt.Sprintf("dc%d", n))
 }
 
-// newMember is an instance that has just started.
+// newMember returns an instance that has just started.
 func (f *fleet) newMember(id spec.InstanceID) *member {
 	m := &member{used: map[spec.InstanceID]int{}, streams: map[spec.InstanceID]int{}, requestsFrom: map[spec.InstanceID]int{}, joined: map[spec.InstanceID]bool{}, fleet: f}
 	clock := func() time.Time { return time.Unix(0, 0).Add(f.now) }
@@ -171,10 +173,10 @@
 	return m
 }
 
-// ids are the names of all members, in order.
+// ids returns the names of all members, sorted.
 func (f *fleet) ids() []spec.InstanceID { return slices.Sorted(maps.Keys(f.members)) }
 
-// run ticks all members of the given span.
+// run ticks all members from one time until another.
 func (f *fleet) run(from, to time.Duration) {
 	for now := from; now < to; now += tickInterval {
 		f.now = now
@@ -182,8 +184,8 @@
 	}
 }
 
-// tickAll ticks all members once. What they send arrives before the next tick of
-// its receiver, in this step or the next one.
+// tickAll ticks all members once. Their messages arrive before the next tick of the
+// receiver, in this step or the next one.
 func (f *fleet) tickAll(now time.Duration) {
 	for _, id := range f.ids() {
 		m := f.members[id]
@@ -217,14 +219,14 @@
 	return f.dropMessage(from, s.To, m)
 }
 
-// One instance reads a change, another cannot. It is told within a beat, once
-// by each teller, and everybody counts everybody.
+// One instance lacks a change that the others read. It must receive the change within a
+// round, once from each updater, and every instance must count all others.
 func TestChangeIsSentToPeers(t *testing.T) {
 	f := newFleet(5)
 	f.run(0, time.Second)
 	for id, m := range f.members {
 		if got := m.logic.Count(); got != 5 || len(m.joined) != 4 {
-			t.Errorf("%s: got %d counted and %d met, want 5 and 4", id, got, len(m.joined))
+			t.Errorf("%s: got %d counted and %d joined, want 5 and 4", id, got, len(m.joined))
 		}
 	}
 	page := feed.Page{Rows: []feed.Row{{Key: "k", Version: 7, Value: []byte("v")}}, Version: 7}
@@ -236,23 +238,23 @@
 	f.run(time.Second, 2*time.Second)
 	m := f.members["i3"]
 	if m.view.Version() != 7 || m.tablesReceived == 0 || m.tablesReceived > 2 {
-		t.Errorf("got version %d told %d times, want 7 told once or twice", m.view.Version(), m.tablesReceived)
+		t.Errorf("got version %d received %d times, want 7 received once or twice", m.view.Version(), m.tablesReceived)
 	}
 }
 
-// An engine is found dead between two beats: the others hear at the next tick.
+// An engine is found dead between two rounds: the others must be told at the next tick.
 func TestDeadEngineIsReportedAtNextTick(t *testing.T) {
 	f := newFleet(2)
 	f.run(0, time.Second)
 	f.members["i0"].unreportedDead = []spec.UpstreamID{"e"}
 	f.run(time.Second, 1100*time.Millisecond)
 	if got := f.members["i1"].deadReportsFrom; len(got) != 1 {
-		t.Errorf("got %v, want to hear of the dead engine within 100ms", got)
+		t.Errorf("got reports from %v, want one report of the dead engine within 100ms", got)
 	}
 }
 
-// An instance falls silent. It counts no more for what engines carry after
-// 1.5 s, but goes on counting for what all share until it surely serves nobody.
+// An instance becomes unresponsive. Its load stops counting after 1.5 s, but it counts
+// as a sharer of fleet-wide limits until it surely serves no callers.
 func TestUnresponsiveInstanceIsLost(t *testing.T) {
 	f := newFleet(3)
 	f.run(0, time.Second)
@@ -260,7 +262,7 @@
 	f.run(time.Second, 4*time.Second)
 	m := f.members["i0"]
 	if m.joined["i2"] || m.logic.Count() != 3 {
-		t.Errorf("got met %v and %d counted after 3s, want missed and 3", m.joined["i2"], m.logic.Count())
+		t.Errorf("got joined %v and %d counted after 3s, want lost and 3", m.joined["i2"], m.logic.Count())
 	}
 	f.run(4*time.Second, 20*time.Second)
 	if got := m.logic.Count(); got != 2 {
@@ -268,7 +270,8 @@
 	}
 }
 
-// Each duty has one first instance, on which all that hear each other agree.
+// Each duty has one first instance, on which all instances that receive each other's
+// messages agree.
 func TestDutyHasOneFirstInstance(t *testing.T) {
 	f := newFleet(7)
 	f.run(0, time.Second)
@@ -280,14 +283,14 @@
 			}
 		}
 		if first != 1 {
-			t.Errorf("%s: got %d first places, want 1", duty, first)
+			t.Errorf("%s: got %d first ranks, want 1", duty, first)
 		}
 	}
 }
 
-// An instance restarts within a second while the store is away: it knows
-// nothing, and the others have told its former process all. They tell it again
-// soon, as they do if the message was lost.
+// An instance restarts within a second while the store is down. It knows nothing, and
+// the others have sent everything to its former process. They must send it again soon,
+// as they do if the message was lost.
 func TestRestartedInstanceIsUpdated(t *testing.T) {
 	for name, lost := range map[string]bool{"restarted": false, "message lost": true} {
 		f := newFleet(3)
--- a/internal/fleet/mesh/message.go
+++ b/internal/fleet/mesh/message.go
@@ -10,51 +10,52 @@
 	"fulmarwick/internal/state/feed"
 )
 
-// Message is what an instance tells another one. Fields are exported because
-// the CBOR codec fills them.
+// Message is what an instance sends to another one. Fields are exported because the
+// CBOR codec fills them.
 type Message struct {
 	URL string `cbor:"1,keyasint"`
-	// Usage is what its requests take, by service and engine.
+	// Usage is how much the sender's requests use, by service and engine.
 	Usage map[string]map[spec.UpstreamID]path.Usage `cbor:"2,keyasint,omitempty"`
-	// Versions is up to where it knows each table, Digests of what it holds.
+	// Versions is the version up to which the sender knows each table. Digests are the
+	// digests of their contents.
 	Versions map[string]uint64 `cbor:"3,keyasint,omitempty"`
 	Digests  map[string]uint64 `cbor:"9,keyasint,omitempty"`
-	// SyncAgeMs is how long ago the store last told it of all tables, in
-	// milliseconds; negative if it never did.
+	// SyncAgeMs is how long ago the sender was last in sync with the store for all
+	// tables, in milliseconds; negative if never.
 	SyncAgeMs int64 `cbor:"4,keyasint"`
-	// Dead are engines that did not answer it.
+	// Dead are engines that did not answer the sender.
 	Dead []spec.UpstreamID `cbor:"5,keyasint,omitempty"`
 	// Tables are rows that the receiver lacks.
 	Tables []Table `cbor:"6,keyasint,omitempty"`
 	// Crashes are upstreams that died, with the requests that they ran.
 	Crashes []crash.Event `cbor:"7,keyasint,omitempty"`
-	// Slowdowns are engines that work slower than usual, and how many times.
+	// Slowdowns are the slowdown factors of engines that work slower than usual.
 	Slowdowns map[spec.UpstreamID]float64 `cbor:"8,keyasint,omitempty"`
-	// DataCentre is that of the sender, Cell its cell, Head whether it is one of the
-	// heads there.
+	// DataCentre is the data centre of the sender, Cell its cell. Head reports whether
+	// it is one of the heads of the cell.
 	DataCentre spec.DataCentre `cbor:"10,keyasint,omitempty"`
 	Cell       string          `cbor:"11,keyasint,omitempty"`
 	Head       bool            `cbor:"12,keyasint,omitempty"`
-	// Scope tells whose requests Uses and Paces are about, Count how many instances
-	// that are.
+	// Scope is whose requests Usage, Slowdowns and Retries describe. Count is how many
+	// instances these are.
 	Scope Scope `cbor:"13,keyasint,omitempty"`
 	Count int   `cbor:"14,keyasint,omitempty"`
-	// Reply tells that the message only answers those of the receiver.
+	// Reply means that the message only answers messages of the receiver.
 	Reply bool `cbor:"15,keyasint,omitempty"`
-	// RosterDigest is the digest of the instances that the sender knows, Roster those that
-	// the receiver seems to lack.
+	// RosterDigest is the digest of the instances that the sender knows. Roster are all
+	// instances that it knows, if the receiver's digest differs.
 	RosterDigest uint64   `cbor:"16,keyasint,omitempty"`
 	Roster       []Member `cbor:"17,keyasint,omitempty"`
-	// Retries is how often requests were sent, by service.
+	// Retries counts requests and retries, by service.
 	Retries map[string]resend.Usage `cbor:"18,keyasint,omitempty"`
 }
 
-// Scope is whose requests a message is about.
+// Scope is the set of instances whose requests a message describes.
 type Scope int
 
 //go:generate stringer -type=Scope -linecomment -output=scope_string.go
 
-// The scopes.
+// Scopes of a message.
 const (
 	ScopeSender         Scope = iota // sender
 	ScopeCell                        // cell of the sender
@@ -62,64 +63,67 @@
 	ScopeNone                        // none
 )
 
-// Table is the changes of a table after a version, all of it after 0. Version and
-// Digest are those of its sender.
+// Table is the changes of a table since a version, or the whole table since 0. Version
+// and Digest are those of its sender.
 type Table struct {
 	Name    string     `cbor:"1,keyasint"`
 	Since   uint64     `cbor:"2,keyasint"`
 	Version uint64     `cbor:"3,keyasint"`
 	Rows    []feed.Row `cbor:"4,keyasint"`
 	Digest  uint64     `cbor:"5,keyasint,omitempty"`
-	// RelayTo are instances that the receiver is to tell.
+	// RelayTo are instances to which the receiver has to relay the changes.
 	RelayTo []spec.InstanceID `cbor:"6,keyasint,omitempty"`
 }
 
-// checkpoint is how much of a table the sender of a message knows; false if it does not
-// say.
+// checkpoint returns how much of a table the sender of a message knows; false if the
+// message does not contain it.
 func (m Message) checkpoint(table string) (feed.Checkpoint, bool) {
 	digest, ok := m.Digests[table]
 	return feed.Checkpoint{Version: m.Versions[table], Digest: digest}, ok
 }
 
-// LocalState gives what this instance has to tell. It is called on the goroutine
+// LocalState provides the state of this instance to send. It is called on the goroutine
 // that ticks.
 type LocalState interface {
-	// HasUrgent tells that there is something to tell before the next beat.
+	// HasUrgent reports whether there is something to send before the next round.
 	HasUrgent() bool
-	// TakeChangedVersions is the version of the last change of each table of which the store told
-	// since the last call.
+	// TakeChangedVersions returns, for each table that the store has changed since the
+	// last call, the version of its last change.
 	TakeChangedVersions() map[string]uint64
 	Usage() map[string]map[spec.UpstreamID]path.Usage
-	// Checkpoints is how much is known of each table.
+	// Checkpoints returns how much of each table is known.
 	Checkpoints() map[string]feed.Checkpoint
-	// SyncAge is how long ago the store last told of all tables; negative if never.
+	// SyncAge returns how long ago this instance was last in sync with the store for
+	// all tables; negative if never.
 	SyncAge() time.Duration
 	Slowdowns() map[spec.UpstreamID]float64
 	Retries() map[string]resend.Usage
-	// ChangesSince returns the changes after a version, or the whole table since 0.
+	// ChangesSince returns the changes since a version, or the whole table since 0.
 	ChangesSince(table string, version uint64) (since uint64, p feed.Page)
-	// TakeFailures returns the engines found dead and the deaths of upstreams with the
-	// requests that they ran since the last call.
+	// TakeFailures returns, since the last call, the engines found dead and the crashes
+	// of upstreams with the requests that they ran.
 	TakeFailures() (dead []spec.UpstreamID, crashes []crash.Event)
 }
 
-// Receiver is told what others tell. It is called on the goroutine that ticks.
+// Receiver receives the state of other instances. It is called on the goroutine that
+// ticks.
 type Receiver interface {
-	// Used, Paced and Repeated take what the requests of one instance or of several
-	// take, how slow engines are for them, and how often they were sent. from names
-	// them: an instance, a cell, or all.
+	// ReceiveUsage, ReceiveSlowdowns and ReceiveRetries receive how much the requests
+	// of one or of several instances use, how slow engines are for them, and how often
+	// they were sent. from names the source: an instance, a cell, or all.
 	ReceiveUsage(from spec.InstanceID, uses map[string]map[spec.UpstreamID]path.Usage)
-	ReceiveSlowdowns(from spec.InstanceID, paces map[spec.UpstreamID]float64)
-	ReceiveRetries(from spec.InstanceID, repeats map[string]resend.Usage)
-	ReceiveRows(table string, since uint64, rows []feed.Row, m feed.Checkpoint, from spec.InstanceID)
-	// ReceiveCheckpoint tells how much another instance knows.
-	ReceiveCheckpoint(table string, m feed.Checkpoint)
-	// ReportLag tells that another instance knows a table up to a later version for
-	// so long that this one reads the store.
-	ReportLag(table string, known, there uint64)
+	ReceiveSlowdowns(from spec.InstanceID, slowdowns map[spec.UpstreamID]float64)
+	ReceiveRetries(from spec.InstanceID, retries map[string]resend.Usage)
+	ReceiveRows(table string, since uint64, rows []feed.Row, checkpoint feed.Checkpoint, from spec.InstanceID)
+	// ReceiveCheckpoint receives how much of a table another instance knows.
+	ReceiveCheckpoint(table string, checkpoint feed.Checkpoint)
+	// ReportLag is called when another instance has known a later version of a table
+	// for so long that this one reads the store.
+	ReportLag(table string, known, remote uint64)
 	ReceiveDead(from spec.InstanceID, engines []spec.UpstreamID)
-	ReceiveCrashes(from spec.InstanceID, deaths []crash.Event)
-	// PeerJoined tells that an instance is heard, Missed that it fell silent.
+	ReceiveCrashes(from spec.InstanceID, crashes []crash.Event)
+	// PeerJoined is called when messages from an instance begin to arrive, PeerLost
+	// when none have arrived for peerTimeout.
 	PeerJoined(id spec.InstanceID)
 	PeerLost(id spec.InstanceID)
 }
--- a/internal/fleet/mesh/whole_test.go
+++ b/internal/fleet/mesh/norace_test.go
@@ -2,7 +2,8 @@
 
 package mesh_test
 
-// sizes are the large fleets that are played, seedsLarge how many of each size.
+// sizes are the sizes of the large fleets to simulate, seedsLarge how many fleets of
+// each size.
 var (
 	sizes      = []int{large, designFleet}
 	seedsLarge = uint64(3)
--- a/internal/fleet/mesh/race_test.go
+++ b/internal/fleet/mesh/race_test.go
@@ -2,8 +2,8 @@
 
 package mesh_test
 
-// sizes are the large fleets that are played, seedsLarge how many of each size: fewer
-// under the race detector, which takes some ten times as long.
+// sizes are the sizes of the large fleets to simulate, seedsLarge how many fleets of
+// each size: fewer under the race detector, which takes about ten times as long.
 var (
 	sizes      = []int{large}
 	seedsLarge = uint64(1)
--- a/internal/fleet/mesh/roster.go
+++ b/internal/fleet/mesh/roster.go
@@ -10,20 +10,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// rosterInterval is the pause between two copies of the roster to one instance.
+// rosterInterval is the interval between two copies of the roster to one instance.
 const rosterInterval = time.Second
 
-// Member is an instance that another one knows of.
+// Member is an instance in the roster.
 type Member struct {
 	ID         spec.InstanceID `cbor:"1,keyasint"`
 	URL        string          `cbor:"2,keyasint"`
 	DataCentre spec.DataCentre `cbor:"3,keyasint,omitempty"`
-	// Version is that of its row in the roster.
+	// Version is the version of the member's row in the roster.
 	Version uint64 `cbor:"4,keyasint,omitempty"`
 }
 
-// handleRoster notes where instances should be. One that moved is asked at its new
-// address.
+// handleRoster records the addresses of instances from the store. An instance that
+// moved is contacted at its new address.
 func (l *Logic) handleRoster(ev node.Listed) {
 	l.rosterReceived = true
 	for _, p := range ev.Peers {
@@ -31,9 +31,9 @@
 	}
 }
 
-// updateMember takes what the store or another instance knows of an instance. The newer row
-// of the roster holds; another instance that knows the same row may not have heard
-// yet that its instance moved.
+// updateMember applies what the store or another instance knows of an instance. The
+// newer row of the roster wins. With equal versions only the store wins: another
+// instance that knows the same row may not have learned yet that the address changed.
 func (l *Logic) updateMember(m Member, stored bool) {
 	l.rosterDigest = 0
 	if m.ID == l.ID {
@@ -48,14 +48,14 @@
 	l.setDataCentre(p, m.DataCentre)
 }
 
-// setDataCentre notes in which data centre an instance is.
+// setDataCentre records the data centre of an instance.
 func (l *Logic) setDataCentre(p *peer, centre spec.DataCentre) {
 	if p.centre != centre {
 		p.centre, l.cellsAssigned = centre, false
 	}
 }
 
-// digest is that of the instances that this one knows.
+// digest returns the digest of the instances that this one knows.
 func (l *Logic) digest() uint64 {
 	if l.rosterDigest != 0 {
 		return l.rosterDigest
@@ -76,8 +76,9 @@
 	return d.Sum64()
 }
 
-// rosterFor is all instances that this one knows, for one that knows others; nil if it
-// knows the same or was told just now.
+// rosterFor returns all instances that this one knows, for a peer that knows a
+// different set; nil if the sets are equal or the roster was sent within
+// rosterInterval.
 func (l *Logic) rosterFor(now time.Duration, p *peer) []Member {
 	if l.layout.isFlat() || !p.alive || p.digest == l.digest() || p.rosterSentAt > 0 && now-p.rosterSentAt < rosterInterval {
 		return nil
--- a/internal/fleet/mesh/tell.go
+++ b/internal/fleet/mesh/round.go
@@ -12,16 +12,17 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// failures is what was found once and is told once, on its way through a head.
+// failures are failure reports that are found once and sent once, on their way through
+// a head.
 type failures struct {
 	from    *peer
 	dead    []spec.UpstreamID
 	crashes []crash.Event
 }
 
-// queueFailures keeps what an instance found for those that hear of it through this head:
-// what a member found for all, what another cell found for its own members. Of the
-// heads that hear of it one passes it on.
+// queueFailures keeps the failures reported by a peer for the instances that get them
+// through this head: failures found by a member for all, those found by another cell
+// for the head's own members. Of the heads that receive a report one passes it on.
 func (l *Logic) queueFailures(p *peer, m Message) {
 	if l.layout.isFlat() || !l.isHead() || len(m.Dead)+len(m.Crashes) == 0 {
 		return
@@ -32,48 +33,48 @@
 	l.failuresToForward = append(l.failuresToForward, failures{from: p, dead: m.Dead, crashes: m.Crashes})
 }
 
-// shouldForward reports whether an event is passed on to an instance.
+// shouldForward reports whether a failure report is passed on to an instance.
 func (l *Logic) shouldForward(ev failures, p *peer) bool {
 	switch {
 	case ev.from == p:
 		return false
 	case l.inCell(ev.from.id):
-		// The other head of the cell was told by the member as well.
+		// The other head of the cell got the report from the member as well.
 		return !l.inCell(p.id) || !l.isHeadOf(p.id)
 	}
 	return l.isMember(p)
 }
 
-// sendRound is a message to each instance that this one exchanges messages with, with
-// what it lacks.
+// sendRound returns a message to each instance with which this one exchanges messages,
+// with the updates that it lacks.
 func (l *Logic) sendRound(now time.Duration) []node.Command {
-	marks := l.Local.Checkpoints()
-	d := l.newRound(now, marks)
+	checkpoints := l.Local.Checkpoints()
+	d := l.newRound(now, checkpoints)
 	dead, crashes := l.Local.TakeFailures()
-	tables := l.tablesToSend(now, marks)
-	passing := l.failuresToForward
+	tables := l.tablesToSend(now, checkpoints)
+	forwarded := l.failuresToForward
 	l.failuresToForward = nil
 	var out []node.Command
 	for _, p := range l.peersByID() {
-		partner, asks := l.isPartner(p.id), p.alive && p.initiates
-		if p.url == "" || !partner && !asks {
+		partner, initiates := l.isPartner(p.id), p.alive && p.initiates
+		if p.url == "" || !partner && !initiates {
 			continue
 		}
 		scope := l.loadScope(p)
-		sum := scope == ScopeCell || scope == ScopeAllButReceiver
-		if sum && now < p.nextSumAt {
-			scope, sum = ScopeNone, false
+		isSum := scope == ScopeCell || scope == ScopeAllButReceiver
+		if isSum && now < p.nextSumAt {
+			scope, isSum = ScopeNone, false
 		}
 		m := d.message(scope, p)
 		m.Reply = !partner
 		m.Dead, m.Crashes, m.Tables, m.Roster = dead, crashes, tables[p.id], l.rosterFor(now, p)
-		for _, ev := range passing {
+		for _, ev := range forwarded {
 			if l.shouldForward(ev, p) {
 				m.Dead, m.Crashes = slices.Concat(m.Dead, ev.dead), slices.Concat(m.Crashes, ev.crashes)
 			}
 		}
 		data := d.encode(m, p)
-		if sum {
+		if isSum {
 			l.scheduleNextSum(now, p, len(data))
 		}
 		out = append(out, node.Send{To: p.id, URL: p.url, Data: data})
@@ -81,12 +82,13 @@
 	return out
 }
 
-// sendRelayed tells those that this instance was asked to tell, before the next beat.
+// sendRelayed returns the updates that this instance was asked to relay, before the
+// next round.
 func (l *Logic) sendRelayed(now time.Duration) []node.Command {
-	marks := l.Local.Checkpoints()
-	d := l.newRound(now, marks)
+	checkpoints := l.Local.Checkpoints()
+	d := l.newRound(now, checkpoints)
 	var out []node.Command
-	for id, tables := range l.tablesToSend(now, marks) {
+	for id, tables := range l.tablesToSend(now, checkpoints) {
 		p := l.peers[id]
 		m := d.message(ScopeNone, p)
 		if l.layout.isFlat() {
@@ -98,8 +100,8 @@
 	return out
 }
 
-// loadScope is what of the load another instance is told. A head in its own cell is told
-// by all members themselves.
+// loadScope returns which load is sent to a peer. A head gets the load of its own cell
+// from the members themselves.
 func (l *Logic) loadScope(p *peer) Scope {
 	switch {
 	case l.layout.isFlat(), !l.isHead() && l.inCell(p.id), l.inCell(p.id) && l.isHeadOf(p.id):
@@ -116,26 +118,27 @@
 type round struct {
 	logic *Logic
 	base  Message
-	// own, cell and all are the loads, worked out as far as they are asked for.
+	// localLoad, cellLoad and fleetLoad are computed when they are first needed.
 	localLoad, cellLoad     *load
 	fleetLoad               load
 	nearbyCount, fleetCount int
 	encoded                 map[encodingKey][]byte
 }
 
-// encodingKey is what the messages of one round differ by that tell no news.
+// encodingKey is how the messages of one round differ if they carry no updates,
+// failures or roster.
 type encodingKey struct {
 	scope     Scope
 	syncAgeMs int64
 }
 
-func (l *Logic) newRound(now time.Duration, marks map[string]feed.Checkpoint) *round {
+func (l *Logic) newRound(now time.Duration, checkpoints map[string]feed.Checkpoint) *round {
 	m := Message{
 		URL: l.URL, DataCentre: l.DataCentre, Versions: map[string]uint64{}, Digests: map[string]uint64{},
 		SyncAgeMs: l.Local.SyncAge().Milliseconds(), RosterDigest: l.digest(),
 	}
-	for name, mark := range marks {
-		m.Versions[name], m.Digests[name] = mark.Version, mark.Digest
+	for name, checkpoint := range checkpoints {
+		m.Versions[name], m.Digests[name] = checkpoint.Version, checkpoint.Digest
 	}
 	if !l.layout.isFlat() {
 		m.Cell, m.Head = l.layout.local.name, l.isHead()
@@ -143,38 +146,38 @@
 	return &round{logic: l, base: m, nearbyCount: l.countNearby(now), fleetCount: l.countInstances(now), encoded: map[encodingKey][]byte{}}
 }
 
-// message is one of a scope, without what is told once.
+// message returns a message of a scope, without the parts that are sent only once.
 func (d *round) message(scope Scope, p *peer) Message {
 	m := d.base
 	m.Scope, m.Count = scope, d.nearbyCount
-	var told load
+	var sent load
 	switch scope {
 	case ScopeSender:
-		told = *d.local()
+		sent = *d.local()
 	case ScopeCell:
 		d.computeSums()
-		told = *d.cellLoad
+		sent = *d.cellLoad
 	case ScopeAllButReceiver:
 		d.computeSums()
-		told, m.Count = d.fleetLoad.without(p.load), d.fleetCount
+		sent, m.Count = d.fleetLoad.without(p.load), d.fleetCount
 	}
-	m.Usage, m.Slowdowns, m.Retries = told.usage, told.slowdowns, told.retries
+	m.Usage, m.Slowdowns, m.Retries = sent.usage, sent.slowdowns, sent.retries
 	if d.logic.isHeadFor(p) {
 		m.SyncAgeMs = d.logic.lowestSyncAgeMs(m.SyncAgeMs)
 	}
 	return m
 }
 
-// local is the load of this instance, worked out once.
+// local returns the load of this instance, computed once.
 func (d *round) local() *load {
 	if d.localLoad == nil {
-		own := d.logic.localLoad()
-		d.localLoad = &own
+		local := d.logic.localLoad()
+		d.localLoad = &local
 	}
 	return d.localLoad
 }
 
-// computeSums works out the sums once.
+// computeSums computes the sums once.
 func (d *round) computeSums() {
 	if d.cellLoad == nil {
 		cell := d.logic.cellLoad(*d.local())
@@ -182,8 +185,8 @@
 	}
 }
 
-// encode returns the bytes of a message. Those that differ by nothing but their
-// receiver are encoded once.
+// encode returns the encoding of a message. Messages that differ only by their receiver
+// are encoded once.
 func (d *round) encode(m Message, p *peer) []byte {
 	if p.isFormerVersion {
 		return encode(m.withoutTables())
@@ -198,23 +201,24 @@
 	return d.encoded[k]
 }
 
-// lowestSyncAgeMs is how long ago the store last told this instance or another head of all
-// tables, in milliseconds; negative if never. Members hear of other heads by it.
+// lowestSyncAgeMs returns how long ago this instance or another head was last in sync
+// with the store for all tables, in milliseconds; negative if never. Members learn
+// about other heads by it.
 func (l *Logic) lowestSyncAgeMs(age int64) int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.lastSync < 0 {
 		return age
 	}
-	other := (l.Now().Sub(l.start) - l.lastSync).Milliseconds()
+	otherAge := (l.Now().Sub(l.start) - l.lastSync).Milliseconds()
 	if age < 0 {
-		return other
+		return otherAge
 	}
-	return min(age, other)
+	return min(age, otherAge)
 }
 
-// withoutTables is the message for an instance that does not show what it holds: it is
-// told nothing, so it must not leave reading to this one.
+// withoutTables returns the message for an instance that does not send digests: no
+// tables are sent to it, so it must not rely on this instance for reading the store.
 func (m Message) withoutTables() Message {
 	m.SyncAgeMs, m.Tables = -1, nil
 	return m
--- a/internal/fleet/mesh/spread.go
+++ b/internal/fleet/mesh/spread.go
@@ -12,106 +12,107 @@
 )
 
 const (
-	// fanout is how many instances are told of a change at once by one that knows
-	// it; each of them tells its part of the others. To send a configuration to a few
-	// dozen instances would fill the link of one.
+	// fanout is to how many instances a change is sent at once; each of them relays it
+	// to a part of the others. Sending a configuration to a few dozen instances would
+	// saturate the link of one.
 	fanout = 4
-	// maxLateUpdates is how many instances are told once more in one message round.
+	// maxLateUpdates is how many instances are updated again in one message round.
 	maxLateUpdates = 8
-	// resendInterval is after how long an instance that was told of a change and does
-	// not show it is told again: the message was lost, it restarted, or who should
-	// have told it is frozen.
+	// resendInterval is the delay after which an update is sent again to an instance
+	// that does not show it: the message was lost, the instance restarted, or the
+	// instance that should have relayed it is frozen.
 	resendInterval = 600 * time.Millisecond
-	// unaskedUpdateDelay is after how long an instance that lacks a change is told by others
-	// than the one that read it, which may have died.
+	// unaskedUpdateDelay is the delay after which an instance that lacks a change is
+	// updated by instances other than the one that read it, which may have died.
 	unaskedUpdateDelay = time.Second
-	// maxUpdaters is how many of those tell one that is behind; more would only repeat
-	// each other.
+	// maxUpdaters is how many instances update one lagging instance unasked; more would
+	// only send the same again.
 	maxUpdaters = 2
 )
 
-// sentUpdate is what an instance was told of a table.
+// sentUpdate records the update of a table that was sent to an instance.
 type sentUpdate struct {
 	version uint64
 	sentAt  time.Duration
 }
 
-// claimChanges has this instance see to it that all others learn what it just read from
-// the store, if it is the first to know. news is the version of the last change of
-// each table. Whoever reads later finds others that know it, and one of them has
-// done so.
-func (l *Logic) claimChanges(news map[string]uint64, marks map[string]feed.Checkpoint) {
-	for name, version := range news {
-		known := l.isKnownElsewhere(name, version, marks[name])
+// claimChanges makes this instance responsible for updating all others with a change
+// that it just read from the store, if no other instance knows it yet. changed is the
+// version of the last change of each table. An instance that reads later finds others
+// that know the change, and one of them has taken the responsibility.
+func (l *Logic) claimChanges(changed map[string]uint64, checkpoints map[string]feed.Checkpoint) {
+	for name, version := range changed {
+		known := l.isKnownElsewhere(name, version, checkpoints[name])
 		for _, p := range l.peersByID() {
-			// Members hear of it from their primary head alone, whoever else knows.
+			// Members get it from their primary head only, whoever else knows it.
 			if !known || l.isMember(p) {
-				p.assignedVersions[name] = marks[name].Version
+				p.assignedVersions[name] = checkpoints[name].Version
 			}
 		}
 	}
 }
 
-// isHeadFor reports whether this instance is a head of the cell in which another one is a
-// member.
+// isHeadFor reports whether this instance is a head of the cell in which another one is
+// a plain member.
 func (l *Logic) isHeadFor(p *peer) bool {
 	return !l.layout.isFlat() && l.isHead() && l.inCell(p.id) && !l.isHeadOf(p.id)
 }
 
-// isMember reports whether an instance hears from this one what others know.
+// isMember reports whether another instance gets its updates from this one.
 func (l *Logic) isMember(p *peer) bool { return l.isHeadFor(p) && l.isPrimary(p.id) }
 
-// handleTables takes rows from another instance and sees to it that those hear of them that
-// depend on this one.
+// handleTables applies rows from another instance and schedules updates to the
+// instances that depend on this one for them.
 func (l *Logic) handleTables(from *peer, tables []Table) {
 	if len(tables) == 0 {
 		return
 	}
-	marks := l.Local.Checkpoints()
+	checkpoints := l.Local.Checkpoints()
 	for _, t := range tables {
-		before := marks[t.Name]
+		before := checkpoints[t.Name]
 		l.Receiver.ReceiveRows(t.Name, t.Since, t.Rows, feed.Checkpoint{Version: t.Version, Digest: t.Digest}, from.id)
-		marks = l.Local.Checkpoints()
+		checkpoints = l.Local.Checkpoints()
 		if len(t.RelayTo) > 0 {
-			l.acceptRelay(t, marks)
+			l.acceptRelay(t, checkpoints)
 		}
-		if marks[t.Name].Digest != before.Digest {
-			l.forwardChange(from, t.Name, marks[t.Name].Version)
+		if checkpoints[t.Name].Digest != before.Digest {
+			l.forwardChange(from, t.Name, checkpoints[t.Name].Version)
 		}
 	}
 }
 
-// forwardChange has a head tell its members of a change, and the heads of other cells too
-// if it was one of its members that knew of it.
+// forwardChange makes a head update its members with a change, and also the heads of
+// other cells if the change came from one of its members.
 func (l *Logic) forwardChange(from *peer, table string, version uint64) {
 	if l.layout.isFlat() || !l.isHead() {
 		return
 	}
-	all := l.inCell(from.id) && !l.isHeadOf(from.id)
+	fromMember := l.inCell(from.id) && !l.isHeadOf(from.id)
 	for _, p := range l.peersByID() {
-		if p != from && (all || l.isMember(p)) {
+		if p != from && (fromMember || l.isMember(p)) {
 			p.assignedVersions[table] = version
 			l.relayPending = true
 		}
 	}
 }
 
-// isKnownElsewhere reports whether another instance knows a change and holds the same of its
-// table. One that shows the same from before the change may hold anything by now.
-func (l *Logic) isKnownElsewhere(table string, version uint64, mine feed.Checkpoint) bool {
+// isKnownElsewhere reports whether another instance knows a change and has the same
+// content of the table. An equal digest at a version from before the change proves
+// nothing, since the content may have changed by now.
+func (l *Logic) isKnownElsewhere(table string, version uint64, local feed.Checkpoint) bool {
 	for _, p := range l.peersByID() {
-		if m, ok := p.marks[table]; ok && p.alive && m.Digest == mine.Digest && m.Version >= version {
+		if remote, ok := p.checkpoints[table]; ok && p.alive && remote.Digest == local.Digest && remote.Version >= version {
 			return true
 		}
 	}
 	return false
 }
 
-// acceptRelay takes over the telling of other instances.
-func (l *Logic) acceptRelay(t Table, marks map[string]feed.Checkpoint) {
-	if marks[t.Name].Digest != t.Digest {
-		// What was told did not fit what is known here; who asked for it tells
-		// those instances again.
+// acceptRelay takes over updating other instances.
+func (l *Logic) acceptRelay(t Table, checkpoints map[string]feed.Checkpoint) {
+	if checkpoints[t.Name].Digest != t.Digest {
+		// The update did not fit the local content. The instance that asked for the
+		// relay updates those instances again.
 		return
 	}
 	for _, id := range t.RelayTo {
@@ -122,37 +123,37 @@
 	}
 }
 
-// tablesToSend is what other instances are to be told of the tables now. A change goes
-// over a tree whose root is the instance that read it: each instance that is told
-// is one that tells, so all that live are reached.
-func (l *Logic) tablesToSend(now time.Duration, marks map[string]feed.Checkpoint) map[spec.InstanceID][]Table {
+// tablesToSend returns the table updates that are due for other instances. A change
+// spreads over a tree whose root is the instance that read it. Each instance that
+// receives it relays it, so all live instances are reached.
+func (l *Logic) tablesToSend(now time.Duration, checkpoints map[string]feed.Checkpoint) map[spec.InstanceID][]Table {
 	out := map[spec.InstanceID][]Table{}
-	for _, name := range slices.Sorted(maps.Keys(marks)) {
-		fresh, late := l.peersToUpdate(now, name, marks[name])
-		fresh, direct := l.splitByRelay(fresh)
+	for _, name := range slices.Sorted(maps.Keys(checkpoints)) {
+		due, overdue := l.peersToUpdate(now, name, checkpoints[name])
+		due, direct := l.splitByRelay(due)
 		for _, p := range direct {
-			out[p.id] = append(out[p.id], l.tableFor(now, p, name, marks[name]))
+			out[p.id] = append(out[p.id], l.tableFor(now, p, name, checkpoints[name]))
 		}
-		for _, part := range splitEvenly(fresh, fanout) {
-			head := slices.MaxFunc(part, byLastSeen)
-			t := l.tableFor(now, head, name, marks[name])
-			for _, p := range part {
-				if p != head {
+		for _, group := range splitEvenly(due, fanout) {
+			relay := slices.MaxFunc(group, byLastSeen)
+			t := l.tableFor(now, relay, name, checkpoints[name])
+			for _, p := range group {
+				if p != relay {
 					t.RelayTo = append(t.RelayTo, p.id)
 				}
 				p.sentUpdates[name] = sentUpdate{version: t.Version, sentAt: now}
 			}
-			out[head.id] = append(out[head.id], t)
+			out[relay.id] = append(out[relay.id], t)
 		}
-		for _, p := range late[:min(len(late), maxLateUpdates)] {
-			out[p.id] = append(out[p.id], l.tableFor(now, p, name, marks[name]))
+		for _, p := range overdue[:min(len(overdue), maxLateUpdates)] {
+			out[p.id] = append(out[p.id], l.tableFor(now, p, name, checkpoints[name]))
 		}
 	}
 	return out
 }
 
-// splitByRelay parts instances into those that can tell each other, and those that this
-// one has to tell itself.
+// splitByRelay splits instances into those that can relay to each other, and those that
+// this one has to update directly.
 func (l *Logic) splitByRelay(all []*peer) (relays, direct []*peer) {
 	for _, p := range all {
 		if l.isHead() && l.isHeadOf(p.id) {
@@ -164,36 +165,36 @@
 	return relays, direct
 }
 
-// byLastSeen orders instances by when they were heard. The one heard last passes
-// changes on: one that is frozen or has just ended is silent, and those behind it
-// would wait until they are told again.
+// byLastSeen orders instances by their last message. The instance with the latest one
+// relays changes: a frozen or just ended instance sends nothing, and those that depend
+// on it would wait until they are updated again.
 func byLastSeen(a, b *peer) int { return cmp.Compare(a.lastSeen, b.lastSeen) }
 
-// peersToUpdate returns the instances that are to be told of a table: those that have not
-// been told of its last change by this one or whom it asked to, and those that
-// should know it by now.
-func (l *Logic) peersToUpdate(now time.Duration, name string, mine feed.Checkpoint) (fresh, late []*peer) {
+// peersToUpdate returns the instances that have to be updated for a table. For due
+// ones, neither this instance nor one that it asked to relay has sent the last change
+// yet. Overdue ones should know it by now.
+func (l *Logic) peersToUpdate(now time.Duration, name string, local feed.Checkpoint) (due, overdue []*peer) {
 	for _, p := range l.peersByID() {
-		if !p.isBehind(now, name, mine) || !p.alive || p.url == "" {
+		if !p.isBehind(now, name, local) || !p.alive || p.url == "" {
 			continue
 		}
-		theirs, told, charge := p.marks[name], p.sentUpdates[name], p.assignedVersions[name]
+		remote, sent, assigned := p.checkpoints[name], p.sentUpdates[name], p.assignedVersions[name]
 		switch {
-		case charge > max(theirs.Version, told.version):
-			fresh = append(fresh, p)
-		case told.version > 0 && now-told.sentAt < resendInterval:
-		case charge > theirs.Version, now-p.behindSince[name] >= updateDelay(theirs) && l.isUpdaterOf(p, name, mine):
-			late = append(late, p)
+		case assigned > max(remote.Version, sent.version):
+			due = append(due, p)
+		case sent.version > 0 && now-sent.sentAt < resendInterval:
+		case assigned > remote.Version, now-p.behindSince[name] >= updateDelay(remote) && l.isUpdaterOf(p, name, local):
+			overdue = append(overdue, p)
 		}
 	}
-	return fresh, late
+	return due, overdue
 }
 
-// isBehind reports whether an instance knows less of a table than this one, and
-// notes since when.
-func (p *peer) isBehind(now time.Duration, name string, mine feed.Checkpoint) bool {
-	theirs, ok := p.marks[name]
-	if !ok || theirs.Version >= mine.Version || theirs.Digest == mine.Digest {
+// isBehind reports whether a peer lags behind this instance in a table, and records
+// since when.
+func (p *peer) isBehind(now time.Duration, name string, local feed.Checkpoint) bool {
+	remote, ok := p.checkpoints[name]
+	if !ok || remote.Version >= local.Version || remote.Digest == local.Digest {
 		delete(p.behindSince, name)
 		return false
 	}
@@ -203,36 +204,37 @@
 	return true
 }
 
-// updateDelay is how long an instance may lack something before others tell it
-// unasked. One that knows nothing has started and may not reach the store; it is
-// told as soon as those that know have shown it to each other.
-func updateDelay(theirs feed.Checkpoint) time.Duration {
-	if theirs.Version == 0 {
+// updateDelay returns how long an instance may lag behind before others update it
+// unasked. An instance that knows nothing has just started and may not reach the store.
+// It is updated as soon as the instances that know the table have reported it to each
+// other.
+func updateDelay(remote feed.Checkpoint) time.Duration {
+	if remote.Version == 0 {
 		return roundInterval
 	}
 	return unaskedUpdateDelay
 }
 
-// tableFor is what another instance lacks of a table: what changed since the version
-// that it shows. What it was told later may never have come.
-func (l *Logic) tableFor(now time.Duration, p *peer, name string, mine feed.Checkpoint) Table {
-	since, told := p.marks[name].Version, p.sentUpdates[name]
-	if told.version > since && now-told.sentAt >= resendInterval {
-		// A change that was undone before this instance looked is not among the
-		// changes: only the whole table helps.
+// tableFor returns what a peer lacks of a table: the changes since the version that it
+// reported. Updates sent to it later may never have arrived.
+func (l *Logic) tableFor(now time.Duration, p *peer, name string, local feed.Checkpoint) Table {
+	since, sent := p.checkpoints[name].Version, p.sentUpdates[name]
+	if sent.version > since && now-sent.sentAt >= resendInterval {
+		// A change that was reverted before this instance read the store is not among
+		// the changes: only the whole table helps.
 		since = 0
 	}
 	since, page := l.Local.ChangesSince(name, since)
-	p.sentUpdates[name] = sentUpdate{version: mine.Version, sentAt: now}
-	return Table{Name: name, Since: since, Version: mine.Version, Digest: mine.Digest, Rows: page.Rows}
+	p.sentUpdates[name] = sentUpdate{version: local.Version, sentAt: now}
+	return Table{Name: name, Since: since, Version: local.Version, Digest: local.Digest, Rows: page.Rows}
 }
 
-// isUpdaterOf reports whether this instance is one of those that tell p what it lacks,
-// among those that know it.
-func (l *Logic) isUpdaterOf(p *peer, name string, mine feed.Checkpoint) bool {
+// isUpdaterOf reports whether this instance is among the instances with the same
+// content that have to update p.
+func (l *Logic) isUpdaterOf(p *peer, name string, local feed.Checkpoint) bool {
 	ids := []spec.InstanceID{l.ID}
 	for _, other := range l.peersByID() {
-		if other.alive && other.marks[name].Digest == mine.Digest && l.exchangesWith(other, p) {
+		if other.alive && other.checkpoints[name].Digest == local.Digest && l.exchangesWith(other, p) {
 			ids = append(ids, other.id)
 		}
 	}
@@ -244,11 +246,12 @@
 	if l.layout.isFlat() {
 		return true
 	}
-	same := l.layout.cellByID[other.id] == l.layout.cellByID[p.id]
-	return l.isHeadOf(other.id) && (same || l.isHeadOf(p.id)) || same && l.isHeadOf(p.id)
+	sameCell := l.layout.cellByID[other.id] == l.layout.cellByID[p.id]
+	return l.isHeadOf(other.id) && (sameCell || l.isHeadOf(p.id)) || sameCell && l.isHeadOf(p.id)
 }
 
-// splitEvenly parts instances into n groups of about the same size at most.
+// splitEvenly splits instances into n groups of about the same size, or fewer groups if
+// there are fewer instances.
 func splitEvenly(all []*peer, n int) [][]*peer {
 	var out [][]*peer
 	for k := range min(n, len(all)) {
--- a/internal/fleet/mesh/spread_test.go
+++ b/internal/fleet/mesh/spread_test.go
@@ -16,21 +16,22 @@
 )
 
 const (
-	// maxPropagation is how long a change may take to all instances.
+	// maxPropagation is how long a change may take to reach all instances.
 	maxPropagation = 2 * time.Second
-	// pollTimeout is how long the store holds a call without news.
+	// pollTimeout is how long the store holds a call when there are no changes.
 	pollTimeout = 700 * time.Millisecond
-	// heartbeatRows is how many rows are written anew in turn without a change.
+	// heartbeatRows is how many rows are rewritten in turn without a change.
 	heartbeatRows = 10
-	// unaskedUpdateDelay is after how long those that know a change tell it unasked.
+	// unaskedUpdateDelay is the delay after which a change is sent unasked.
 	unaskedUpdateDelay = time.Second
-	// smallFleetSeeds is how many fleets of each size are played, each with other names.
+	// smallFleetSeeds is how many fleets of each size are simulated, each with other
+	// names.
 	smallFleetSeeds = 13
 	// changedKey is the row that changes.
 	changedKey = "config"
 )
 
-// seedCount is how many fleets of a size are played.
+// seedCount returns how many fleets of a size are simulated.
 func seedCount(instances int) uint64 {
 	if instances > 40 {
 		return seedsLarge
@@ -43,46 +44,46 @@
 	log []feed.Row
 }
 
-// heartbeat writes a row anew with the same content, as upstreams do.
-func (r *fakeStore) heartbeat() {
-	r.put(fmt.Sprintf("row-%d", len(r.log)%heartbeatRows), "same")
+// heartbeat rewrites a row with the same content, as upstreams do.
+func (s *fakeStore) heartbeat() {
+	s.put(fmt.Sprintf("row-%d", len(s.log)%heartbeatRows), "same")
 }
 
-func (r *fakeStore) put(key, value string) uint64 {
-	version := uint64(len(r.log) + 1)
-	r.log = append(r.log, feed.Row{Key: key, Version: version, Value: []byte(value)})
+func (s *fakeStore) put(key, value string) uint64 {
+	version := uint64(len(s.log) + 1)
+	s.log = append(s.log, feed.Row{Key: key, Version: version, Value: []byte(value)})
 	return version
 }
 
-func (r *fakeStore) since(version uint64) feed.Page {
+func (s *fakeStore) since(version uint64) feed.Page {
 	newest := map[string]feed.Row{}
-	for _, row := range r.log[version:] {
+	for _, row := range s.log[version:] {
 		newest[row.Key] = row
 	}
-	p := feed.Page{Version: uint64(len(r.log))}
+	p := feed.Page{Version: uint64(len(s.log))}
 	for _, row := range newest {
 		p.Rows = append(p.Rows, row)
 	}
 	return p
 }
 
-// hasChange reports whether a member knows the changed row as of a version.
+// hasChange reports whether a member knows the changed row at a version or later.
 func (m *member) hasChange(version uint64) bool {
-	for _, r := range m.view.Rows() {
-		if r.Key == changedKey {
-			return r.Version >= version
+	for _, row := range m.view.Rows() {
+		if row.Key == changedKey {
+			return row.Version >= version
 		}
 	}
 	return false
 }
 
-// pollStore reads the store as a follower does: at once if there is news, after
-// the poll if there is none, not at all while others read.
-func (m *member) pollStore(now time.Duration, r *fakeStore) {
+// pollStore reads the store as a follower does: at once if there are changes, after the
+// poll timeout if there are none, not at all while others read.
+func (m *member) pollStore(now time.Duration, store *fakeStore) {
 	if m.logic.SkipsStoreReads() && m.lastPoll > 0 {
 		return
 	}
-	p := r.since(m.view.Version())
+	p := store.since(m.view.Version())
 	if len(p.Rows) == 0 && now-m.lastPoll < pollTimeout {
 		return
 	}
@@ -95,14 +96,15 @@
 	}
 }
 
-// runWithStore runs a fleet that follows a store until a time or until done.
-func (f *fleet) runWithStore(r *fakeStore, from, to time.Duration, done func() bool) time.Duration {
+// runWithStore runs a fleet that follows a store until a time or until done returns
+// true.
+func (f *fleet) runWithStore(store *fakeStore, from, to time.Duration, done func() bool) time.Duration {
 	for now := from; now < to; now += tickInterval {
 		f.now = now
-		r.heartbeat()
+		store.heartbeat()
 		for id, m := range f.members {
 			if !f.frozen[id] && f.storeAnswers(id) {
-				m.pollStore(now, r)
+				m.pollStore(now, store)
 			}
 		}
 		f.tickAll(now)
@@ -118,7 +120,7 @@
 	return (f.onlyReader == "" || f.onlyReader == id) && (f.storeRefuses == nil || !f.storeRefuses(id))
 }
 
-// membersBehind lists the live members that do not know a version.
+// membersBehind returns the live members that do not know a version.
 func (f *fleet) membersBehind(version uint64) []spec.InstanceID {
 	var out []spec.InstanceID
 	for id, m := range f.members {
@@ -129,7 +131,7 @@
 	return out
 }
 
-// reader is the member that reads the store for all.
+// reader returns the member that reads the store for all.
 func (f *fleet) reader() spec.InstanceID {
 	for _, id := range f.ids() {
 		if f.members[id].logic.DutyRank("read") == 0 {
@@ -139,7 +141,7 @@
 	return ""
 }
 
-// nonReader is a member that leaves reading to others.
+// nonReader returns a member that leaves reading to others.
 func (f *fleet) nonReader() spec.InstanceID {
 	for _, id := range f.ids() {
 		if f.members[id].logic.SkipsStoreReads() {
@@ -149,59 +151,59 @@
 	return ""
 }
 
-// freeze silences some members as if they were frozen, but not the only reader.
-func (f *fleet) freeze(n int, draw *rand.Rand) {
+// freeze freezes n random members, but not the only reader.
+func (f *fleet) freeze(n int, random *rand.Rand) {
 	ids := slices.DeleteFunc(f.ids(), func(id spec.InstanceID) bool { return id == f.onlyReader })
-	for _, k := range draw.Perm(len(ids))[:n] {
+	for _, k := range random.Perm(len(ids))[:n] {
 		f.frozen[ids[k]] = true
 	}
 }
 
-// Callers got 404 for a route that had been added three seconds before, from
-// nearly all instances. One instance reads the store for all, and the others
-// hear of a change by relays; some instances are frozen. Whoever reads and
-// whoever is frozen, each live instance must know a change within two seconds.
+// Callers got 404 from nearly all instances for a route that had been added three
+// seconds before. One instance reads the store for all, and the others learn of a
+// change by relays; some instances are frozen. Whichever instance reads and whichever
+// are frozen, each live instance must know a change within two seconds.
 func TestChangeReachesAllDespiteFrozenInstances(t *testing.T) {
-	for _, test := range []struct{ instances, silent int }{{4, 0}, {4, 1}, {4, 2}, {26, 2}, {33, 0}, {33, 2}, {33, 6}, {118, 0}, {118, 6}, {118, 24}} {
-		t.Run(fmt.Sprintf("%d instances, %d silent", test.instances, test.silent), func(t *testing.T) {
+	for _, test := range []struct{ instances, frozen int }{{4, 0}, {4, 1}, {4, 2}, {26, 2}, {33, 0}, {33, 2}, {33, 6}, {118, 0}, {118, 6}, {118, 24}} {
+		t.Run(fmt.Sprintf("%d instances, %d frozen", test.instances, test.frozen), func(t *testing.T) {
 			t.Parallel()
 			for seed := range seedCount(test.instances) {
-				draw := rand.New(rand.NewPCG(seed, 1))
+				random := rand.New(rand.NewPCG(seed, 1))
 				f := newNamedFleet(test.instances, fmt.Sprintf("s%d-", seed))
-				r := &fakeStore{}
-				r.put(changedKey, "old")
-				f.runWithStore(r, tickInterval, 2*time.Second, nil)
-				f.freeze(test.silent, draw)
-				at := 2*time.Second + time.Duration(draw.Int64N(int64(2*time.Second)))/tickInterval*tickInterval
-				f.runWithStore(r, 2*time.Second, at, nil)
-				version := r.put(changedKey, "new")
-				f.runWithStore(r, at, at+maxPropagation, func() bool { return len(f.membersBehind(version)) == 0 })
-				if late := f.membersBehind(version); len(late) > 0 {
-					t.Errorf("seed %d: got %d of %d without the change after %s, want none: %v", seed, len(late), test.instances, maxPropagation, late)
+				store := &fakeStore{}
+				store.put(changedKey, "old")
+				f.runWithStore(store, tickInterval, 2*time.Second, nil)
+				f.freeze(test.frozen, random)
+				at := 2*time.Second + time.Duration(random.Int64N(int64(2*time.Second)))/tickInterval*tickInterval
+				f.runWithStore(store, 2*time.Second, at, nil)
+				version := store.put(changedKey, "new")
+				f.runWithStore(store, at, at+maxPropagation, func() bool { return len(f.membersBehind(version)) == 0 })
+				if behind := f.membersBehind(version); len(behind) > 0 {
+					t.Errorf("seed %d: got %d of %d without the change after %s, want none: %v", seed, len(behind), test.instances, maxPropagation, behind)
 				}
 			}
 		})
 	}
 }
 
-// The store turns away all instances but the one that reads for them, and some
-// are frozen. The others can learn of a change by each other alone, and must
-// within two seconds: whoever knows it has to see to it that all do.
+// The store rejects all instances but the one that reads for them, and some are frozen.
+// The others can learn of a change only from each other, and must within two seconds.
+// An instance that knows it has to see that all others do.
 func TestChangeReachesAllFromOneReader(t *testing.T) {
-	for _, test := range []struct{ instances, silent int }{{4, 1}, {26, 2}, {33, 0}, {33, 2}, {33, 6}, {118, 0}, {118, 6}, {118, 24}} {
-		t.Run(fmt.Sprintf("%d instances, %d silent", test.instances, test.silent), func(t *testing.T) {
+	for _, test := range []struct{ instances, frozen int }{{4, 1}, {26, 2}, {33, 0}, {33, 2}, {33, 6}, {118, 0}, {118, 6}, {118, 24}} {
+		t.Run(fmt.Sprintf("%d instances, %d frozen", test.instances, test.frozen), func(t *testing.T) {
 			t.Parallel()
 			for seed := range seedCount(test.instances) {
 				f := newNamedFleet(test.instances, fmt.Sprintf("o%d-", seed))
-				r := &fakeStore{}
-				r.put(changedKey, "old")
-				f.runWithStore(r, tickInterval, 2*time.Second, nil)
+				store := &fakeStore{}
+				store.put(changedKey, "old")
+				f.runWithStore(store, tickInterval, 2*time.Second, nil)
 				f.onlyReader = f.reader()
-				f.freeze(test.silent, rand.New(rand.NewPCG(seed, 2)))
-				version := r.put(changedKey, "new")
-				took := f.runWithStore(r, 2*time.Second, 2*time.Second+maxPropagation, func() bool { return len(f.membersBehind(version)) == 0 })
-				if late := f.membersBehind(version); len(late) > 0 {
-					t.Errorf("seed %d: got %d of %d without the change after %s, want none", seed, len(late), test.instances, maxPropagation)
+				f.freeze(test.frozen, rand.New(rand.NewPCG(seed, 2)))
+				version := store.put(changedKey, "new")
+				took := f.runWithStore(store, 2*time.Second, 2*time.Second+maxPropagation, func() bool { return len(f.membersBehind(version)) == 0 })
+				if behind := f.membersBehind(version); len(behind) > 0 {
+					t.Errorf("seed %d: got %d of %d without the change after %s, want none", seed, len(behind), test.instances, maxPropagation)
 				}
 				t.Logf("seed %d: known to all after %s", seed, took-2*time.Second)
 			}
@@ -209,15 +211,15 @@
 	}
 }
 
-// The message that tells one instance of a change is lost, while other rows go on
-// changing every 300 ms and the store turns that instance away. Each later change
-// is told to it; the lost one must come with them, though it is never missing for
-// long enough on its own to be told again.
+// The message that carries a change to one instance is lost, while other rows change
+// every 300 ms and the store rejects that instance. Each later change is sent to it.
+// The lost one must come with them, though it is never missing for long enough on its
+// own to be sent again.
 func TestLostChangeIsResentWithLaterChanges(t *testing.T) {
 	f := newFleet(2)
-	r := &fakeStore{}
-	r.put(changedKey, "old")
-	f.runWithStore(r, tickInterval, 3*time.Second, nil)
+	store := &fakeStore{}
+	store.put(changedKey, "old")
+	f.runWithStore(store, tickInterval, 3*time.Second, nil)
 	f.onlyReader = f.reader()
 	behind, lost := f.nonReader(), 0
 	f.dropMessage = func(_, to spec.InstanceID, m mesh.Message) bool {
@@ -227,36 +229,37 @@
 		lost++
 		return true
 	}
-	version := r.put(changedKey, "new")
+	version := store.put(changedKey, "new")
 	for from := 3 * time.Second; from < 3*time.Second+maxPropagation; from += 300 * time.Millisecond {
-		f.runWithStore(r, from, from+300*time.Millisecond, nil)
-		r.put("other", from.String())
+		f.runWithStore(store, from, from+300*time.Millisecond, nil)
+		store.put("other", from.String())
 	}
 	if !f.members[behind].hasChange(version) || lost != 1 {
 		t.Errorf("got no change at %s after %s with %d messages lost, want it after one", behind, maxPropagation, lost)
 	}
 }
 
-// A row changes and, 100 ms later, changes back, while the store turns all but one
-// away. Those that were told of the first change must learn of the second: that
-// others seem to hold the former row already says nothing, for what they show is
-// from before both.
+// A row changes and, 100 ms later, changes back, while the store rejects all instances
+// but one. Those that received the first change must receive the second. That others
+// seem to have the former row already proves nothing, since their reports are from
+// before both changes.
 func TestRevertedChangeReachesAll(t *testing.T) {
 	f := newFleet(9)
-	r := &fakeStore{}
-	r.put(changedKey, "old")
-	f.runWithStore(r, tickInterval, 3*time.Second, nil)
+	store := &fakeStore{}
+	store.put(changedKey, "old")
+	f.runWithStore(store, tickInterval, 3*time.Second, nil)
 	f.onlyReader = f.reader()
-	r.put(changedKey, "new")
-	f.runWithStore(r, 3*time.Second, 3*time.Second+2*tickInterval, nil)
-	version := r.put(changedKey, "old")
-	took := f.runWithStore(r, 3*time.Second+2*tickInterval, 3*time.Second+unaskedUpdateDelay, func() bool { return f.allHold(version, "old") })
+	store.put(changedKey, "new")
+	f.runWithStore(store, 3*time.Second, 3*time.Second+2*tickInterval, nil)
+	version := store.put(changedKey, "old")
+	took := f.runWithStore(store, 3*time.Second+2*tickInterval, 3*time.Second+unaskedUpdateDelay, func() bool { return f.allHold(version, "old") })
 	if !f.allHold(version, "old") {
 		t.Errorf("got other rows %s after the second change, want the last one everywhere", took-3*time.Second)
 	}
 }
 
-// allHold reports whether all members know the last row up to a version.
+// allHold reports whether all members know the table up to a version, with the given
+// value in the changed row.
 func (f *fleet) allHold(version uint64, value string) bool {
 	for _, m := range f.members {
 		if m.view.Version() < version {
@@ -271,10 +274,10 @@
 	return true
 }
 
-// An instance of the former program version does not show what it holds, and
-// counts on being told as soon as others read. It must read the store itself, and
-// it is not told the same tables again and again; nor does one of this version
-// leave reading to it.
+// An instance of the former program version does not send digests of its tables, and
+// relies on being updated as soon as others read. It must read the store itself, and
+// the same tables must not be sent to it repeatedly. An instance of this version must
+// not leave reading to it.
 func TestFormerVersionIsNotReliedOn(t *testing.T) {
 	f := newFleet(2)
 	m := f.members["i0"]
@@ -287,7 +290,7 @@
 	}
 	m.view.ApplySnapshot(feed.Page{Rows: []feed.Row{{Key: changedKey, Version: 7}}, Version: 7})
 	m.lastSync = time.Second
-	told := 0
+	received := 0
 	for now := time.Second; now < 4*time.Second; now += tickInterval {
 		f.now = now
 		for _, c := range m.logic.Tick(now, []node.Event{node.Heard{From: "old", Data: old}}) {
@@ -299,29 +302,29 @@
 			if err := cbor.Unmarshal(s.Data, &got); err != nil || got.SyncAgeMs >= 0 || len(got.Tables) > 0 {
 				t.Fatalf("got age %d and %d tables for the former version (%v), want none", got.SyncAgeMs, len(got.Tables), err)
 			}
-			told++
+			received++
 		}
 		if m.logic.SkipsStoreReads() {
 			t.Fatal("got an instance that leaves reading to the former version, want it to read")
 		}
 	}
-	if told == 0 {
+	if received == 0 {
 		t.Error("got no message to the former version, want some")
 	}
 }
 
-// Messages with rows to one instance are lost, the small ones between them
-// arrive. It hears that another instance reads, and that this one knows of a
-// newer row than it does itself: it must read the store for itself in time.
+// Messages with rows to one instance are lost; the small ones between them arrive. It
+// learns that another instance reads, and that this one knows a newer row than it does
+// itself. It must read the store itself in time.
 func TestLaggingInstanceReadsTheStore(t *testing.T) {
 	f := newFleet(5)
-	r := &fakeStore{}
-	r.put(changedKey, "old")
-	f.runWithStore(r, tickInterval, 3*time.Second, nil)
+	store := &fakeStore{}
+	store.put(changedKey, "old")
+	f.runWithStore(store, tickInterval, 3*time.Second, nil)
 	behind := f.nonReader()
 	f.dropMessage = func(_, to spec.InstanceID, m mesh.Message) bool { return to == behind && len(m.Tables) > 0 }
-	version := r.put(changedKey, "new")
-	f.runWithStore(r, 3*time.Second, 3*time.Second+maxPropagation, nil)
+	version := store.put(changedKey, "new")
+	f.runWithStore(store, 3*time.Second, 3*time.Second+maxPropagation, nil)
 	if !f.members[behind].hasChange(version) {
 		t.Errorf("got no change at %s after %s, want it read from the store", behind, maxPropagation)
 	}
--- a/internal/fleet/mesh/sum.go
+++ b/internal/fleet/mesh/sum.go
@@ -11,45 +11,48 @@
 
 const (
 	// sumTTL is how long the sum of a cell counts without a new one. It outlasts the
-	// silence after which the other head of the cell sends it.
+	// time without a message after which the other head of the cell sends it.
 	sumTTL = peerTimeout + maxSumInterval + roundInterval
-	// localSumBytesPerSecond and farRate are the bytes a second that sums for one instance may take,
-	// in the own data centre and in another one: sums of many engines are told less
-	// often, but after sumPause at the latest, well within the time for which they count.
-	localSumBytesPerSecond  = 22 << 10
+	// localSumBytesPerSecond is how many bytes a second the sums for one instance in
+	// the local data centre may take. Sums over many engines are sent less often, but
+	// after maxSumInterval at the latest, well within sumTTL.
+	localSumBytesPerSecond = 22 << 10
+	// remoteSumBytesPerSecond is the same for an instance in another data centre.
 	remoteSumBytesPerSecond = 6 << 10
-	maxSumInterval          = 8 * roundInterval
-	// fleetSource names what the requests of all other instances take, as a member
-	// hears of it.
+	// maxSumInterval is the maximum interval between two sums to one instance.
+	maxSumInterval = 8 * roundInterval
+	// fleetSource names the load of all other instances in reports to a member.
 	fleetSource = spec.InstanceID("all")
-	// cellSourcePrefix begins the name of what the requests of a cell take.
+	// cellSourcePrefix begins the name of the load of a cell.
 	cellSourcePrefix = "cell:"
 )
 
-// load is what requests take and do, as told by one instance or by several.
+// load is the usage, slowdowns and retries of requests, as reported by one or
+// several instances.
 type load struct {
 	usage     usage
 	slowdowns map[spec.UpstreamID]float64
 	retries   map[string]resend.Usage
 }
 
-// usage is what requests take, by service and engine.
+// usage is how much requests use, by service and engine.
 type usage map[string]map[spec.UpstreamID]path.Usage
 
-// loadSum is the load of several instances, as last told.
+// loadSum is the last reported load of several instances.
 type loadSum struct {
 	load
 	receivedAt time.Duration
 }
 
-// instanceCount is how many instances there are somewhere, as last told.
+// instanceCount is the last reported number of instances in a cell or in the fleet.
 type instanceCount struct {
 	n          int
 	receivedAt time.Duration
 }
 
-// handleLoad takes what requests elsewhere take. Each request counts once: a member
-// takes the sum of all, a head the sums of other cells and its own members one by one.
+// handleLoad applies the load reported by a peer. Each request counts once: a member
+// uses the sum of the fleet; a head uses the sums of other cells and its own members
+// one by one.
 func (l *Logic) handleLoad(now time.Duration, p *peer, m Message) {
 	if m.Head && m.Cell != "" {
 		l.cellCounts[m.Cell] = instanceCount{n: m.Count, receivedAt: now}
@@ -57,45 +60,46 @@
 	if m.Scope == ScopeNone {
 		return
 	}
-	told := load{usage: m.Usage, slowdowns: m.Slowdowns, retries: m.Retries}
+	reported := load{usage: m.Usage, slowdowns: m.Slowdowns, retries: m.Retries}
 	if m.Scope == ScopeSender && l.isCountedAlone(p) {
-		p.load = &told
-		l.reportLoad(p.id, told)
+		p.load = &reported
+		l.reportLoad(p.id, reported)
 		return
 	}
 	l.dropLoad(p)
-	l.handleSum(now, m, told)
+	l.handleSum(now, m, reported)
 }
 
-// handleSum takes the sum of a cell, or of all.
-func (l *Logic) handleSum(now time.Duration, m Message, told load) {
+// handleSum applies the sum of a cell or of the fleet.
+func (l *Logic) handleSum(now time.Duration, m Message, reported load) {
 	switch {
 	case l.layout.isFlat():
 	case l.isHead() && m.Scope == ScopeCell && m.Cell != l.layout.local.name:
-		l.setSum(now, spec.InstanceID(cellSourcePrefix+m.Cell), told)
+		l.setSum(now, spec.InstanceID(cellSourcePrefix+m.Cell), reported)
 	case !l.isHead() && m.Scope == ScopeAllButReceiver && m.Cell == l.layout.local.name:
 		l.cellCounts[fleetCountKey] = instanceCount{n: m.Count, receivedAt: now}
-		l.setSum(now, fleetSource, told)
+		l.setSum(now, fleetSource, reported)
 	}
 }
 
-func (l *Logic) setSum(now time.Duration, from spec.InstanceID, told load) {
-	l.sums[from] = loadSum{load: told, receivedAt: now}
-	l.reportLoad(from, told)
+func (l *Logic) setSum(now time.Duration, from spec.InstanceID, reported load) {
+	l.sums[from] = loadSum{load: reported, receivedAt: now}
+	l.reportLoad(from, reported)
 }
 
-// reportLoad tells of the load of one instance or of several.
-func (l *Logic) reportLoad(from spec.InstanceID, told load) {
-	l.Receiver.ReceiveUsage(from, told.usage)
-	l.Receiver.ReceiveSlowdowns(from, told.slowdowns)
-	l.Receiver.ReceiveRetries(from, told.retries)
+// reportLoad passes the load of one or several instances to the receiver.
+func (l *Logic) reportLoad(from spec.InstanceID, reported load) {
+	l.Receiver.ReceiveUsage(from, reported.usage)
+	l.Receiver.ReceiveSlowdowns(from, reported.slowdowns)
+	l.Receiver.ReceiveRetries(from, reported.retries)
 }
 
-// fleetCountKey names the count of all instances, as a member hears of it.
+// fleetCountKey is the key in cellCounts for the count of all instances that a head
+// reports to a member.
 const fleetCountKey = ""
 
-// expireSums forgets sums that are not told any more, and what no longer fits the part
-// that this instance has.
+// expireSums drops sums that are no longer reported, and loads that no longer fit the
+// role of this instance.
 func (l *Logic) expireSums(now time.Duration) {
 	for from, s := range l.sums {
 		stale := now-s.receivedAt >= sumTTL
@@ -111,13 +115,13 @@
 	}
 }
 
-// isCountedAlone reports whether the requests of an instance count by its own word,
-// not in the sum of several.
+// isCountedAlone reports whether the requests of an instance count by its own report,
+// not as part of a sum.
 func (l *Logic) isCountedAlone(p *peer) bool {
 	return l.layout.isFlat() || l.isHead() && l.inCell(p.id)
 }
 
-// dropLoad forgets what an instance told of its own requests.
+// dropLoad drops the load that a peer reported for its own requests.
 func (l *Logic) dropLoad(p *peer) {
 	if p.load != nil {
 		p.load = nil
@@ -125,15 +129,15 @@
 	}
 }
 
-// localLoad is the load of this instance.
+// localLoad returns the load of this instance.
 func (l *Logic) localLoad() load {
 	return load{usage: l.Local.Usage(), slowdowns: l.Local.Slowdowns(), retries: l.Local.Retries()}
 }
 
-// cellLoad is the load of the own cell.
-func (l *Logic) cellLoad(own load) load {
+// cellLoad returns the load of the local cell.
+func (l *Logic) cellLoad(local load) load {
 	out := newLoad()
-	out.add(own)
+	out.add(local)
 	for _, p := range l.peersByID() {
 		if p.load != nil {
 			out.add(*p.load)
@@ -142,7 +146,7 @@
 	return out
 }
 
-// fleetLoad is the load of all instances.
+// fleetLoad returns the load of all instances.
 func (l *Logic) fleetLoad(cell load) load {
 	out := newLoad()
 	out.add(cell)
@@ -152,7 +156,7 @@
 	return out
 }
 
-// scheduleNextSum notes that an instance was told a sum of some bytes.
+// scheduleNextSum records that a sum of the given size was sent to a peer.
 func (l *Logic) scheduleNextSum(now time.Duration, p *peer, bytes int) {
 	rate := remoteSumBytesPerSecond
 	if p.centre == l.DataCentre {
@@ -166,50 +170,51 @@
 	return load{usage: usage{}, slowdowns: map[spec.UpstreamID]float64{}, retries: map[string]resend.Usage{}}
 }
 
-// add adds what other instances told.
+// add adds the load of other instances.
 func (d load) add(o load) {
 	d.usage.add(o.usage)
-	for id, pace := range o.slowdowns {
-		d.slowdowns[id] = max(d.slowdowns[id], pace)
+	for id, slowdown := range o.slowdowns {
+		d.slowdowns[id] = max(d.slowdowns[id], slowdown)
 	}
-	for service, c := range o.retries {
-		d.retries[service] = d.retries[service].Plus(c)
+	for service, counts := range o.retries {
+		d.retries[service] = d.retries[service].Plus(counts)
 	}
 }
 
-// without is what is left without one instance. The slowest pace of an engine stays.
+// without returns the load without that of one instance. The highest slowdown of an
+// engine stays.
 func (d load) without(o *load) load {
 	if o == nil {
 		return d
 	}
 	out := load{usage: d.usage.without(o.usage), slowdowns: d.slowdowns, retries: maps.Clone(d.retries)}
-	for service, c := range o.retries {
-		out.retries[service] = out.retries[service].Minus(c)
+	for service, counts := range o.retries {
+		out.retries[service] = out.retries[service].Minus(counts)
 	}
 	return out
 }
 
-// add adds what other requests take.
+// add adds the usage of other requests.
 func (u usage) add(o usage) {
 	for service, engines := range o {
-		mine := u[service]
-		if mine == nil {
-			mine = make(map[spec.UpstreamID]path.Usage, len(engines))
-			u[service] = mine
+		sum := u[service]
+		if sum == nil {
+			sum = make(map[spec.UpstreamID]path.Usage, len(engines))
+			u[service] = sum
 		}
-		for id, use := range engines {
-			mine[id] = mine[id].Plus(use)
+		for id, added := range engines {
+			sum[id] = sum[id].Plus(added)
 		}
 	}
 }
 
-// without is what is left without the requests of one instance.
+// without returns the usage without the requests of one instance.
 func (u usage) without(o usage) usage {
 	out := make(usage, len(u))
 	for service, engines := range u {
 		left := maps.Clone(engines)
-		for id, use := range o[service] {
-			if left[id] = left[id].Minus(use); left[id].Streams <= 0 {
+		for id, removed := range o[service] {
+			if left[id] = left[id].Minus(removed); left[id].Streams <= 0 {
 				delete(left, id)
 			}
 		}
@@ -218,8 +223,8 @@
 	return out
 }
 
-// countInstances is how many instances share what is bounded for all, this one among
-// them. Those that nothing is known of count.
+// countInstances returns how many instances share fleet-wide limits, including this
+// one. Instances that have reported nothing count too.
 func (l *Logic) countInstances(now time.Duration) int {
 	if l.layout.isFlat() {
 		return l.countNearby(now)
@@ -232,10 +237,10 @@
 	}
 	n := l.countNearby(now)
 	for _, c := range l.layout.cells {
-		switch told, ok := l.cellCounts[c.name]; {
+		switch reported, ok := l.cellCounts[c.name]; {
 		case c == l.layout.local:
-		case ok && now-told.receivedAt < countTimeout:
-			n += told.n
+		case ok && now-reported.receivedAt < countTimeout:
+			n += reported.n
 		default:
 			n += len(c.ranked)
 		}
@@ -243,7 +248,8 @@
 	return n
 }
 
-// countNearby is how many instances of the own cell there are; all in a flat fleet.
+// countNearby returns the number of instances in the local cell, or in the whole fleet
+// if it is flat.
 func (l *Logic) countNearby(now time.Duration) int {
 	n := 1
 	for _, p := range l.peersByID() {
