--- a/internal/route/queue/queue_test.go
+++ b/internal/route/queue/queue_test.go
@@ -13,7 +13,7 @@
 
 const ms = time.Millisecond
 
-// noneRunning is a fleet without requests at engines.
+// noneRunning reports no running requests for any team.
 func noneRunning(string) int { return 0 }
 
 func ExampleQueue() {
@@ -22,12 +22,12 @@
 		q.RecordCompletion(time.Duration(n) * 50 * ms)
 	}
 	now := time.Second
-	flying := func(team string) int { return map[string]int{"heavy": 40}[team] }
+	running := func(team string) int { return map[string]int{"heavy": 40}[team] }
 	for n := range 3 {
-		fmt.Println(q.Join(now, &queue.Ticket{Team: "heavy", Deadline: now + 100*ms}, flying), n)
+		fmt.Println(q.Join(now, &queue.Ticket{Team: "heavy", Deadline: now + 100*ms}, running), n)
 	}
-	q.Join(now, &queue.Ticket{Team: "small", Deadline: now + 100*ms}, flying)
-	fmt.Println(q.Ordered(flying)[0].Team)
+	q.Join(now, &queue.Ticket{Team: "small", Deadline: now + 100*ms}, running)
+	fmt.Println(q.Ordered(running)[0].Team)
 	// Output:
 	// true 0
 	// true 1
@@ -35,37 +35,38 @@
 	// small
 }
 
-// Room for two requests comes up each 100 ms, 30 ask each 100 ms, and an answer
-// must begin within 400 ms. Those that are let in are served in time; the
-// others are told at once, before they have waited at all.
+// Capacity for two requests comes up every 100 ms, 30 arrive every 100 ms, and an
+// answer must begin within 400 ms. Requests that join the queue must be served in time;
+// the others must be rejected at once, before they have waited.
 func TestOverloadIsRejectedOnJoin(t *testing.T) {
 	var q queue.Queue
-	served, lost, refused := 0, 0, 0
+	served, expired, rejected := 0, 0, 0
 	for now := time.Duration(0); now < 10*time.Second; now += 10 * ms {
 		if now%(50*ms) == 0 {
 			q.RecordCompletion(now)
-			if next := q.Ordered(noneRunning); len(next) > 0 {
-				q.Leave(next[0])
-				if next[0].Deadline < now {
-					t.Fatalf("got room for a request at %s that was late at %s, want none", now, next[0].Deadline)
+			if ordered := q.Ordered(noneRunning); len(ordered) > 0 {
+				q.Leave(ordered[0])
+				if ordered[0].Deadline < now {
+					t.Fatalf("got capacity at %s for a request with its deadline at %s, want none", now, ordered[0].Deadline)
 				}
 				served++
 			}
 		}
 		for range 3 {
 			if !q.Join(now, &queue.Ticket{Deadline: now + 400*ms}, noneRunning) {
-				refused++
+				rejected++
 			}
 		}
-		lost += len(q.RemoveExpired(now, noneRunning))
+		expired += len(q.RemoveExpired(now, noneRunning))
 	}
-	if served < 190 || lost > served/10 || refused < 2500 {
-		t.Errorf("got %d served, %d turned away after a wait and %d at once, want 190 of 200 served and a tenth as many after a wait at most", served, lost, refused)
+	if served < 190 || expired > served/10 || rejected < 2500 {
+		t.Errorf("got %d served, %d rejected after a wait and %d at once, want 190 of 200 served and a tenth as many after a wait at most", served, expired, rejected)
 	}
 }
 
-// Ends stop coming: an engine died. Who waits is not held until its time is
-// over but told as soon as the pace shows that it will be late.
+// Completions stop because an engine died. Waiting requests must not be held until
+// their deadline but removed as soon as the completion rate shows that they will be
+// late.
 func TestExpiredRequestsAreRemovedEarly(t *testing.T) {
 	var q queue.Queue
 	for n := range 100 {
@@ -77,73 +78,73 @@
 	}
 	before := q.Len()
 	now += 950 * ms
-	// One end a tenth of a second is seen now, and each has 400 ms.
+	// Now the window shows one completion per 100 ms, and each request has 400 ms left.
 	for range 10 {
 		q.RecordCompletion(now)
 	}
 	for _, ticket := range q.Ordered(noneRunning) {
 		ticket.Deadline = now + 400*ms
 	}
-	if told := len(q.RemoveExpired(now+50*ms, noneRunning)); before < 25 || told < 20 {
-		t.Errorf("got %d of %d told that they are late, want most", told, before)
+	if removed := len(q.RemoveExpired(now+50*ms, noneRunning)); before < 25 || removed < 20 {
+		t.Errorf("got %d of %d removed as late, want most", removed, before)
 	}
 }
 
-// Hundreds are turned away within a second, while 20 requests end. They come
-// back one after the other, at a quarter of that pace, and none is told to wait
-// for more than a third of its time.
+// Hundreds of requests are rejected within a second, while 20 complete. Their retries
+// must come one after the other, at a quarter of that rate, and no caller may be told
+// to wait for more than a third of its time.
 func TestRetryAfterIsSpread(t *testing.T) {
 	var q queue.Queue
 	for n := range 20 {
 		q.RecordCompletion(time.Duration(n) * 50 * ms)
 	}
 	now := time.Second
-	var at []time.Duration
+	var delays []time.Duration
 	for range 300 {
 		after := q.RetryAfter(now, 20*time.Second)
 		if after < 300*ms || after > 6600*ms {
-			t.Fatalf("got a return after %s, want between 300 ms and a third of 20 s", after)
+			t.Fatalf("got a retry after %s, want between 300 ms and a third of 20 s", after)
 		}
-		at = append(at, after)
+		delays = append(delays, after)
 	}
-	slices.Sort(at)
-	for i := range at[:len(at)-20] {
-		if at[i+20]-at[i] < 200*ms {
-			t.Fatalf("got 20 returns within %s, want them spread over a second or more", at[i+20]-at[i])
+	slices.Sort(delays)
+	for i := range delays[:len(delays)-20] {
+		if delays[i+20]-delays[i] < 200*ms {
+			t.Fatalf("got 20 retries within %s, want them spread over a second or more", delays[i+20]-delays[i])
 		}
 	}
 }
 
-// Whatever comes and goes, the more urgent are first, then teams with less at
-// engines, then those that came first; nobody is lost or doubled.
+// Whatever joins and leaves, more urgent requests must come first, then teams with
+// fewer running requests, then earlier requests; no request is lost or duplicated.
 func TestOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q queue.Queue
-		busy := map[string]int{"a": rapid.IntRange(0, 3).Draw(t, "a"), "b": rapid.IntRange(0, 3).Draw(t, "b")}
-		flying := func(team string) int { return busy[team] }
+		counts := map[string]int{"a": rapid.IntRange(0, 3).Draw(t, "a"), "b": rapid.IntRange(0, 3).Draw(t, "b")}
+		running := func(team string) int { return counts[team] }
 		number := map[*queue.Ticket]int{}
 		for n := range rapid.IntRange(0, 30).Draw(t, "steps") {
 			if len(number) > 0 && rapid.IntRange(0, 3).Draw(t, "leaves") == 0 {
-				gone := q.Ordered(flying)[0]
-				q.Leave(gone)
-				delete(number, gone)
+				first := q.Ordered(running)[0]
+				q.Leave(first)
+				delete(number, first)
 				continue
 			}
-			one := &queue.Ticket{Team: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "team"), Urgency: rapid.IntRange(0, 2).Draw(t, "urgency"), Deadline: time.Hour}
-			if q.Join(0, one, flying) {
-				number[one] = n
+			ticket := &queue.Ticket{Team: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "team"), Urgency: rapid.IntRange(0, 2).Draw(t, "urgency"), Deadline: time.Hour}
+			if q.Join(0, ticket, running) {
+				number[ticket] = n
 			}
 		}
-		next := q.Ordered(flying)
-		if len(next) != len(number) || q.Len() != len(number) {
-			t.Fatalf("got %d waiting, want %d", len(next), len(number))
+		ordered := q.Ordered(running)
+		if len(ordered) != len(number) || q.Len() != len(number) {
+			t.Fatalf("got %d waiting, want %d", len(ordered), len(number))
 		}
-		for i := 1; i < len(next); i++ {
-			a, b := next[i-1], next[i]
+		for i := 1; i < len(ordered); i++ {
+			a, b := ordered[i-1], ordered[i]
 			switch {
-			case a.Urgency < b.Urgency, a.Urgency == b.Urgency && busy[a.Team] < busy[b.Team]:
-			case a.Urgency > b.Urgency, busy[a.Team] > busy[b.Team], a.Team == b.Team && number[a] > number[b]:
-				t.Fatalf("got %+v before %+v with %v at engines, want the other order", *a, *b, busy)
+			case a.Urgency < b.Urgency, a.Urgency == b.Urgency && counts[a.Team] < counts[b.Team]:
+			case a.Urgency > b.Urgency, counts[a.Team] > counts[b.Team], a.Team == b.Team && number[a] > number[b]:
+				t.Fatalf("got %+v before %+v with %v running, want the other order", *a, *b, counts)
 			}
 		}
 	})
