--- a/internal/route/crash/crash.go
+++ b/internal/route/crash/crash.go
@@ -1,15 +1,14 @@
-// Package crash recognises requests on whose runs upstreams die.
+// Package crash detects requests that crash the upstreams that run them.
 //
-// It imports base/spec. Package app/edge tells it of deaths and asks
-// it before a request is sent. It does no I/O and reads no clock.
+// It imports base/spec. Package app/edge reports crashes to it and asks it before a
+// request is sent. It does no I/O and reads no clock.
 //
-// A request that crashes what runs it comes again, through any instance. All
-// that ran on an upstream that died are suspects, so one death proves nothing:
-// a suspect counts as guilty after the third upstream, and an answer that comes
-// to its end clears it. Many callers may send the same at once, and engines may
-// die together for reasons of their own, so a death counts only if the run that
-// met it began after the one before: a request that crashes what runs it is
-// sent again and again.
+// A request that crashes its upstream is sent again, through any instance. All requests
+// that ran on a crashed upstream are suspects, so one crash proves nothing: a suspect
+// counts as the culprit after the third upstream, and a completed answer clears it.
+// Many callers may send the same request at once, and engines may crash together for
+// other reasons. So a crash counts only if the run that it ended began after the crash
+// that counted before: a request that crashes upstreams is sent again and again.
 package crash
 
 import (
@@ -23,16 +22,17 @@
 )
 
 const (
-	// culpritCrashes is after how many deaths a request is sent no more. Streams that
-	// share an engine with a guilty one meet two deaths now and then.
+	// culpritCrashes is the number of crashes after which a request is not sent any
+	// more. Streams that share an engine with a culprit are affected by two crashes now
+	// and then.
 	culpritCrashes = 3
-	// suspectTTL is how long a death counts against a request.
+	// suspectTTL is how long a crash counts against a request.
 	suspectTTL = time.Minute
-	// maxSuspects bounds the requests remembered.
+	// maxSuspects is the maximum number of suspects in memory.
 	maxSuspects = 4096
 )
 
-// Fingerprint is the fingerprint of a request: its team, path and body.
+// Fingerprint returns the fingerprint of a request: a hash of its team, path and body.
 func Fingerprint(team, path string, body []byte) uint64 {
 	h := fnv.New64a()
 	// Writes to a hash do not fail.
@@ -44,11 +44,12 @@
 	return h.Sum64()
 }
 
-// Event is an upstream that died while it ran a request. Fields are exported
-// because the CBOR codec fills them.
+// Event is the crash of an upstream while it ran a request. Fields are exported because
+// the CBOR codec fills them.
 type Event struct {
 	Fingerprint uint64 `cbor:"1,keyasint"`
-	// Upstream is its name, Born the start of the process that died.
+	// Upstream is the name of the upstream, Incarnation the start time of the process
+	// that crashed.
 	Upstream    spec.UpstreamID `cbor:"2,keyasint"`
 	Incarnation int64           `cbor:"3,keyasint"`
 	// RanMs is how long the request had run, in milliseconds.
@@ -60,57 +61,58 @@
 	lastCrash time.Duration
 }
 
-// Tracker remembers suspects. It is not safe for concurrent use.
+// Tracker records suspects. It is not safe for concurrent use.
 type Tracker struct {
 	suspects map[uint64]suspect
 }
 
-// Record counts a death against a request. It returns false if it counted
-// before.
-func (b *Tracker) Record(now time.Duration, d Event) bool {
-	if b.suspects == nil {
-		b.suspects = map[uint64]suspect{}
+// Record counts a crash against a request. It returns false if the crash does not
+// count: the same crash was counted before, or the run began before the last one that
+// counted.
+func (t *Tracker) Record(now time.Duration, e Event) bool {
+	if t.suspects == nil {
+		t.suspects = map[uint64]suspect{}
 	}
-	s := b.unexpired(now, d.Fingerprint)
-	began := now - time.Duration(d.RanMs)*time.Millisecond
-	known := slices.ContainsFunc(s.crashes, func(o Event) bool { return o.Upstream == d.Upstream && o.Incarnation == d.Incarnation })
-	if known || len(s.crashes) > 0 && began <= s.lastCrash {
+	s := t.unexpired(now, e.Fingerprint)
+	startedAt := now - time.Duration(e.RanMs)*time.Millisecond
+	counted := slices.ContainsFunc(s.crashes, func(o Event) bool { return o.Upstream == e.Upstream && o.Incarnation == e.Incarnation })
+	if counted || len(s.crashes) > 0 && startedAt <= s.lastCrash {
 		return false
 	}
 	if len(s.crashes) < culpritCrashes {
-		s.crashes = append(slices.Clip(s.crashes), d)
+		s.crashes = append(slices.Clip(s.crashes), e)
 	}
-	b.suspects[d.Fingerprint] = suspect{crashes: s.crashes, lastCrash: now}
-	if len(b.suspects) > maxSuspects {
-		b.evictOldest()
+	t.suspects[e.Fingerprint] = suspect{crashes: s.crashes, lastCrash: now}
+	if len(t.suspects) > maxSuspects {
+		t.evictOldest()
 	}
 	return true
 }
 
-func (b *Tracker) unexpired(now time.Duration, print uint64) suspect {
-	s := b.suspects[print]
+func (t *Tracker) unexpired(now time.Duration, fingerprint uint64) suspect {
+	s := t.suspects[fingerprint]
 	if now-s.lastCrash > suspectTTL {
 		return suspect{}
 	}
 	return s
 }
 
-// evictOldest drops the older half.
-func (b *Tracker) evictOldest() {
-	prints := make([]uint64, 0, len(b.suspects))
-	for p := range b.suspects {
-		prints = append(prints, p)
+// evictOldest drops the older half of the suspects.
+func (t *Tracker) evictOldest() {
+	keys := make([]uint64, 0, len(t.suspects))
+	for key := range t.suspects {
+		keys = append(keys, key)
 	}
-	sort.Slice(prints, func(i, j int) bool { return b.suspects[prints[i]].lastCrash < b.suspects[prints[j]].lastCrash })
-	for _, p := range prints[:len(prints)/2] {
-		delete(b.suspects, p)
+	sort.Slice(keys, func(i, j int) bool { return t.suspects[keys[i]].lastCrash < t.suspects[keys[j]].lastCrash })
+	for _, key := range keys[:len(keys)/2] {
+		delete(t.suspects, key)
 	}
 }
 
-// Clear forgets a request that an upstream ran to its end.
-func (b *Tracker) Clear(print uint64) { delete(b.suspects, print) }
+// Clear drops a suspect whose request an upstream completed.
+func (t *Tracker) Clear(fingerprint uint64) { delete(t.suspects, fingerprint) }
 
 // IsCulprit reports whether a request must not be sent any more.
-func (b *Tracker) IsCulprit(now time.Duration, print uint64) bool {
-	return len(b.unexpired(now, print).crashes) >= culpritCrashes
+func (t *Tracker) IsCulprit(now time.Duration, fingerprint uint64) bool {
+	return len(t.unexpired(now, fingerprint).crashes) >= culpritCrashes
 }
