--- a/internal/route/ewma/ewma_test.go
+++ b/internal/route/ewma/ewma_test.go
@@ -16,58 +16,58 @@
 }
 
 func newBalancer() *ewma.Balancer {
-	t := &ewma.Balancer{DataCentre: "east"}
-	t.SetUpstreams([]site.Upstream{testUpstream("a"), testUpstream("b"), testUpstream("c")})
-	return t
+	balancer := &ewma.Balancer{DataCentre: "east"}
+	balancer.SetUpstreams([]site.Upstream{testUpstream("a"), testUpstream("b"), testUpstream("c")})
+	return balancer
 }
 
-// countPicks replays requests, ten a second, and counts where they go. end tells
-// how a request ends there and after how long.
-func countPicks(t *testing.T, tab *ewma.Balancer, from time.Duration, n int, end func(id spec.UpstreamID) (ewma.Outcome, time.Duration)) map[spec.UpstreamID]int {
+// countPicks simulates requests, ten a second, and counts them by upstream. outcome
+// returns how a request to an upstream ends and after how long.
+func countPicks(t *testing.T, balancer *ewma.Balancer, from time.Duration, n int, outcome func(id spec.UpstreamID) (ewma.Outcome, time.Duration)) map[spec.UpstreamID]int {
 	t.Helper()
-	type due struct {
-		id  spec.UpstreamID
-		at  time.Duration
-		end ewma.Outcome
+	type request struct {
+		id      spec.UpstreamID
+		at      time.Duration
+		outcome ewma.Outcome
 	}
-	var flying []due
+	var pending []request
 	got := map[spec.UpstreamID]int{}
 	for i := range n {
 		now := from + time.Duration(i)*100*ms
-		rest := flying[:0]
-		for _, d := range flying {
-			if _, took := end(d.id); d.at+took > now {
-				rest = append(rest, d)
+		remaining := pending[:0]
+		for _, r := range pending {
+			if _, took := outcome(r.id); r.at+took > now {
+				remaining = append(remaining, r)
 				continue
 			}
-			_, took := end(d.id)
-			tab.RecordOutcome(d.at+took, d.id, took, d.end)
+			_, took := outcome(r.id)
+			balancer.RecordOutcome(r.at+took, r.id, took, r.outcome)
 		}
-		flying = rest
-		up, ok := tab.Pick(now, nil)
+		pending = remaining
+		up, ok := balancer.Pick(now, nil)
 		if !ok {
 			t.Fatal("got no upstream, want one")
 		}
 		got[up.ID]++
-		e, _ := end(up.ID)
-		flying = append(flying, due{id: up.ID, at: now, end: e})
+		e, _ := outcome(up.ID)
+		pending = append(pending, request{id: up.ID, at: now, outcome: e})
 	}
-	for _, d := range flying {
-		_, took := end(d.id)
-		tab.RecordOutcome(d.at+took, d.id, took, d.end)
+	for _, r := range pending {
+		_, took := outcome(r.id)
+		balancer.RecordOutcome(r.at+took, r.id, took, r.outcome)
 	}
 	return got
 }
 
-// One of three upstreams fails, refuses, hangs or is slow while its health
-// check is good. It gets a few requests as trials, the others the rest; once
-// it is sound again it gets its share.
+// One of three upstreams fails, refuses, hangs or is slow while its health check
+// passes. It must get a few requests as probes and the others the rest; after it
+// recovers it must get its share.
 func TestFailingUpstreamIsAvoidedUntilItRecovers(t *testing.T) {
 	tests := []struct {
-		name string
-		end  ewma.Outcome
-		took time.Duration
-		most int
+		name     string
+		outcome  ewma.Outcome
+		took     time.Duration
+		maxPicks int
 	}{
 		{"fails nearly all", ewma.OutcomeFailed, 30 * ms, 60},
 		{"refuses", ewma.OutcomeRefused, ms, 60},
@@ -76,53 +76,53 @@
 		{"hangs", ewma.OutcomeLost, 3 * time.Second, 40},
 	}
 	for _, test := range tests {
-		tab := newBalancer()
-		got := countPicks(t, tab, time.Second, 300, func(id spec.UpstreamID) (ewma.Outcome, time.Duration) {
+		balancer := newBalancer()
+		picks := countPicks(t, balancer, time.Second, 300, func(id spec.UpstreamID) (ewma.Outcome, time.Duration) {
 			if id == "b" {
-				return test.end, test.took
+				return test.outcome, test.took
 			}
 			return ewma.OutcomeOK, 30 * ms
 		})
-		if got["b"] == 0 || got["b"] > test.most {
-			t.Errorf("%s: got %d of 300 requests there, want 1 to %d", test.name, got["b"], test.most)
+		if picks["b"] == 0 || picks["b"] > test.maxPicks {
+			t.Errorf("%s: got %d of 300 requests sent to it, want 1 to %d", test.name, picks["b"], test.maxPicks)
 		}
-		after := countPicks(t, tab, 40*time.Second, 300, func(spec.UpstreamID) (ewma.Outcome, time.Duration) { return ewma.OutcomeOK, 30 * ms })
+		after := countPicks(t, balancer, 40*time.Second, 300, func(spec.UpstreamID) (ewma.Outcome, time.Duration) { return ewma.OutcomeOK, 30 * ms })
 		if after["b"] < 50 {
-			t.Errorf("%s: got %d of 300 requests once it is sound, want 50 or more", test.name, after["b"])
+			t.Errorf("%s: got %d of 300 requests after it recovered, want 50 or more", test.name, after["b"])
 		}
 	}
 }
 
 func TestCooldownAfterRefusedConnection(t *testing.T) {
-	tab := newBalancer()
-	tab.StartCooldown(time.Second, "a")
+	balancer := newBalancer()
+	balancer.StartCooldown(time.Second, "a")
 	for range 20 {
-		if up, _ := tab.Pick(time.Second, []spec.UpstreamID{"b"}); up.ID != "c" {
+		if up, _ := balancer.Pick(time.Second, []spec.UpstreamID{"b"}); up.ID != "c" {
 			t.Fatalf("got %s, want c", up.ID)
 		}
 	}
-	if up, ok := tab.Pick(time.Second, []spec.UpstreamID{"b", "c"}); !ok || up.ID != "a" {
-		t.Errorf("got %v %v, want the one that rests before none", up.ID, ok)
+	if up, ok := balancer.Pick(time.Second, []spec.UpstreamID{"b", "c"}); !ok || up.ID != "a" {
+		t.Errorf("got %v %v, want the upstream in cooldown if there is no other", up.ID, ok)
 	}
 }
 
 func TestDrainingUpstreamGetsNoRequests(t *testing.T) {
-	tab := newBalancer()
-	gone := testUpstream("a")
-	gone.State = site.StateDraining
-	tab.SetUpstreams([]site.Upstream{gone})
-	if up, ok := tab.Pick(0, nil); ok {
+	balancer := newBalancer()
+	draining := testUpstream("a")
+	draining.State = site.StateDraining
+	balancer.SetUpstreams([]site.Upstream{draining})
+	if up, ok := balancer.Pick(0, nil); ok {
 		t.Errorf("got %s, want none", up.ID)
 	}
 }
 
-// An upstream tells that others fill its places.
+// An upstream reports that requests of others occupy its slots.
 func TestReportedLoadIsConsidered(t *testing.T) {
-	tab := newBalancer()
-	tab.ApplyReportedLoad(time.Second, "a", site.Load{Running: 6, Waiting: 20, Slots: 6})
+	balancer := newBalancer()
+	balancer.ApplyReportedLoad(time.Second, "a", site.Load{Running: 6, Waiting: 20, Slots: 6})
 	for range 10 {
-		if up, _ := tab.Pick(time.Second, nil); up.ID == "a" {
-			t.Error("got the upstream that others fill, want another")
+		if up, _ := balancer.Pick(time.Second, nil); up.ID == "a" {
+			t.Error("got the upstream that others occupy, want another")
 		}
 	}
 }
