--- a/internal/fleet/rank/rank.go
+++ b/internal/fleet/rank/rank.go
@@ -1,9 +1,8 @@
-// Package rank spreads keys over instances by rendezvous hashing: each key
-// ranks all names by a hash of both, so one name more or less moves only the
-// keys that it wins or held, about 1/n of them.
+// Package rank assigns keys to instances by rendezvous hashing: each key ranks all
+// instance IDs by a hash of both. One instance more or less moves only the keys that it
+// wins or held, about 1/n of them.
 //
-// It imports base/spec and the hash library. The other packages of the fleet
-// call it.
+// It imports base/spec and the hash library. The other packages of the fleet call it.
 package rank
 
 import (
@@ -15,7 +14,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Score is the weight of id for key; the highest wins.
+// Score returns the weight of id for key; the highest wins.
 func Score(key string, id spec.InstanceID) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -25,16 +24,16 @@
 	return d.Sum64()
 }
 
-// Top returns the n best names for key, best first; fewer if there are fewer.
+// Top returns the n best IDs for key, best first; fewer if there are fewer.
 func Top(key string, ids []spec.InstanceID, n int) []spec.InstanceID {
 	best := make([]scored, 0, n+1)
 	for _, id := range ids {
 		s := scored{id: id, score: Score(key, id)}
-		at, _ := slices.BinarySearchFunc(best, s, compareScored)
-		if at == n {
+		index, _ := slices.BinarySearchFunc(best, s, compareScored)
+		if index == n {
 			continue
 		}
-		best = slices.Insert(best, at, s)
+		best = slices.Insert(best, index, s)
 		best = best[:min(len(best), n)]
 	}
 	out := make([]spec.InstanceID, len(best))
@@ -44,7 +43,7 @@
 	return out
 }
 
-// IsFirst reports whether id is the best name for key.
+// IsFirst reports whether id is the best ID for key.
 func IsFirst(key string, ids []spec.InstanceID, id spec.InstanceID) bool {
 	top := Top(key, ids, 1)
 	return len(top) == 1 && top[0] == id
--- a/internal/fleet/rank/rank_test.go
+++ b/internal/fleet/rank/rank_test.go
@@ -22,13 +22,13 @@
 	moved := 0
 	for k := range keys {
 		key := fmt.Sprint("key", k)
-		was, is := rank.Top(key, before, 1)[0], rank.Top(key, after, 1)[0]
-		if was == is {
+		oldTop, newTop := rank.Top(key, before, 1)[0], rank.Top(key, after, 1)[0]
+		if oldTop == newTop {
 			continue
 		}
 		moved++
-		if is != after[n] {
-			t.Errorf("got %s moved from %s to %s, want it to the new name only", key, was, is)
+		if newTop != after[n] {
+			t.Errorf("got %s moved from %s to %s, want it moved to the new instance only", key, oldTop, newTop)
 		}
 	}
 	if got, want := moved, keys/(n+1); got < want*8/10 || got > want*12/10 {
@@ -46,6 +46,6 @@
 		}
 	}
 	if got := rank.Top("k", nil, 3); len(got) != 0 {
-		t.Errorf("got %v of no names, want none", got)
+		t.Errorf("got %v for no IDs, want none", got)
 	}
 }
