--- a/internal/base/hist/hist_test.go
+++ b/internal/base/hist/hist_test.go
@@ -22,6 +22,6 @@
 		r.Add(3)
 	}
 	if got, _ := r.Percentile(5); math.Abs(got-3) > 0.05 {
-		t.Errorf("old ratios: got %v, want them forgotten and 3", got)
+		t.Errorf("old ratios: got %v, want them dropped and 3", got)
 	}
 }
