--- a/internal/base/pause/pause.go
+++ b/internal/base/pause/pause.go
@@ -1,11 +1,10 @@
-// Package pause measures for how long a process got no processor, so that what it
-// concludes from the silence of others counts only time in which it could have
-// heard them.
+// Package pause measures how long a process got no processor time, so that what it
+// concludes from missing messages counts only time in which it could have received them.
 //
-// It imports the standard library. Package app/edge ticks a Clock and asks it
-// before it takes an engine for dead. The idea that a failure detector has to doubt
-// itself first is that of local health in Lifeguard (Dadgar, Phillips, Currey,
-// "Lifeguard: Local Health Awareness for More Accurate Failure Detection", 2018).
+// It imports the standard library. Package app/edge ticks a Detector and asks it before
+// it declares an engine dead. The idea that a failure detector has to doubt itself
+// first is that of local health in Lifeguard (Dadgar, Phillips, Currey, "Lifeguard:
+// Local Health Awareness for More Accurate Failure Detection", 2018).
 package pause
 
 import (
@@ -13,66 +12,67 @@
 	"time"
 )
 
-// maxPauses bounds the pauses remembered: at the least length of one they reach back
-// for some seconds, longer than any stream is watched for.
+// maxPauses is the maximum number of recorded pauses. With pauses of the minimum length
+// they reach back for some seconds, longer than any stream is watched for.
 const maxPauses = 256
 
-// interval is a time between two ticks of which the second came late.
+// interval is the time between two ticks of which the second came late.
 type interval struct{ from, to time.Time }
 
-// Detector notices pauses by ticks that come late. Set the exported fields before use.
+// Detector detects process pauses by ticks that come late. Set the exported fields
+// before use.
 type Detector struct {
-	// TickInterval is the usual time between two ticks, Least how late one must be to show
-	// a pause.
+	// TickInterval is the usual time between two ticks.
 	TickInterval time.Duration
-	MinPause     time.Duration
+	// MinPause is how late a tick must be to show a pause.
+	MinPause time.Duration
 
 	mu       sync.Mutex
 	lastTick time.Time
 	pauses   []interval
 }
 
-// Tick notes that the process runs and returns how late that is.
-func (c *Detector) Tick(now time.Time) time.Duration {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	late, p := c.lateness(now), interval{from: c.lastTick, to: now}
-	c.lastTick = now
-	if late < c.MinPause {
+// Tick records that the process runs and returns how late the tick is.
+func (d *Detector) Tick(now time.Time) time.Duration {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	late, p := d.lateness(now), interval{from: d.lastTick, to: now}
+	d.lastTick = now
+	if late < d.MinPause {
 		return late
 	}
-	if len(c.pauses) == maxPauses {
-		c.pauses = append(c.pauses[:0], c.pauses[1:]...)
+	if len(d.pauses) == maxPauses {
+		d.pauses = append(d.pauses[:0], d.pauses[1:]...)
 	}
-	c.pauses = append(c.pauses, p)
+	d.pauses = append(d.pauses, p)
 	return late
 }
 
-// lateness is how long after it was due a tick comes now; c.mu is held.
-func (c *Detector) lateness(now time.Time) time.Duration {
-	if c.lastTick.IsZero() {
+// lateness returns how late a tick at now is; d.mu is held.
+func (d *Detector) lateness(now time.Time) time.Duration {
+	if d.lastTick.IsZero() {
 		return 0
 	}
-	return max(0, now.Sub(c.lastTick)-c.TickInterval)
+	return max(0, now.Sub(d.lastTick)-d.TickInterval)
 }
 
-// PausedBetween is how much of the time between two moments the process did not keep up:
-// all of each time between two ticks of which the second came late. It counts one
-// that no tick has ended yet, since a timer may run before the tick does.
-func (c *Detector) PausedBetween(since, now time.Time) time.Duration {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	lost := time.Duration(0)
-	if c.lateness(now) >= c.MinPause {
-		lost += interval{from: c.lastTick, to: now}.overlap(since, now)
+// PausedBetween returns how much of the time between two moments the process was
+// paused: all of each time between two ticks of which the second came late. It includes
+// a pause that no tick has ended yet, since a timer may run before the tick does.
+func (d *Detector) PausedBetween(since, now time.Time) time.Duration {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	paused := time.Duration(0)
+	if d.lateness(now) >= d.MinPause {
+		paused += interval{from: d.lastTick, to: now}.overlap(since, now)
 	}
-	for k := len(c.pauses) - 1; k >= 0 && c.pauses[k].to.After(since); k-- {
-		lost += c.pauses[k].overlap(since, now)
+	for k := len(d.pauses) - 1; k >= 0 && d.pauses[k].to.After(since); k-- {
+		paused += d.pauses[k].overlap(since, now)
 	}
-	return lost
+	return paused
 }
 
-// overlap is how much of a pause lies between two moments.
+// overlap returns how much of a pause lies between two moments.
 func (p interval) overlap(since, now time.Time) time.Duration {
 	from, to := p.from, p.to
 	if since.After(from) {
--- a/internal/base/pause/pause_test.go
+++ b/internal/base/pause/pause_test.go
@@ -10,8 +10,9 @@
 
 func at(ms int) time.Time { return time.UnixMilli(int64(ms)) }
 
-// A process ticks every 10 ms and stands still twice. What lies in the pauses is
-// lost, also in part, and also in one that is not over for the clock.
+// A process ticks every 10 ms and is paused twice. Time in a pause must count as
+// paused, also if only a part of the pause is asked for, and also in a pause that no
+// tick has ended yet.
 func TestPausedBetween(t *testing.T) {
 	c := &pause.Detector{TickInterval: 10 * time.Millisecond, MinPause: 5 * time.Millisecond}
 	for _, ms := range []int{0, 10, 21, 30, 140, 150, 160, 300} {
@@ -23,14 +24,14 @@
 		want       time.Duration
 	}{
 		{"no pause", 0, 30, 0},
-		{"a tick a little late", 10, 30, 0},
+		{"a slightly late tick", 10, 30, 0},
 		{"one pause", 30, 150, 110 * time.Millisecond},
 		{"both", 0, 300, 250 * time.Millisecond},
 		{"from the middle of the first", 90, 300, 190 * time.Millisecond},
 		{"from the middle of the second", 250, 300, 50 * time.Millisecond},
 		{"after both", 300, 308, 0},
-		{"one that is not over", 300, 400, 100 * time.Millisecond},
-		{"from the middle of one that is not over", 350, 400, 50 * time.Millisecond},
+		{"a pause that has not ended", 300, 400, 100 * time.Millisecond},
+		{"from the middle of a pause that has not ended", 350, 400, 50 * time.Millisecond},
 	}
 	for _, test := range tests {
 		if got := c.PausedBetween(at(test.since), at(test.now)); got != test.want {
