--- a/internal/app/edge/conns.go
+++ b/internal/app/edge/connlimit.go
@@ -10,17 +10,17 @@
 	"fulmarwick/internal/base/site"
 )
 
-// connLimiter bounds how long callers may take for the head of a request and leave a
-// connection unused, as the configuration in force says. Without it a caller
-// that stops in a head holds a connection for headerTime.
+// connLimiter applies the timeouts of the configuration in force to the connections of
+// callers: for reading the header of a request, and for idle connections. Without it a
+// caller that stops in the middle of a header holds a connection for headerTimeout.
 type connLimiter struct {
 	limits func() site.Limits
 }
 
-// connKey is where the context of a request has its connection.
+// connKey is the context key of a request's connection.
 type connKey struct{}
 
-// attach has the server of an end keep to the limits.
+// attach makes the listener and the server of an endpoint apply the timeouts.
 func (c *connLimiter) attach(e *endpoint) {
 	next := e.server.Handler
 	e.listener = &limitedListener{Listener: e.listener, limiter: c}
@@ -40,12 +40,13 @@
 	})
 }
 
+// limitedListener wraps accepted connections in limitedConn.
 type limitedListener struct {
 	net.Listener
 	limiter *connLimiter
 }
 
-// Accept returns a connection that keeps to the limits.
+// Accept waits for the next connection and returns it with timeouts applied.
 func (l *limitedListener) Accept() (net.Conn, error) {
 	n, err := l.Listener.Accept()
 	if err != nil {
@@ -54,18 +55,20 @@
 	return &limitedConn{Conn: n, limiter: l.limiter, awaitingHead: true}, nil
 }
 
-// limitedConn is a connection of a caller.
+// limitedConn is a connection of a caller that is closed when a timeout expires.
 type limitedConn struct {
 	net.Conn
 	limiter *connLimiter
 
 	mu sync.Mutex
-	// awaitingHead is set while no byte of the next head has come.
+	// awaitingHead is set while no byte of the next request header was received.
 	awaitingHead bool
-	timer        *time.Timer
+	// timer closes the connection; nil while no timeout applies.
+	timer *time.Timer
 }
 
-// Read notes the first byte of a head.
+// Read reads from the connection. The first byte of a request header starts the header
+// timeout.
 func (c *limitedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 {
@@ -79,7 +82,8 @@
 	return n, err
 }
 
-// onStateChange is told of the end of an answer and of the connection.
+// onStateChange starts the idle timeout after an answer, and cancels it when the connection
+// ends.
 func (c *limitedConn) onStateChange(s http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -92,7 +96,7 @@
 	}
 }
 
-// onHeadRead notes that a head has come whole.
+// onHeadRead cancels the timeout once a request header was read whole.
 func (c *limitedConn) onHeadRead() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -100,13 +104,14 @@
 	c.cancelClose()
 }
 
-// closeAfter ends the connection after a time; c.mu is held.
+// closeAfter closes the connection after a time, instead of any earlier timeout; c.mu is
+// held.
 func (c *limitedConn) closeAfter(after time.Duration) {
 	c.cancelClose()
 	c.timer = time.AfterFunc(after, func() { _ = c.Close() })
 }
 
-// cancelClose undoes close; c.mu is held.
+// cancelClose cancels closeAfter; c.mu is held.
 func (c *limitedConn) cancelClose() {
 	if c.timer != nil {
 		c.timer.Stop()
@@ -114,10 +119,11 @@
 	}
 }
 
-// capTimeout is a configured time, most at the highest; most if there is none.
-func capTimeout(d, most time.Duration) time.Duration {
+// capTimeout returns a configured timeout, limited to maxTimeout, or maxTimeout if none is
+// configured.
+func capTimeout(d, maxTimeout time.Duration) time.Duration {
 	if d <= 0 {
-		return most
+		return maxTimeout
 	}
-	return min(d, most)
+	return min(d, maxTimeout)
 }
--- a/internal/app/edge/ends.go
+++ b/internal/app/edge/endpoints.go
@@ -18,35 +18,37 @@
 )
 
 const (
-	// headerTimeout bounds the wait for a request's headers where the
-	// configuration does not, idleTime is the least time for which an unused
-	// connection stays open. Callers may use one that was idle for four fifths
-	// of the configured limit, 15 s as a rule; closing it sooner would cut their
-	// requests.
-	headerTimeout  = 10 * time.Second
+	// headerTimeout limits the wait for the header of a request. A configuration can
+	// only shorten it.
+	headerTimeout = 10 * time.Second
+	// minIdleTimeout is the least time for which an idle connection stays open. Callers
+	// may use a connection that was idle for four fifths of the configured limit,
+	// usually 15 s; closing it sooner would break off their requests.
 	minIdleTimeout = time.Minute
-	// maxIdleTimeout bounds the idle limit that a configuration may set.
+	// maxIdleTimeout limits the idle timeout that a configuration may set.
 	maxIdleTimeout = 10 * time.Minute
-	// gcPercent trades processor time of the garbage collector for memory,
-	// which is paid for by its peak.
+	// gcPercent is below the default of 100: it saves memory, which is billed by its
+	// peak, at the cost of CPU time for the garbage collector.
 	gcPercent = 50
 )
 
-// limitMemory keeps the process below what it may take.
-func limitMemory(most int64) {
+// limitMemory sets the limits of the garbage collector for a process that may use so many
+// bytes; 0 sets no memory limit.
+func limitMemory(maxBytes int64) {
 	debug.SetGCPercent(gcPercent)
-	if most > 0 {
-		debug.SetMemoryLimit(most / 10 * 8)
+	if maxBytes > 0 {
+		debug.SetMemoryLimit(maxBytes / 10 * 8)
 	}
 }
 
-// endpoint is one address that is served.
+// endpoint is an address with the server that listens on it.
 type endpoint struct {
 	name     string
 	listener net.Listener
 	server   *http.Server
 }
 
+// serve serves the endpoint until its server is closed.
 func (e *endpoint) serve() error {
 	if err := e.server.Serve(e.listener); !errors.Is(err, http.ErrServerClosed) {
 		return errors.Wrapf(err, "edge: serve %s", e.name)
@@ -54,39 +56,40 @@
 	return nil
 }
 
-func closeEndpoints(ends []*endpoint) {
-	for _, e := range ends {
+// closeEndpoints closes the servers at once.
+func closeEndpoints(endpoints []*endpoint) {
+	for _, e := range endpoints {
 		_ = e.server.Close()
 	}
 }
 
-// listen opens the addresses; that of callers is the first.
+// listen opens the configured addresses. The endpoint of callers is the first.
 func (i *Instance) listen(ctx context.Context) ([]*endpoint, error) {
 	l := i.Settings.Listen
-	quiet := log.New(io.Discard, "", 0)
+	discardLog := log.New(io.Discard, "", 0)
 	listen := i.Listen
 	if listen == nil {
 		listen = func(ctx context.Context, address string) (net.Listener, error) {
 			return (&net.ListenConfig{}).Listen(ctx, "tcp", address)
 		}
 	}
-	var ends []*endpoint
+	var endpoints []*endpoint
 	add := func(name, address string, h http.Handler) error {
 		if address == "" {
 			return nil
 		}
-		at, err := listen(ctx, address)
+		listener, err := listen(ctx, address)
 		if err != nil {
 			return errors.Wrapf(err, "edge: listen for %s", name)
 		}
-		ends = append(ends, &endpoint{name: name, listener: at, server: &http.Server{
-			Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: maxIdleTimeout, ErrorLog: quiet,
+		endpoints = append(endpoints, &endpoint{name: name, listener: listener, server: &http.Server{
+			Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: maxIdleTimeout, ErrorLog: discardLog,
 		}})
 		return nil
 	}
 	err := add("callers", l.Callers, i.drainer.Handler(i.server))
 	if err == nil {
-		(&connLimiter{limits: i.state.limits}).attach(ends[0])
+		(&connLimiter{limits: i.state.limits}).attach(endpoints[0])
 		err = add("ready", l.Ready, i.readinessHandler())
 	}
 	if err == nil {
@@ -96,16 +99,16 @@
 		err = add("metrics", l.Metrics, i.metricsHandler())
 	}
 	if err != nil {
-		for _, e := range ends {
+		for _, e := range endpoints {
 			_ = e.listener.Close()
 		}
 		return nil, err
 	}
-	return ends, nil
+	return endpoints, nil
 }
 
-// readinessHandler answers the balancer at any path: which one it asks for is up to
-// the platform.
+// readinessHandler answers the readiness checks of the balancer. It accepts any path, since
+// the platform decides which one is requested.
 func (i *Instance) readinessHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		if !i.ready() {
@@ -116,6 +119,7 @@
 	})
 }
 
+// metricsHandler serves the metrics of the instance.
 func (i *Instance) metricsHandler() http.Handler {
 	m := mux.NewRouter()
 	m.HandleFunc("/metrics", func(w http.ResponseWriter, _ *http.Request) {
@@ -124,7 +128,7 @@
 	return m
 }
 
-// recordEnd notes how a caller's request ended.
+// recordEnd counts and logs how a caller's request ended.
 func (i *Instance) recordEnd(c *relay.Call, r relay.Reply, status int, took time.Duration) {
 	i.updateMetrics(c, r, status, took)
 	if r.Reason == relay.ReasonNone && status < http.StatusInternalServerError {
@@ -136,18 +140,20 @@
 		zap.Any("upstreams", r.Upstreams), zap.Uint64("config", i.state.Config().Version), zap.Duration("list age", i.state.age()), i.scarcestLayerField(c, r))
 }
 
-// recordRejected notes a request that was turned away before it was read whole: without
-// a configuration, a route or a key. Its path is that of the caller.
+// recordRejected counts and logs a request that was rejected before it was read whole,
+// because there was no configuration, route or key. The logged path is the URL path that
+// the caller sent.
 func (i *Instance) recordRejected(r *http.Request, status int, reason string) {
 	id := ""
-	if ask, err := i.server.Dialect.ParseRequest(r.Header); err == nil {
-		id = ask.ID
+	if header, err := i.server.Dialect.ParseRequest(r.Header); err == nil {
+		id = header.ID
 	}
 	i.meters.GetOrCreateCounter(`fulmarwick_edge_turned_total{status="` + strconv.Itoa(status) + `"}`).Inc()
 	i.Log.Warn("edge: request turned away", zap.String("request", id), zap.Int("status", status), zap.String("reason", reason), zap.String("host", r.Host), zap.String("path", r.URL.Path))
 }
 
-// scarcestLayerField tells of a request without room which layer had least.
+// scarcestLayerField returns a log field with the layer that has the least free KV memory,
+// for a request that was rejected for lack of capacity.
 func (i *Instance) scarcestLayerField(c *relay.Call, r relay.Reply) zap.Field {
 	if r.Reason != relay.ReasonNoCapacity && r.Reason != relay.ReasonReserved {
 		return zap.Skip()
@@ -156,7 +162,7 @@
 	return zap.Dict("room", zap.Int("layer", layer), zap.Int("free", free))
 }
 
-// logServed notes an answer, and whether it missed the target of its route.
+// logServed logs a complete answer, as a warning if it missed the target of its route.
 func (i *Instance) logServed(c *relay.Call, r relay.Reply, status int, took time.Duration) {
 	first := took
 	if c.Service.Model != nil {
--- /dev/null
+++ b/internal/app/edge/evacuate.go
@@ -0,0 +1,256 @@
+package edge
+
+import (
+	"context"
+	"sort"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"fulmarwick/internal/base/site"
+	"fulmarwick/internal/base/spec"
+	"fulmarwick/internal/route/crash"
+	"fulmarwick/internal/state/feed"
+	"fulmarwick/internal/wire/relay"
+
+	"go.uber.org/zap"
+)
+
+// departure is the state of an engine that leaves.
+type departure struct {
+	up site.Upstream
+	// moveAt is when the runs of the engine are moved.
+	moveAt time.Time
+	// done is set once the move was started.
+	done bool
+}
+
+// updateLeaving updates the set of leaving engines: engines with runs that announced
+// that they leave, or that are no longer listed.
+func (w *watcher) updateLeaving(list []site.Upstream) {
+	ready := map[spec.UpstreamID]bool{}
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	for _, up := range list {
+		if up.State == site.StateReady {
+			ready[up.ID] = true
+		}
+	}
+	for _, up := range w.router.enginesInUse() {
+		if _, known := w.leaving[up.ID]; !known && !ready[up.ID] {
+			w.leaving[up.ID] = departure{up: up, moveAt: time.Now().Add(leaveDelay)}
+		}
+	}
+	for id := range w.leaving {
+		if ready[id] {
+			delete(w.leaving, id)
+		}
+	}
+}
+
+// dueDepartures returns the leaving engines whose streams must move now. Each engine
+// is returned once.
+func (w *watcher) dueDepartures(now time.Time) []site.Upstream {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	var out []site.Upstream
+	for id, d := range w.leaving {
+		if d.done || now.Before(d.moveAt) {
+			continue
+		}
+		d.done = true
+		w.leaving[id] = d
+		out = append(out, d.up)
+	}
+	return out
+}
+
+// enginesInUse returns the engines on the paths of the active runs.
+func (r *router) enginesInUse() []site.Upstream {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	seen := map[spec.UpstreamID]bool{}
+	var out []site.Upstream
+	for name, svc := range r.services {
+		for _, t := range svc.runs {
+			for _, stage := range t.chain {
+				if id := stage.Engine(); !seen[id] {
+					seen[id] = true
+					out = append(out, site.Upstream{ID: id, Service: name})
+				}
+			}
+		}
+	}
+	return out
+}
+
+// pathChange moves a run off an engine to another path.
+type pathChange struct {
+	run *relay.Run
+	// firstAddress is the address of the first engine, which stays the same.
+	firstAddress string
+	// oldChain is the path of the run until the first engine accepts the new one.
+	oldChain spec.Chain
+	newChain spec.Chain
+	hops     []site.Hop
+}
+
+// initialEvacuateRetryDelay is the first delay before the move of runs off a dead engine
+// is retried for those that could not be moved: by then some of the runs that use the
+// capacity of other engines have ended. Each delay is twice the one before, since
+// orders to engines have a cost.
+const initialEvacuateRetryDelay = 200 * time.Millisecond
+
+// evacuate moves runs off an engine. A leaving engine that is alive continues its
+// runs, so they only change their path if other engines accept them. Runs that
+// can't change their path off a dead engine are started again elsewhere. That is
+// retried until no run is left or the engine serves again.
+func (w *watcher) evacuate(ctx context.Context, up site.Upstream) {
+	w.router.recordCrashesOf(up)
+	dead := w.router.IsDead(up.Service, up.ID)
+	for delay := initialEvacuateRetryDelay; ; delay *= 2 {
+		kept := w.tryEvacuate(ctx, up, dead)
+		if kept == 0 || !dead || !feed.Sleep(ctx, delay) || w.router.isServing(up) {
+			return
+		}
+	}
+}
+
+// tryEvacuate moves runs off an engine once. A run for which the engine is not the
+// first one gets another path; otherwise, if the engine is dead, the run is started
+// again. It returns how many runs stay on the engine.
+func (w *watcher) tryEvacuate(ctx context.Context, up site.Upstream, dead bool) int {
+	changes, restarts := w.router.planMoves(up)
+	resumed, kept := 0, 0
+	for _, run := range restarts {
+		if dead && w.resumeElsewhere(run) {
+			resumed++
+		} else {
+			kept++
+		}
+	}
+	var unchanged atomic.Int32
+	var group sync.WaitGroup
+	for _, change := range changes {
+		group.Go(func() {
+			if !w.repath(ctx, change, dead) {
+				unchanged.Add(1)
+			}
+		})
+	}
+	group.Wait()
+	kept += int(unchanged.Load())
+	w.log.Info("edge: engine left", zap.String("engine", string(up.ID)), zap.Bool("dead", dead), zap.Int("repathed", len(changes)-int(unchanged.Load())),
+		zap.Int("resumed", resumed), zap.Int("kept", kept))
+	return kept
+}
+
+// resumeElsewhere ends a run so that a new run continues the request. It returns false
+// if the run must stay.
+func (w *watcher) resumeElsewhere(run *relay.Run) bool {
+	chain, _ := run.Chain()
+	allowRetry := func() bool { return w.router.AllowRetry(run.Service) }
+	if !run.Reroute(w.router.IsDead(run.Service, chain[0].Engine()), allowRetry) {
+		return false
+	}
+	w.countMove("resume")
+	return true
+}
+
+// isServing reports whether an evacuated engine is ready again.
+func (r *router) isServing(up site.Upstream) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	svc := r.service(up.Service)
+	if svc.model == nil || svc.model.DeadOrUnlisted(up.ID) {
+		return false
+	}
+	now, listed := svc.model.Upstream(up.ID)
+	return listed && now.State == site.StateReady
+}
+
+// recordCrashesOf records a crash against each run on a dead engine: one of them may
+// have caused it.
+func (r *router) recordCrashesOf(up site.Upstream) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	svc := r.service(up.Service)
+	if svc.model == nil || !svc.model.ListedDead(up.ID) {
+		return
+	}
+	for _, run := range svc.runsThrough(up.ID) {
+		r.recordCrash(crash.Event{Fingerprint: run.Fingerprint, Upstream: up.ID, Incarnation: up.Born, RanMs: time.Since(run.Start).Milliseconds()})
+	}
+}
+
+// planMoves finds other paths for the runs on an engine. Usage is moved to the new path
+// at once, so that the search for the next run sees it. restarts are the resumable
+// runs without another path.
+func (r *router) planMoves(up site.Upstream) (changes []pathChange, restarts []*relay.Run) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	svc := r.service(up.Service)
+	if svc.model == nil {
+		return nil, nil
+	}
+	mustLeave := func(id spec.UpstreamID) bool { return id == up.ID || svc.model.DeadOrUnlisted(id) }
+	for _, run := range svc.runsThrough(up.ID) {
+		t := svc.runs[run]
+		demand := run.Demand
+		demand.Resumed = true
+		chain, err := svc.model.Repair(r.now(), t.chain, demand, mustLeave)
+		if err != nil {
+			if run.Resumable {
+				restarts = append(restarts, run)
+			}
+			continue
+		}
+		change := pathChange{run: run, oldChain: t.chain, newChain: chain}
+		svc.changePath(run, chain)
+		svc.model.RecordTransfer(r.now(), chain, demand)
+		_, change.hops = run.Chain()
+		change.firstAddress = change.hops[0].Address
+		changes = append(changes, change)
+	}
+	return changes, restarts
+}
+
+// runsThrough returns the runs whose path contains an engine. Runs without an event for
+// the longest time come first: their callers will leave soonest.
+func (svc *serviceState) runsThrough(id spec.UpstreamID) []*relay.Run {
+	var out []*relay.Run
+	for run, t := range svc.runs {
+		if t.chain.Uses(id) {
+			out = append(out, run)
+		}
+	}
+	sort.Slice(out, func(i, j int) bool { return out[i].LastEvent().Before(out[j].LastEvent()) })
+	return out
+}
+
+// repath orders the first engine of a run to continue it over another path. If that
+// fails, a run on a dead engine is started again instead, as it can't continue. It
+// returns false if the run stays as it was.
+func (w *watcher) repath(ctx context.Context, change pathChange, dead bool) bool {
+	ctx, cancel := context.WithTimeout(ctx, repathTimeout+w.connectQueueTime())
+	defer cancel()
+	err := w.engines.Repath(ctx, change.firstAddress, site.Repath{Engine: change.newChain[0].Engine(), Request: change.run.Request, Path: change.hops})
+	if err == nil {
+		w.countMove("repath")
+		w.log.Info("edge: path changed", zap.String("request", change.run.Request), zap.Stringer("path", change.newChain), zap.Duration("silent", time.Since(change.run.LastEvent())))
+		return true
+	}
+	restarted := dead && w.resumeElsewhere(change.run)
+	w.log.Warn("edge: path not changed", zap.String("request", change.run.Request), zap.Bool("run moves", restarted), zap.Error(err))
+	if !restarted {
+		w.router.restorePath(change)
+	}
+	return restarted
+}
+
+// restorePath moves the usage of a run back to the path that it kept.
+func (r *router) restorePath(change pathChange) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.service(change.run.Service).changePath(change.run, change.oldChain)
+}
--- a/internal/app/edge/fleet.go
+++ b/internal/app/edge/fleet.go
@@ -9,10 +9,10 @@
 	"fulmarwick/internal/base/spec"
 )
 
-// probeDelay is how long this instance waits before it asks an engine. Streams of all
-// instances fall silent at the same moment, and an engine takes their connections one
-// after another: asked by all of a large fleet at once, healthy engines answer too
-// late and are taken for dead.
+// probeDelay returns how long this instance waits before it probes an engine. The streams
+// of all instances stall at the same moment, and an engine accepts their connections one
+// after another. Probed by a whole large fleet at once, healthy engines would answer too
+// late and be declared dead.
 func (w *watcher) probeDelay() time.Duration {
 	if !w.isLargeFleet() {
 		return 0
@@ -20,22 +20,22 @@
 	return rand.N(time.Duration(w.router.instanceCount()) * probeSpacing)
 }
 
-// connectQueueTime is how long an engine may take for the connections of other instances
-// before that of this one.
+// connectQueueTime returns how long the connections of other instances may delay that of
+// this instance at an engine.
 func (w *watcher) connectQueueTime() time.Duration {
 	return time.Duration(max(0, w.router.instanceCount()-maxConcurrentProbers)) * connectTimePerInstance
 }
 
-// isDead asks an engine that seemed dead until it is known whether it is: its address
-// refuses connections, another process answers there, or it stays silent. One that is
-// silent for less may stand still and go on with what it runs.
+// isDead probes a suspect engine until it is known whether it is dead: its address refuses
+// connections, another process answers there, or it is unresponsive for cutOffAfter. An
+// engine that is unresponsive for less may be paused and continue its runs later.
 func (w *watcher) isDead(ctx context.Context, up site.Upstream) bool {
 	for start := time.Now(); ctx.Err() == nil; {
-		report, silent, err := w.fetchReport(ctx, up, confirmProbeTimeout)
+		report, late, err := w.fetchReport(ctx, up, confirmProbeTimeout)
 		switch {
-		case silent && time.Since(start) >= cutOffAfter:
+		case late && time.Since(start) >= cutOffAfter:
 			return true
-		case silent:
+		case late:
 		case err != nil:
 			return ctx.Err() == nil
 		default:
@@ -45,14 +45,14 @@
 	return false
 }
 
-// isLargeFleet reports whether there are more instances than may ask an engine at once.
+// isLargeFleet reports whether there are more instances than may probe an engine at once.
 func (w *watcher) isLargeFleet() bool { return w.router.instanceCount() > maxConcurrentProbers }
 
-// handleReportedDead takes an engine that another instance found dead. It is asked only if
-// streams of this instance pass it: dozens of instances that all ask would
-// keep each other busy. In a large fleet one instance may be wrong, and all that
-// believed it would be; what several found is believed without a question where the
-// streams of this instance are silent as well.
+// handleReportedDead handles an engine that another instance reported dead. The engine is
+// probed only if streams of this instance use it: probes by dozens of instances would keep
+// all of them busy. In a large fleet a single report is not trusted, since one wrong
+// instance would mislead all others. Reports of several instances are accepted without a
+// probe if the streams of this instance stall as well.
 func (w *watcher) handleReportedDead(ctx context.Context, id spec.UpstreamID) {
 	up, used := w.router.avoidSuspect(id)
 	confirmed := !w.isLargeFleet() || w.addDeadReport(id)
@@ -65,41 +65,41 @@
 	}
 }
 
-// deadReport is how many instances found an engine dead since a time.
+// deadReport counts the reports that an engine is dead since a time.
 type deadReport struct {
 	count int
 	since time.Time
 }
 
-// addDeadReport notes that one more instance found an engine dead, and reports
-// whether enough of them did.
+// addDeadReport counts one more report that an engine is dead, and returns whether there
+// are enough of them.
 func (w *watcher) addDeadReport(id spec.UpstreamID) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for other, f := range w.deadReports {
-		if time.Since(f.since) >= deadReportWindow {
+	for other, report := range w.deadReports {
+		if time.Since(report.since) >= deadReportWindow {
 			delete(w.deadReports, other)
 		}
 	}
-	f, known := w.deadReports[id]
+	report, known := w.deadReports[id]
 	if !known {
-		f.since = time.Now()
+		report.since = time.Now()
 	}
-	f.count++
-	w.deadReports[id] = f
-	return f.count >= minDeadReports
+	report.count++
+	w.deadReports[id] = report
+	return report.count >= minDeadReports
 }
 
-// areStreamsStalled reports whether all streams that pass an engine are silent for longer than
-// usual.
+// areStreamsStalled reports whether all streams on an engine have been without an event for
+// longer than usual.
 func (w *watcher) areStreamsStalled(up site.Upstream, now time.Time) bool {
 	r := w.router
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, f := range r.service(up.Service).runsThrough(up.ID) {
-		last := f.LastEvent()
-		silence := now.Sub(last) - w.clock.PausedBetween(last, now)
-		if f.MeanEventGap() == 0 || silence < max(minStallTime, minStallGaps*f.MeanEventGap()) {
+	for _, run := range r.service(up.Service).runsThrough(up.ID) {
+		last := run.LastEvent()
+		idle := now.Sub(last) - w.clock.PausedBetween(last, now)
+		if run.MeanEventGap() == 0 || idle < max(minStallTime, minStallGaps*run.MeanEventGap()) {
 			return false
 		}
 	}
--- a/internal/app/edge/mesh.go
+++ b/internal/app/edge/mesh.go
@@ -25,25 +25,26 @@
 )
 
 const (
-	// meshIdleTimeout closes a connection to an instance that brings nothing: six
-	// messages were due.
+	// meshIdleTimeout is how long a connection to another instance stays open without a
+	// message; six were due in that time.
 	meshIdleTimeout = 1200 * time.Millisecond
-	// rosterTable holds a row for each instance, under its name.
+	// rosterTable is the table with a row for each instance, under its name.
 	rosterTable = "instances"
-	// rosterInterval is the pause between two reads of the roster while no other
-	// instance is heard, rosterPause that after a failed call.
-	rosterInterval   = 5 * time.Second
+	// rosterInterval is the interval between two reads of the roster while no other
+	// instance is connected.
+	rosterInterval = 5 * time.Second
+	// rosterRetryDelay is the delay after a failed call.
 	rosterRetryDelay = 400 * time.Millisecond
 )
 
-// rosterRow tells where an instance answers others.
+// rosterRow holds the address of an instance for other instances.
 type rosterRow struct {
 	URL        string          `cbor:"1,keyasint"`
 	DataCentre spec.DataCentre `cbor:"2,keyasint,omitempty"`
 }
 
-// meshNode is the other instances: it tells them what this one knows and takes
-// what they tell.
+// meshNode exchanges state with the other instances: it provides what this instance sends
+// and applies what it receives.
 type meshNode struct {
 	id     spec.InstanceID
 	centre spec.DataCentre
@@ -54,112 +55,123 @@
 	log    *zap.Logger
 	dial   func(ctx context.Context, network, address string) (net.Conn, error)
 	meters *metrics.Set
-	// countBehind counts how often others knew more and did not tell it.
+	// countBehind counts how often other instances had a newer version of a table and
+	// did not send it.
 	countBehind func()
-	// onReportedDead is told of engines that others found dead.
+	// onReportedDead is called for each engine that another instance reported dead.
 	onReportedDead func(id spec.UpstreamID)
 	logic          *mesh.Logic
 	hub            *peer.Hub
 
-	// rosterWritten and listed tell that the own row of the roster was written and those
-	// of the others were read after it; for enlist alone.
+	// rosterWritten is set once the own row of the roster was written. Only maintainRoster
+	// uses it and rosterRead.
 	rosterWritten bool
-	rosterRead    bool
+	// rosterRead is set once the rows of the others were read after that.
+	rosterRead bool
 
-	mu             sync.Mutex
+	mu sync.Mutex
+	// unreportedDead holds engines found dead that were not yet reported to the others.
 	unreportedDead []spec.UpstreamID
-	livePeers      map[spec.InstanceID]bool
+	// livePeers holds the instances that are connected.
+	livePeers map[spec.InstanceID]bool
 }
 
-// initHub makes the connection parts.
-func (c *meshNode) initHub() {
-	c.livePeers = map[spec.InstanceID]bool{}
-	c.logic = &mesh.Logic{ID: c.id, DataCentre: c.centre, URL: c.url, Local: c, Receiver: c, Now: time.Now}
-	c.hub = &peer.Hub{Self: node.Peer{ID: c.id, URL: c.url}, Logic: c.logic, Silence: meshIdleTimeout, Dial: c.dial, Log: c.log, Meters: c.meters}
+// initHub creates the mesh logic and the hub that holds the connections.
+func (m *meshNode) initHub() {
+	m.livePeers = map[spec.InstanceID]bool{}
+	m.logic = &mesh.Logic{ID: m.id, DataCentre: m.centre, URL: m.url, Local: m, Receiver: m, Now: time.Now}
+	m.hub = &peer.Hub{Self: node.Peer{ID: m.id, URL: m.url}, Logic: m.logic, Silence: meshIdleTimeout, Dial: m.dial, Log: m.log, Meters: m.meters}
 }
 
-func (c *meshNode) handler() http.Handler { return c.hub.Handler() }
+// handler serves the connections of other instances.
+func (m *meshNode) handler() http.Handler { return m.hub.Handler() }
 
-func (c *meshNode) run(ctx context.Context) {
-	if err := c.hub.Run(ctx); err != nil {
-		c.log.Error("edge: mesh ended", zap.Error(err))
+// run runs the hub until ctx ends.
+func (m *meshNode) run(ctx context.Context) {
+	if err := m.hub.Run(ctx); err != nil {
+		m.log.Error("edge: mesh stopped", zap.Error(err))
 	}
 }
 
-// maintainRoster writes the own row of the roster and finds the others by it. Those
-// that come later find this instance.
-func (c *meshNode) maintainRoster(ctx context.Context) {
+// maintainRoster writes the own row of the roster and discovers the other instances by
+// their rows. Instances that start later discover this one. The row is removed when ctx
+// ends.
+func (m *meshNode) maintainRoster(ctx context.Context) {
 	for ctx.Err() == nil {
-		err := c.syncRoster(ctx)
-		pause := rosterInterval
+		err := m.syncRoster(ctx)
+		delay := rosterInterval
 		if err != nil {
-			c.log.Info("edge: roster not reached", zap.Error(err))
-			pause = rosterRetryDelay
+			m.log.Info("edge: cannot sync roster", zap.Error(err))
+			delay = rosterRetryDelay
 		}
-		if !feed.Sleep(ctx, pause) {
+		if !feed.Sleep(ctx, delay) {
 			break
 		}
 	}
-	if c.rosterWritten {
-		c.removeRosterRow(context.WithoutCancel(ctx))
+	if m.rosterWritten {
+		m.removeRosterRow(context.WithoutCancel(ctx))
 	}
 }
 
-// syncRoster writes the own row and then reads those of the others, once: of two
-// instances the one that writes later finds the other. To be heard by one of them
-// is not to know all; with none heard it looks again.
-func (c *meshNode) syncRoster(ctx context.Context) error {
-	if !c.rosterWritten {
-		if err := c.writeRosterRow(ctx); err != nil {
+// syncRoster writes the own row and then reads the rows of the others, each once: of two
+// instances the one that writes later discovers the other. A connection to one instance
+// doesn't replace that read, as it doesn't make all others known. While no instance is
+// connected, the rows are read again.
+func (m *meshNode) syncRoster(ctx context.Context) error {
+	if !m.rosterWritten {
+		if err := m.writeRosterRow(ctx); err != nil {
 			return err
 		}
-		c.rosterWritten = true
+		m.rosterWritten = true
 	}
-	if c.rosterRead && c.hasPeers() {
+	if m.rosterRead && m.hasPeers() {
 		return nil
 	}
-	p, err := c.store.ReadTable(ctx, rosterTable)
+	page, err := m.store.ReadTable(ctx, rosterTable)
 	if err != nil {
 		return err
 	}
-	c.hub.Post(node.Listed{Peers: c.decodeRoster(p)})
-	c.rosterRead = true
+	m.hub.Post(node.Listed{Peers: m.decodeRoster(page)})
+	m.rosterRead = true
 	return nil
 }
 
-func (c *meshNode) hasPeers() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return len(c.livePeers) > 0
+// hasPeers reports whether any other instance is connected.
+func (m *meshNode) hasPeers() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return len(m.livePeers) > 0
 }
 
-func (c *meshNode) rosterKey() string { return rosterTable + "/" + string(c.id) }
+// rosterKey returns the key of the own row.
+func (m *meshNode) rosterKey() string { return rosterTable + "/" + string(m.id) }
 
-// writeRosterRow writes the own row. Most instances start for the first time, so that the row
-// of a former process is looked for only if there is one.
-func (c *meshNode) writeRosterRow(ctx context.Context) error {
-	data, err := cbor.Marshal(rosterRow{URL: c.url, DataCentre: c.centre})
+// writeRosterRow writes the own row. Most instances start for the first time, so the row of
+// a former process is read only if the write conflicts with it.
+func (m *meshNode) writeRosterRow(ctx context.Context) error {
+	data, err := cbor.Marshal(rosterRow{URL: m.url, DataCentre: m.centre})
 	if err != nil {
-		return errors.Wrap(err, "edge: roster")
+		return errors.Wrap(err, "edge: encode roster row")
 	}
-	_, err = c.store.Commit(ctx, []store.Write{store.Put(c.rosterKey(), 0, data)})
+	_, err = m.store.Commit(ctx, []store.Write{store.Put(m.rosterKey(), 0, data)})
 	if !errors.Is(err, store.ErrConflict) {
 		return err
 	}
-	row, err := c.store.Get(ctx, c.rosterKey())
+	row, err := m.store.Get(ctx, m.rosterKey())
 	if err != nil {
 		return err
 	}
-	_, err = c.store.Commit(ctx, []store.Write{store.Put(c.rosterKey(), row.Version(), data)})
+	_, err = m.store.Commit(ctx, []store.Write{store.Put(m.rosterKey(), row.Version(), data)})
 	return err
 }
 
-func (c *meshNode) decodeRoster(p feed.Page) []node.Peer {
+// decodeRoster returns the instances listed in the roster, without malformed rows.
+func (m *meshNode) decodeRoster(page feed.Page) []node.Peer {
 	var out []node.Peer
-	for _, r := range p.Rows {
+	for _, r := range page.Rows {
 		var row rosterRow
 		if err := cbor.Unmarshal(r.Value, &row); err != nil {
-			c.log.Warn("edge: row of the roster not understood", zap.String("instance", r.Key), zap.Error(err))
+			m.log.Warn("edge: malformed roster row skipped", zap.String("instance", r.Key), zap.Error(err))
 			continue
 		}
 		out = append(out, node.Peer{ID: spec.InstanceID(r.Key), DataCentre: row.DataCentre, URL: row.URL, Version: r.Version})
@@ -167,121 +179,127 @@
 	return out
 }
 
-// removeRosterRow removes the own row, so that nobody dials an instance that left.
-func (c *meshNode) removeRosterRow(ctx context.Context) {
-	row, err := c.store.Get(ctx, c.rosterKey())
+// removeRosterRow removes the own row, so that no instance dials one that has stopped.
+func (m *meshNode) removeRosterRow(ctx context.Context) {
+	row, err := m.store.Get(ctx, m.rosterKey())
 	if err == nil {
-		_, err = c.store.Commit(ctx, []store.Write{store.Remove(c.rosterKey(), row.Version())})
+		_, err = m.store.Commit(ctx, []store.Write{store.Remove(m.rosterKey(), row.Version())})
 	}
 	if err != nil {
-		c.log.Info("edge: row of the roster stays", zap.Error(err))
+		m.log.Info("edge: cannot remove own roster row", zap.Error(err))
 	}
 }
 
-// addDead notes an engine that did not answer, for the others.
-func (c *meshNode) addDead(id spec.UpstreamID) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.unreportedDead = append(c.unreportedDead, id)
+// addDead queues an engine that was found dead to be reported to the other instances.
+func (m *meshNode) addDead(id spec.UpstreamID) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.unreportedDead = append(m.unreportedDead, id)
 }
 
-// Usage is what the own requests take.
-func (c *meshNode) Usage() map[string]map[spec.UpstreamID]path.Usage { return c.router.localUsage() }
+// Usage returns the usage of the engines by the requests of this instance.
+func (m *meshNode) Usage() map[string]map[spec.UpstreamID]path.Usage { return m.router.localUsage() }
 
-// Checkpoints is how much is known of each table.
-func (c *meshNode) Checkpoints() map[string]feed.Checkpoint { return c.state.marks() }
+// Checkpoints returns the checkpoint of each table.
+func (m *meshNode) Checkpoints() map[string]feed.Checkpoint { return m.state.checkpoints() }
 
-// SyncAge is how long ago the store last told of all tables.
-func (c *meshNode) SyncAge() time.Duration { return c.state.age() }
+// SyncAge returns how long ago all tables were last read from the store; negative if a
+// table never was.
+func (m *meshNode) SyncAge() time.Duration { return m.state.age() }
 
-// Slowdowns are the engines that work slower than usual.
-func (c *meshNode) Slowdowns() map[spec.UpstreamID]float64 { return c.router.localSlowdowns() }
+// Slowdowns returns the slowdown factors that slow engines reported to this instance.
+func (m *meshNode) Slowdowns() map[spec.UpstreamID]float64 { return m.router.localSlowdowns() }
 
-// HasUrgent tells that engines were found dead.
-func (c *meshNode) HasUrgent() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return len(c.unreportedDead) > 0
+// HasUrgent reports whether engines were found dead since the last TakeFailures.
+func (m *meshNode) HasUrgent() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return len(m.unreportedDead) > 0
 }
 
-// TakeChangedVersions is the last changes of which the store told.
-func (c *meshNode) TakeChangedVersions() map[string]uint64 { return c.state.takeChangedVersions() }
+// TakeChangedVersions returns the version of the last change of each table that was read
+// from the store since the last call.
+func (m *meshNode) TakeChangedVersions() map[string]uint64 { return m.state.takeChangedVersions() }
 
-// ChangesSince returns the changes of a table.
-func (c *meshNode) ChangesSince(table string, version uint64) (since uint64, p feed.Page) {
-	return c.state.Since(table, version)
+// ChangesSince returns the changes of a table after a version, or the whole table for
+// version 0.
+func (m *meshNode) ChangesSince(table string, version uint64) (since uint64, p feed.Page) {
+	return m.state.Since(table, version)
 }
 
-// TakeFailures returns what was found since the last call.
-func (c *meshNode) TakeFailures() (dead []spec.UpstreamID, crashes []crash.Event) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	dead = c.unreportedDead
-	c.unreportedDead = nil
-	return dead, c.router.takeCrashes()
+// TakeFailures returns the dead engines and the crashes found since the last call.
+func (m *meshNode) TakeFailures() (dead []spec.UpstreamID, crashes []crash.Event) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	dead = m.unreportedDead
+	m.unreportedDead = nil
+	return dead, m.router.takeCrashes()
 }
 
-// ReceiveUsage takes what the requests of another instance or of several take.
-func (c *meshNode) ReceiveUsage(from spec.InstanceID, uses map[string]map[spec.UpstreamID]path.Usage) {
-	c.router.applyPeerUsage(from, uses)
+// ReceiveUsage applies the usage by the requests of another instance, or of several.
+func (m *meshNode) ReceiveUsage(from spec.InstanceID, usage map[string]map[spec.UpstreamID]path.Usage) {
+	m.router.applyPeerUsage(from, usage)
 }
 
-// ReceiveSlowdowns takes how slow engines are.
-func (c *meshNode) ReceiveSlowdowns(from spec.InstanceID, paces map[spec.UpstreamID]float64) {
-	c.router.applyPeerSlowdowns(from, paces)
+// ReceiveSlowdowns applies the slowdown factors that engines reported to another instance.
+func (m *meshNode) ReceiveSlowdowns(from spec.InstanceID, slowdowns map[spec.UpstreamID]float64) {
+	m.router.applyPeerSlowdowns(from, slowdowns)
 }
 
-// Retries is how often the own requests were sent.
-func (c *meshNode) Retries() map[string]resend.Usage { return c.router.localRetries() }
+// Retries returns the retry usage of this instance, by service.
+func (m *meshNode) Retries() map[string]resend.Usage { return m.router.localRetries() }
 
-// ReceiveRetries takes how often requests of other instances were sent.
-func (c *meshNode) ReceiveRetries(from spec.InstanceID, repeats map[string]resend.Usage) {
-	c.router.applyPeerRetries(from, repeats)
+// ReceiveRetries applies the retry usage of other instances.
+func (m *meshNode) ReceiveRetries(from spec.InstanceID, retries map[string]resend.Usage) {
+	m.router.applyPeerRetries(from, retries)
 }
 
-// ReceiveRows takes rows that another instance knows.
-func (c *meshNode) ReceiveRows(table string, since uint64, rows []feed.Row, m feed.Checkpoint, from spec.InstanceID) {
-	c.state.ApplyPeerChanges(table, since, rows, m, from)
+// ReceiveRows applies changed rows that another instance sent.
+func (m *meshNode) ReceiveRows(table string, since uint64, rows []feed.Row, checkpoint feed.Checkpoint, from spec.InstanceID) {
+	m.state.ApplyPeerChanges(table, since, rows, checkpoint, from)
 }
 
-// ReceiveCheckpoint takes how much another instance knows.
-func (c *meshNode) ReceiveCheckpoint(table string, m feed.Checkpoint) {
-	c.state.ConfirmVersion(table, m)
+// ReceiveCheckpoint applies the checkpoint of a table that another instance reported.
+func (m *meshNode) ReceiveCheckpoint(table string, checkpoint feed.Checkpoint) {
+	m.state.ConfirmVersion(table, checkpoint)
 }
 
-// ReportLag notes that others know more and do not tell it.
-func (c *meshNode) ReportLag(table string, known, there uint64) {
-	c.log.Warn("edge: others know more, reading the store", zap.String("table", table), zap.Uint64("version", known), zap.Uint64("theirs", there))
-	c.countBehind()
+// ReportLag counts and logs that another instance has a newer version of a table and did
+// not send it, so that this instance reads the store.
+func (m *meshNode) ReportLag(table string, known, peerVersion uint64) {
+	m.log.Warn("edge: peers have a newer version, reading the store", zap.String("table", table), zap.Uint64("version", known), zap.Uint64("theirs", peerVersion))
+	m.countBehind()
 }
 
-// ReceiveDead asks engines that another instance found dead.
-func (c *meshNode) ReceiveDead(_ spec.InstanceID, engines []spec.UpstreamID) {
+// ReceiveDead handles engines that another instance reported dead.
+func (m *meshNode) ReceiveDead(_ spec.InstanceID, engines []spec.UpstreamID) {
 	for _, id := range engines {
-		c.onReportedDead(id)
+		m.onReportedDead(id)
 	}
 }
 
-// ReceiveCrashes takes deaths of upstreams with the requests that they ran.
-func (c *meshNode) ReceiveCrashes(_ spec.InstanceID, deaths []crash.Event) {
-	c.router.applyPeerCrashes(deaths)
+// ReceiveCrashes applies crashes of upstreams, each with the request that the upstream ran,
+// that another instance reported.
+func (m *meshNode) ReceiveCrashes(_ spec.InstanceID, crashes []crash.Event) {
+	m.router.applyPeerCrashes(crashes)
 }
 
-// PeerJoined notes an instance that is heard.
-func (c *meshNode) PeerJoined(id spec.InstanceID) {
-	c.log.Info("edge: instance met", zap.String("peer", string(id)))
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.livePeers[id] = true
+// PeerJoined records an instance that joined the mesh.
+func (m *meshNode) PeerJoined(id spec.InstanceID) {
+	m.log.Info("edge: instance met", zap.String("peer", string(id)))
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.livePeers[id] = true
 }
 
-// PeerLost notes an instance that fell silent: its requests end with it.
-func (c *meshNode) PeerLost(id spec.InstanceID) {
-	c.log.Warn("edge: instance missed", zap.String("peer", string(id)))
-	c.router.applyPeerUsage(id, nil)
-	c.router.applyPeerSlowdowns(id, nil)
-	c.router.applyPeerRetries(id, nil)
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	delete(c.livePeers, id)
+// PeerLost removes what an instance reported once no messages come from it: its requests
+// are taken to have ended.
+func (m *meshNode) PeerLost(id spec.InstanceID) {
+	m.log.Warn("edge: instance lost", zap.String("peer", string(id)))
+	m.router.applyPeerUsage(id, nil)
+	m.router.applyPeerSlowdowns(id, nil)
+	m.router.applyPeerRetries(id, nil)
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	delete(m.livePeers, id)
 }
--- /dev/null
+++ b/internal/app/edge/peers.go
@@ -0,0 +1,128 @@
+package edge
+
+import (
+	"time"
+
+	"fulmarwick/internal/base/spec"
+	"fulmarwick/internal/route/crash"
+	"fulmarwick/internal/route/path"
+	"fulmarwick/internal/route/resend"
+)
+
+// takeCrashes returns the crashes recorded since the last call.
+func (r *router) takeCrashes() []crash.Event {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	out := r.unreportedCrashes
+	r.unreportedCrashes = nil
+	return out
+}
+
+// applyPeerCrashes records crashes that another instance reported.
+func (r *router) applyPeerCrashes(crashes []crash.Event) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, c := range crashes {
+		r.crashBook.Record(r.now(), c)
+	}
+}
+
+// localUsage returns the usage of the engines by the requests of this instance, by
+// service.
+func (r *router) localUsage() map[string]map[spec.UpstreamID]path.Usage {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	out := map[string]map[spec.UpstreamID]path.Usage{}
+	for name, svc := range r.services {
+		if svc.model == nil {
+			continue
+		}
+		if usage := svc.model.LocalUsage(); len(usage) > 0 {
+			out[name] = usage
+		}
+	}
+	return out
+}
+
+// applyPeerUsage sets the usage by the requests of another instance; nil removes it.
+func (r *router) applyPeerUsage(from spec.InstanceID, usage map[string]map[spec.UpstreamID]path.Usage) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for name, svc := range r.services {
+		if svc.model != nil {
+			svc.model.SetPeerUsage(from, usage[name])
+		}
+	}
+}
+
+// peerRetriesTTL is how long the retry usage reported by an instance counts.
+const peerRetriesTTL = time.Second
+
+// peerRetryReport is the retry usage that an instance reported, by service.
+type peerRetryReport struct {
+	counts     map[string]resend.Usage
+	receivedAt time.Duration
+}
+
+// localRetries returns the retry usage of this instance, by service.
+func (r *router) localRetries() map[string]resend.Usage {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	out := make(map[string]resend.Usage, len(r.services))
+	for name, svc := range r.services {
+		out[name] = svc.retryBudget.Usage(r.now())
+	}
+	return out
+}
+
+// applyPeerRetries sets the retry usage of another instance; nil removes it.
+func (r *router) applyPeerRetries(from spec.InstanceID, counts map[string]resend.Usage) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if counts == nil {
+		delete(r.peerRetries, from)
+		return
+	}
+	r.peerRetries[from] = peerRetryReport{counts: counts, receivedAt: r.now()}
+}
+
+// peerRetryCount returns the sum of the recent retry usage that other instances reported
+// for a service; r.mu is held.
+func (r *router) peerRetryCount(service string) resend.Usage {
+	var sum resend.Usage
+	for _, report := range r.peerRetries {
+		if r.now()-report.receivedAt < peerRetriesTTL {
+			sum = sum.Plus(report.counts[service])
+		}
+	}
+	return sum
+}
+
+// localSlowdowns returns the slowdown factors of the engines that reported to this
+// instance that they are slow.
+func (r *router) localSlowdowns() map[spec.UpstreamID]float64 {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	out := map[spec.UpstreamID]float64{}
+	for _, svc := range r.services {
+		if svc.model == nil {
+			continue
+		}
+		for id, slowdown := range svc.model.LocalSlowdowns(r.now()) {
+			out[id] = slowdown
+		}
+	}
+	return out
+}
+
+// applyPeerSlowdowns sets the slowdown factors that engines reported to another instance;
+// nil removes them.
+func (r *router) applyPeerSlowdowns(from spec.InstanceID, slowdowns map[spec.UpstreamID]float64) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, svc := range r.services {
+		if svc.model != nil {
+			svc.model.SetPeerSlowdowns(from, slowdowns)
+		}
+	}
+}
--- a/internal/app/edge/plain.go
+++ b/internal/app/edge/plain.go
@@ -9,87 +9,90 @@
 	"fulmarwick/internal/route/ewma"
 )
 
-// Pick returns the upstream of a plain service for the next request.
+// Pick returns the upstream of a plain service for the next request, without those to
+// avoid. It returns false if there is none.
 func (r *router) Pick(service string, avoid []spec.UpstreamID) (site.Upstream, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.service(service).plain.Pick(r.now(), avoid)
 }
 
-// RecordOutcome learns how a request ended.
-func (r *router) RecordOutcome(up site.Upstream, print uint64, took time.Duration, end ewma.Outcome) {
+// RecordOutcome records how a request to an upstream ended. An answer that was lost may
+// have been lost in a crash, so its request is remembered.
+func (r *router) RecordOutcome(up site.Upstream, fingerprint uint64, took time.Duration, outcome ewma.Outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	g := r.service(up.Service)
-	g.plain.RecordOutcome(r.now(), up.ID, took, end)
-	if end == ewma.OutcomeLost {
-		g.lostAnswers = append(g.lostAnswers, lostAnswer{death: crash.Event{Fingerprint: print, Upstream: up.ID, Incarnation: up.Born, RanMs: took.Milliseconds()}, at: r.now()})
-		g.lostAnswers = g.lostAnswers[max(0, len(g.lostAnswers)-maxLostAnswers):]
+	svc := r.service(up.Service)
+	svc.plain.RecordOutcome(r.now(), up.ID, took, outcome)
+	if outcome == ewma.OutcomeLost {
+		svc.lostAnswers = append(svc.lostAnswers, lostAnswer{event: crash.Event{Fingerprint: fingerprint, Upstream: up.ID, Incarnation: up.Born, RanMs: took.Milliseconds()}, at: r.now()})
+		svc.lostAnswers = svc.lostAnswers[max(0, len(svc.lostAnswers)-maxLostAnswers):]
 	}
 }
 
-// StartCooldown leaves an upstream alone that accepts no connection. Requests that it
-// lost just before may have crashed it.
+// StartCooldown keeps requests off an upstream that accepts no connection. Requests whose
+// answers it lost just before are recorded as possible causes of its crash.
 func (r *router) StartCooldown(up site.Upstream) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	g := r.service(up.Service)
-	g.plain.StartCooldown(r.now(), up.ID)
-	rest := g.lostAnswers[:0]
-	for _, l := range g.lostAnswers {
+	svc := r.service(up.Service)
+	svc.plain.StartCooldown(r.now(), up.ID)
+	remaining := svc.lostAnswers[:0]
+	for _, l := range svc.lostAnswers {
 		switch {
-		case l.death.Upstream == up.ID && r.now()-l.at < lostAnswerWindow:
-			r.recordCrash(l.death)
+		case l.event.Upstream == up.ID && r.now()-l.at < lostAnswerWindow:
+			r.recordCrash(l.event)
 		case r.now()-l.at < lostAnswerWindow:
-			rest = append(rest, l)
+			remaining = append(remaining, l)
 		}
 	}
-	g.lostAnswers = rest
+	svc.lostAnswers = remaining
 }
 
 // lostAnswer is a plain request whose answer was lost.
 type lostAnswer struct {
-	death crash.Event
+	event crash.Event
 	at    time.Duration
 }
 
 const (
-	// lostAnswerWindow is how soon after an answer was lost its upstream must refuse
-	// connections for the request to be suspected of its crash, and maxLosses
-	// how many lost answers are remembered.
+	// lostAnswerWindow is how soon after a lost answer the upstream must refuse a
+	// connection for the request to be suspected of the crash.
 	lostAnswerWindow = time.Second
-	maxLostAnswers   = 64
+	// maxLostAnswers is the number of lost answers remembered per service.
+	maxLostAnswers = 64
 )
 
-// recordCrash counts a death against a request; r.mu is held.
-func (r *router) recordCrash(d crash.Event) {
-	if r.crashBook.Record(r.now(), d) {
-		r.unreportedCrashes = append(r.unreportedCrashes, d)
+// recordCrash records a crash against the request that the upstream ran, and keeps it for
+// the other instances if it is new; r.mu is held.
+func (r *router) recordCrash(c crash.Event) {
+	if r.crashBook.Record(r.now(), c) {
+		r.unreportedCrashes = append(r.unreportedCrashes, c)
 	}
 }
 
-// IsCulprit reports whether a request crashes upstreams.
-func (r *router) IsCulprit(print uint64) bool {
+// IsCulprit reports whether the request with a fingerprint is held to crash upstreams.
+func (r *router) IsCulprit(fingerprint uint64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.crashBook.IsCulprit(r.now(), print)
+	return r.crashBook.IsCulprit(r.now(), fingerprint)
 }
 
-// Clear tells that a request was answered.
-func (r *router) Clear(print uint64) {
+// Clear removes the suspicion from a request that was answered.
+func (r *router) Clear(fingerprint uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.crashBook.Clear(print)
+	r.crashBook.Clear(fingerprint)
 }
 
-// ApplyReportedLoad takes what an upstream says of its load.
+// ApplyReportedLoad applies the load that an upstream reported.
 func (r *router) ApplyReportedLoad(up site.Upstream, l site.Load) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.service(up.Service).plain.ApplyReportedLoad(r.now(), up.ID, l)
 }
 
-// ExpectedLatency is the time in which an upstream answers as a rule.
+// ExpectedLatency returns the usual time in which an upstream answers.
 func (r *router) ExpectedLatency(up site.Upstream) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/app/edge/plan.go
+++ b/internal/app/edge/plan.go
@@ -15,55 +15,65 @@
 )
 
 const (
-	// planInterval is the pause between two looks for engines without layers.
+	// planInterval is the interval between two rounds of planning.
 	planInterval = 200 * time.Millisecond
-	// listSettleTime is how long the list must be unchanged, and fill how old this
-	// process must be, before a model is placed that no engine holds: after a
-	// start the list fills over three seconds, and a plan for a part of the
-	// engines would have to be undone.
+	// listSettleTime is how long the length of the list must be unchanged before a
+	// model is placed of which no engine holds layers. After a start the list fills
+	// over three seconds, and a plan for a part of the engines would have to be
+	// undone.
 	listSettleTime = 1200 * time.Millisecond
-	minProcessAge  = 3500 * time.Millisecond
-	// moveDelay is how long a move must be due before an engine gives up layers
-	// for others: longer than the list takes to show an engine that was replaced.
-	// An engine that crashed is away for longer than a spare one takes to load its
-	// layers; to wait for it takes its data centre out of service.
+	// minProcessAge is how long this process must have run before it places such a
+	// model, for the same reason.
+	minProcessAge = 3500 * time.Millisecond
+	// moveDelay is how long a move must be due before an engine drops its layers to
+	// load others. It is longer than the list takes to show the replacement of an
+	// engine, but shorter than the absence of a crashed engine: a spare engine loads
+	// the missing layers sooner, and waiting for the crashed one would take its data
+	// centre out of service.
 	moveDelay = 600 * time.Millisecond
 )
 
-// planner places layers on engines while it holds the duty's lease, and on empty ones
-// as long as it can't know whether another instance holds it.
+// planner assigns layers to engines. It sends orders to engines that hold layers only
+// while it holds the planning lease. It sends orders to empty engines also while it
+// can't know whether another instance holds the lease.
 type planner struct {
-	router     *router
-	engines    engineClient
-	lease      *lease.Lease
-	log        *zap.Logger
-	start      time.Time
-	countOrder func(how string)
-	// countPlan counts the plans that were worked out.
+	router  *router
+	engines engineClient
+	lease   *lease.Lease
+	log     *zap.Logger
+	start   time.Time
+	// countOrder counts load orders by outcome.
+	countOrder func(outcome string)
+	// countPlan counts the plans that were computed.
 	countPlan func()
 
-	mu            sync.Mutex
+	mu sync.Mutex
+	// listChangedAt is when listSize last changed.
 	listChangedAt time.Time
 	listSize      int
-	lastOrders    map[spec.UpstreamID]sentOrder
-	// movesDueSince is since when moves of engines that hold layers are due.
+	// lastOrders holds the last load order to each engine.
+	lastOrders map[spec.UpstreamID]sentOrder
+	// movesDueSince is, by service, the time since which engines that hold layers are
+	// due to load others.
 	movesDueSince map[string]time.Time
-	plans         map[string]cachedPlan
-	// averageLoadTime is the time from orders to the list that shows what they brought, the
-	// last ones weigh most; zero while none is known.
+	// plans holds the last plan for each service.
+	plans map[string]cachedPlan
+	// averageLoadTime is a moving average of the time from an order until the list shows
+	// its layers as loaded; zero before the first sample.
 	averageLoadTime time.Duration
 }
 
-// cachedPlan is the orders that were due for engines as they were. They are worked out
-// again only after a change: the search takes longer than the pause between two
-// rounds allows at each of them.
+// cachedPlan holds the orders computed for a model and a state of the engines. They are
+// computed again only after a change: the interval between two rounds is too short for
+// the search to run in each of them.
 type cachedPlan struct {
 	model   *site.Model
 	engines []layout.Engine
 	orders  []layout.Order
 }
 
-// planFor returns the orders for a service; p.mu is held.
+// planFor returns the orders for a service, from the cache if nothing changed; p.mu is
+// held.
 func (p *planner) planFor(name string, v planInput) []layout.Order {
 	last, ok := p.plans[name]
 	if !ok || v.model != last.model || !slices.Equal(v.engines, last.engines) {
@@ -74,7 +84,7 @@
 	return last.orders
 }
 
-// noteListSize notes that the list of upstreams changed.
+// noteListSize records when the length of the list of upstreams changes.
 func (p *planner) noteListSize(list []site.Upstream) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -84,6 +94,7 @@
 	}
 }
 
+// run plans at each interval until ctx ends.
 func (p *planner) run(ctx context.Context) {
 	ticker := time.NewTicker(planInterval)
 	defer ticker.Stop()
@@ -99,7 +110,7 @@
 	}
 }
 
-// issueDueOrders gives the orders that are due.
+// issueDueOrders sends the orders that are due, those of a service at the same time.
 func (p *planner) issueDueOrders(ctx context.Context) {
 	for service, orders := range p.dueOrders(time.Now()) {
 		var group sync.WaitGroup
@@ -110,12 +121,13 @@
 	}
 }
 
-// dueOrders are the orders for each service.
+// dueOrders returns the orders that are due, by service.
 func (p *planner) dueOrders(now time.Time) map[string][]layout.Order {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	out := map[string][]layout.Order{}
-	// Requests wait for the router's lock; they need not wait for the plan.
+	// The router's lock is held only while the inputs are read, so that requests don't
+	// wait for the plan.
 	for name, v := range p.planInputs(now) {
 		if !v.anyLoaded && (now.Sub(p.listChangedAt) < listSettleTime || now.Sub(p.start) < minProcessAge) {
 			continue
@@ -131,50 +143,50 @@
 	return out
 }
 
-// planInput is what a plan for a service is made of.
+// planInput is the input of the plan for a service.
 type planInput struct {
 	model   *site.Model
 	engines []layout.Engine
-	// anyLoaded tells that any engine holds layers.
+	// anyLoaded is set if at least one engine holds layers.
 	anyLoaded bool
 }
 
-// planInputs are those of all services of models; p.mu is held.
+// planInputs returns the inputs for all services that run a model; p.mu is held.
 func (p *planner) planInputs(now time.Time) map[string]planInput {
 	p.router.mu.Lock()
 	defer p.router.mu.Unlock()
 	out := map[string]planInput{}
-	for name, g := range p.router.services {
-		if g.model == nil {
+	for name, svc := range p.router.services {
+		if svc.model == nil {
 			continue
 		}
-		v := planInput{model: g.model.Model}
-		v.engines, v.anyLoaded = p.layoutEngines(g, now)
+		v := planInput{model: svc.model.Model}
+		v.engines, v.anyLoaded = p.layoutEngines(svc, now)
 		out[name] = v
 	}
 	return out
 }
 
-// delayMoves leaves out orders for engines that hold layers until they have been
-// due for a while: an engine that crashed comes back after some seconds and
-// gets its layers again, and one that this instance alone cannot reach is not
-// missing. Without the lease none of them is moved: where the store is out of reach
-// for all, nobody would learn what it holds then.
+// delayMoves drops the orders for engines that hold layers until they have been due for
+// moveDelay: a crashed engine is back after some seconds and gets its layers again, and
+// an engine that only this instance can't reach is not missing. Without the lease no such
+// engine is moved: if the store is unreachable for all instances, none of them would
+// learn which layers the engine holds afterwards.
 func (p *planner) delayMoves(name string, engines []layout.Engine, orders []layout.Order, now time.Time) []layout.Order {
-	holds := map[spec.UpstreamID]bool{}
+	hasLayers := map[spec.UpstreamID]bool{}
 	for _, e := range engines {
-		holds[e.ID] = e.Held.Len() > 0
+		hasLayers[e.ID] = e.Held.Len() > 0
 	}
 	var out []layout.Order
-	moves := false
+	movesDue := false
 	for _, o := range orders {
-		moves = moves || holds[o.ID]
-		if !holds[o.ID] {
+		movesDue = movesDue || hasLayers[o.ID]
+		if !hasLayers[o.ID] {
 			out = append(out, o)
 		}
 	}
 	switch {
-	case !moves:
+	case !movesDue:
 		delete(p.movesDueSince, name)
 	case p.movesDueSince[name].IsZero():
 		p.movesDueSince[name] = now
@@ -184,12 +196,12 @@
 	return out
 }
 
-// layoutEngines are the engines of a group for the plan. One that was ordered
-// lately counts as if it held what it was told.
-func (p *planner) layoutEngines(g *serviceState, now time.Time) (out []layout.Engine, held bool) {
-	for _, up := range g.model.Engines() {
-		card, ok := g.model.Model.Card(up.Card)
-		if !ok || up.State != site.StateReady || g.model.DeadOrUnlisted(up.ID) {
+// layoutEngines returns the usable engines of a service as input for a plan. An engine
+// with a recent order counts as if it held the ordered layers.
+func (p *planner) layoutEngines(svc *serviceState, now time.Time) (out []layout.Engine, anyLoaded bool) {
+	for _, up := range svc.model.Engines() {
+		card, ok := svc.model.Model.Card(up.Card)
+		if !ok || up.State != site.StateReady || svc.model.DeadOrUnlisted(up.ID) {
 			continue
 		}
 		e := layout.Engine{ID: up.ID, Centre: up.Centre, Card: card, Held: up.Held.Layers}
@@ -201,8 +213,8 @@
 				p.recordLoadTime(now.Sub(o.sentAt))
 			}
 		}
-		held = held || e.Held.Len() > 0
+		anyLoaded = anyLoaded || e.Held.Len() > 0
 		out = append(out, e)
 	}
-	return out, held
+	return out, anyLoaded
 }
--- a/internal/app/edge/probe.go
+++ b/internal/app/edge/probe.go
@@ -13,59 +13,60 @@
 	"go.uber.org/zap"
 )
 
-// probe is a question to an engine that may be dead.
+// probe is a running check of an engine that may be dead.
 type probe struct {
 	up site.Upstream
-	// confirmed is closed when there is more against the engine than its silence
-	// to a question: many of its streams are silent, or others found it dead.
+	// confirmed is closed once there is other evidence against the engine than a missing
+	// answer: many of its streams are stalled, or other instances found it dead.
 	confirmed chan struct{}
 	once      sync.Once
 }
 
-func (q *probe) confirm() { q.once.Do(func() { close(q.confirmed) }) }
+// confirm records that there is other evidence against the engine.
+func (p *probe) confirm() { p.once.Do(func() { close(p.confirmed) }) }
 
-func (q *probe) isConfirmed() bool {
+func (p *probe) isConfirmed() bool {
 	select {
-	case <-q.confirmed:
+	case <-p.confirmed:
 		return true
 	default:
 		return false
 	}
 }
 
-// startProbe finds out in the background whether an engine lives. confirmed tells that
-// there is more against it than a missing answer would be.
+// startProbe checks in the background whether an engine is alive. confirmed tells that
+// there is other evidence against it. An engine has one probe at a time.
 func (w *watcher) startProbe(ctx context.Context, up site.Upstream, confirmed bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	q := w.probes[up.ID]
-	if q == nil {
-		q = &probe{up: up, confirmed: make(chan struct{})}
-		w.probes[up.ID] = q
+	p := w.probes[up.ID]
+	if p == nil {
+		p = &probe{up: up, confirmed: make(chan struct{})}
+		w.probes[up.ID] = p
 		go func() {
 			defer func() {
 				w.mu.Lock()
 				defer w.mu.Unlock()
 				delete(w.probes, up.ID)
 			}()
-			w.runProbe(ctx, q)
+			w.runProbe(ctx, p)
 		}()
 	}
 	if confirmed {
-		q.confirm()
+		p.confirm()
 	}
 }
 
-// runProbe asks an engine and takes its runs elsewhere if it is dead.
-func (w *watcher) runProbe(ctx context.Context, q *probe) {
-	up := q.up
+// runProbe requests a report from an engine and declares the engine dead if none comes.
+func (w *watcher) runProbe(ctx context.Context, p *probe) {
+	up := p.up
 	if !feed.Sleep(ctx, w.probeDelay()) || w.router.IsDead(up.Service, up.ID) {
 		return
 	}
 	start := time.Now()
 	report, late, err := w.fetchReport(ctx, up, probeTimeout)
-	if late && (!q.isConfirmed() || w.isBusy()) {
-		report, err = w.retryReport(ctx, q)
+	if late && (!p.isConfirmed() || w.isBusy()) {
+		report, err = w.retryReport(ctx, p)
 	}
 	if ctx.Err() != nil {
 		return
@@ -78,7 +79,7 @@
 		return
 	}
 	evidence := "silence"
-	if q.isConfirmed() {
+	if p.isConfirmed() {
 		evidence = "silence of many"
 	}
 	if w.declareDead(ctx, up, evidence, time.Since(start), err) {
@@ -86,41 +87,42 @@
 	}
 }
 
-// declareDead marks an engine as dead and takes the runs off it; false if it was marked.
+// declareDead marks an engine as dead and starts to evacuate its runs. It returns false
+// if the engine was not marked: it was dead already or is another one by now.
 func (w *watcher) declareDead(ctx context.Context, up site.Upstream, evidence string, after time.Duration, err error) bool {
 	if !w.router.markDead(up) {
 		return false
 	}
 	w.log.Warn("edge: engine does not answer", zap.String("engine", string(up.ID)), zap.String("address", up.Address),
 		zap.String("evidence", evidence), zap.Duration("after", after), zap.Error(err))
-	// The engine must be asked again meanwhile: it may come back.
+	// Runs in the background, as the engine must be probed meanwhile: it may recover.
 	go w.evacuate(ctx, up)
 	return true
 }
 
-// retryReport gives an engine that did not answer more time, unless evidence comes
-// meanwhile and this process gets the processor in time: streams of a dead engine
-// must not wait for the second question once others have found it.
-func (w *watcher) retryReport(ctx context.Context, q *probe) (site.Report, error) {
+// retryReport requests a second report with more time from an engine that did not answer.
+// If this process is not short of CPU time, it stops as soon as the death is confirmed by
+// other evidence: streams of a dead engine must not wait for the second answer then.
+func (w *watcher) retryReport(ctx context.Context, p *probe) (site.Report, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	if !w.isBusy() {
-		stop := make(chan struct{})
-		defer close(stop)
+		done := make(chan struct{})
+		defer close(done)
 		go func() {
 			select {
-			case <-q.confirmed:
+			case <-p.confirmed:
 				cancel()
-			case <-stop:
+			case <-done:
 			}
 		}()
 	}
-	report, _, err := w.fetchReport(ctx, q.up, probeRetryTimeout+w.connectQueueTime())
+	report, _, err := w.fetchReport(ctx, p.up, probeRetryTimeout+w.connectQueueTime())
 	return report, err
 }
 
-// fetchReport asks an engine how it is; late tells that it did not answer in the time
-// that this process could have heard it.
+// fetchReport requests a report from an engine. late tells that no answer came in limit,
+// not counting the time in which this process was paused.
 func (w *watcher) fetchReport(ctx context.Context, up site.Upstream, limit time.Duration) (r site.Report, late bool, err error) {
 	ctx, cancel := w.withRunningTimeout(ctx, limit)
 	defer cancel()
@@ -129,12 +131,12 @@
 	return r, errors.Is(context.Cause(ctx), errNoAnswer), err
 }
 
-// errNoAnswer is the cause of a question that ended without an answer.
+// errNoAnswer is the cancellation cause of a report request that timed out.
 var errNoAnswer = errors.New("edge: no answer in time")
 
-// withRunningTimeout returns a context that ends after a time in which this process ran. A
-// timer alone is over at the end of a pause, before an answer that came meanwhile
-// is read, and healthy engines seemed dead.
+// withRunningTimeout returns a context with a timeout that counts only the time in which
+// this process ran. A plain timer expires at the end of a process pause, before an answer
+// that arrived during the pause is read, so that healthy engines seem dead.
 func (w *watcher) withRunningTimeout(ctx context.Context, limit time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	start := time.Now()
@@ -157,33 +159,33 @@
 	}
 }
 
-// isBusy reports whether this process got the processor late just now.
+// isBusy reports whether this process was recently short of CPU time.
 func (w *watcher) isBusy() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return time.Since(w.lastBusy) < busyDuration
 }
 
-// avoidSuspect gives an engine nothing new for a moment and reports whether streams
-// pass it.
+// avoidSuspect keeps new runs off an engine for suspectCooldown. It returns the row of
+// the engine and whether runs of this instance use it.
 func (r *router) avoidSuspect(id spec.UpstreamID) (up site.Upstream, used bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, g := range r.services {
-		if g.model == nil {
+	for _, svc := range r.services {
+		if svc.model == nil {
 			continue
 		}
 		var ok bool
-		if up, ok = g.model.Upstream(id); !ok || g.model.ListedDead(id) {
+		if up, ok = svc.model.Upstream(id); !ok || svc.model.ListedDead(id) {
 			continue
 		}
-		g.model.StartCooldown(id, r.now()+suspectCooldown)
-		return up, len(g.runsThrough(id)) > 0
+		svc.model.StartCooldown(id, r.now()+suspectCooldown)
+		return up, len(svc.runsThrough(id)) > 0
 	}
 	return up, false
 }
 
-// probeStallCauses asks the engines for which others wait.
+// probeStallCauses probes the engines for which stalled streams of other engines wait.
 func (w *watcher) probeStallCauses(service string, stalled []site.StalledRequest) {
 	seen := map[string]bool{}
 	for _, s := range stalled {
@@ -201,27 +203,29 @@
 func (r *router) engineAt(service, address string) (site.Upstream, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if g := r.service(service); g.model != nil {
-		return g.model.UpstreamAt(address)
+	if svc := r.service(service); svc.model != nil {
+		return svc.model.UpstreamAt(address)
 	}
 	return site.Upstream{}, false
 }
 
-// applyReport takes a report; false if it is not that of the engine that is listed.
+// applyReport applies the report of an engine. It returns false if the report is not from
+// the listed engine process.
 func (r *router) applyReport(up site.Upstream, report site.Report) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	g := r.service(up.Service)
-	return g.model == nil || g.model.ApplyReport(r.now(), up.ID, report)
+	svc := r.service(up.Service)
+	return svc.model == nil || svc.model.ApplyReport(r.now(), up.ID, report)
 }
 
-// markDead marks an engine as dead; false if it was, or is another one by now.
+// markDead marks an engine as dead. It returns false if it was dead already or is another
+// process by now.
 func (r *router) markDead(up site.Upstream) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	g := r.service(up.Service)
-	if g.model == nil {
+	svc := r.service(up.Service)
+	if svc.model == nil {
 		return false
 	}
-	return g.model.MarkDead(up.ID, up.Born)
+	return svc.model.MarkDead(up.ID, up.Born)
 }
--- a/internal/app/edge/queue.go
+++ b/internal/app/edge/queue.go
@@ -13,48 +13,48 @@
 )
 
 const (
-	// noEngineWaitDivisor is the part of a route's target for which a request waits where
-	// layers have no engine: those that are doubted are known in that time, and
-	// loading takes longer than any target.
+	// noEngineWaitDivisor limits the wait of a request whose layers have no engine to a
+	// fraction of its route's target latency. Suspect engines are confirmed dead or
+	// alive within that time, and loading layers takes longer than any target.
 	noEngineWaitDivisor = 8
-	// maxAdmitTries is how many waiting requests look for room at each chance: a large
-	// one must not keep out smaller ones behind it, and each look holds the router's
-	// lock.
+	// maxAdmitTries is how many waiting requests may fail to find a path in one call of
+	// admit. A large request must not block smaller ones behind it, but each search
+	// holds the router's lock.
 	maxAdmitTries = 4
-	// initialFirstLatency is the time to the first event that is assumed before one came,
-	// firstWeight that of the newest in the average.
+	// initialFirstLatency is the first-event latency assumed before one was observed.
 	initialFirstLatency = 100 * time.Millisecond
-	firstLatencyWeight  = 0.1
-	// resumedUrgency is the urgency of answers that were broken off, before all others:
-	// their callers leave after two seconds without an event, while one who
-	// waits for the first event has 0.4 s before it is late.
+	// firstLatencyWeight is the weight of the newest sample in the moving average.
+	firstLatencyWeight = 0.1
+	// resumedUrgency ranks interrupted answers before all other requests. Their callers
+	// leave after two seconds without an event, while a caller that waits for its
+	// first event has 0.4 s before the answer is late.
 	resumedUrgency = -1
 )
 
-// waiter is a request in the queue.
+// waiter is a request that waits in the queue.
 type waiter struct {
 	call *relay.Call
-	// hasPartialAnswer tells that the caller has a part of the answer.
+	// hasPartialAnswer is set if the caller has a part of the answer.
 	hasPartialAnswer bool
 	avoid            []spec.UpstreamID
-	// lastErr is what kept it from room when it last looked.
+	// lastErr is why the last search for a path failed.
 	lastErr error
-	// result takes the run, or why there is none; it has room for one.
+	// result receives the run or the error, once; its buffer holds one value.
 	result chan admission
 }
 
-// admission is what a request in the queue gets.
+// admission is the outcome of waiting: a run or an error.
 type admission struct {
 	run *relay.Run
 	err error
 }
 
-// StartRun chooses a path for a request without the engines to avoid and counts a
-// run in. It waits for room while the answer can begin in time.
+// StartRun chooses a path without the engines to avoid and registers a run on it.
+// It waits for capacity as long as the answer can still begin in time.
 func (r *router) StartRun(ctx context.Context, c *relay.Call, how relay.RunKind, avoid []spec.UpstreamID) (*relay.Run, error) {
-	w, t, flight, err := r.startOrQueue(c, how, avoid)
+	w, t, run, err := r.startOrQueue(c, how, avoid)
 	if w == nil {
-		return flight, err
+		return run, err
 	}
 	select {
 	case e := <-w.result:
@@ -63,9 +63,9 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	g := r.service(c.Service.Name)
-	g.queue.Leave(t)
-	delete(g.waiters, t)
+	svc := r.service(c.Service.Name)
+	svc.queue.Leave(t)
+	delete(svc.waiters, t)
 	select {
 	case e := <-w.result:
 		return e.run, e.err
@@ -74,48 +74,50 @@
 	}
 }
 
-// startOrQueue looks for a path, or adds the request to the queue.
+// startOrQueue starts a run at once or, if there is no capacity, adds the request to
+// the queue. The waiter is nil if the request was not queued.
 func (r *router) startOrQueue(c *relay.Call, how relay.RunKind, avoid []spec.UpstreamID) (*waiter, *queue.Ticket, *relay.Run, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	g := r.service(c.Service.Name)
-	if g.model == nil {
+	svc := r.service(c.Service.Name)
+	if svc.model == nil {
 		return nil, nil, nil, path.ErrNoPath
 	}
 	now := r.now()
 	w := &waiter{call: c, hasPartialAnswer: how == relay.RunResume, avoid: avoid, lastErr: path.ErrNoMemory, result: make(chan admission, 1)}
-	if g.queue.Len() == 0 || w.hasPartialAnswer {
-		if f, ok := r.tryStart(g, w); ok {
-			return nil, nil, f, nil
+	if svc.queue.Len() == 0 || w.hasPartialAnswer {
+		if run, ok := r.tryStart(svc, w); ok {
+			return nil, nil, run, nil
 		}
 	}
-	t := &queue.Ticket{Team: c.Team, Urgency: c.Urgency, Deadline: r.waitDeadline(g, c, how, w.lastErr)}
+	t := &queue.Ticket{Team: c.Team, Urgency: c.Urgency, Deadline: r.waitDeadline(svc, c, how, w.lastErr)}
 	if w.hasPartialAnswer {
 		t.Urgency = resumedUrgency
 	}
-	if !g.queue.Join(now, t, g.teams.InFlight) {
+	if !svc.queue.Join(now, t, svc.teams.InFlight) {
 		return nil, nil, nil, w.lastErr
 	}
-	g.waiters[t] = w
+	svc.waiters[t] = w
 	return w, t, nil, nil
 }
 
-// tryStart looks for a path for one who waits.
-func (r *router) tryStart(g *serviceState, w *waiter) (*relay.Run, bool) {
-	f, err := r.startRun(g, w.call, w.hasPartialAnswer, w.avoid)
+// tryStart searches a path for a waiting request and starts a run on it.
+func (r *router) tryStart(svc *serviceState, w *waiter) (*relay.Run, bool) {
+	run, err := r.startRun(svc, w.call, w.hasPartialAnswer, w.avoid)
 	if err != nil && w.hasPartialAnswer && len(w.avoid) > 0 {
-		// An answer that began is worth a try on any engine.
+		// A partly delivered answer is worth an attempt on any engine.
 		w.avoid = nil
-		f, err = r.startRun(g, w.call, w.hasPartialAnswer, nil)
+		run, err = r.startRun(svc, w.call, w.hasPartialAnswer, nil)
 	}
 	w.lastErr = err
-	return f, err == nil
+	return run, err == nil
 }
 
-// waitDeadline is when a request that waits could no longer be answered in time. One
-// that ran before may have run, so that its caller cannot come back, and one of
-// which its caller has a part is worth all the time that there is.
-func (r *router) waitDeadline(g *serviceState, c *relay.Call, how relay.RunKind, err error) time.Duration {
+// waitDeadline returns the time after which a waiting request could no longer be
+// answered in time. A retry gets the whole target again: an earlier attempt may have
+// run, so its caller can't send the request again. A resumed answer waits until the
+// deadline of its caller, as the caller already has a part of it.
+func (r *router) waitDeadline(svc *serviceState, c *relay.Call, how relay.RunKind, err error) time.Duration {
 	now := r.now()
 	target := c.Route.TargetLatency
 	switch {
@@ -126,62 +128,63 @@
 	case how == relay.RunRetry:
 		return now + target
 	}
-	return now - time.Since(c.Start) + target - g.firstLatency
+	return now - time.Since(c.Start) + target - svc.firstLatency
 }
 
-// admit gives room that came up to those who wait, and turns away who is not
-// served in time any more; r.mu is held.
-func (r *router) admit(g *serviceState) {
+// admit starts waiting requests for which capacity became free, and rejects those that
+// can no longer be served in time; r.mu is held.
+func (r *router) admit(svc *serviceState) {
 	failed := 0
-	for _, t := range g.queue.Ordered(g.teams.InFlight) {
-		w := g.waiters[t]
-		if f, ok := r.tryStart(g, w); ok {
-			g.resolve(t, admission{run: f})
+	for _, t := range svc.queue.Ordered(svc.teams.InFlight) {
+		w := svc.waiters[t]
+		if run, ok := r.tryStart(svc, w); ok {
+			svc.resolve(t, admission{run: run})
 			continue
 		}
 		if failed++; failed == maxAdmitTries {
 			break
 		}
 	}
-	for _, t := range g.queue.RemoveExpired(r.now(), g.teams.InFlight) {
-		g.resolve(t, admission{err: g.waiters[t].lastErr})
+	for _, t := range svc.queue.RemoveExpired(r.now(), svc.teams.InFlight) {
+		svc.resolve(t, admission{err: svc.waiters[t].lastErr})
 	}
 }
 
-func (g *serviceState) resolve(t *queue.Ticket, e admission) {
-	w := g.waiters[t]
-	g.queue.Leave(t)
-	delete(g.waiters, t)
+// resolve removes a ticket from the queue and delivers its outcome; r.mu is held.
+func (svc *serviceState) resolve(t *queue.Ticket, e admission) {
+	w := svc.waiters[t]
+	svc.queue.Leave(t)
+	delete(svc.waiters, t)
 	w.result <- e
 }
 
-// admitAll looks for room for those who wait: what other instances' requests
-// took may have become free.
+// admitAll calls admit for each service with waiting requests: capacity that requests
+// of other instances used may have become free.
 func (r *router) admitAll() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, g := range r.services {
-		if g.queue.Len() > 0 {
-			r.admit(g)
+	for _, svc := range r.services {
+		if svc.queue.Len() > 0 {
+			r.admit(svc)
 		}
 	}
 }
 
-// RetryAfter is after how long the caller of a request that is turned away should
-// come back.
+// RetryAfter returns how long the caller of a rejected request should wait before it
+// retries.
 func (r *router) RetryAfter(c *relay.Call) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.service(c.Service.Name).queue.RetryAfter(r.now(), time.Until(c.Deadline))
 }
 
-// scarcestLayer is the layer of a service behind which there is least room, and the
-// tokens that are free there.
+// scarcestLayer returns the layer of a service with the least free KV memory, and the
+// tokens that fit there.
 func (r *router) scarcestLayer(service string) (layer, free int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if g := r.service(service); g.model != nil {
-		_, layer, free = g.model.ScarcestLayer(r.now())
+	if svc := r.service(service); svc.model != nil {
+		_, layer, free = svc.model.ScarcestLayer(r.now())
 	}
 	return layer, free
 }
--- a/internal/app/edge/router.go
+++ b/internal/app/edge/router.go
@@ -19,132 +19,140 @@
 	"fulmarwick/internal/wire/relay"
 )
 
-// serviceState is a service and what is known of its upstreams.
+// serviceState holds the upstreams of a service and the routing state of its
+// requests.
 type serviceState struct {
 	name      string
 	upstreams []site.Upstream
 	plain     ewma.Balancer
 	model     *path.Table
-	// answerLengths is how long answers get against what callers guess.
+	// answerLengths estimates the lengths of answers from the hints of callers
+	// and the lengths observed.
 	answerLengths length.Estimator
 	retryBudget   resend.Budget
-	// runs are the runs of model requests.
+	// runs holds the active runs of model requests.
 	runs  map[*relay.Run]*runState
 	teams share.Teams
-	// queue is the requests that wait for room, with their waiters; first is the
-	// usual time to the first event.
-	queue        queue.Queue
-	waiters      map[*queue.Ticket]*waiter
+	// queue holds the requests that wait for capacity.
+	queue queue.Queue
+	// waiters maps the tickets in queue to their requests.
+	waiters map[*queue.Ticket]*waiter
+	// firstLatency is a moving average of the first-event latency.
 	firstLatency time.Duration
-	// lostAnswers are plain requests whose answers were lost lately.
+	// lostAnswers holds plain requests whose answers were lost recently.
 	lostAnswers []lostAnswer
 }
 
-// router is the tables of all services. It gives the relays their upstreams.
+// router holds the routing state of all services. It selects upstreams and paths
+// for the relays.
 type router struct {
 	centre spec.DataCentre
-	// instanceCount is how many instances there are, sharing how many may share the bound
-	// on repeats.
-	instanceCount      func() int
+	// instanceCount returns the number of instances.
+	instanceCount func() int
+	// retryBudgetSharers returns how many instances may share the retry budget.
 	retryBudgetSharers func() int
 	start              time.Time
-	// onSuspect is told of engines that may be dead, isDead asks one that seemed dead
-	// once more.
+	// onSuspect is called for each engine that may be dead.
 	onSuspect func(site.Upstream)
-	isDead    func(context.Context, site.Upstream) bool
+	// isDead probes a suspect engine again and reports whether it is dead.
+	isDead func(context.Context, site.Upstream) bool
 
 	mu          sync.Mutex
 	retryBounds setup.Retry
 	services    map[string]*serviceState
-	// peerRetries is how often requests of other instances were sent.
+	// peerRetries holds the retry usage that each other instance reported.
 	peerRetries map[spec.InstanceID]peerRetryReport
 	crashBook   crash.Tracker
-	// unreportedCrashes are upstreams that died here with the requests that they ran, for
-	// the other instances.
+	// unreportedCrashes holds crashes seen by this instance, each with the request
+	// that the upstream ran, that were not yet sent to the other instances.
 	unreportedCrashes []crash.Event
 }
 
 func (r *router) now() time.Duration { return time.Since(r.start) }
 
+// service returns the state of a service and creates it if needed; r.mu is held.
 func (r *router) service(name string) *serviceState {
-	g := r.services[name]
-	if g == nil {
-		g = &serviceState{name: name, runs: map[*relay.Run]*runState{}, waiters: map[*queue.Ticket]*waiter{}, firstLatency: initialFirstLatency}
-		g.plain.DataCentre = r.centre
-		g.setRetryBounds(r.retryBounds)
-		r.services[name] = g
+	svc := r.services[name]
+	if svc == nil {
+		svc = &serviceState{name: name, runs: map[*relay.Run]*runState{}, waiters: map[*queue.Ticket]*waiter{}, firstLatency: initialFirstLatency}
+		svc.plain.DataCentre = r.centre
+		svc.setRetryBounds(r.retryBounds)
+		r.services[name] = svc
 	}
-	return g
+	return svc
 }
 
-// setRetryBounds sets how often requests of the service may be sent again.
-func (g *serviceState) setRetryBounds(b setup.Retry) {
-	if g.retryBudget.Window != b.Window {
-		g.retryBudget = resend.Budget{}
+// setRetryBounds sets the limits of the service's retry budget.
+func (svc *serviceState) setRetryBounds(b setup.Retry) {
+	if svc.retryBudget.Window != b.Window {
+		svc.retryBudget = resend.Budget{}
 	}
-	g.retryBudget.Ratio, g.retryBudget.Allowance, g.retryBudget.Window, g.retryBudget.RampUp = b.Ratio, b.Allowance, b.Window, b.Window
+	svc.retryBudget.Ratio, svc.retryBudget.Allowance, svc.retryBudget.Window, svc.retryBudget.RampUp = b.Ratio, b.Allowance, b.Window, b.Window
 }
 
+// setRetryBounds sets the limits of the retry budgets of all services.
 func (r *router) setRetryBounds(b setup.Retry) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.retryBounds = b
-	for _, g := range r.services {
-		g.setRetryBounds(b)
+	for _, svc := range r.services {
+		svc.setRetryBounds(b)
 	}
 }
 
-// setConfig takes the services in force.
+// setConfig applies the services of a configuration.
 func (r *router) setConfig(c *site.Config) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, s := range c.Services {
-		g := r.service(s.Name)
+		svc := r.service(s.Name)
 		if s.Model == nil {
 			continue
 		}
-		if g.model == nil {
-			g.model = &path.Table{Centre: r.centre, Random: rand.Float64, PeerCount: func() int { return r.retryBudgetSharers() - 1 }}
+		if svc.model == nil {
+			svc.model = &path.Table{Centre: r.centre, Random: rand.Float64, PeerCount: func() int { return r.retryBudgetSharers() - 1 }}
 		}
-		if s.Model.Equal(g.model.Model) {
-			// Most changes touch no model. A new one has all layers planned anew, which
-			// takes the processor from all streams of the instance that places them.
+		if s.Model.Equal(svc.model.Model) {
+			// Most changes don't affect the model. A new model makes the planner place
+			// all layers again, which takes CPU time from all streams of the instance
+			// that plans.
 			continue
 		}
-		g.model.Model = s.Model
-		g.model.Sync(g.upstreams)
+		svc.model.Model = s.Model
+		svc.model.Sync(svc.upstreams)
 	}
 }
 
-// setList takes the upstreams.
+// setList replaces the upstreams of all services.
 func (r *router) setList(list []site.Upstream) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	by := map[string][]site.Upstream{}
+	byService := map[string][]site.Upstream{}
 	for _, u := range list {
-		by[u.Service] = append(by[u.Service], u)
+		byService[u.Service] = append(byService[u.Service], u)
 	}
-	for name := range by {
+	for name := range byService {
 		r.service(name)
 	}
-	for name, g := range r.services {
-		g.upstreams = by[name]
-		if g.model != nil {
-			g.model.Sync(g.upstreams)
+	for name, svc := range r.services {
+		svc.upstreams = byService[name]
+		if svc.model != nil {
+			svc.model.Sync(svc.upstreams)
 			continue
 		}
-		g.plain.SetUpstreams(g.upstreams)
+		svc.plain.SetUpstreams(svc.upstreams)
 	}
 }
 
-// RecordRequest counts a request.
+// RecordRequest counts a first attempt in the retry budget of a service.
 func (r *router) RecordRequest(service string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.service(service).retryBudget.RecordRequest(r.now())
 }
 
-// AllowRetry reports whether a request may be sent once more.
+// AllowRetry reports whether the retry budget permits sending a request again, and
+// if so, takes the retry from it.
 func (r *router) AllowRetry(service string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- /dev/null
+++ b/internal/app/edge/runs.go
@@ -0,0 +1,207 @@
+package edge
+
+import (
+	"context"
+	"slices"
+	"time"
+
+	"fulmarwick/internal/base/site"
+	"fulmarwick/internal/base/spec"
+	"fulmarwick/internal/route/path"
+	"fulmarwick/internal/route/share"
+	"fulmarwick/internal/wire/relay"
+)
+
+// runState holds how a run is currently counted in the table of engines.
+type runState struct {
+	team               string
+	chain              spec.Chain
+	awaitingFirstEvent bool
+	// rereading holds the stages that read the tokens so far again after a change of
+	// path at movedAt. It is cleared by the next event, which shows that they are
+	// done.
+	rereading spec.Chain
+	// movedAt is the time of the last change of path.
+	movedAt time.Time
+}
+
+// estimateDemand returns the estimated token demand of a model request of a class.
+func (svc *serviceState) estimateDemand(class string, header site.RequestHeader) path.Demand {
+	m := svc.model.Model
+	demand := path.Demand{Prompt: header.PromptTokens, Answer: header.MaxTokens}
+	if demand.Prompt == 0 {
+		demand.Prompt = m.TypicalPrompt
+	}
+	if header.LengthHint > 0 && (header.MaxTokens == 0 || header.LengthHint < header.MaxTokens) {
+		demand.Answer = header.LengthHint
+	}
+	if demand.Answer == 0 {
+		demand.Answer = m.TypicalAnswer
+	}
+	demand.MeanTokens, demand.TokenVariance = svc.answerLengths.HeldTokens(class, demand.Prompt, demand.Answer, header.MaxTokens)
+	return demand
+}
+
+// startRun chooses a path and registers a run on it. resumed tells that the caller has
+// a part of the answer already. r.mu is held.
+func (r *router) startRun(svc *serviceState, c *relay.Call, resumed bool, avoid []spec.UpstreamID) (*relay.Run, error) {
+	if !resumed && svc.queue.IsStalled(r.now()) && !svc.teams.Allow(c.Team, func() float64 { return svc.model.MaxUtilization(r.now()) }) {
+		return nil, share.ErrReserved
+	}
+	demand := svc.estimateDemand(c.Route.Name, c.ParsedHeader)
+	demand.Resumed = resumed
+	chain, err := svc.model.Choose(r.now(), demand, avoidFilter(avoid))
+	if err != nil {
+		return nil, err
+	}
+	run := relay.NewRun(chain, svc.model.Hops(chain))
+	run.Service, run.Route, run.Demand = svc.name, c.Route.Name, demand
+	run.Resumable, run.Fingerprint = c.Route.Resumable, c.Fingerprint()
+	svc.model.Begin(chain, demand)
+	svc.model.RecordTransfer(r.now(), chain, demand)
+	svc.runs[run] = &runState{team: c.Team, chain: chain, awaitingFirstEvent: true}
+	svc.teams.Begin(c.Team)
+	return run, nil
+}
+
+// avoidFilter matches the engines on which a request failed before, whether as first
+// engine or not: any of them may be the cause.
+func avoidFilter(avoid []spec.UpstreamID) func(spec.UpstreamID) bool {
+	if len(avoid) == 0 {
+		return nil
+	}
+	return func(id spec.UpstreamID) bool { return slices.Contains(avoid, id) }
+}
+
+// RecordFirstEvent records that the first event of a run arrived.
+func (r *router) RecordFirstEvent(run *relay.Run) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	svc := r.service(run.Service)
+	if t := svc.runs[run]; t != nil && t.awaitingFirstEvent {
+		t.awaitingFirstEvent = false
+		svc.model.PrefillDone(t.chain, run.Demand)
+		svc.firstLatency += time.Duration(firstLatencyWeight * float64(time.Since(run.Start)-svc.firstLatency))
+	}
+}
+
+// EndRun removes a run that ended; whole tells whether it delivered the whole answer.
+// Waiting requests are admitted to the capacity that it frees.
+func (r *router) EndRun(run *relay.Run, whole bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	svc := r.service(run.Service)
+	if whole {
+		svc.answerLengths.Observe(run.Route, run.Demand.Answer, run.EventCount()*max(1, svc.model.Model.StepsPerPass))
+	}
+	if t := svc.runs[run]; t != nil {
+		delete(svc.runs, run)
+		svc.teams.End(t.team)
+		svc.model.AdjustRetryPrefill(t.rereading, run.Demand, -1)
+		svc.model.End(t.chain, run.Demand, t.awaitingFirstEvent)
+		svc.queue.RecordCompletion(r.now())
+		r.admit(svc)
+	}
+}
+
+// changePath moves the usage of a run to another path; r.mu is held.
+func (svc *serviceState) changePath(run *relay.Run, chain spec.Chain) {
+	t := svc.runs[run]
+	if t == nil {
+		return
+	}
+	svc.model.AdjustRetryPrefill(t.rereading, run.Demand, -1)
+	t.rereading = nil
+	svc.model.End(t.chain, run.Demand, t.awaitingFirstEvent)
+	if !t.awaitingFirstEvent {
+		t.rereading, t.movedAt = stagesNotIn(chain, t.chain), time.Now()
+	}
+	t.chain = chain
+	svc.model.Begin(chain, run.Demand)
+	if !t.awaitingFirstEvent {
+		svc.model.PrefillDone(chain, run.Demand)
+	}
+	svc.model.AdjustRetryPrefill(t.rereading, run.Demand, 1)
+	run.SetChain(chain, svc.model.Hops(chain))
+}
+
+// stagesNotIn returns the stages of a that are not in b.
+func stagesNotIn(a, b spec.Chain) (out spec.Chain) {
+	for _, s := range a {
+		if !slices.Contains(b, s) {
+			out = append(out, s)
+		}
+	}
+	return out
+}
+
+// finishReread ends the count of repeated prefill once an event arrived after the path
+// of a run changed.
+func (svc *serviceState) finishReread(run *relay.Run, t *runState) {
+	if len(t.rereading) > 0 && run.LastEvent().After(t.movedAt) {
+		svc.model.AdjustRetryPrefill(t.rereading, run.Demand, -1)
+		t.rereading = nil
+	}
+}
+
+// ReportConnFailure reports an engine that refused or broke a connection as suspect.
+func (r *router) ReportConnFailure(service string, id spec.UpstreamID) {
+	if up, ok := r.upstream(service, id); ok {
+		r.onSuspect(up)
+	}
+}
+
+// upstream returns the row of an engine, or false if it is not listed.
+func (r *router) upstream(service string, id spec.UpstreamID) (site.Upstream, bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if svc := r.service(service); svc.model != nil {
+		return svc.model.Upstream(id)
+	}
+	return site.Upstream{}, false
+}
+
+// RecordRefusal records that an engine refused a run: it is full, leaving, or no
+// longer the same engine. It gets no new runs for a while, and a probe finds out
+// the cause.
+func (r *router) RecordRefusal(run *relay.Run, address string) spec.UpstreamID {
+	r.mu.Lock()
+	svc := r.service(run.Service)
+	id := svc.refusingEngine(run, address)
+	up, ok := svc.model.Upstream(id)
+	svc.model.RecordRefusal(r.now(), id)
+	r.mu.Unlock()
+	if ok {
+		r.onSuspect(up)
+	}
+	return id
+}
+
+// refusingEngine returns the engine of a run's path that refused the run; r.mu is held.
+func (svc *serviceState) refusingEngine(run *relay.Run, address string) spec.UpstreamID {
+	chain, hops := run.Chain()
+	for i, hop := range hops {
+		if hop.Address == address && i < len(chain) {
+			return chain[i].Engine()
+		}
+	}
+	return chain[0].Engine()
+}
+
+// ConfirmExited reports whether the process of an engine has ended. An engine that is
+// not listed can't be probed; it has ended if it broke off its runs.
+func (r *router) ConfirmExited(ctx context.Context, service string, id spec.UpstreamID, brokeOff bool) bool {
+	up, listed := r.upstream(service, id)
+	if brokeOff && (!listed || up.State != site.StateReady) {
+		return true
+	}
+	return listed && r.isDead(ctx, up)
+}
+
+// IsDead reports whether a listed engine was declared dead.
+func (r *router) IsDead(service string, id spec.UpstreamID) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	svc := r.service(service)
+	return svc.model != nil && svc.model.ListedDead(id)
+}
--- a/internal/app/edge/sweep.go
+++ b/internal/app/edge/sweep.go
@@ -7,19 +7,20 @@
 	"fulmarwick/internal/state/feed"
 )
 
-// planLeaseDelay is how long after its start an instance contends for no duty: before it
-// hears others it is the first one for each, and all that start would contend.
+// planLeaseDelay is how long after its start an instance does not contend for the planning
+// lease. Before it receives messages of others it ranks itself first, so all starting
+// instances would contend.
 const planLeaseDelay = 500 * time.Millisecond
 
-// contendForPlanLease contends for the duty of planning while this instance is one of the
-// first two for it, so that the others need not read the lease.
+// contendForPlanLease contends for the planning lease while this instance is among the
+// first maxPlanContenders by rank, so that the others need not read the lease.
 func (i *Instance) contendForPlanLease(ctx context.Context) {
 	if !feed.Sleep(ctx, planLeaseDelay) {
 		return
 	}
 	for {
 		if i.mesh.logic.DutyRank(planLeaseName) < maxPlanContenders {
-			// An error is counted with the call and seen in what is held.
+			// An error is counted with the store call and shows in the state of the lease.
 			_ = i.lease.Step(ctx)
 		} else {
 			i.lease.Release(ctx)
@@ -31,7 +32,8 @@
 	}
 }
 
-// sweep drops what is no longer needed until ctx ends.
+// sweep removes expired upstreams and closes connections to unlisted addresses, at each
+// interval until ctx ends.
 func (i *Instance) sweep(ctx context.Context) {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
@@ -46,13 +48,13 @@
 	}
 }
 
-// upstreamAddresses are those of the upstreams.
+// upstreamAddresses returns the addresses of all listed upstreams.
 func (r *router) upstreamAddresses() map[string]bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out := map[string]bool{}
-	for _, g := range r.services {
-		for _, u := range g.upstreams {
+	for _, svc := range r.services {
+		for _, u := range svc.upstreams {
 			out[u.Address] = true
 		}
 	}
--- a/internal/app/edge/watch.go
+++ b/internal/app/edge/watch.go
@@ -14,104 +14,118 @@
 )
 
 const (
-	// checkInterval is the pause between two looks at the streams.
+	// checkInterval is the interval between two checks of the streams.
 	checkInterval = 10 * time.Millisecond
-	// maxTickDelay is the pause after which this process itself stood still: what
-	// it missed says nothing about engines.
+	// maxTickDelay is the delay of a tick above which this process itself counts as
+	// paused: the events that it missed say nothing about engines.
 	maxTickDelay = 60 * time.Millisecond
-	// probeTimeout is how long an engine may take to answer how it is.
+	// probeTimeout limits the first report request to an engine.
 	probeTimeout = 28 * time.Millisecond
-	// probeRetryTimeout bounds a second question, where the first one alone proves
-	// little: few streams were silent, or this process itself got the processor
-	// late. Without it one death under load has all instances take most engines for
-	// dead, and the moves that follow keep them busy.
+	// probeRetryTimeout limits the second report request, which is sent if the first
+	// timeout proves little: few streams were stalled, or this process itself was short
+	// of CPU time. Without it, the death of one engine under load makes all instances
+	// declare most engines dead, and the moves that follow keep the instances busy.
 	probeRetryTimeout = 90 * time.Millisecond
-	// confirmProbeTimeout is how long an engine that seemed dead may take to answer before a
-	// request may run on one engine more than its attempts allow. One that stays silent
-	// for cutOff is cut off from here.
+	// confirmProbeTimeout limits each report request of the check that must confirm an
+	// engine dead before a request may run on one engine more than its attempts allow.
 	confirmProbeTimeout = 400 * time.Millisecond
-	cutOffAfter         = 1500 * time.Millisecond
-	// maxProbeWallTime bounds a question though this process does not run.
+	// cutOffAfter is how long an engine must be unresponsive to that check to count as
+	// cut off from this instance.
+	cutOffAfter = 1500 * time.Millisecond
+	// maxProbeWallTime limits a report request in wall time, even if this process does
+	// not run meanwhile.
 	maxProbeWallTime = 2 * time.Second
-	// maxConcurrentProbers is how many instances may ask an engine at the same moment: that many
-	// new connections are taken within the time for an answer. Of more, each asks at
-	// some moment of askSpacing times their number, and waits connectTime longer for
-	// each.
-	maxConcurrentProbers   = 40
-	probeSpacing           = 1500 * time.Microsecond
+	// maxConcurrentProbers is how many instances may probe an engine at the same moment:
+	// an engine accepts that many new connections within the time for an answer.
+	maxConcurrentProbers = 40
+	// probeSpacing times the number of instances is the period over which a larger fleet
+	// spreads its probes; each instance picks a random moment in it.
+	probeSpacing = 1500 * time.Microsecond
+	// connectTimePerInstance is how much longer a probe waits for an answer for each
+	// instance above maxConcurrentProbers.
 	connectTimePerInstance = time.Millisecond
-	// minDeadReports is how many instances must have found an engine dead, within
-	// corroboration, for another one to believe it.
-	minDeadReports   = 3
+	// minDeadReports is how many instances of a large fleet must have reported an engine
+	// dead within deadReportWindow before the report counts as confirmed.
+	minDeadReports = 3
+	// deadReportWindow is how long dead reports are counted together.
 	deadReportWindow = time.Second
-	// minStallTime and quietGaps are the silence, at least and in usual pauses, that
-	// bears out what another instance found.
+	// minStallTime is the least time without an event after which a stream confirms a
+	// dead report.
 	minStallTime = 40 * time.Millisecond
+	// minStallGaps is the same in mean inter-event gaps of the stream; the longer time
+	// counts.
 	minStallGaps = 2
-	// busyTickDelay is the delay of a look that shows that the processor is short,
-	// busyTime how long that counts.
+	// busyTickDelay is the delay of a tick above which this process counts as short of
+	// CPU time.
 	busyTickDelay = 12 * time.Millisecond
-	busyDuration  = 250 * time.Millisecond
-	// suspectCooldown is how long an engine gets nothing new that another instance
-	// found dead, until it is known here as well.
+	// busyDuration is how long the process counts as such after a delayed tick.
+	busyDuration = 250 * time.Millisecond
+	// suspectCooldown is how long an engine that another instance reported dead gets no
+	// new runs, until this instance knows whether it is dead.
 	suspectCooldown = 400 * time.Millisecond
-	// repathTimeout bounds the answer to an order for another path.
+	// repathTimeout limits the wait for an engine to accept another path.
 	repathTimeout = 60 * time.Millisecond
-	// lagCheckInterval is the pause between two looks for slow engines, and between two
-	// questions to one that is known to be slow.
+	// lagCheckInterval is the interval between two checks for slow engines, and between
+	// two probes of an engine that is known to be slow.
 	lagCheckInterval = time.Second
-	// laggingFactor is how many times longer than predicted the pauses of a stream
-	// are when it lags: above what reading the prompts of others adds. lagStreams
-	// of an engine, and more than half, must lag before it is asked for its pace.
-	laggingFactor     = 1.9
+	// laggingFactor is how many times longer than predicted the gaps of a stream must be
+	// for it to lag. It is above what the prefill of other requests adds.
+	laggingFactor = 1.9
+	// minLaggingStreams is how many streams of an engine must lag before the engine is
+	// asked for its slowdown factor; they must also be more than half of its streams.
 	minLaggingStreams = 2
-	// lagProbers is how many instances ask the same engine in that time.
+	// lagProbers is how many instances probe the same engine in each lagCheckInterval, on
+	// average.
 	lagProbers = 3.0
-	// minLaggingGap is the least pause between events that counts as lagging: below
-	// it nobody is late.
+	// minLaggingGap is the least inter-event gap that counts as lagging: with shorter gaps
+	// no answer is late.
 	minLaggingGap = 30 * time.Millisecond
-	// leaveDelay is how long the streams of an engine that leaves stay: it goes
-	// on for two seconds at least, and most answers end within one.
+	// leaveDelay is how long the streams of a leaving engine stay on it: it serves for at
+	// least two seconds more, and most answers end within one.
 	leaveDelay = 1200 * time.Millisecond
-	// deadProbeInterval is the pause between questions to engines that are down.
+	// deadProbeInterval is the interval between two probes of dead engines.
 	deadProbeInterval = 500 * time.Millisecond
 )
 
-// engineClient asks engines and gives them orders.
+// engineClient requests reports from engines and sends them orders.
 type engineClient interface {
 	Report(ctx context.Context, address string) (site.Report, error)
 	Order(ctx context.Context, address string, o site.Order) error
 	Repath(ctx context.Context, address string, r site.Repath) error
 }
 
-// watcher notices dead engines from the streams that pass them and takes the
-// streams elsewhere.
+// watcher detects dead engines by the streams that stall on them, and moves the streams to
+// other engines.
 type watcher struct {
 	router  *router
 	engines engineClient
 	log     *zap.Logger
-	// countProbe and moved count questions and paths changed.
+	// countProbe counts report requests.
 	countProbe func()
-	// onDead is told of engines that do not answer.
-	onDead    func(id spec.UpstreamID)
-	countMove func(how string)
-	// countLostTime counts time without processor.
+	// onDead is called for each engine that this instance found dead by a probe.
+	onDead func(id spec.UpstreamID)
+	// countMove counts runs moved off an engine, by the kind of move.
+	countMove func(kind string)
+	// countLostTime adds up the time without CPU.
 	countLostTime func(time.Duration)
 	newTicker     func(every time.Duration) (ticks <-chan time.Time, stop func())
 
-	// clock is the time in which this process could hear engines.
+	// clock tracks the process pauses, in which no event of an engine could be read.
 	clock pause.Detector
 
-	mu             sync.Mutex
-	lastBusy       time.Time
+	mu sync.Mutex
+	// lastBusy is the time of the last tick delayed by more than busyTickDelay.
+	lastBusy time.Time
+	// stallDetectors holds a detector for each service.
 	stallDetectors map[string]*stall.Detector
-	probes         map[spec.UpstreamID]*probe
-	lastDeadProbe  time.Time
-	lastLagCheck   time.Time
-	// deadReports are the engines that other instances found dead.
+	// probes holds the running probes.
+	probes        map[spec.UpstreamID]*probe
+	lastDeadProbe time.Time
+	lastLagCheck  time.Time
+	// deadReports counts, by engine, the recent reports of other instances that found it
+	// dead.
 	deadReports map[spec.UpstreamID]deadReport
-	// leaving are the engines that leave, with the time at which their streams
-	// go on elsewhere.
+	// leaving holds the leaving engines with the time at which their streams move.
 	leaving map[spec.UpstreamID]departure
 }
 
@@ -119,13 +133,13 @@
 	return &watcher{router: r, engines: e, log: log, stallDetectors: map[string]*stall.Detector{}, probes: map[spec.UpstreamID]*probe{}, deadReports: map[spec.UpstreamID]deadReport{}, leaving: map[spec.UpstreamID]departure{}, newTicker: newRealTicker, clock: pause.Detector{TickInterval: checkInterval, MinPause: busyTickDelay}}
 }
 
-// newRealTicker is a ticker of the real clock.
+// newRealTicker returns a ticker of the real clock.
 func newRealTicker(every time.Duration) (ticks <-chan time.Time, stop func()) {
 	t := time.NewTicker(every)
 	return t.C, t.Stop
 }
 
-// run looks until ctx ends.
+// run checks the streams at each tick until ctx ends.
 func (w *watcher) run(ctx context.Context) {
 	ticks, stop := w.newTicker(checkInterval)
 	defer stop()
@@ -150,25 +164,25 @@
 	}
 }
 
-// recordPause counts the time in which this process did not keep up, and tells of pauses
-// that others may notice: an instance that is late is told from engines that are
-// silent by it.
+// recordPause counts the time in which this process did not keep up. It logs pauses long
+// enough to show outside, so that a late instance can be told from unresponsive engines.
 func (w *watcher) recordPause(late time.Duration) {
 	if late > busyTickDelay {
 		w.countLostTime(late)
 	}
 	if late > maxTickDelay {
-		w.log.Warn("edge: process stood still", zap.Duration("late", late))
+		w.log.Warn("edge: process was paused", zap.Duration("late", late))
 	}
 }
 
+// check runs the periodic checks: for stalled streams, leaving, dead and slow engines.
 func (w *watcher) check(ctx context.Context, now time.Time) {
 	w.router.admitAll()
 	for _, s := range w.findSuspects(now) {
 		w.startProbe(ctx, s.up, s.manyStreams && !w.isLargeFleet())
 	}
 	for _, up := range w.dueDepartures(now) {
-		// Orders for other paths wait for answers; the next look must not.
+		// Path changes wait for the answers of engines; the next check must not wait.
 		go w.evacuate(ctx, up)
 	}
 	if now.Sub(w.lastDeadProbe) >= deadProbeInterval {
@@ -193,23 +207,23 @@
 	manyStreams bool
 }
 
-// findSuspects returns the engines that may be dead.
+// findSuspects returns the engines that may be dead because their streams stall.
 func (w *watcher) findSuspects(now time.Time) []suspectEngine {
 	r := w.router
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []suspectEngine
-	for name, g := range r.services {
-		if g.model == nil || len(g.runs) == 0 {
+	for name, svc := range r.services {
+		if svc.model == nil || len(svc.runs) == 0 {
 			continue
 		}
-		watch := w.stallDetectors[name]
-		if watch == nil {
-			watch = &stall.Detector{}
-			w.stallDetectors[name] = watch
+		detector := w.stallDetectors[name]
+		if detector == nil {
+			detector = &stall.Detector{}
+			w.stallDetectors[name] = detector
 		}
-		for _, d := range watch.Check(now.Sub(r.start), w.stallStreams(g, now)) {
-			if up, ok := g.model.Upstream(d.Engine); ok {
+		for _, d := range detector.Check(now.Sub(r.start), w.stallStreams(svc, now)) {
+			if up, ok := svc.model.Upstream(d.Engine); ok {
 				out = append(out, suspectEngine{up: up, manyStreams: d.ManyStreams})
 			}
 		}
@@ -217,45 +231,45 @@
 	return out
 }
 
-// stallStreams are the runs as the search for dead engines sees them. A stream is not
-// silent while this process did not run: its events may wait to be read.
-func (w *watcher) stallStreams(g *serviceState, now time.Time) []stall.Stream {
-	out := make([]stall.Stream, 0, len(g.runs))
-	for f, t := range g.runs {
-		g.finishReread(f, t)
-		if g.passesDead(t.chain) {
-			// Its silence is explained: the other engines of its path wait as well.
+// stallStreams returns the runs of a service as input for stall detection. Process pauses
+// don't count as time without an event: events may wait to be read.
+func (w *watcher) stallStreams(svc *serviceState, now time.Time) []stall.Stream {
+	out := make([]stall.Stream, 0, len(svc.runs))
+	for run, t := range svc.runs {
+		svc.finishReread(run, t)
+		if svc.passesDead(t.chain) {
+			// The dead engine explains the stall: the other engines of the path wait too.
 			continue
 		}
-		last, writing := f.LastEvent(), !t.awaitingFirstEvent
+		last, started := run.LastEvent(), !t.awaitingFirstEvent
 		if last.Before(t.movedAt) {
-			// The engines that are new to the run read all of its tokens first.
-			last, writing = t.movedAt, false
+			// The engines that are new on the path first read all tokens of the run.
+			last, started = t.movedAt, false
 		}
-		heard := last.Sub(w.router.start) + w.clock.PausedBetween(last, now)
-		out = append(out, stall.Stream{Chain: t.chain, LastEvent: heard, Gap: f.MeanEventGap(), Started: writing})
+		lastEvent := last.Sub(w.router.start) + w.clock.PausedBetween(last, now)
+		out = append(out, stall.Stream{Chain: t.chain, LastEvent: lastEvent, Gap: run.MeanEventGap(), Started: started})
 	}
 	return out
 }
 
-// passesDead reports whether a path passes an engine that does not answer.
-func (g *serviceState) passesDead(chain spec.Chain) bool {
+// passesDead reports whether a path contains an engine that is listed and dead.
+func (svc *serviceState) passesDead(chain spec.Chain) bool {
 	for _, stage := range chain {
-		if g.model.ListedDead(stage.Engine()) {
+		if svc.model.ListedDead(stage.Engine()) {
 			return true
 		}
 	}
 	return false
 }
 
-// deadEngines are the engines that do not answer.
+// deadEngines returns the listed engines that are dead.
 func (r *router) deadEngines() []site.Upstream {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []site.Upstream
-	for _, g := range r.services {
-		if g.model != nil {
-			out = append(out, g.model.DeadEngines()...)
+	for _, svc := range r.services {
+		if svc.model != nil {
+			out = append(out, svc.model.DeadEngines()...)
 		}
 	}
 	return out
