--- /dev/null
+++ b/internal/app/edge/evacuate_test.go
@@ -0,0 +1,73 @@
+package edge_test
+
+import (
+	"fmt"
+	"net/http"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"fulmarwick/internal/app/setup"
+	"fulmarwick/platform/stand"
+)
+
+// runStreams runs n streams of 400 events through instance 0 and calls action once all
+// of them are in progress. Each answer must be complete.
+func (f *fixture) runStreams(n int, action func()) {
+	f.t.Helper()
+	done := make(chan callerResponse, n)
+	for k := range n {
+		go func() { done <- f.request(0, http.MethodPost, "/write/1", fmt.Sprintf("long-%d", k), "300,1200") }()
+	}
+	time.Sleep(500 * time.Millisecond)
+	action()
+	for range n {
+		if a := <-done; a.err != nil || a.events != 400 {
+			f.t.Errorf("got %d with %d events (%v), want all 400", a.status, a.events, a.err)
+		}
+	}
+}
+
+// Guards against cutting a stream whose leaving engine still runs it, while no other
+// engine has the free KV memory to continue it.
+func TestLeavingEngineKeepsStreamsWhileOthersLackMemory(t *testing.T) {
+	for name, rejectPaths := range map[string]bool{"other paths accepted": false, "other paths rejected": true} {
+		t.Run(name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				f := newFixture(t, 1)
+				defer f.close()
+				f.runStreams(12, func() {
+					f.site.RejectRuns(true)
+					if rejectPaths {
+						f.site.RejectRepaths()
+					}
+					for range 4 {
+						f.site.DrainEngine(f.busiestReadyEngine())
+						time.Sleep(300 * time.Millisecond)
+					}
+				})
+			})
+		})
+	}
+}
+
+// Guards against giving up a stream whose engine died as soon as another engine rejects
+// it, although capacity becomes free a moment later.
+func TestStreamOfDeadEngineWaitsForCapacity(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		f := newFixtureWithRetry(t, 1, setup.Retry{Ratio: 0, Allowance: 40, Window: 10 * time.Second})
+		defer f.close()
+		f.runStreams(4, func() {
+			f.site.RejectRuns(true)
+			f.site.Crash(f.busiestReadyEngine())
+			time.Sleep(1200 * time.Millisecond)
+			f.site.RejectRuns(false)
+		})
+	})
+}
+
+// busiestReadyEngine returns the engine that is the first stage of the most runs, among
+// the engines that are not leaving.
+func (f *fixture) busiestReadyEngine() *stand.Engine {
+	return f.busiestEngineOf((*stand.Engine).Serving)
+}
--- a/internal/app/edge/fault_test.go
+++ b/internal/app/edge/fault_test.go
@@ -15,20 +15,20 @@
 	"fulmarwick/platform/stand"
 )
 
-// sendStreams sends n streams of 60 events, one every 20 ms, while event happens
-// after half of them. It returns the answers.
-func (w *fixture) sendStreams(n int, event func()) []callerResponse {
+// sendStreams starts n streams of 60 events, one stream every 20 ms, and calls action
+// after half of them have started. It returns all answers.
+func (f *fixture) sendStreams(n int, action func()) []callerResponse {
 	got := make([]callerResponse, n)
 	var callers sync.WaitGroup
 	for k := range n {
 		if k == n/2 {
-			event()
+			action()
 		}
 		callers.Go(func() {
 			id := fmt.Sprintf("f%d", k)
-			got[k] = w.request(k%len(w.instances), http.MethodPost, "/write/1", id, "700,180")
+			got[k] = f.request(k%len(f.instances), http.MethodPost, "/write/1", id, "700,180")
 			if want := wholeAnswer(id, 60); got[k].status != http.StatusOK || got[k].body != want {
-				w.t.Errorf("got %d with %d events (%v) for %s, want 60", got[k].status, got[k].events, got[k].err, id)
+				f.t.Errorf("got %d with %d events (%v) for %s, want 60", got[k].status, got[k].events, got[k].err, id)
 			}
 		})
 		time.Sleep(20 * time.Millisecond)
@@ -37,114 +37,120 @@
 	return got
 }
 
-// countLongGaps is how many answers paused for longer than a time.
-func countLongGaps(all []callerResponse, most time.Duration) int {
+// countLongGaps returns how many answers had a pause between events longer than limit.
+func countLongGaps(all []callerResponse, limit time.Duration) int {
 	n := 0
 	for _, a := range all {
-		if a.longestGap > most {
+		if a.longestGap > limit {
 			n++
 		}
 	}
 	return n
 }
 
-// runLongStream runs a stream of 600 events, named long, and lets event happen several
-// times while it is answered: each time half a second on, with a rest after it.
-func (w *fixture) runLongStream(times int, rest time.Duration, event func(n int)) callerResponse {
+// runLongStream runs a stream of 600 events with request ID "long" and calls action
+// several times while it is answered: each time after half a second, followed by a
+// further wait.
+func (f *fixture) runLongStream(times int, wait time.Duration, action func(n int)) callerResponse {
 	done := make(chan callerResponse)
-	go func() { done <- w.request(0, http.MethodPost, "/write/1", "long", "300,1800") }()
+	go func() { done <- f.request(0, http.MethodPost, "/write/1", "long", "300,1800") }()
 	for n := range times {
 		time.Sleep(500 * time.Millisecond)
-		event(n)
-		time.Sleep(rest)
+		action(n)
+		time.Sleep(wait)
 	}
 	return <-done
 }
 
-// busiestEngine is the engine with the most runs as their first, or one that is on
-// no path as first but holds layers of the middle.
-func (w *fixture) busiestEngine() *stand.Engine {
-	return w.busiestEngineOf(func(*stand.Engine) bool { return true })
+// busiestEngine returns the engine that is the first stage of the most runs. If no
+// engine is a first stage, it may return one that holds layers of the middle.
+func (f *fixture) busiestEngine() *stand.Engine {
+	return f.busiestEngineOf(func(*stand.Engine) bool { return true })
 }
 
-// busiestEngineOf is the engine with the most runs as their first among some.
-func (w *fixture) busiestEngineOf(some func(*stand.Engine) bool) *stand.Engine {
+// busiestEngineOf returns the engine that is the first stage of the most runs, among the
+// engines that match.
+func (f *fixture) busiestEngineOf(matches func(*stand.Engine) bool) *stand.Engine {
 	var best *stand.Engine
-	for _, e := range w.site.Engines() {
-		if some(e) && (best == nil || e.Running() > best.Running()) {
+	for _, e := range f.site.Engines() {
+		if matches(e) && (best == nil || e.Running() > best.Running()) {
 			best = e
 		}
 	}
 	return best
 }
 
-// nextStageEngine is an engine of the same data centre that holds the layers after e.
-func (w *fixture) nextStageEngine(e *stand.Engine) *stand.Engine {
+// nextStageEngine returns an engine in the data centre of e that holds the layers after
+// those of e.
+func (f *fixture) nextStageEngine(e *stand.Engine) *stand.Engine {
 	_, to := e.LoadedLayers()
-	for _, other := range w.site.Engines() {
+	for _, other := range f.site.Engines() {
 		if from, _ := other.LoadedLayers(); from == to && other.Zone == e.Zone {
 			return other
 		}
 	}
-	w.t.Fatal("got no engine after the busiest one, want one")
+	f.t.Fatal("got no engine that holds the next layers in the same data centre, want one")
 	return nil
 }
 
-// A later stage falls silent under load, without a reset. The streams that
-// pass it go on over another path: every answer is whole, and 9 in 10 of all
-// pause no longer than the target of 200 ms.
+// Guards against streams that are cut or stall when an engine of a later stage stops
+// responding under load without a connection reset. Its streams must continue over
+// another path: every answer is complete, and 9 in 10 of all answers have no pause
+// above the target of 200 ms.
 func TestStreamsSurviveUnresponsiveLaterStage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFixture(t, 4)
-		defer w.close()
-		got := w.sendStreams(200, func() { w.site.StopResponding(w.nextStageEngine(w.busiestEngine())) })
+		f := newFixture(t, 4)
+		defer f.close()
+		got := f.sendStreams(200, func() { f.site.StopResponding(f.nextStageEngine(f.busiestEngine())) })
 		if n := countLongGaps(got, 200*time.Millisecond); n > len(got)/10 {
 			t.Errorf("got %d of %d answers with a pause over 200ms, want a tenth at most", n, len(got))
 		}
 	})
 }
 
-// The first stage of many streams dies, by silence or by a crash. Its streams
-// are resumed by other engines after the last event that their callers have.
+// Guards against lost or repeated events when the engine that is the first stage of
+// many streams stops responding or crashes. Other engines must resume its streams
+// after the last event that each caller received.
 func TestStreamsResumeAfterDeadFirstStage(t *testing.T) {
-	for name, end := range map[string]func(*stand.Site, *stand.Engine){"dark": (*stand.Site).StopResponding, "crash": (*stand.Site).Crash} {
+	for name, fail := range map[string]func(*stand.Site, *stand.Engine){"unresponsive": (*stand.Site).StopResponding, "crash": (*stand.Site).Crash} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newFixture(t, 4)
-				defer w.close()
-				got := w.sendStreams(200, func() { end(w.site, w.busiestEngine()) })
+				f := newFixture(t, 4)
+				defer f.close()
+				got := f.sendStreams(200, func() { fail(f.site, f.busiestEngine()) })
 				if n := countLongGaps(got, time.Second); n > 0 {
-					t.Errorf("got %d answers with a pause over a second, want none", n)
+					t.Errorf("got %d answers with a pause over 1s, want none", n)
 				}
 			})
 		})
 	}
 }
 
-// An engine says that it leaves. After two seconds no new run comes to it, and
-// the streams that it carried are whole.
+// Guards against new runs on an engine that announced that it is leaving. Two seconds
+// after the announcement no run may use it as first stage, and the streams that it
+// ran must be complete.
 func TestLeavingEngineGetsNoNewRuns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFixture(t, 4)
-		defer w.close()
-		var gone *stand.Engine
-		w.sendStreams(200, func() {
-			gone = w.busiestEngine()
-			w.site.DrainEngine(gone)
+		f := newFixture(t, 4)
+		defer f.close()
+		var leaving *stand.Engine
+		f.sendStreams(200, func() {
+			leaving = f.busiestEngine()
+			f.site.DrainEngine(leaving)
 			time.Sleep(2 * time.Second)
-			if n := gone.Running(); n > 0 {
+			if n := leaving.Running(); n > 0 {
 				t.Errorf("got %d runs on the leaving engine after 2s, want none", n)
 			}
 		})
-		if n := gone.Running(); n > 0 {
+		if n := leaving.Running(); n > 0 {
 			t.Errorf("got %d runs on the leaving engine at the end, want none", n)
 		}
 	})
 }
 
-// A booking meets an upstream that runs it and loses the answer, hangs, fails
-// or refuses. It runs once at most, and only the refusal is followed by
-// another upstream.
+// Guards against bookings (requests that must run at most once) that run twice. The
+// upstream may run the booking and lose the answer, hang, fail, reject it, or answer
+// another request first. Only a rejection may be retried on another upstream.
 func TestBookingRunsAtMostOnce(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -161,36 +167,37 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newFixture(t, 1)
-				defer w.close()
-				for _, d := range w.site.PlainUpstreams() {
+				f := newFixture(t, 1)
+				defer f.close()
+				for _, d := range f.site.PlainUpstreams() {
 					d.ChooseOutcome = func(*http.Request) stand.Outcome { return test.outcome }
 				}
-				a := w.request(0, http.MethodPost, "/book/1", "b", "")
-				if a.status != test.status || w.site.Runs("b") != test.runs {
-					t.Errorf("got %d after %d runs (%v), want %d after %d", a.status, w.site.Runs("b"), a.err, test.status, test.runs)
+				a := f.request(0, http.MethodPost, "/book/1", "b", "")
+				if a.status != test.status || f.site.Runs("b") != test.runs {
+					t.Errorf("got %d after %d runs (%v), want %d after %d", a.status, f.site.Runs("b"), a.err, test.status, test.runs)
 				}
-				if comes := a.header.Get("Retry-After") != ""; comes != (test.runs == 0) {
-					t.Errorf("got Retry-After %v, want it only where the booking has not run", comes)
+				if hasRetryAfter := a.header.Get("Retry-After") != ""; hasRetryAfter != (test.runs == 0) {
+					t.Errorf("got Retry-After set: %v, want it only if the booking has not run", hasRetryAfter)
 				}
 			})
 		})
 	}
 }
 
-// A look-up meets an upstream that loses answers, hangs or refuses while the
-// others are sound: the caller gets an answer of another one in time.
+// Guards against failed or late look-ups (idempotent requests) when one upstream
+// loses answers, hangs, rejects or fails while the others are healthy. Another
+// upstream must answer the caller within 300 ms.
 func TestLookUpIsRetriedOnAnotherUpstream(t *testing.T) {
 	for name, outcome := range map[string]stand.Outcome{"lose": stand.OutcomeDropConnection, "hang": stand.OutcomeHang, "shed": stand.OutcomeReject, "fail": stand.OutcomeError} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newFixture(t, 1)
-				defer w.close()
-				w.site.PlainUpstreams()[0].ChooseOutcome = func(*http.Request) stand.Outcome { return outcome }
+				f := newFixture(t, 1)
+				defer f.close()
+				f.site.PlainUpstreams()[0].ChooseOutcome = func(*http.Request) stand.Outcome { return outcome }
 				for n := range 20 {
 					id := fmt.Sprintf("l%d", n)
 					start := time.Now()
-					a := w.request(0, http.MethodGet, "/look/1", id, "")
+					a := f.request(0, http.MethodGet, "/look/1", id, "")
 					if took := time.Since(start); a.status != http.StatusOK || took > 300*time.Millisecond {
 						t.Errorf("got %d after %s, want 200 within 300ms", a.status, took)
 					}
@@ -201,156 +208,162 @@
 	}
 }
 
-// The store refuses one instance, then loses its history while a new
-// configuration is written that drops a key. The instance learns it from the
-// others within two seconds and refuses the key.
+// Guards against an instance that stays on an old configuration while the store
+// rejects its calls. Meanwhile a new configuration drops an API key, and the store
+// loses its history. The instance must receive the configuration from its peers
+// within two seconds and reject the key.
 func TestInstanceWithoutStoreLearnsConfigFromPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFixture(t, 3)
-		defer w.close()
-		var cut atomic.Bool
-		w.site.Store.SetFault(func(r *http.Request) stand.Fault {
-			return stand.Fault{Unavailable: cut.Load() && strings.HasPrefix(r.Header.Get("User-Agent"), depot.Settings(0).Instance.Name)}
+		f := newFixture(t, 3)
+		defer f.close()
+		var rejecting atomic.Bool
+		f.site.Store.SetFault(func(r *http.Request) stand.Fault {
+			return stand.Fault{Unavailable: rejecting.Load() && strings.HasPrefix(r.Header.Get("User-Agent"), depot.Settings(0).Instance.Name)}
 		})
-		cut.Store(true)
+		rejecting.Store(true)
 		time.Sleep(3 * time.Second)
-		w.site.Store.Put("op", "config", []byte(strings.Replace(string(w.site.Config(2)), "key-1", "key-0", 1)))
-		w.site.Store.DropHistory()
+		f.site.Store.Put("op", "config", []byte(strings.Replace(string(f.site.Config(2)), "key-1", "key-0", 1)))
+		f.site.Store.DropHistory()
 		time.Sleep(2 * time.Second)
-		for k := range w.instances {
-			if a := w.request(k, http.MethodPost, "/book/1", fmt.Sprintf("k%d", k), ""); a.status != http.StatusUnauthorized {
+		for k := range f.instances {
+			if a := f.request(k, http.MethodPost, "/book/1", fmt.Sprintf("k%d", k), ""); a.status != http.StatusUnauthorized {
 				t.Errorf("got %d from instance %d, want 401 for the dropped key", a.status, k)
 			}
 		}
 	})
 }
 
-// The store is away for 20 seconds under load. Every answer comes, whole.
+// Guards against requests that fail while the store does not respond for 20 seconds
+// under load. Every answer must be complete.
 func TestServesWhileStoreIsUnavailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFixture(t, 2)
-		defer w.close()
-		var down atomic.Bool
-		w.site.Store.SetFault(func(*http.Request) stand.Fault { return stand.Fault{Unresponsive: down.Load()} })
-		w.sendStreams(400, func() { down.Store(true) })
+		f := newFixture(t, 2)
+		defer f.close()
+		var unresponsive atomic.Bool
+		f.site.Store.SetFault(func(*http.Request) stand.Fault { return stand.Fault{Unresponsive: unresponsive.Load()} })
+		f.sendStreams(400, func() { unresponsive.Store(true) })
 		time.Sleep(20 * time.Second)
-		w.sendStreams(50, func() { down.Store(false) })
+		f.sendStreams(50, func() { unresponsive.Store(false) })
 	})
 }
 
-// An instance is told to stop under load. Callers who come on kept connections
-// are answered and turned away; every stream that it began is whole.
+// Guards against streams that are cut when an instance is told to stop under load.
+// Requests that arrive on keep-alive connections are answered, and their callers are
+// asked to connect elsewhere. Every stream that the instance began must be complete.
 func TestStopCutsNoStream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFixture(t, 2)
-		defer w.close()
-		w.sendStreams(100, w.instances[1].Stop)
+		f := newFixture(t, 2)
+		defer f.close()
+		f.sendStreams(100, f.instances[1].Stop)
 	})
 }
 
-// The planner's engine orders get no answer for a while, or its instance ends:
-// an engine that comes back empty holds layers again some seconds later, and
-// none was ordered beyond its memory.
+// Guards against an engine that stays without layers because the instance that plans
+// ended or its load orders got no answer for a while. An engine that joins empty must
+// hold layers within 8 s, and none may be ordered to hold more than its memory.
 func TestEmptyEngineIsPlaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFixture(t, 3)
-		defer w.close()
-		w.instances[0].Stop()
+		f := newFixture(t, 3)
+		defer f.close()
+		f.instances[0].Stop()
 		time.Sleep(10 * time.Second)
 		e := &stand.Engine{ID: "new", Address: "10.1.64.99:8080", Zone: "east", Card: stand.DefaultDeployment.Cards[0]}
-		w.site.AddEngine(e)
+		f.site.AddEngine(e)
 		time.Sleep(8 * time.Second)
 		if from, to := e.LoadedLayers(); to-from == 0 {
-			t.Error("got a new engine without layers after 8s, want some")
+			t.Error("got a new engine without layers after 8s, want it to hold some")
 		}
 	})
 }
 
-// The first engine of a long stream leaves, and so do those that go on with it,
-// three times in all. Each move is the router's own: the caller reads on to the
-// end.
+// Guards against a long stream that is cut when its first engine leaves, three times
+// in a row: the engine that continues the stream leaves as well. The router moves the
+// stream each time, and the caller must receive all events.
 func TestStreamOutlivesLeavingEngines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFixture(t, 1)
-		defer w.close()
-		a := w.runLongStream(3, 2500*time.Millisecond, func(int) { w.site.DrainEngine(w.busiestEngine()) })
+		f := newFixture(t, 1)
+		defer f.close()
+		a := f.runLongStream(3, 2500*time.Millisecond, func(int) { f.site.DrainEngine(f.busiestEngine()) })
 		if a.body != wholeAnswer("long", 600) {
 			t.Errorf("got %d with %d events (%v), want all 600", a.status, a.events, a.err)
 		}
 	})
 }
 
-// The first engines of a stream leave one after the other and go on for long
-// with what they have. Each new run is an attempt, of which the route allows two;
-// then the stream stays with the engine that leaves, and is whole.
+// Guards against too many runs of a stream whose first engines leave one after the
+// other but keep serving their runs for long. Each new run counts as an attempt, of
+// which the route allows two. After that the stream must stay on the leaving engine
+// and be complete.
 func TestLeavingFirstEnginesCountAsAttempts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFixture(t, 1)
-		defer w.close()
-		a := w.runLongStream(3, 2500*time.Millisecond, func(int) { w.site.DrainEngine(w.busiestEngine()) })
+		f := newFixture(t, 1)
+		defer f.close()
+		a := f.runLongStream(3, 2500*time.Millisecond, func(int) { f.site.DrainEngine(f.busiestEngine()) })
 		if a.body != wholeAnswer("long", 600) {
 			t.Errorf("got %d with %d events (%v), want all 600", a.status, a.events, a.err)
 		}
-		if n := w.site.Runs("long"); n > 2 {
+		if n := f.site.Runs("long"); n > 2 {
 			t.Errorf("got %d runs, want 2 at most", n)
 		}
 	})
 }
 
-// The first engine of a stream is told to hold other layers, three times in a
-// row. It refuses what is new and reports to hold nothing, but serves on what it
-// has. It is no dead engine: the stream stays with it, or goes on elsewhere as an
-// attempt, of which the route allows two, and is whole.
+// Guards against declaring an engine dead while it changes its layers. The first
+// engine of a stream is ordered to hold other layers, three times in a row: it rejects
+// new runs and reports no layers, but continues the runs that it has. The stream must
+// stay on it or continue elsewhere as an attempt, of which the route allows two, and
+// be complete.
 func TestEngineThatChangesLayersIsNotDead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFixture(t, 1)
-		defer w.close()
-		a := w.runLongStream(3, 1500*time.Millisecond, func(n int) {
-			e := w.busiestEngine()
+		f := newFixture(t, 1)
+		defer f.close()
+		a := f.runLongStream(3, 1500*time.Millisecond, func(n int) {
+			e := f.busiestEngine()
 			from, to := e.LoadedLayers()
-			w.site.Place(e, from, to-1)
-			// Others find out that it refuses, and its report is asked for.
+			f.site.Place(e, from, to-1)
+			// Further requests are rejected by the engine, so that its report is fetched.
 			for k := range 8 {
-				go func() { w.request(0, http.MethodPost, "/write/1", fmt.Sprintf("short-%d-%d", n, k), "300,30") }()
+				go func() { f.request(0, http.MethodPost, "/write/1", fmt.Sprintf("short-%d-%d", n, k), "300,30") }()
 			}
 		})
 		if a.body != wholeAnswer("long", 600) {
 			t.Errorf("got %d with %d events (%v), want all 600", a.status, a.events, a.err)
 		}
-		if n := w.site.Runs("long"); n > 2 {
+		if n := f.site.Runs("long"); n > 2 {
 			t.Errorf("got %d runs, want 2 at most", n)
 		}
 		time.Sleep(5 * time.Second)
 	})
 }
 
-// All repeats that are allowed are used up when the first engine of many streams
-// leaves; it goes on for long. A stream that may not begin anew elsewhere stays
-// with the engine, and its caller gets the whole answer instead of a cut one.
+// Guards against cut streams when the retry budget is used up and the first engine of
+// many streams leaves but keeps serving its runs for long. A stream that may not be
+// retried elsewhere must stay on that engine, and its caller gets the complete answer.
 func TestStreamsStayWhenRetryBudgetIsSpent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFixtureWithRetry(t, 1, setup.Retry{Ratio: 0, Allowance: 2, Window: 10 * time.Second})
-		defer w.close()
-		w.runStreams(12, func() {
+		f := newFixtureWithRetry(t, 1, setup.Retry{Ratio: 0, Allowance: 2, Window: 10 * time.Second})
+		defer f.close()
+		f.runStreams(12, func() {
 			for range 3 {
-				w.site.DrainEngine(w.busiestEngine())
+				f.site.DrainEngine(f.busiestEngine())
 			}
 		})
 	})
 }
 
-// Engines that a stream passes leave one after the other, and no other path is
-// taken for it. While its first engine lives each new run is an attempt, of
-// which its route allows two: then the stream stays where it is, and is whole.
+// Guards against too many runs of a stream when engines of its later stages leave one
+// after the other and engines reject a change of its path. While its first engine is
+// alive, each new run counts as an attempt, of which the route allows two. After that
+// the stream must stay where it is and be complete.
 func TestMovedStreamStaysWithinAttemptLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFixture(t, 1)
-		defer w.close()
-		w.site.RejectRepaths()
-		a := w.runLongStream(4, 2500*time.Millisecond, func(int) {
-			for _, e := range w.site.Engines() {
+		f := newFixture(t, 1)
+		defer f.close()
+		f.site.RejectRepaths()
+		a := f.runLongStream(4, 2500*time.Millisecond, func(int) {
+			for _, e := range f.site.Engines() {
 				if e.Streams() > 0 && e.Running() == 0 {
-					w.site.DrainEngine(e)
+					f.site.DrainEngine(e)
 					break
 				}
 			}
@@ -358,7 +371,7 @@
 		if a.body != wholeAnswer("long", 600) {
 			t.Errorf("got %d with %d events (%v), want all 600", a.status, a.events, a.err)
 		}
-		if n := w.site.Runs("long"); n > 2 {
+		if n := f.site.Runs("long"); n > 2 {
 			t.Errorf("got %d runs, want 2 at most", n)
 		}
 	})
--- a/internal/app/edge/site_test.go
+++ b/internal/app/edge/fixture_test.go
@@ -18,7 +18,7 @@
 	"fulmarwick/platform/stand"
 )
 
-// fixture is a site with instances in front of it, in virtual time.
+// fixture is a deployment in virtual time: a site and the instances in front of it.
 type fixture struct {
 	t         *testing.T
 	depot     *depot.Depot
@@ -27,62 +27,66 @@
 	clients   []*http.Client
 }
 
-// newFixture starts a filled site and n instances and waits until layers are placed.
+// newFixture starts a site with upstreams and n instances, and waits until layers are
+// placed.
 func newFixture(t *testing.T, n int) *fixture {
 	t.Helper()
 	return newFixtureWithRetry(t, n, setup.Retry{})
 }
 
-// newFixtureWithRetry does the same with other bounds on repeats; zero is the usual.
+// newFixtureWithRetry is like newFixture with other retry limits; the zero value uses the
+// default ones.
 func newFixtureWithRetry(t *testing.T, n int, retry setup.Retry) *fixture {
 	t.Helper()
 	return newFixtureFrom(t, &depot.Depot{Instances: n, Retry: retry})
 }
 
-// newFixtureFrom opens a deployment, with a client for each of its instances.
+// newFixtureFrom opens a deployment and creates a client for each of its instances.
 func newFixtureFrom(t *testing.T, d *depot.Depot) *fixture {
 	t.Helper()
-	w := &fixture{t: t, depot: d}
-	if err := w.depot.Open(context.Background()); err != nil {
+	f := &fixture{t: t, depot: d}
+	if err := f.depot.Open(context.Background()); err != nil {
 		t.Fatal(err)
 	}
-	w.site, w.instances = w.depot.Site(), w.depot.Running()
+	f.site, f.instances = f.depot.Site(), f.depot.Running()
 	for range d.Instances {
-		w.clients = append(w.clients, &http.Client{Transport: &http.Transport{DialContext: w.site.Dial}})
+		f.clients = append(f.clients, &http.Client{Transport: &http.Transport{DialContext: f.site.Dial}})
 	}
-	return w
+	return f
 }
 
-// close stops all instances and checks what the site saw.
-func (w *fixture) close() {
-	w.t.Helper()
-	for _, c := range w.clients {
+// close stops all instances and fails the test if the site recorded a violation or an
+// instance failed.
+func (f *fixture) close() {
+	f.t.Helper()
+	for _, c := range f.clients {
 		c.CloseIdleConnections()
 	}
-	if err := w.depot.Close(); err != nil {
-		w.t.Errorf("got %v, want no rule broken and no instance failed", err)
+	if err := f.depot.Close(); err != nil {
+		f.t.Errorf("got %v, want no violation and no failed instance", err)
 	}
 }
 
-// callerResponse is what a caller got.
+// callerResponse is the answer that a caller received.
 type callerResponse struct {
 	status int
 	header http.Header
 	body   string
 	err    error
-	// longestGap is the longest pause between events, first the time to the first.
+	// firstLatency is the time to the first event, longestGap the longest pause
+	// between two events.
 	firstLatency, longestGap time.Duration
 	events                   int
 }
 
-// request sends a request through instance k.
-func (w *fixture) request(k int, method, path, id, tokens string) callerResponse {
+// request sends a request through instance k and reads the whole answer.
+func (f *fixture) request(k int, method, path, id, tokens string) callerResponse {
 	req, err := stand.NewRequest(context.Background(), method, "http://"+depot.Settings(k).Listen.Callers+path, id, tokens)
 	if err != nil {
-		w.t.Fatal(err)
+		f.t.Fatal(err)
 	}
 	start := time.Now()
-	resp, err := w.clients[k].Do(req)
+	resp, err := f.clients[k].Do(req)
 	if err != nil {
 		return callerResponse{err: err}
 	}
@@ -120,7 +124,7 @@
 	a.body = all.String()
 }
 
-// wholeAnswer is the answer of n events to request id.
+// wholeAnswer returns the complete answer of n events to request id.
 func wholeAnswer(id string, n int) string {
 	var b strings.Builder
 	for k := 1; k <= n; k++ {
@@ -129,37 +133,38 @@
 	return b.String()
 }
 
-// A caller sees a calm minute: streams, bookings and look-ups at the rate of a
-// usual day through four instances. Every stream is whole and in time, every
-// token ran all layers in order, no booking ran twice.
+// Guards against faults under normal traffic: streams and bookings at the usual rate
+// through four instances for a minute, without injected faults. Every stream must be
+// complete and on time, every token must run through all layers in order, and no
+// booking may run twice.
 func TestNormalTrafficWithoutFaults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFixture(t, 4)
-		defer w.close()
+		f := newFixture(t, 4)
+		defer f.close()
 		var callers sync.WaitGroup
 		for n := range normalRequests {
-			callers.Go(func() { w.sendNormalRequest(n) })
+			callers.Go(func() { f.sendNormalRequest(n) })
 			time.Sleep(50 * time.Millisecond)
 		}
 		callers.Wait()
 	})
 }
 
-func (w *fixture) sendNormalRequest(n int) {
+func (f *fixture) sendNormalRequest(n int) {
 	id := fmt.Sprintf("r%d", n)
 	if n%10 == 0 {
-		a := w.request(n%4, http.MethodPost, "/book/1", id, "")
-		if a.status != http.StatusOK || a.body != "answer of "+id || w.site.Runs(id) != 1 {
-			w.t.Errorf("got %d %q after %d runs (%v), want the booking's own answer after one", a.status, a.body, w.site.Runs(id), a.err)
+		a := f.request(n%4, http.MethodPost, "/book/1", id, "")
+		if a.status != http.StatusOK || a.body != "answer of "+id || f.site.Runs(id) != 1 {
+			f.t.Errorf("got %d %q after %d runs (%v), want the booking's own answer after one run", a.status, a.body, f.site.Runs(id), a.err)
 		}
 		return
 	}
 	events := 20 + n%60
-	a := w.request(n%4, http.MethodPost, "/write/1", id, fmt.Sprintf("%d,%d", 400+n%800, events*3))
+	a := f.request(n%4, http.MethodPost, "/write/1", id, fmt.Sprintf("%d,%d", 400+n%800, events*3))
 	if a.status != http.StatusOK || a.body != wholeAnswer(id, events) {
-		w.t.Errorf("got %d with %d events (%v), want %d", a.status, a.events, a.err, events)
+		f.t.Errorf("got %d with %d events (%v), want %d", a.status, a.events, a.err, events)
 	}
 	if a.firstLatency > 500*time.Millisecond || a.longestGap > 200*time.Millisecond {
-		w.t.Errorf("got first event after %s and a pause of %s, want 500ms and 200ms at most", a.firstLatency, a.longestGap)
+		f.t.Errorf("got the first event after %s and a longest pause of %s, want 500ms and 200ms at most", a.firstLatency, a.longestGap)
 	}
 }
--- a/internal/app/edge/memory_test.go
+++ b/internal/app/edge/memory_test.go
@@ -15,9 +15,10 @@
 	"go.uber.org/zap"
 )
 
-// BenchmarkMemoryInUse tells how much memory an instance holds: started, and with
-// 200 streams on their way, on a real clock. What the stand-in and the callers
-// hold in the same process is taken off as far as it is there before them.
+// BenchmarkMemoryInUse measures the memory of an instance on a real clock: idle after
+// its start, and with 200 streams in progress. The platform's stand-in and the callers
+// share the process; their memory is subtracted only as far as it was in use before
+// the instance started.
 func BenchmarkMemoryInUse(b *testing.B) {
 	for b.Loop() {
 		site := stand.NewSite()
@@ -64,7 +65,8 @@
 	}
 }
 
-// memoryInUse is the memory in use, in bytes.
+// memoryInUse returns the heap and stack memory in use after a garbage collection, in
+// bytes.
 func memoryInUse() int64 {
 	runtime.GC()
 	var m runtime.MemStats
--- a/internal/app/edge/pause_test.go
+++ b/internal/app/edge/pause_test.go
@@ -20,15 +20,16 @@
 )
 
 const (
-	// backlogTime is how long a process that runs again takes for what has come
-	// meanwhile.
+	// backlogTime is how long a resumed process takes to handle the input that
+	// arrived during the pause.
 	backlogTime = 100 * time.Millisecond
-	// backlogTickDelay is how much later its ticks come for that time.
+	// backlogTickDelay is how late its ticks are during backlogTime.
 	backlogTickDelay = 30 * time.Millisecond
 )
 
-// pausableProcess is when a process gets no processor: its ticks are late, and what comes
-// to it and what it sends waits, also behind the backlog.
+// pausableProcess simulates a process that gets no CPU time for a while: its ticks are
+// late, and data that it receives or sends waits until the pause and the backlog after
+// it are over.
 type pausableProcess struct {
 	mu    sync.Mutex
 	until time.Time
@@ -40,10 +41,10 @@
 	p.until = time.Now().Add(d)
 }
 
-// waitUntilRunning returns when the process runs.
+// waitUntilRunning returns when the process is not paused.
 func (p *pausableProcess) waitUntilRunning() { time.Sleep(time.Until(p.pausedUntil())) }
 
-// waitForBacklog returns when the process has time for what comes.
+// waitForBacklog returns when the process is not paused and has handled its backlog.
 func (p *pausableProcess) waitForBacklog() {
 	for {
 		left := time.Until(p.pausedUntil()) + backlogTime
@@ -60,7 +61,7 @@
 	return p.until
 }
 
-// newTicker is a ticker that stands still with the process.
+// newTicker returns a ticker that pauses with the process.
 func (p *pausableProcess) newTicker(every time.Duration) (<-chan time.Time, func()) {
 	c := make(chan time.Time)
 	stop := make(chan struct{})
@@ -113,13 +114,13 @@
 	return pausedConn{conn, l.process}, nil
 }
 
-// startPausableInstance runs one more instance whose process may be paused.
-func (w *fixture) startPausableInstance(n int, p *pausableProcess, log *zap.Logger) (stop func()) {
-	w.t.Helper()
+// startPausableInstance starts another instance, whose process may be paused.
+func (f *fixture) startPausableInstance(n int, p *pausableProcess, log *zap.Logger) (stop func()) {
+	f.t.Helper()
 	i := &edge.Instance{
 		Settings: depot.Settings(n), Log: log, NewTicker: p.newTicker,
 		Dial: func(ctx context.Context, network, address string) (net.Conn, error) {
-			conn, err := w.site.Dial(ctx, network, address)
+			conn, err := f.site.Dial(ctx, network, address)
 			p.waitForBacklog()
 			if err != nil {
 				return nil, err
@@ -127,26 +128,26 @@
 			return pausedConn{conn, p}, nil
 		},
 		Listen: func(ctx context.Context, address string) (net.Listener, error) {
-			l, err := w.site.Net.Listen(ctx, address)
+			l, err := f.site.Net.Listen(ctx, address)
 			if err != nil {
 				return nil, err
 			}
 			return pausedListener{l, p}, nil
 		},
 	}
-	return w.runInstance(i)
+	return f.runInstance(i)
 }
 
-// An instance with 60 streams gets no processor for a while, in the middle of
-// healthy engines. All its streams seem silent, and its questions to engines are
-// not answered in time. It must take no engine for dead and move no stream: each
-// move is a prompt read again, a repeat used up, and engines that others avoid.
+// Guards against an instance that blames healthy engines for its own pause. An instance
+// with 60 streams gets no CPU time for a while: all its streams seem to stall, and its
+// probes of engines time out. It must declare no engine dead and move no stream. Each
+// move costs a repeated prefill and a retry, and peers avoid the engine.
 func TestPausedInstanceDeclaresNoEngineDead(t *testing.T) {
 	tests := []struct {
 		name  string
 		pause time.Duration
 		times int
-		// between is how long the process runs between two pauses.
+		// between is how long the process runs after each pause.
 		between time.Duration
 	}{
 		{"once for 600 ms", 600 * time.Millisecond, 1, 0},
@@ -154,13 +155,13 @@
 		{"ten times for 100 ms", 100 * time.Millisecond, 10, 60 * time.Millisecond},
 		{"four times for 200 ms", 200 * time.Millisecond, 4, 40 * time.Millisecond},
 	}
-	for _, others := range pausedFleetSizes {
+	for _, peers := range pausedFleetSizes {
 		for _, test := range tests {
-			t.Run(fmt.Sprintf("%s among %d", test.name, others), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s among %d", test.name, peers), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					w := newFixtureFrom(t, &depot.Depot{Instances: others, Shape: scaledShape(1 + others/16)})
-					defer w.close()
-					w.runPausedInstance(func(p *pausableProcess) {
+					f := newFixtureFrom(t, &depot.Depot{Instances: peers, Shape: scaledShape(1 + peers/16)})
+					defer f.close()
+					f.runPausedInstance(func(p *pausableProcess) {
 						for range test.times {
 							p.pause(test.pause)
 							time.Sleep(test.pause + test.between)
@@ -172,7 +173,8 @@
 	}
 }
 
-// scaledShape is the usual shape with so many times the engines.
+// scaledShape returns the default deployment with the number of engines multiplied by
+// times.
 func scaledShape(times int) stand.Deployment {
 	s := stand.DefaultDeployment
 	s.Zones = nil
@@ -186,32 +188,32 @@
 	return s
 }
 
-// runPausedInstance starts one more instance, lets its process be paused while it answers 60
-// streams, and checks that all are whole and that it blames no engine.
-func (w *fixture) runPausedInstance(pause func(p *pausableProcess)) {
-	w.t.Helper()
-	n := len(w.instances)
-	lines, seen := observer.New(zap.InfoLevel)
+// runPausedInstance starts another instance, pauses its process while it answers 60
+// streams, and checks that all answers are complete and that it blames no engine.
+func (f *fixture) runPausedInstance(pause func(p *pausableProcess)) {
+	f.t.Helper()
+	n := len(f.instances)
+	core, logs := observer.New(zap.InfoLevel)
 	p := &pausableProcess{}
-	stop := w.startPausableInstance(n, p, zap.New(lines))
+	stop := f.startPausableInstance(n, p, zap.New(core))
 	defer stop()
-	w.clients = append(w.clients, &http.Client{Transport: &http.Transport{DialContext: w.site.Dial}})
+	f.clients = append(f.clients, &http.Client{Transport: &http.Transport{DialContext: f.site.Dial}})
 	time.Sleep(2 * time.Second)
 	var callers sync.WaitGroup
 	for k := range 60 {
 		callers.Go(func() {
 			id := fmt.Sprintf("p%d", k)
-			if a := w.request(n, http.MethodPost, "/write/1", id, "500,540"); a.body != wholeAnswer(id, 180) {
-				w.t.Errorf("got %d with %d events (%v) for %s, want 180", a.status, a.events, a.err, id)
+			if a := f.request(n, http.MethodPost, "/write/1", id, "500,540"); a.body != wholeAnswer(id, 180) {
+				f.t.Errorf("got %d with %d events (%v) for %s, want 180", a.status, a.events, a.err, id)
 			}
 		})
 		time.Sleep(10 * time.Millisecond)
 	}
 	pause(p)
 	callers.Wait()
-	for _, what := range []string{"edge: engine does not answer", "edge: path changed", "edge: engine left"} {
-		if n := seen.FilterMessage(what).Len(); n > 0 {
-			w.t.Errorf("got %d lines %q, want none: all engines are well", n, what)
+	for _, message := range []string{"edge: engine does not answer", "edge: path changed", "edge: engine left"} {
+		if n := logs.FilterMessage(message).Len(); n > 0 {
+			f.t.Errorf("got %d log entries %q, want none: all engines are healthy", n, message)
 		}
 	}
 }
--- a/internal/app/edge/probe_test.go
+++ b/internal/app/edge/probe_test.go
@@ -14,68 +14,67 @@
 	"go.uber.org/zap/zaptest/observer"
 )
 
-// handshakeTime is how long a living engine takes for each new connection.
+// handshakeTime is how long a live engine takes for each new connection.
 const handshakeTime = time.Millisecond
 
-// Guards against healthy engines that are taken for dead because all instances of a
-// large fleet ask them at the same moment, over new connections, when another one
-// dies.
+// Guards against healthy engines that are declared dead because all instances of a large
+// fleet probe them at the same moment, over new connections, when another engine dies.
 func TestLargeFleetDeclaresOnlyDeadEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		lines, seen := observer.New(zap.WarnLevel)
-		w := newFixtureFrom(t, &depot.Depot{Instances: probingFleetSize, Handshake: handshakeTime, Log: zap.New(lines)})
-		defer w.close()
+		core, logs := observer.New(zap.WarnLevel)
+		f := newFixtureFrom(t, &depot.Depot{Instances: probingFleetSize, Handshake: handshakeTime, Log: zap.New(core)})
+		defer f.close()
 		var callers sync.WaitGroup
 		for k := range 4 * probingFleetSize {
 			callers.Go(func() {
 				id := fmt.Sprintf("p%d", k)
-				if a := w.request(k%probingFleetSize, http.MethodPost, "/write/1", id, "100,240"); a.body != wholeAnswer(id, 80) {
+				if a := f.request(k%probingFleetSize, http.MethodPost, "/write/1", id, "100,240"); a.body != wholeAnswer(id, 80) {
 					t.Errorf("got %d with %d events (%v) for %s, want 80", a.status, a.events, a.err, id)
 				}
 			})
 			time.Sleep(4 * time.Millisecond)
 		}
-		dead := w.nextStageEngine(w.busiestEngine())
-		w.site.StopResponding(dead)
+		dead := f.nextStageEngine(f.busiestEngine())
+		f.site.StopResponding(dead)
 		callers.Wait()
-		blamed := map[string]int{}
-		for _, l := range seen.FilterMessage("edge: engine does not answer").All() {
+		falselyDead := map[string]int{}
+		for _, l := range logs.FilterMessage("edge: engine does not answer").All() {
 			if id := l.ContextMap()["engine"].(string); id != dead.ID {
-				blamed[id]++
+				falselyDead[id]++
 			}
 		}
-		if len(blamed) > 0 {
-			t.Errorf("got %v taken for dead by so many instances, want none but %s", blamed, dead.ID)
+		if len(falselyDead) > 0 {
+			t.Errorf("got engines declared dead, with the number of instances: %v, want none but %s", falselyDead, dead.ID)
 		}
 	})
 }
 
 // Guards against a stream that runs on more engines than its attempts allow: its first
-// engines stand still one after the other, are taken for dead, and live.
+// engines freeze one after the other and are declared dead, but are alive.
 func TestFrozenEnginesCountAsAttempts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFixture(t, 1)
-		defer w.close()
-		w.runLongStream(3, 1500*time.Millisecond, func(int) { w.site.Freeze(w.busiestEngine(), time.Second) })
-		if n := w.site.Runs("long"); n > 2 {
+		f := newFixture(t, 1)
+		defer f.close()
+		f.runLongStream(3, 1500*time.Millisecond, func(int) { f.site.Freeze(f.busiestEngine(), time.Second) })
+		if n := f.site.Runs("long"); n > 2 {
 			t.Errorf("got %d runs, want 2 at most", n)
 		}
 	})
 }
 
 // Guards against a stream that runs on more engines than its attempts allow: its first
-// engines leave and stand still one after the other, are taken for dead, and live.
+// engines leave and freeze one after the other and are declared dead, but are alive.
 func TestLeavingFrozenEnginesCountAsAttempts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFixture(t, 1)
-		defer w.close()
-		w.runLongStream(3, 1500*time.Millisecond, func(int) {
-			e := w.busiestEngine()
-			w.site.DrainEngine(e)
-			w.site.Freeze(e, time.Second)
+		f := newFixture(t, 1)
+		defer f.close()
+		f.runLongStream(3, 1500*time.Millisecond, func(int) {
+			e := f.busiestEngine()
+			f.site.DrainEngine(e)
+			f.site.Freeze(e, time.Second)
 		})
-		if n := w.site.LiveProducers("long"); n > 2 {
-			t.Errorf("got %d engines that live, want 2 at most", n)
+		if n := f.site.LiveProducers("long"); n > 2 {
+			t.Errorf("got runs on %d engines that are alive, want 2 at most", n)
 		}
 	})
 }
--- a/internal/app/edge/race_test.go
+++ b/internal/app/edge/race_test.go
@@ -2,26 +2,26 @@
 
 package edge_test
 
-// Tests are smaller under the race detector, which takes some ten times as long.
+// Tests are smaller under the race detector, which makes them about ten times slower.
 
-// normalRequests is how many requests a calm minute has.
+// normalRequests is how many requests TestNormalTrafficWithoutFaults sends.
 const normalRequests = 240
 
-// configFleetSizes and listFleetSizes are how many instances follow a change of the
-// configuration and of the list.
 var (
+	// configFleetSizes lists how many instances follow a configuration change.
 	configFleetSizes = []int{2, 5}
-	listFleetSizes   = []int{4}
+	// listFleetSizes lists how many instances follow a change of the upstream list.
+	listFleetSizes = []int{4}
 )
 
-// probingFleetSize is how many instances see the same engine die.
+// probingFleetSize is how many instances detect the death of the same engine.
 const probingFleetSize = 8
 
-// faultSeeds is how many orders of trouble are played.
+// faultSeeds is how many random sequences of faults are tested.
 const faultSeeds = 3
 
-// pausedFleetSizes is among how many others an instance is paused.
+// pausedFleetSizes lists how many peers a paused instance has.
 var pausedFleetSizes = []int{3}
 
-// startedFleetSize is how many instances start at the same moment.
+// startedFleetSize is how many instances start at the same time.
 const startedFleetSize = 4
--- a/internal/app/edge/start_test.go
+++ b/internal/app/edge/start_test.go
@@ -14,30 +14,30 @@
 	"go.uber.org/zap"
 )
 
-// Guards against requests that engines refuse when all instances of a large fleet start
-// at the same moment: each takes itself for alone and chooses the same engines.
+// Guards against requests that engines reject when all instances of a large fleet start
+// at the same time: each instance assumes that it is alone and chooses the same engines.
 func TestStartingFleetOverloadsNoEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const requests = 4
-		w := newFixtureFrom(t, &depot.Depot{Instances: 1, Shape: scaledShape(2)})
-		defer w.close()
+		f := newFixtureFrom(t, &depot.Depot{Instances: 1, Shape: scaledShape(2)})
+		defer f.close()
 		for k := 1; k <= startedFleetSize; k++ {
-			defer w.runInstance(&edge.Instance{Settings: depot.Settings(k), Log: zap.NewNop(), Dial: w.site.Dial, Listen: w.site.Net.Listen})()
-			w.clients = append(w.clients, &http.Client{Transport: &http.Transport{DialContext: w.site.Dial}})
+			defer f.runInstance(&edge.Instance{Settings: depot.Settings(k), Log: zap.NewNop(), Dial: f.site.Dial, Listen: f.site.Net.Listen})()
+			f.clients = append(f.clients, &http.Client{Transport: &http.Transport{DialContext: f.site.Dial}})
 		}
 		var mu sync.Mutex
-		refused := 0
+		rejected := 0
 		var callers sync.WaitGroup
 		for k := 1; k <= startedFleetSize; k++ {
 			callers.Go(func() {
-				w.awaitReady(k)
+				f.awaitReady(k)
 				for n := range requests {
 					callers.Go(func() {
 						id := fmt.Sprintf("h%d-%d", k, n)
-						if a := w.request(k, http.MethodPost, "/write/"+id, id, "774,200"); a.status != http.StatusOK {
+						if a := f.request(k, http.MethodPost, "/write/"+id, id, "774,200"); a.status != http.StatusOK {
 							mu.Lock()
 							defer mu.Unlock()
-							refused++
+							rejected++
 						}
 					})
 					time.Sleep(10 * time.Millisecond)
@@ -45,17 +45,17 @@
 			})
 		}
 		callers.Wait()
-		t.Logf("%d of %d refused", refused, startedFleetSize*requests)
-		if refused > startedFleetSize*requests/100 {
-			t.Errorf("got %d of %d requests refused, want one in a hundred at most", refused, startedFleetSize*requests)
+		t.Logf("%d of %d rejected", rejected, startedFleetSize*requests)
+		if rejected > startedFleetSize*requests/100 {
+			t.Errorf("got %d of %d requests rejected, want one in a hundred at most", rejected, startedFleetSize*requests)
 		}
 	})
 }
 
-// awaitReady waits until instance k takes requests.
-func (w *fixture) awaitReady(k int) {
+// awaitReady waits until instance k reports that it is ready.
+func (f *fixture) awaitReady(k int) {
 	for {
-		resp, err := w.clients[k].Get("http://" + depot.Settings(k).Listen.Ready + "/ready")
+		resp, err := f.clients[k].Get("http://" + depot.Settings(k).Listen.Ready + "/ready")
 		if err == nil {
 			_ = resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
