--- a/internal/app/halt/halt.go
+++ b/internal/app/halt/halt.go
@@ -1,13 +1,14 @@
-// Package halt ends an instance without cutting a request.
+// Package halt shuts an instance down gracefully, without cutting a request.
 //
-// It imports the standard library and the log library. The daemon wraps what
-// it serves in a Halt and waits for its Run; the operator's drain and the
-// first signal call Begin, a second signal calls Hurry.
+// It imports the standard library and the log library. The daemon wraps its
+// handler with Drainer.Handler and waits for Drainer.Run. The operator's drain and
+// the first signal call Begin, a second signal calls CloseListeners.
 //
-// The order is: not ready any more, so that the balancer turns away; go on
-// accepting until no request has come for the grace; close the listeners;
-// wait for every request, however long. No timer ends a request, and a second
-// signal does not either: it only ends the wait for the balancer.
+// Shutdown has these steps: report not ready, so that the balancer stops sending;
+// continue to accept requests until none has arrived for the grace period; close
+// the listeners; wait for every request in progress, however long it takes. No
+// timer ends a request, and neither does a second signal: it only ends the wait for
+// the balancer.
 package halt
 
 import (
@@ -20,17 +21,17 @@
 	"go.uber.org/zap"
 )
 
-// Drainer is the graceful end of one instance. Set the exported fields before
-// use.
+// Drainer shuts down one instance gracefully. Set the exported fields before use.
 type Drainer struct {
-	// Grace is how long no request must have come before listeners close.
+	// Grace is how long no request must have arrived before the listeners close.
 	Grace time.Duration
-	// MaxAccept is how long after the begin listeners close even if requests go on
-	// coming, as where the balancer has no other instance to turn to; zero
-	// waits for the grace alone.
+	// MaxAccept is how long after Begin the listeners close even if requests still
+	// arrive, as when the balancer has no other instance to send them to. Zero
+	// means no limit besides Grace.
 	MaxAccept time.Duration
-	// AfterClose answers requests that come after that on kept connections, in place
-	// of the handler; nil serves them like any other.
+	// AfterClose replaces the handler once the listeners close: it answers requests
+	// that still arrive on keep-alive connections. If it is nil, the handler serves
+	// them like any other.
 	AfterClose http.Handler
 	Log        *zap.Logger
 
@@ -47,146 +48,148 @@
 	running     int
 }
 
-func (h *Drainer) init() {
-	h.initOnce.Do(func() {
-		h.begun = make(chan struct{})
-		h.closeListeners = make(chan struct{})
+func (d *Drainer) init() {
+	d.initOnce.Do(func() {
+		d.begun = make(chan struct{})
+		d.closeListeners = make(chan struct{})
 	})
 }
 
-// Begin starts the end; more calls change nothing.
-func (h *Drainer) Begin() {
-	h.init()
-	h.beginOnce.Do(func() {
-		h.recordArrival(0)
-		h.mu.Lock()
-		h.beginTime = h.lastArrival
-		h.mu.Unlock()
-		close(h.begun)
-		h.Log.Info("halt: stopping, requests in progress go on", zap.Int("running", h.Running()))
+// Begin starts the shutdown; further calls have no effect.
+func (d *Drainer) Begin() {
+	d.init()
+	d.beginOnce.Do(func() {
+		d.recordArrival(0)
+		d.mu.Lock()
+		d.beginTime = d.lastArrival
+		d.mu.Unlock()
+		close(d.begun)
+		d.Log.Info("halt: stopping, requests in progress go on", zap.Int("running", d.Running()))
 	})
 }
 
-// CloseListeners starts the end if need be and closes the listeners without waiting for
-// the balancer. Requests in progress go on.
-func (h *Drainer) CloseListeners() {
-	h.Begin()
-	h.closeListenersOnce.Do(func() {
-		close(h.closeListeners)
-		h.Log.Info("halt: closing listeners now, requests in progress go on", zap.Int("running", h.Running()))
+// CloseListeners starts the shutdown if it has not begun, and closes the listeners
+// without waiting for the balancer. Requests in progress continue.
+func (d *Drainer) CloseListeners() {
+	d.Begin()
+	d.closeListenersOnce.Do(func() {
+		close(d.closeListeners)
+		d.Log.Info("halt: closing listeners now, requests in progress go on", zap.Int("running", d.Running()))
 	})
 }
 
-// Begun is closed once the end began.
-func (h *Drainer) Begun() <-chan struct{} {
-	h.init()
-	return h.begun
+// Begun returns a channel that is closed once the shutdown has begun.
+func (d *Drainer) Begun() <-chan struct{} {
+	d.init()
+	return d.begun
 }
 
-// Stopping reports whether the end began.
-func (h *Drainer) Stopping() bool {
+// Stopping reports whether the shutdown has begun.
+func (d *Drainer) Stopping() bool {
 	select {
-	case <-h.Begun():
+	case <-d.Begun():
 		return true
 	default:
 		return false
 	}
 }
 
-// Running is how many requests of callers are in progress.
-func (h *Drainer) Running() int {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.running
+// Running returns how many callers' requests are in progress.
+func (d *Drainer) Running() int {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.running
 }
 
-// Handler counts the requests that next serves. Once the end began, each
-// answer asks its connection to close, so that callers who keep connections
-// move to another instance; none is closed under a request on its way.
-func (h *Drainer) Handler(next http.Handler) http.Handler {
+// Handler wraps next and counts its requests. Once the shutdown has begun, each answer
+// carries "Connection: close", so that callers with keep-alive connections move to
+// another instance; no connection is closed while a request on it is in progress.
+func (d *Drainer) Handler(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-		h.recordArrival(1)
-		defer h.requestDone()
-		if h.Stopping() {
+		d.recordArrival(1)
+		defer d.requestDone()
+		if d.Stopping() {
 			w.Header().Set("Connection", "close")
 		}
-		if h.AfterClose != nil && h.isClosed() {
-			h.AfterClose.ServeHTTP(w, req)
+		if d.AfterClose != nil && d.isClosed() {
+			d.AfterClose.ServeHTTP(w, req)
 			return
 		}
 		next.ServeHTTP(w, req)
 	})
 }
 
-func (h *Drainer) recordArrival(n int) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.lastArrival = time.Now()
-	h.running += n
+// recordArrival sets the time of the last arrival and adds n to the running requests.
+func (d *Drainer) recordArrival(n int) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.lastArrival = time.Now()
+	d.running += n
 }
 
-func (h *Drainer) isClosed() bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.closed
+func (d *Drainer) isClosed() bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.closed
 }
 
-func (h *Drainer) requestDone() {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.running--
+func (d *Drainer) requestDone() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.running--
 }
 
-// Run waits for the end to begin and for the balancer to turn away, then
-// closes the servers' listeners and returns once their last request ended.
-func (h *Drainer) Run(ctx context.Context, servers ...*http.Server) error {
+// Run waits for the shutdown to begin and for the balancer to stop sending, then closes
+// the servers' listeners and returns once their last request has ended. It also
+// returns, with an error, if ctx ends before the shutdown begins.
+func (d *Drainer) Run(ctx context.Context, servers ...*http.Server) error {
 	select {
-	case <-h.Begun():
+	case <-d.Begun():
 	case <-ctx.Done():
-		return errors.Wrap(ctx.Err(), "halt: wait")
+		return errors.Wrap(ctx.Err(), "halt: wait for shutdown to begin")
 	}
-	h.awaitIdle()
-	h.Log.Info("halt: no new requests, waiting for those in progress", zap.Int("running", h.Running()))
+	d.awaitIdle()
+	d.Log.Info("halt: no new requests, waiting for those in progress", zap.Int("running", d.Running()))
 	for _, s := range servers {
-		// Without a deadline: an answer that takes hours ends whole.
+		// No deadline: an answer that takes hours must be completed.
 		if err := s.Shutdown(context.WithoutCancel(ctx)); err != nil {
-			return errors.Wrap(err, "halt: shut down")
+			return errors.Wrap(err, "halt: shut down server")
 		}
 	}
-	h.Log.Info("halt: all requests ended")
+	d.Log.Info("halt: all requests ended")
 	return nil
 }
 
-// awaitIdle returns once no request has come for the grace, or the most time is
-// over.
-func (h *Drainer) awaitIdle() {
+// awaitIdle returns once no request has arrived for Grace, MaxAccept is over, or
+// CloseListeners was called.
+func (d *Drainer) awaitIdle() {
 	defer func() {
-		h.mu.Lock()
-		defer h.mu.Unlock()
-		h.closed = true
+		d.mu.Lock()
+		defer d.mu.Unlock()
+		d.closed = true
 	}()
 	for {
-		left := h.remaining()
+		left := d.remaining()
 		if left <= 0 {
 			return
 		}
 		timer := time.NewTimer(left)
 		select {
 		case <-timer.C:
-		case <-h.closeListeners:
+		case <-d.closeListeners:
 			timer.Stop()
 			return
 		}
 	}
 }
 
-// remaining is how long listeners stay open if no request comes.
-func (h *Drainer) remaining() time.Duration {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	left := h.Grace - time.Since(h.lastArrival)
-	if h.MaxAccept > 0 {
-		left = min(left, h.MaxAccept-time.Since(h.beginTime))
+// remaining returns how long the listeners stay open if no further request arrives.
+func (d *Drainer) remaining() time.Duration {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	left := d.Grace - time.Since(d.lastArrival)
+	if d.MaxAccept > 0 {
+		left = min(left, d.MaxAccept-time.Since(d.beginTime))
 	}
 	return left
 }
--- a/internal/app/halt/halt_test.go
+++ b/internal/app/halt/halt_test.go
@@ -16,8 +16,8 @@
 
 const grace = 10 * time.Second
 
-// testServer is a server that ends under a Halt. Requests to /slow write a piece,
-// wait for the gate and write another.
+// testServer is an HTTP server that a Drainer shuts down. The handler of /slow writes
+// one part of its answer, waits until release is closed and writes the other.
 type testServer struct {
 	drainer   *halt.Drainer
 	release   chan struct{}
@@ -47,9 +47,10 @@
 	return s
 }
 
-// The balancer has no other instance and goes on sending. The listener closes
-// after the most time all the same; who comes on a kept connection after that
-// is told to go elsewhere, and the answer in progress ends whole.
+// Guards against a shutdown that never ends because the balancer has no other instance
+// and keeps sending. The listener must close after MaxAccept all the same. Later
+// requests on keep-alive connections get the answer of AfterClose, and the answer in
+// progress must be complete.
 func TestListenerClosesAfterMaxAcceptDespiteRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := startServer(t)
@@ -64,24 +65,25 @@
 		for range 14 {
 			time.Sleep(time.Second)
 			if text, ok := s.get("/fast"); !ok {
-				t.Errorf("got %q before the most time, want an answer", text)
+				t.Errorf("got %q before MaxAccept was over, want an answer", text)
 			}
 		}
 		time.Sleep(1500 * time.Millisecond)
 		if text, ok := s.get("/fast"); ok && text == "fast" {
-			t.Errorf("got %q after the most time, want none", text)
+			t.Errorf("got %q after MaxAccept, want no such answer", text)
 		}
 		close(s.release)
 		if text := <-slow; text != "first last" {
-			t.Errorf("got %q, want the whole slow answer", text)
+			t.Errorf("got %q, want the complete slow answer", text)
 		}
 		if err := <-s.runResult; err != nil {
-			t.Errorf("got %v, want a clean end", err)
+			t.Errorf("got %v from Run, want nil", err)
 		}
 	})
 }
 
-// get returns the answer's text, or the error.
+// get returns the body of the answer and true, or an error's text or partial body and
+// false.
 func (s *testServer) get(path string) (string, bool) {
 	resp, err := s.client.Get("http://in" + path)
 	if err != nil {
@@ -92,7 +94,7 @@
 	return string(data), err == nil
 }
 
-// hasEnded reports whether Run returned, which it must do without an error.
+// hasEnded reports whether Run has returned. An error from Run fails the test.
 func (s *testServer) hasEnded(t *testing.T) bool {
 	t.Helper()
 	synctest.Wait()
@@ -107,9 +109,9 @@
 	}
 }
 
-// The caller's answer takes ten hours, and the instance is told to stop in its
-// first minute, twice. The caller sees the whole answer; the instance ends
-// only then.
+// Guards against a shutdown that cuts a running request. An answer takes ten hours, and
+// the instance is told to stop at its start and twice more a minute later. The caller
+// must receive the complete answer, and Run must return only after it.
 func TestShutdownNeverCutsARunningRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := startServer(t)
@@ -125,23 +127,24 @@
 		s.drainer.CloseListeners()
 		time.Sleep(10 * time.Hour)
 		if s.hasEnded(t) {
-			t.Fatal("got the end while a request was in progress")
+			t.Fatal("got a return of Run while a request was in progress")
 		}
 		close(s.release)
 		if got, want := <-answer, "first last"; got != want {
 			t.Errorf("got %q, want %q", got, want)
 		}
-		// The server looks for ended requests now and then.
+		// Server.Shutdown polls for idle connections.
 		time.Sleep(time.Minute)
 		if !s.hasEnded(t) {
-			t.Error("got no end after the last request, want it")
+			t.Error("got no return of Run after the last request, want it")
 		}
 	})
 }
 
-// The balancer has not noticed yet that the instance stops and still sends
-// requests. Their callers see answers; the listener closes only once none has
-// come for the grace, and each answer asks its connection to go elsewhere.
+// Guards against rejected requests while the balancer has not yet noticed that the
+// instance is stopping and still sends. Each request must be answered, with a request to
+// close its connection, and the listener may close only once none has arrived for the
+// grace period.
 func TestAcceptsRequestsUntilGraceWithoutOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := startServer(t)
@@ -149,30 +152,31 @@
 		for range 20 {
 			time.Sleep(grace - time.Second)
 			if got, ok := s.get("/fast"); !ok || got != "fast" {
-				t.Fatalf("got %q while stopping, want the answer", got)
+				t.Fatalf("got %q while stopping, want the answer of /fast", got)
 			}
 		}
 		if s.hasEnded(t) {
-			t.Fatal("got the end while requests still came")
+			t.Fatal("got a return of Run while requests still arrived")
 		}
 		time.Sleep(grace + time.Minute)
 		if !s.hasEnded(t) {
-			t.Fatal("got no end after the grace, want it")
+			t.Fatal("got no return of Run after the grace period, want it")
 		}
 		if got, ok := s.get("/fast"); ok {
-			t.Errorf("got %q after the end, want the connection refused", got)
+			t.Errorf("got %q after Run returned, want the connection refused", got)
 		}
 	})
 }
 
-// A second signal closes the listener although the balancer still sends.
+// Guards against a second signal that waits for the grace period: CloseListeners must
+// close the listeners at once, although the balancer may still send.
 func TestCloseListenersSkipsTheGrace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := startServer(t)
 		s.drainer.CloseListeners()
 		time.Sleep(time.Second)
 		if !s.hasEnded(t) || !s.drainer.Stopping() || s.drainer.Running() != 0 {
-			t.Error("got no end a second after the signal, want it")
+			t.Error("got no return of Run 1s after CloseListeners, want it, stopping and with no running request")
 		}
 	})
 }
@@ -196,7 +200,7 @@
 		time.Sleep(time.Minute)
 		s.client.CloseIdleConnections()
 		if !s.hasEnded(t) {
-			t.Error("got no end, want it")
+			t.Error("got no return of Run, want it")
 		}
 	})
 }
@@ -204,8 +208,8 @@
 func TestRunEndsWithItsContext(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	h := &halt.Drainer{Log: zap.NewNop()}
-	if err := h.Run(ctx); err == nil {
+	d := &halt.Drainer{Log: zap.NewNop()}
+	if err := d.Run(ctx); err == nil {
 		t.Error("got nil, want the context's error")
 	}
 }
