--- a/internal/wire/relay/call.go
+++ b/internal/wire/relay/call.go
@@ -1,8 +1,8 @@
-// Package relay runs a caller's request on upstreams: it sends, judges what
-// comes back, and sends again where that is allowed.
+// Package relay forwards a caller's request to upstreams: it sends the request,
+// evaluates the response, and retries where that is allowed.
 //
 // It imports base/site, state/feed, wire/client, wire/events and the logic packages for
-// their types. Package front calls it for each request; app/edge puts it together.
+// their types. Package front calls it for each request; app/edge assembles it.
 package relay
 
 import (
@@ -16,19 +16,20 @@
 	"fulmarwick/internal/wire/client"
 )
 
-// Dialect writes the headers for upstreams and reads those of their answers.
+// Dialect writes the headers of requests to upstreams and reads the headers of
+// their responses.
 type Dialect interface {
 	SetForwardHeaders(h http.Header, f site.ForwardHeader)
 	ParseResponse(status int, h http.Header) site.ResponseHeader
 }
 
-// Call is one request of a caller.
+// Call is one request of a caller with its route, team and deadline.
 type Call struct {
 	ParsedHeader site.RequestHeader
 	Route        *site.Route
 	Service      *site.Service
 	Team         string
-	// Urgency is the rank of the request, 0 first.
+	// Urgency is the priority rank of the request; 0 is the most urgent.
 	Urgency int
 
 	Method string
@@ -37,15 +38,15 @@
 	Header http.Header
 	Body   []byte
 
-	// Start is when the request was read, Until when its caller or its route
-	// waits no longer.
-	Start    time.Time
+	// Start is when the request was received.
+	Start time.Time
+	// Deadline is when the caller or the route stops waiting.
 	Deadline time.Time
 
 	fingerprint uint64
 }
 
-// Fingerprint is the fingerprint by which the request is known when it comes again.
+// Fingerprint returns the fingerprint that identifies the request when it is sent again.
 func (c *Call) Fingerprint() uint64 {
 	if c.fingerprint == 0 {
 		c.fingerprint = crash.Fingerprint(c.Team, c.Path, c.Body)
@@ -53,25 +54,27 @@
 	return c.fingerprint
 }
 
-// newRequest is the call in the form for an upstream.
-func (c *Call) newRequest(d Dialect, f site.ForwardHeader) *client.Request {
-	f.Team = c.Team
-	f.Remaining = time.Until(c.Deadline)
-	f.Urgency = c.Urgency
+// newRequest returns the call as a request to an upstream.
+func (c *Call) newRequest(d Dialect, forward site.ForwardHeader) *client.Request {
+	forward.Team = c.Team
+	forward.Remaining = time.Until(c.Deadline)
+	forward.Urgency = c.Urgency
 	h := maps.Clone(c.Header)
-	d.SetForwardHeaders(h, f)
+	d.SetForwardHeaders(h, forward)
 	return &client.Request{Method: c.Method, Path: c.Path, Host: c.Host, Header: h, Body: c.Body}
 }
 
-// CrashTracker knows the requests on whose runs upstreams die.
+// CrashTracker tracks the requests that crash upstreams.
 type CrashTracker interface {
-	// IsCulprit reports whether a request must not be sent any more.
-	IsCulprit(print uint64) bool
-	// Clear tells that a request was answered.
-	Clear(print uint64)
+	// IsCulprit reports whether a request crashed upstreams and must not be sent
+	// any more.
+	IsCulprit(fingerprint uint64) bool
+	// Clear records that a request was answered.
+	Clear(fingerprint uint64)
 }
 
-// readResponse reads the head of the answer to the call, past those to others.
+// readResponse reads the status and headers of the response to the call and skips
+// responses to other requests.
 func (c *Call) readResponse(d Dialect, conn *client.Conn) (resp *http.Response, head site.ResponseHeader, err error) {
 	resp, err = conn.ReadResponse(c.Method, func(resp *http.Response) bool {
 		head = d.ParseResponse(resp.StatusCode, resp.Header)
@@ -80,12 +83,12 @@
 	return resp, head, err
 }
 
-// Reason says why a call has no answer of an upstream.
+// Reason is why a call got no response from an upstream.
 type Reason int
 
 //go:generate stringer -type=Reason -linecomment -output=reason_string.go
 
-// The reasons.
+// Reasons why a call got no response from an upstream.
 const (
 	ReasonNone              Reason = iota // answered
 	ReasonNoCapacity                      // no room
@@ -99,40 +102,46 @@
 	ReasonAttemptsExhausted               // attempts used up
 )
 
-// Reply is the final answer to a call.
+// Reply is the final response to a call.
 type Reply struct {
-	// Status and the rest come from an upstream, unless Reason is set.
+	// Status, Header and Body come from an upstream, unless Reason is set.
 	Status int
 	Header http.Header
 	Body   []byte
 
 	Reason Reason
-	// MayHaveRun tells that an upstream may have run the call; without it the caller
-	// is promised that none did or will.
+	// MayHaveRun means that an upstream may have run the call. If it is false, the
+	// caller is promised that no upstream ran the call or will run it.
 	MayHaveRun bool
-	// RetryAfter is when the caller should come back; zero says nothing.
+	// RetryAfter is how long the caller should wait before a retry; zero gives no
+	// advice.
 	RetryAfter time.Duration
-	// Started tells that a part of the answer was passed on, so that only
-	// breaking the connection tells the caller of the failure.
+	// Started means that a part of the response was forwarded already, so that a
+	// failure can be signalled only by breaking the caller's connection.
 	Started bool
-	// SendCount is how many upstreams the call was sent to, Upstreams which ones.
+	// SendCount is how many upstreams the call was sent to.
 	SendCount int
+	// Upstreams lists the upstreams that the call was sent to.
 	Upstreams []spec.UpstreamID
-	// FirstEventLatency is the time to the first event of a stream, Pause the longest one
-	// between events; PauseAt is when that ended and PausePath the engines then.
+	// FirstEventLatency is the time from Start of the call to the first event of a
+	// stream.
 	FirstEventLatency time.Duration
-	MaxEventGap       time.Duration
-	MaxEventGapEnd    time.Duration
-	MaxEventGapPath   spec.Chain
+	// MaxEventGap is the longest gap between two events.
+	MaxEventGap time.Duration
+	// MaxEventGapEnd is when that gap ended, counted from Start of the call.
+	MaxEventGapEnd time.Duration
+	// MaxEventGapPath is the path of engines at that time.
+	MaxEventGapPath spec.Chain
 }
 
-// hopByHopHeaders concern one connection only.
+// hopByHopHeaders apply to a single connection and are not forwarded.
 var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// StripHopByHopHeaders removes the headers that concern one connection only.
+// StripHopByHopHeaders removes the headers that apply to a single connection,
+// including those that the Connection header lists.
 func StripHopByHopHeaders(h http.Header) {
 	for _, list := range h["Connection"] {
 		for name := range splitList(list) {
--- a/internal/wire/relay/list.go
+++ b/internal/wire/relay/list.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// splitList goes through the names of a comma-separated header.
+// splitList iterates over the names in a comma-separated header value.
 func splitList(list string) iter.Seq[string] {
 	return func(yield func(string) bool) {
 		for name := range strings.SplitSeq(list, ",") {
--- a/internal/wire/relay/model.go
+++ b/internal/wire/relay/model.go
@@ -14,63 +14,65 @@
 	"github.com/go-faster/errors"
 )
 
-// Sink takes the answer of a model request.
+// Sink receives the response to a model request.
 type Sink interface {
 	WriteHead(status int, h http.Header)
 	WriteEvent(event []byte, flush bool) error
 }
 
-// RunKind is why a request asks for engines.
+// RunKind tells a first run from a retry and from a resumed stream.
 type RunKind int
 
 //go:generate stringer -type=RunKind -linecomment -output=runkind_string.go
 
-// The entries.
+// Kinds of runs.
 const (
 	RunFirst  RunKind = iota // first run
 	RunRetry                 // run after one that brought nothing
 	RunResume                // run after one that brought a part of the answer
 )
 
-// PathSelector chooses the engines of model requests and follows their runs.
+// PathSelector selects the engines for model requests and tracks their runs.
 type PathSelector interface {
-	// StartRun chooses a path without the engines to avoid and counts a run in; it
-	// waits for room while that helps.
-	StartRun(ctx context.Context, c *Call, how RunKind, avoid []spec.UpstreamID) (*Run, error)
-	// RetryAfter is after how long a caller that is turned away should come back.
+	// StartRun selects a path without the engines in avoid and registers a run on
+	// it. It waits for free capacity while waiting can help.
+	StartRun(ctx context.Context, c *Call, kind RunKind, avoid []spec.UpstreamID) (*Run, error)
+	// RetryAfter returns how long a rejected caller should wait before a retry.
 	RetryAfter(c *Call) time.Duration
-	// RecordFirstEvent tells that the first event of a run came, End that the run is over.
-	// whole tells that it brought the whole answer.
-	RecordFirstEvent(f *Run)
-	EndRun(f *Run, whole bool)
-	// ReportConnFailure tells of an engine that refused or broke a connection.
+	// RecordFirstEvent records that the first event of a run was received.
+	RecordFirstEvent(run *Run)
+	// EndRun records that the run is over. complete means that this run delivered
+	// the complete answer.
+	EndRun(run *Run, complete bool)
+	// ReportConnFailure reports an engine that refused or broke a connection.
 	ReportConnFailure(service string, id spec.UpstreamID)
-	// RecordRefusal tells that a run was refused, and by which engine of its path;
-	// empty is the first. It returns the engine.
-	RecordRefusal(f *Run, address string) spec.UpstreamID
-	// IsDead reports whether an engine is known not to answer.
+	// RecordRefusal records that the engine at an address of the path refused the
+	// run, and returns that engine. An empty address means the first engine.
+	RecordRefusal(run *Run, address string) spec.UpstreamID
+	// IsDead reports whether an engine is known to be dead.
 	IsDead(service string, id spec.UpstreamID) bool
-	// ConfirmExited asks an engine on which a run began whether it has ended. One that broke its
-	// run off has if it was leaving.
-	ConfirmExited(ctx context.Context, service string, id spec.UpstreamID, broke bool) bool
+	// ConfirmExited probes an engine on which a run began and reports whether the
+	// engine has exited. An engine that broke off its run has exited if it was
+	// leaving.
+	ConfirmExited(ctx context.Context, service string, id spec.UpstreamID, brokeRunOff bool) bool
 }
 
-// Errors of a run.
+// Errors with which a run ends.
 var (
-	errNotRun       = errors.New("relay: not run")
-	errUnsent       = errors.New("relay: not sent")
-	errRerouted     = errors.New("relay: run moved")
-	errCallerGone   = errors.New("relay: caller gone")
-	errEngineStatus = errors.New("relay: engine failed")
-	errStaleConn    = errors.New("relay: kept connection was closed")
-	errTimeout      = errors.New("relay: time is over")
+	errNotRun       = errors.New("relay: engine did not run the request")
+	errUnsent       = errors.New("relay: request not sent")
+	errRerouted     = errors.New("relay: run rerouted")
+	errCallerGone   = errors.New("relay: caller disconnected")
+	errEngineStatus = errors.New("relay: engine returned an error")
+	errStaleConn    = errors.New("relay: idle connection was closed")
+	errTimeout      = errors.New("relay: deadline exceeded")
 )
 
 const (
-	// maxRunsPerRequest bounds the runs of one request. Refusals count until its caller has a
-	// part of the answer.
+	// maxRunsPerRequest limits the runs of one request. Refused runs count until the
+	// caller has received a part of the answer.
 	maxRunsPerRequest = 8
-	// eventBufferBytes holds a few events, in bytes.
+	// eventBufferBytes is the size of the read buffer in bytes; it holds a few events.
 	eventBufferBytes = 2 << 10
 )
 
@@ -80,11 +82,11 @@
 	Pool        *client.Pool
 	Paths       PathSelector
 	RetryBudget RetryBudget
-	// CrashTracker knows requests that crash engines.
+	// CrashTracker tracks requests that crash engines.
 	CrashTracker CrashTracker
 }
 
-// Do runs the call and passes its answer to sink.
+// Do runs the call and forwards the answer to sink.
 func (m *ModelRunner) Do(ctx context.Context, c *Call, sink Sink) Reply {
 	ctx, cancel := context.WithDeadline(ctx, c.Deadline)
 	defer cancel()
@@ -92,45 +94,48 @@
 		return Reply{Reason: ReasonPoison}
 	}
 	m.RetryBudget.RecordRequest(c.Service.Name)
-	s := &modelCall{runner: m, call: c, ctx: ctx, sink: sink, lastEventID: c.ParsedHeader.LastEventID}
-	r := s.timing.addTo(s.run())
-	r.Upstreams = s.firstEngines
+	mc := &modelCall{runner: m, call: c, ctx: ctx, sink: sink, lastEventID: c.ParsedHeader.LastEventID}
+	r := mc.timing.addTo(mc.run())
+	r.Upstreams = mc.firstEngines
 	return r
 }
 
-// modelCall is one request over all its runs.
+// modelCall is the state of one request across all its runs.
 type modelCall struct {
 	runner *ModelRunner
 	call   *Call
 	ctx    context.Context
 	sink   Sink
 
-	// lastEventID is the ID of the last event that the caller has.
+	// lastEventID is the ID of the last event that the caller has received.
 	lastEventID int
-	started     bool
-	runs        int
+	// started means that a part of the answer was forwarded.
+	started bool
+	runs    int
 	// refusals counts the runs that engines refused after the answer began.
 	refusals int
-	// attempts are the first engines of runs that may have begun; maybe tells that
-	// there was one, so that no promise can be given.
-	attempts   []attempt
+	// attempts are the first engines of runs that may have begun.
+	attempts []attempt
+	// mayHaveRun means that a run may have begun, so that the caller cannot be
+	// promised that the request has not run.
 	mayHaveRun bool
-	// avoid are engines that refused or broke a run.
+	// avoid lists engines that refused or broke off a run.
 	avoid []spec.UpstreamID
 	// firstEngines are the first engines of the runs.
 	firstEngines []spec.UpstreamID
-	// noRetryReason is why the request does not run once more.
+	// noRetryReason is why the request is not retried.
 	noRetryReason Reason
-	// forceNewConn asks for new connections.
+	// forceNewConn prevents the reuse of idle connections.
 	forceNewConn bool
-	// errorReply is an engine's own failure, passed on if nothing better comes.
+	// errorReply is an error response of an engine. It is forwarded if no later run
+	// succeeds.
 	errorReply *Reply
 
-	// timing is how the events came so far.
+	// timing records when events were received so far.
 	timing eventTiming
 }
 
-// eventTiming is how the events of an answer came, over all runs.
+// eventTiming records when the events of an answer were received, across all runs.
 type eventTiming struct {
 	lastEvent    time.Time
 	firstLatency time.Duration
@@ -139,74 +144,74 @@
 	maxGapPath   spec.Chain
 }
 
-// record notes an event of a run.
-func (p *eventTiming) record(start time.Time, f *Run) {
+// record updates the timing with an event of a run.
+func (t *eventTiming) record(start time.Time, run *Run) {
 	now := time.Now()
-	if p.lastEvent.IsZero() {
-		p.firstLatency = now.Sub(start)
-	} else if d := now.Sub(p.lastEvent); d > p.maxGap {
-		p.maxGap, p.maxGapEnd = d, now.Sub(start)
-		p.maxGapPath, _ = f.Chain()
+	if t.lastEvent.IsZero() {
+		t.firstLatency = now.Sub(start)
+	} else if gap := now.Sub(t.lastEvent); gap > t.maxGap {
+		t.maxGap, t.maxGapEnd = gap, now.Sub(start)
+		t.maxGapPath, _ = run.Chain()
 	}
-	p.lastEvent = now
+	t.lastEvent = now
 }
 
-// addTo adds how events came to the final answer.
-func (p *eventTiming) addTo(r Reply) Reply {
-	r.FirstEventLatency, r.MaxEventGap, r.MaxEventGapEnd, r.MaxEventGapPath = p.firstLatency, p.maxGap, p.maxGapEnd, p.maxGapPath
+// addTo copies the timing into the final reply.
+func (t *eventTiming) addTo(r Reply) Reply {
+	r.FirstEventLatency, r.MaxEventGap, r.MaxEventGapEnd, r.MaxEventGapPath = t.firstLatency, t.maxGap, t.maxGapEnd, t.maxGapPath
 	return r
 }
 
-func (s *modelCall) run() Reply {
+func (c *modelCall) run() Reply {
 	for {
-		f, err := s.startRun()
-		if s.started && errors.Is(err, path.ErrNoPath) && feed.Sleep(s.ctx, maxRetryBackoff) {
+		run, err := c.startRun()
+		if c.started && errors.Is(err, path.ErrNoPath) && feed.Sleep(c.ctx, maxRetryBackoff) {
 			continue
 		}
 		if err != nil {
-			return s.refusedReply(err)
+			return c.refusedReply(err)
 		}
-		s.runs++
-		chain, _ := f.Chain()
-		s.firstEngines = append(s.firstEngines, chain[0].Engine())
-		span := startSendSpan(s.ctx, chain[0].Engine())
-		err = s.runOnce(f)
+		c.runs++
+		chain, _ := run.Chain()
+		c.firstEngines = append(c.firstEngines, chain[0].Engine())
+		span := startSendSpan(c.ctx, chain[0].Engine())
+		err = c.runOnce(run)
 		endSendSpan(span, err)
-		s.runner.Paths.EndRun(f, err == nil && s.runs == 1 && s.call.ParsedHeader.LastEventID == 0)
+		c.runner.Paths.EndRun(run, err == nil && c.runs == 1 && c.call.ParsedHeader.LastEventID == 0)
 		if err == nil {
-			s.runner.CrashTracker.Clear(s.call.Fingerprint())
-			return Reply{SendCount: s.runs, MayHaveRun: true}
+			c.runner.CrashTracker.Clear(c.call.Fingerprint())
+			return Reply{SendCount: c.runs, MayHaveRun: true}
 		}
-		s.recordFailure(f, err)
-		if !s.shouldRetry(f, err) {
-			return s.failedReply(err)
+		c.recordFailure(run, err)
+		if !c.shouldRetry(run, err) {
+			return c.failedReply(err)
 		}
 	}
 }
 
-// startRun finds engines with room and counts a run in.
-func (s *modelCall) startRun() (*Run, error) {
-	how := RunFirst
+// startRun finds engines with free capacity and registers a run on them.
+func (c *modelCall) startRun() (*Run, error) {
+	kind := RunFirst
 	switch {
-	case s.started:
-		how = RunResume
-	case s.runs > 0:
-		how = RunRetry
+	case c.started:
+		kind = RunResume
+	case c.runs > 0:
+		kind = RunRetry
 	}
-	f, err := s.runner.Paths.StartRun(s.ctx, s.call, how, s.avoid)
+	run, err := c.runner.Paths.StartRun(c.ctx, c.call, kind, c.avoid)
 	if err != nil {
 		return nil, err
 	}
-	f.Request = s.call.ParsedHeader.ID
-	f.HasSpareAttempt = len(s.attempts)+1 < s.call.Route.MaxAttempts
-	return f, nil
+	run.Request = c.call.ParsedHeader.ID
+	run.HasSpareAttempt = len(c.attempts)+1 < c.call.Route.MaxAttempts
+	return run, nil
 }
 
-func (s *modelCall) refusedReply(err error) Reply {
-	r := Reply{Reason: ReasonNoCapacity, MayHaveRun: s.mayHaveRun, Started: s.started, SendCount: s.runs}
+func (c *modelCall) refusedReply(err error) Reply {
+	r := Reply{Reason: ReasonNoCapacity, MayHaveRun: c.mayHaveRun, Started: c.started, SendCount: c.runs}
 	switch {
-	case s.errorReply != nil && !s.started:
-		return *s.errorReply
+	case c.errorReply != nil && !c.started:
+		return *c.errorReply
 	case errors.Is(err, context.Canceled):
 		r.Reason = ReasonCallerLeft
 	case errors.Is(err, context.DeadlineExceeded):
@@ -217,23 +222,23 @@
 		r.Reason = ReasonReserved
 	}
 	if !r.MayHaveRun && r.Reason != ReasonCallerLeft {
-		r.RetryAfter = s.runner.Paths.RetryAfter(s.call)
+		r.RetryAfter = c.runner.Paths.RetryAfter(c.call)
 	}
 	return r
 }
 
-func (s *modelCall) failedReply(err error) Reply {
-	r := Reply{Reason: s.noRetryReason, MayHaveRun: s.mayHaveRun, Started: s.started, SendCount: s.runs}
+func (c *modelCall) failedReply(err error) Reply {
+	r := Reply{Reason: c.noRetryReason, MayHaveRun: c.mayHaveRun, Started: c.started, SendCount: c.runs}
 	switch {
-	case s.errorReply != nil && !s.started:
-		return *s.errorReply
-	case errors.Is(err, errCallerGone) || errors.Is(s.ctx.Err(), context.Canceled):
+	case c.errorReply != nil && !c.started:
+		return *c.errorReply
+	case errors.Is(err, errCallerGone) || errors.Is(c.ctx.Err(), context.Canceled):
 		r.Reason = ReasonCallerLeft
-	case s.ctx.Err() != nil:
+	case c.ctx.Err() != nil:
 		r.Reason = ReasonTimeout
-	case !s.mayHaveRun:
+	case !c.mayHaveRun:
 		r.Reason = ReasonRefused
-		r.RetryAfter = s.runner.Paths.RetryAfter(s.call)
+		r.RetryAfter = c.runner.Paths.RetryAfter(c.call)
 	}
 	return r
 }
--- a/internal/wire/relay/plain.go
+++ b/internal/wire/relay/plain.go
@@ -14,36 +14,39 @@
 	"github.com/go-faster/errors"
 )
 
-// UpstreamSelector chooses among the upstreams of plain services and learns from how
-// requests ended there.
+// UpstreamSelector selects among the upstreams of plain services, based on the
+// outcomes of earlier requests.
 type UpstreamSelector interface {
+	// Pick selects an upstream that is not in avoid; false if there is none.
 	Pick(service string, avoid []spec.UpstreamID) (site.Upstream, bool)
-	// RecordOutcome learns how the request with a fingerprint ended.
-	RecordOutcome(up site.Upstream, print uint64, took time.Duration, end ewma.Outcome)
+	// RecordOutcome records how the request with a fingerprint ended.
+	RecordOutcome(up site.Upstream, fingerprint uint64, took time.Duration, outcome ewma.Outcome)
 	StartCooldown(up site.Upstream)
-	ApplyReportedLoad(up site.Upstream, l site.Load)
+	ApplyReportedLoad(up site.Upstream, load site.Load)
 	ExpectedLatency(up site.Upstream) time.Duration
 }
 
-// RetryBudget bounds how often requests are sent again.
+// RetryBudget limits how often requests are retried.
 type RetryBudget interface {
 	RecordRequest(service string)
 	AllowRetry(service string) bool
 }
 
 const (
-	// maxPlainBodyBytes bounds the body of a plain answer in bytes: it is kept whole
-	// before any of it is passed on, so that a broken one can be made good.
+	// maxPlainBodyBytes limits the body of a plain response in bytes: the body is
+	// buffered completely before any of it is forwarded, so that the call can be
+	// retried if the response breaks off.
 	maxPlainBodyBytes = 8 << 20
-	// maxSends bounds how often one call is sent, refusals included.
+	// maxSends limits how often one call is sent, refused sends included.
 	maxSends = 4
-	// hedgeLatencyFactor is after how many usual times a second upstream is asked as
-	// well, hedgeLeast the least such time: 1 in 100 answers takes five times
-	// the usual work.
+	// hedgeLatencyFactor is after how many times the expected latency a hedged
+	// request is sent to a second upstream: 1 in 100 responses takes five times the
+	// usual work.
 	hedgeLatencyFactor = 3
-	minHedgeDelay      = 40 * time.Millisecond
-	// plainRetryAfter is the pause told to callers of a plain service without a free
-	// place: several answers at their usual time.
+	// minHedgeDelay is the shortest delay before a hedged request.
+	minHedgeDelay = 40 * time.Millisecond
+	// plainRetryAfter is the Retry-After for callers of a plain service without free
+	// capacity: several times the usual response time.
 	plainRetryAfter = 200 * time.Millisecond
 )
 
@@ -53,27 +56,27 @@
 	Pool        *client.Pool
 	Upstreams   UpstreamSelector
 	RetryBudget RetryBudget
-	// CrashTracker knows requests that crash upstreams.
+	// CrashTracker tracks requests that crash upstreams.
 	CrashTracker CrashTracker
 }
 
-// sendResult is one send and how it ended.
+// sendResult is the result of sending the call to one upstream.
 type sendResult struct {
 	upstream site.Upstream
 	response *Reply
-	// notRun means that the upstream has not run the call and never will.
+	// notRun means that the upstream has not run the call and will not run it.
 	notRun bool
 	// unsent means that no byte of the call was sent.
 	unsent bool
 	err    error
 }
 
-// succeeded reports whether the answer needs no second try.
-func (t *sendResult) succeeded() bool {
-	return t.response != nil && t.response.Status < http.StatusInternalServerError
+// succeeded reports whether the response needs no retry.
+func (r *sendResult) succeeded() bool {
+	return r.response != nil && r.response.Status < http.StatusInternalServerError
 }
 
-// Do runs the call and returns its final answer.
+// Do runs the call and returns the final reply.
 func (p *PlainRunner) Do(ctx context.Context, c *Call) Reply {
 	ctx, cancel := context.WithDeadline(ctx, c.Deadline)
 	defer cancel()
@@ -81,12 +84,13 @@
 		return Reply{Reason: ReasonPoison}
 	}
 	p.RetryBudget.RecordRequest(c.Service.Name)
-	r := &plainCall{runner: p, call: c, ctx: ctx, results: make(chan *sendResult, maxSends)}
-	return r.run()
+	pc := &plainCall{runner: p, call: c, ctx: ctx, results: make(chan *sendResult, maxSends)}
+	return pc.run()
 }
 
-// plainCall is the tries of one call. A call that is idempotent may have two on
-// their way; any other has one, and a second only if the first has not run.
+// plainCall is the state of one call across its attempts. An idempotent call may
+// have two attempts in flight; any other call has one, and a second attempt only if
+// the upstream did not run the first.
 type plainCall struct {
 	runner  *PlainRunner
 	call    *Call
@@ -95,198 +99,201 @@
 
 	sentTo   []site.Upstream
 	inFlight int
-	// mayHaveRunCount counts upstreams that may have run the call.
+	// mayHaveRunCount is how many upstreams may have run the call.
 	mayHaveRunCount int
 	lastResult      *sendResult
 }
 
-func (r *plainCall) run() Reply {
-	if !r.sendNext() {
+func (c *plainCall) run() Reply {
+	if !c.sendNext() {
 		return Reply{Reason: ReasonNoUpstream, RetryAfter: plainRetryAfter}
 	}
-	hedge := time.NewTimer(r.hedgeDelay())
+	hedge := time.NewTimer(c.hedgeDelay())
 	defer hedge.Stop()
 	for {
 		select {
-		case t := <-r.results:
-			r.inFlight--
-			if reply, done := r.handleResult(t); done {
-				return r.withUpstreams(reply)
+		case result := <-c.results:
+			c.inFlight--
+			if reply, done := c.handleResult(result); done {
+				return c.withUpstreams(reply)
 			}
 		case <-hedge.C:
-			if r.canRetry() {
-				r.retry()
+			if c.canRetry() {
+				c.retry()
 			}
-		case <-r.ctx.Done():
-			return r.withUpstreams(r.giveUpReply())
+		case <-c.ctx.Done():
+			return c.withUpstreams(c.giveUpReply())
 		}
 	}
 }
 
-// withUpstreams adds which upstreams the call was sent to.
-func (r *plainCall) withUpstreams(reply Reply) Reply {
-	for _, up := range r.sentTo {
+// withUpstreams adds the upstreams that the call was sent to.
+func (c *plainCall) withUpstreams(reply Reply) Reply {
+	for _, up := range c.sentTo {
 		reply.Upstreams = append(reply.Upstreams, up.ID)
 	}
 	return reply
 }
 
-func (r *plainCall) canRetry() bool {
-	return r.call.Route.Retryable() && r.mayHaveRunCount+r.inFlight < r.call.Route.MaxAttempts
+func (c *plainCall) canRetry() bool {
+	return c.call.Route.Retryable() && c.mayHaveRunCount+c.inFlight < c.call.Route.MaxAttempts
 }
 
-func (r *plainCall) hedgeDelay() time.Duration {
-	if !r.call.Route.Retryable() || r.call.Route.MaxAttempts < 2 {
-		return time.Until(r.call.Deadline) + time.Second
+func (c *plainCall) hedgeDelay() time.Duration {
+	if !c.call.Route.Retryable() || c.call.Route.MaxAttempts < 2 {
+		return time.Until(c.call.Deadline) + time.Second
 	}
-	return max(minHedgeDelay, hedgeLatencyFactor*r.runner.Upstreams.ExpectedLatency(r.sentTo[0]))
+	return max(minHedgeDelay, hedgeLatencyFactor*c.runner.Upstreams.ExpectedLatency(c.sentTo[0]))
 }
 
 // sendNext sends the call to the next upstream.
-func (r *plainCall) sendNext() bool {
-	if len(r.sentTo) >= maxSends {
+func (c *plainCall) sendNext() bool {
+	if len(c.sentTo) >= maxSends {
 		return false
 	}
 	var avoid []spec.UpstreamID
-	for _, up := range r.sentTo {
+	for _, up := range c.sentTo {
 		avoid = append(avoid, up.ID)
 	}
-	up, ok := r.runner.Upstreams.Pick(r.call.Service.Name, avoid)
+	up, ok := c.runner.Upstreams.Pick(c.call.Service.Name, avoid)
 	if !ok {
 		return false
 	}
-	r.sentTo = append(r.sentTo, up)
-	r.inFlight++
-	go func() { r.results <- r.runner.sendOnce(r.ctx, r.call, up) }()
+	c.sentTo = append(c.sentTo, up)
+	c.inFlight++
+	go func() { c.results <- c.runner.sendOnce(c.ctx, c.call, up) }()
 	return true
 }
 
-func (r *plainCall) retry() bool {
-	return len(r.sentTo) < maxSends && !r.runner.CrashTracker.IsCulprit(r.call.Fingerprint()) && r.runner.RetryBudget.AllowRetry(r.call.Service.Name) && r.sendNext()
+func (c *plainCall) retry() bool {
+	return len(c.sentTo) < maxSends && !c.runner.CrashTracker.IsCulprit(c.call.Fingerprint()) && c.runner.RetryBudget.AllowRetry(c.call.Service.Name) && c.sendNext()
 }
 
-// handleResult judges a try; done is false while another one may still do better.
-func (r *plainCall) handleResult(t *sendResult) (reply Reply, done bool) {
-	if t.succeeded() {
-		return r.finalReply(t), true
+// handleResult evaluates the result of an attempt; done is false while another
+// attempt may still succeed.
+func (c *plainCall) handleResult(result *sendResult) (reply Reply, done bool) {
+	if result.succeeded() {
+		return c.finalReply(result), true
 	}
-	if !t.notRun && !t.unsent {
-		r.mayHaveRunCount++
-		r.lastResult = t
+	if !result.notRun && !result.unsent {
+		c.mayHaveRunCount++
+		c.lastResult = result
 	}
-	if r.lastResult == nil {
-		r.lastResult = t
+	if c.lastResult == nil {
+		c.lastResult = result
 	}
-	if r.ctx.Err() != nil {
-		return r.giveUpReply(), true
+	if c.ctx.Err() != nil {
+		return c.giveUpReply(), true
 	}
-	if t.notRun || t.unsent || r.canRetry() {
-		if r.retry() {
+	if result.notRun || result.unsent || c.canRetry() {
+		if c.retry() {
 			return Reply{}, false
 		}
 	}
-	if r.inFlight > 0 {
+	if c.inFlight > 0 {
 		return Reply{}, false
 	}
-	return r.failedReply(), true
+	return c.failedReply(), true
 }
 
-func (r *plainCall) finalReply(t *sendResult) Reply {
-	reply := *t.response
-	reply.SendCount = len(r.sentTo)
+func (c *plainCall) finalReply(result *sendResult) Reply {
+	reply := *result.response
+	reply.SendCount = len(c.sentTo)
 	reply.MayHaveRun = true
-	r.runner.CrashTracker.Clear(r.call.Fingerprint())
+	c.runner.CrashTracker.Clear(c.call.Fingerprint())
 	return reply
 }
 
-// failedReply is the answer after the last try.
-func (r *plainCall) failedReply() Reply {
-	if r.lastResult.response != nil && !r.lastResult.notRun {
-		return r.finalReply(r.lastResult)
+// failedReply returns the reply after the last attempt failed.
+func (c *plainCall) failedReply() Reply {
+	if c.lastResult.response != nil && !c.lastResult.notRun {
+		return c.finalReply(c.lastResult)
 	}
-	if r.mayHaveRunCount > 0 {
-		return Reply{Reason: ReasonResponseLost, MayHaveRun: true, SendCount: len(r.sentTo)}
+	if c.mayHaveRunCount > 0 {
+		return Reply{Reason: ReasonResponseLost, MayHaveRun: true, SendCount: len(c.sentTo)}
 	}
-	return Reply{Reason: ReasonRefused, RetryAfter: plainRetryAfter, SendCount: len(r.sentTo)}
+	return Reply{Reason: ReasonRefused, RetryAfter: plainRetryAfter, SendCount: len(c.sentTo)}
 }
 
-// giveUpReply is the answer when the caller left or the time is over. A try that is
-// still on its way may run.
-func (r *plainCall) giveUpReply() Reply {
-	reply := Reply{Reason: ReasonTimeout, MayHaveRun: r.inFlight > 0 || r.mayHaveRunCount > 0, SendCount: len(r.sentTo)}
-	if errors.Is(r.ctx.Err(), context.Canceled) {
+// giveUpReply returns the reply after the caller disconnected or the deadline passed.
+// An attempt that is still in flight may run.
+func (c *plainCall) giveUpReply() Reply {
+	reply := Reply{Reason: ReasonTimeout, MayHaveRun: c.inFlight > 0 || c.mayHaveRunCount > 0, SendCount: len(c.sentTo)}
+	if errors.Is(c.ctx.Err(), context.Canceled) {
 		reply.Reason = ReasonCallerLeft
 	}
 	return reply
 }
 
-// sendOnce sends the call to one upstream and reads its whole answer.
+// sendOnce sends the call to one upstream and reads the complete response.
 func (p *PlainRunner) sendOnce(ctx context.Context, c *Call, up site.Upstream) *sendResult {
 	start := time.Now()
 	span := startSendSpan(ctx, up.ID)
-	t := p.exchange(ctx, c, up)
-	endSendSpan(span, t.err)
-	end := ewma.OutcomeOK
+	result := p.exchange(ctx, c, up)
+	endSendSpan(span, result.err)
+	outcome := ewma.OutcomeOK
 	switch {
-	case t.notRun || t.unsent:
-		end = ewma.OutcomeRefused
-	case t.err != nil && errors.Is(ctx.Err(), context.Canceled):
-		end = ewma.OutcomeUnknown
-	case t.err != nil:
-		end = ewma.OutcomeLost
-	case !t.succeeded():
-		end = ewma.OutcomeFailed
+	case result.notRun || result.unsent:
+		outcome = ewma.OutcomeRefused
+	case result.err != nil && errors.Is(ctx.Err(), context.Canceled):
+		outcome = ewma.OutcomeUnknown
+	case result.err != nil:
+		outcome = ewma.OutcomeLost
+	case !result.succeeded():
+		outcome = ewma.OutcomeFailed
 	}
-	p.Upstreams.RecordOutcome(up, c.Fingerprint(), time.Since(start), end)
-	return t
+	p.Upstreams.RecordOutcome(up, c.Fingerprint(), time.Since(start), outcome)
+	return result
 }
 
 func (p *PlainRunner) exchange(ctx context.Context, c *Call, up site.Upstream) *sendResult {
-	t := &sendResult{upstream: up}
+	result := &sendResult{upstream: up}
 	conn, err := p.Pool.Get(ctx, up.Address, c.Route.Kind != site.KindSafe)
 	if err != nil {
 		if ctx.Err() == nil {
 			p.Upstreams.StartCooldown(up)
 		}
-		t.unsent, t.err = true, err
-		return t
+		result.unsent, result.err = true, err
+		return result
 	}
 	stop := context.AfterFunc(ctx, conn.Close)
 	defer stop()
 	if ctx.Err() != nil {
-		t.unsent, t.err = true, ctx.Err()
-		return t
+		result.unsent, result.err = true, ctx.Err()
+		return result
 	}
 	if err := conn.WriteRequest(c.newRequest(p.Dialect, site.ForwardHeader{Expect: up.ID}), c.Deadline); err != nil {
 		conn.Close()
-		t.err = err
-		return t
+		result.err = err
+		return result
 	}
-	t.response, t.notRun, t.err = p.readResponse(conn, c, up)
-	return t
+	result.response, result.notRun, result.err = p.readResponse(conn, c, up)
+	return result
 }
 
-// readResponse takes an answer. The connection is kept if it ended properly.
+// readResponse reads a response. The connection is reused if the response ended
+// properly.
 func (p *PlainRunner) readResponse(conn *client.Conn, c *Call, up site.Upstream) (reply *Reply, notRun bool, err error) {
 	resp, head, err := c.readResponse(p.Dialect, conn)
 	if err != nil {
 		conn.Close()
 		return nil, false, err
 	}
-	// What is not read belongs to a connection that is closed by then.
+	// If a part of the body is unread here, the connection is closed already.
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxPlainBodyBytes+1))
 	if err != nil || len(body) > maxPlainBodyBytes {
 		conn.Close()
-		return nil, false, errors.Wrap(client.ErrRead, "answer cut or too long")
+		return nil, false, errors.Wrap(client.ErrRead, "response truncated or too long")
 	}
 	p.Pool.Release(conn, resp)
 	if head.Load != nil {
 		p.Upstreams.ApplyReportedLoad(up, *head.Load)
 	}
 	if !head.NotExecuted && !head.Sealed {
-		// Bytes without a seal are not an answer that may be passed on.
-		return nil, false, errors.Wrapf(client.ErrRead, "answer with status %d has no seal", resp.StatusCode)
+		// Only a response with a seal is known to come from an upstream and may be
+		// forwarded.
+		return nil, false, errors.Wrapf(client.ErrRead, "response with status %d has no seal", resp.StatusCode)
 	}
 	StripHopByHopHeaders(resp.Header)
 	return &Reply{Status: resp.StatusCode, Header: resp.Header, Body: body}, head.NotExecuted, nil
--- /dev/null
+++ b/internal/wire/relay/retry.go
@@ -0,0 +1,135 @@
+package relay
+
+import (
+	"slices"
+	"sync"
+	"time"
+
+	"fulmarwick/internal/base/spec"
+	"fulmarwick/internal/state/feed"
+
+	"github.com/go-faster/errors"
+)
+
+const (
+	// minRetryBackoff is the shortest pause before a stream is retried that was
+	// refused or found the retry budget empty. Capacity becomes free as other
+	// answers end.
+	minRetryBackoff = 50 * time.Millisecond
+	// maxRetryBackoff is the longest such pause.
+	maxRetryBackoff = 400 * time.Millisecond
+)
+
+// attempt is an engine that ran the request as the first engine of a path, or may
+// have run it.
+type attempt struct {
+	engine spec.UpstreamID
+	// brokeRunOff means that the engine broke off the run: if it was leaving, it has
+	// exited.
+	brokeRunOff bool
+}
+
+// recordFailure records which engine may have run the request in a failed run.
+func (c *modelCall) recordFailure(run *Run, err error) {
+	if errors.Is(err, errNotRun) || errors.Is(err, errUnsent) {
+		return
+	}
+	c.mayHaveRun = true
+	chain, _ := run.Chain()
+	first := chain[0].Engine()
+	if errors.Is(err, errStaleConn) && run.EventCount() == 0 && !c.runner.Paths.IsDead(c.call.Service.Name, first) {
+		return
+	}
+	broke := !run.isRerouted() && !errors.Is(err, errEngineStatus)
+	index := slices.IndexFunc(c.attempts, func(a attempt) bool { return a.engine == first })
+	if index < 0 {
+		c.attempts = append(c.attempts, attempt{engine: first, brokeRunOff: broke})
+	} else {
+		c.attempts[index].brokeRunOff = broke
+	}
+}
+
+// hasAttemptLeft reports whether an attempt is left. Engines that have exited do not
+// count. The engines are probed only if the limit is reached.
+func (c *modelCall) hasAttemptLeft() bool {
+	if len(c.attempts) < c.call.Route.MaxAttempts {
+		return true
+	}
+	exited := make([]bool, len(c.attempts))
+	var probes sync.WaitGroup
+	for i, a := range c.attempts {
+		probes.Go(func() { exited[i] = c.runner.Paths.ConfirmExited(c.ctx, c.call.Service.Name, a.engine, a.brokeRunOff) })
+	}
+	probes.Wait()
+	var left []attempt
+	for i, a := range c.attempts {
+		if !exited[i] {
+			left = append(left, a)
+		}
+	}
+	c.attempts = left
+	return len(c.attempts) < c.call.Route.MaxAttempts
+}
+
+// shouldRetry reports whether the request may run again. If the caller already has a
+// part of the answer, it waits until a retry is allowed.
+func (c *modelCall) shouldRetry(run *Run, err error) bool {
+	unsent := errors.Is(err, errUnsent)
+	refused := unsent || errors.Is(err, errNotRun)
+	counted := errors.Is(err, errRerouted) && run.isRetryCounted()
+	if refused && c.started {
+		c.refusals++
+	}
+	if c.noRetryReason = c.retryBlocker(err, refused || counted); c.noRetryReason != ReasonNone {
+		return false
+	}
+	c.noRetryReason = ReasonResponseLost
+	if refused && c.started && !feed.Sleep(c.ctx, retryBackoff(c.refusals)) {
+		return false
+	}
+	return unsent || counted || c.takeRetry()
+}
+
+// retryBlocker returns why the request must not run again, or ReasonNone. free means
+// that the last run used no attempt, or that the next run is already counted as a
+// retry.
+func (c *modelCall) retryBlocker(err error, free bool) Reason {
+	switch {
+	case c.ctx.Err() != nil, errors.Is(err, errCallerGone), !free && !c.call.Route.Retryable():
+		return ReasonResponseLost
+	case c.runner.CrashTracker.IsCulprit(c.call.Fingerprint()):
+		return ReasonPoison
+	case c.runs-c.refusals >= maxRunsPerRequest, !free && !c.hasAttemptLeft():
+		return ReasonAttemptsExhausted
+	}
+	return ReasonNone
+}
+
+// takeRetry reports whether the retry budget allows another run.
+func (c *modelCall) takeRetry() bool {
+	if c.started {
+		return c.awaitRetry()
+	}
+	return c.runner.RetryBudget.AllowRetry(c.call.Service.Name)
+}
+
+// retryBackoff returns the pause after a number of refusals or of failed attempts to
+// get a retry from the budget.
+func retryBackoff(failures int) time.Duration {
+	backoff := minRetryBackoff
+	for range failures - 1 {
+		backoff = min(2*backoff, maxRetryBackoff)
+	}
+	return backoff
+}
+
+// awaitRetry waits until the budget allows a retry. It returns false if the caller
+// disconnects or the deadline passes first.
+func (c *modelCall) awaitRetry() bool {
+	for n := 1; !c.runner.RetryBudget.AllowRetry(c.call.Service.Name); n++ {
+		if !feed.Sleep(c.ctx, retryBackoff(n)) {
+			return false
+		}
+	}
+	return true
+}
--- a/internal/wire/relay/run.go
+++ b/internal/wire/relay/run.go
@@ -1,143 +1,141 @@
 package relay
 
 import (
-	"context"
-	"io"
-	"net/http"
-	"os"
+	"sync"
+	"sync/atomic"
+	"time"
 
 	"fulmarwick/internal/base/site"
-	"fulmarwick/internal/wire/client"
-	"fulmarwick/internal/wire/events"
-
-	"github.com/go-faster/errors"
+	"fulmarwick/internal/base/spec"
+	"fulmarwick/internal/route/path"
 )
 
-// runOnce makes one run.
-func (s *modelCall) runOnce(f *Run) error {
-	chain, hops := f.Chain()
-	first := chain[0].Engine()
-	conn, err := s.runner.Pool.Get(s.ctx, hops[0].Address, s.forceNewConn || !s.call.Route.Retryable())
-	if err != nil {
-		if s.ctx.Err() == nil {
-			s.runner.Paths.ReportConnFailure(s.call.Service.Name, first)
-		}
-		s.avoid = append(s.avoid, first)
-		return errUnsent
-	}
-	stop := context.AfterFunc(s.ctx, conn.Close)
-	defer stop()
-	if !f.onReroute(conn.Close) || s.ctx.Err() != nil {
-		conn.Close()
-		return errUnsent
-	}
-	defer f.onReroute(nil)
-	forward := site.ForwardHeader{Expect: first, Path: hops, LastEventID: s.lastEventID}
-	if err := conn.WriteRequest(s.call.newRequest(s.runner.Dialect, forward), s.call.Deadline); err != nil {
-		conn.Close()
-		return s.classifyBreak(f, conn, err)
-	}
-	conn.SetReadDeadline(s.call.Deadline)
-	return s.readResponse(f, conn)
+// Run is one attempt to run a request on a path of engines. Its own goroutine
+// records the events; other goroutines may change its path or end it.
+type Run struct {
+	Request string
+	Service string
+	// Route is the route that the request matched.
+	Route  string
+	Demand path.Demand
+	// Fingerprint is the fingerprint of the request.
+	Fingerprint uint64
+	// Resumable means that another run may continue the answer where this run ends.
+	Resumable bool
+	// HasSpareAttempt means that another run may start at a different engine while
+	// the first engine of this run is alive: each such engine counts as an attempt
+	// of the request.
+	HasSpareAttempt bool
+	Start           time.Time
+
+	// lastEvent is the time of the newest event in nanoseconds since Start; zero
+	// before the first event.
+	lastEvent atomic.Int64
+	// meanGap is the moving average of the gap between events in nanoseconds; zero
+	// before the second event.
+	meanGap    atomic.Int64
+	eventCount atomic.Int64
+
+	mu       sync.Mutex
+	chain    spec.Chain
+	hops     []site.Hop
+	stop     func()
+	rerouted bool
+	// retryCounted means that the run that follows is already counted as a retry.
+	retryCounted bool
+}
+
+// NewRun returns a run on a chain; hops are the addresses of its engines.
+func NewRun(chain spec.Chain, hops []site.Hop) *Run {
+	return &Run{Start: time.Now(), chain: chain, hops: hops}
+}
+
+// Chain returns the current path and the addresses of its engines.
+func (r *Run) Chain() (spec.Chain, []site.Hop) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.chain, r.hops
+}
+
+// SetChain records that the engines continue the run on another path.
+func (r *Run) SetChain(chain spec.Chain, hops []site.Hop) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.chain, r.hops = chain, hops
 }
 
-// classifyBreak finds out why a run broke.
-func (s *modelCall) classifyBreak(f *Run, conn *client.Conn, err error) error {
-	switch {
-	case f.isRerouted():
-		return errRerouted
-	case errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(s.ctx.Err(), context.DeadlineExceeded):
-		return errTimeout
-	case s.ctx.Err() != nil:
-		return errCallerGone
+// LastEvent returns when the newest event was received, or the start of the run if
+// there was none.
+func (r *Run) LastEvent() time.Time { return r.Start.Add(time.Duration(r.lastEvent.Load())) }
+
+// MeanEventGap returns the moving average of the gap between events; zero before
+// the second event.
+func (r *Run) MeanEventGap() time.Duration { return time.Duration(r.meanGap.Load()) }
+
+// EventCount returns how many events were received.
+func (r *Run) EventCount() int { return int(r.eventCount.Load()) }
+
+// gapAverageWindow is how many of the newest gaps the moving average covers: the
+// newest gap counts for one eighth.
+const gapAverageWindow = 8
+
+// recordEvent records that an event was received.
+func (r *Run) recordEvent() {
+	now := int64(time.Since(r.Start))
+	previous := r.lastEvent.Swap(now)
+	if r.eventCount.Add(1) < 2 {
+		return
 	}
-	if conn.Reused() && f.EventCount() == 0 {
-		// The engine may just have closed a kept connection. A new one tells
-		// whether it lives.
-		s.forceNewConn = true
-		return errStaleConn
+	gap := r.meanGap.Load()
+	if gap == 0 {
+		gap = now - previous
 	}
-	chain, _ := f.Chain()
-	s.runner.Paths.ReportConnFailure(s.call.Service.Name, chain[0].Engine())
-	s.avoid = append(s.avoid, chain[0].Engine())
-	return err
+	r.meanGap.Store(gap + (now-previous-gap)/gapAverageWindow)
 }
 
-// readResponse takes the answer of a run.
-func (s *modelCall) readResponse(f *Run, conn *client.Conn) error {
-	resp, head, err := s.call.readResponse(s.runner.Dialect, conn)
-	if err != nil {
-		conn.Close()
-		return s.classifyBreak(f, conn, err)
+// Reroute ends the run so that the request continues on another path. engineDead
+// means that the first engine of the run is dead. If it is not, the run counts as
+// an attempt: the run continues unchanged and Reroute returns false if the request
+// has no other attempt left or allowRetry permits no further run. Ending the run
+// then would truncate the answer although its engine still produces it. A run that
+// is not resumable is never rerouted.
+func (r *Run) Reroute(engineDead bool, allowRetry func() bool) bool {
+	if !r.Resumable || !engineDead && !r.HasSpareAttempt {
+		return false
+	}
+	if r.isRerouted() {
+		return true
 	}
-	// A body that is not read to its end belongs to a connection that is closed
-	// by then, so that this does not wait for the rest.
-	defer func() { _ = resp.Body.Close() }()
-	if head.NotExecuted || resp.StatusCode != http.StatusOK || !head.Sealed {
-		err := s.handleRejection(f, resp, head)
-		conn.Close()
-		return err
+	if !engineDead && !allowRetry() {
+		return false
 	}
-	err = s.forwardEvents(f, resp)
-	if err != nil {
-		conn.Close()
-		if errors.Is(err, errCallerGone) {
-			return err
-		}
-		return s.classifyBreak(f, conn, err)
+	r.mu.Lock()
+	r.rerouted, r.retryCounted = true, !engineDead
+	stop := r.stop
+	r.mu.Unlock()
+	if stop != nil {
+		stop()
 	}
-	s.runner.Pool.Release(conn, resp)
-	return nil
+	return true
 }
 
-// handleRejection takes an answer that is no stream.
-func (s *modelCall) handleRejection(f *Run, resp *http.Response, head site.ResponseHeader) error {
-	s.avoid = append(s.avoid, s.runner.Paths.RecordRefusal(f, head.FailedAddress))
-	if head.NotExecuted {
-		return errNotRun
-	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxPlainBodyBytes))
-	if err != nil || !head.Sealed {
-		return errors.Wrap(client.ErrRead, "failure without its whole body or seal")
-	}
-	StripHopByHopHeaders(resp.Header)
-	s.errorReply = &Reply{Status: resp.StatusCode, Header: resp.Header, Body: body, MayHaveRun: true, SendCount: s.runs}
-	return errEngineStatus
+// onReroute sets the function that Reroute calls to end the run. It returns false
+// if the run was rerouted already.
+func (r *Run) onReroute(stop func()) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.stop = stop
+	return !r.rerouted
 }
 
-// forwardEvents passes on the events of a run.
-func (s *modelCall) forwardEvents(f *Run, resp *http.Response) error {
-	r := events.NewReader(resp.Body, eventBufferBytes, s.lastEventID)
-	for {
-		event, err := r.Next()
-		if errors.Is(err, io.EOF) {
-			// An answer may have no event left after the one that its caller
-			// has; without its head it would look like an answer of ours.
-			s.writeHead(resp)
-			return nil
-		}
-		if err != nil {
-			return err
-		}
-		f.recordEvent()
-		s.timing.record(s.call.Start, f)
-		if r.EventsRead() == 1 {
-			s.runner.Paths.RecordFirstEvent(f)
-		}
-		s.writeHead(resp)
-		if err := s.sink.WriteEvent(event, r.Buffered() == 0); err != nil {
-			return errors.Wrap(errCallerGone, err.Error())
-		}
-		s.lastEventID = r.LastID()
-	}
+func (r *Run) isRetryCounted() bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.retryCounted
 }
 
-// writeHead passes on the head of the first run that brings an answer.
-func (s *modelCall) writeHead(resp *http.Response) {
-	if s.started {
-		return
-	}
-	s.started = true
-	StripHopByHopHeaders(resp.Header)
-	s.sink.WriteHead(resp.StatusCode, resp.Header)
+func (r *Run) isRerouted() bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.rerouted
 }
--- a/internal/wire/relay/span.go
+++ b/internal/wire/relay/span.go
@@ -13,15 +13,15 @@
 // tracerName names the spans of this package.
 const tracerName = "fulmarwick/relay"
 
-// startSendSpan starts the span of one send to an upstream, under that of the request;
-// none where spans of the request are not kept.
-func startSendSpan(ctx context.Context, up spec.UpstreamID) trace.Span {
+// startSendSpan starts the span of one send to an upstream as a child of the request's
+// span. If the request's span is not recorded, it returns a no-op span.
+func startSendSpan(ctx context.Context, upstream spec.UpstreamID) trace.Span {
 	parent := trace.SpanFromContext(ctx)
 	if !parent.IsRecording() {
 		return trace.SpanFromContext(context.Background())
 	}
 	_, span := parent.TracerProvider().Tracer(tracerName).Start(ctx, "relay.send",
-		trace.WithSpanKind(trace.SpanKindClient), trace.WithAttributes(attribute.String("upstream", string(up))))
+		trace.WithSpanKind(trace.SpanKindClient), trace.WithAttributes(attribute.String("upstream", string(upstream))))
 	return span
 }
 
