--- a/internal/state/feed/feed_test.go
+++ b/internal/state/feed/feed_test.go
@@ -16,7 +16,7 @@
 	"pgregory.net/rapid"
 )
 
-// changeLog is all changes of a table, by version.
+// changeLog holds all changes of a table, ordered by version.
 type changeLog []feed.Row
 
 func (l changeLog) changesSince(version uint64) feed.Page {
@@ -55,25 +55,24 @@
 	return true
 }
 
-// Three instances read a table, tell each other what the other one lacks, in any
-// order, late and twice, confirm to each other up to where they know all, and
-// read it whole from a stale moment. No row ever goes back to an older version,
-// and where a view says to know all up to a version, it does: an instance that
-// said so wrongly would keep what is no more in force.
+// Three instances read a table, send each other missing changes in any order, late and
+// twice, confirm versions to each other, and read stale snapshots. No row may ever
+// return to an older version, and a view must hold all changes up to its version: an
+// instance with too high a version would keep rows that are no longer valid.
 func TestViewsConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var l changeLog
 		views := []*feed.View{{}, {}, {}}
 		values := 1 << 20
 		if rapid.Bool().Draw(t, "heartbeats") {
-			// Rows are written anew with one of two values, so that many are the same.
+			// Rows are rewritten with one of two values, so that many stay the same.
 			values = 2
 		}
 		seen := []map[string]uint64{{}, {}, {}}
 		check := func(i int, changed []feed.Row) {
 			for _, r := range changed {
 				if r.Version < seen[i][r.Key] {
-					t.Fatalf("got version %d of %s after %d, want none older", r.Version, r.Key, seen[i][r.Key])
+					t.Fatalf("got version %d of %s after %d, want no older version", r.Version, r.Key, seen[i][r.Key])
 				}
 				seen[i][r.Key] = r.Version
 			}
@@ -83,7 +82,7 @@
 		}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			i := rapid.IntRange(0, 2).Draw(t, "view")
-			other := views[(i+rapid.IntRange(1, 2).Draw(t, "other"))%3]
+			peer := views[(i+rapid.IntRange(1, 2).Draw(t, "other"))%3]
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
 			case 0, 1:
 				r := feed.Row{Key: fmt.Sprint(rapid.IntRange(0, 4).Draw(t, "key")), Version: uint64(len(l) + 1)}
@@ -96,13 +95,13 @@
 				since := views[i].Version()
 				check(i, views[i].ApplyChanges(since, l.changesSince(since)))
 			case 3:
-				since, p := other.ChangesSince(uint64(rapid.IntRange(0, len(l)).Draw(t, "since")))
-				check(i, views[i].ApplyPeerChanges(since, p.Rows, other.Checkpoint()))
+				since, p := peer.ChangesSince(uint64(rapid.IntRange(0, len(l)).Draw(t, "since")))
+				check(i, views[i].ApplyPeerChanges(since, p.Rows, peer.Checkpoint()))
 			case 4:
 				at := uint64(rapid.IntRange(0, len(l)).Draw(t, "moment"))
 				check(i, views[i].ApplySnapshot(l.snapshot(at)))
 			case 5:
-				views[i].ConfirmVersion(other.Checkpoint())
+				views[i].ConfirmVersion(peer.Checkpoint())
 				check(i, nil)
 			}
 		}
@@ -115,8 +114,8 @@
 	})
 }
 
-// matchesTable reports whether a view has the rows of the table as of its version, but
-// for those that are newer.
+// matchesTable reports whether a view has the rows of the table as of its version,
+// except for rows that are newer.
 func matchesTable(v *feed.View, l changeLog) bool {
 	want := map[string]string{}
 	for _, r := range l.snapshot(v.Version()).Rows {
@@ -146,10 +145,10 @@
 	return v.Rows()
 }
 
-// An upstream's row is dropped; an instance that starts after that reads the table
-// whole and never knew the row. It tells another one that has not heard of the
-// drop what changed since. That one must not take it for all: it would send
-// requests to an upstream that is gone for as long as it lives.
+// An upstream's row is deleted. An instance that starts afterwards reads the whole table
+// and never knew the row. It sends the changes to a peer that has not seen the deletion.
+// If the peer took these changes for complete, it would keep sending requests to the
+// removed upstream for as long as it runs.
 func TestDeletionBeforeStartReachesPeers(t *testing.T) {
 	l := changeLog{{Key: "gone", Version: 1, Value: []byte("1")}}
 	var old, started feed.View
@@ -158,22 +157,23 @@
 	started.ApplySnapshot(l.snapshot(3))
 	syncFrom(&started, &old)
 	if rows := old.Rows(); len(rows) != 1 || rows[0].Key != "new" {
-		t.Errorf("got %v at version %d, want the new row alone", rows, old.Version())
+		t.Errorf("got %v at version %d, want only the new row", rows, old.Version())
 	}
-	// Told before, it must learn it from the store.
+	// If the peer did not send it, the view must get the deletion from the store.
 	old.ApplyChanges(old.Version(), l.changesSince(old.Version()))
 	if rows := old.Rows(); len(rows) != 1 || rows[0].Key != "new" {
-		t.Errorf("got %v after a read of the store, want the new row alone", rows)
+		t.Errorf("got %v after a read of the store, want only the new row", rows)
 	}
 }
 
-// syncFrom has a view learn from another one what it lacks.
+// syncFrom applies to a view the changes that it lacks from another view.
 func syncFrom(from, to *feed.View) {
 	since, p := from.ChangesSince(to.Version())
 	to.ApplyPeerChanges(since, p.Rows, from.Checkpoint())
 }
 
-// A heartbeat writes a row anew with the same content: it is told to nobody.
+// A heartbeat rewrites a row with the same content, so it must not be reported as a
+// change or sent to peers.
 func TestHeartbeatIsNoChange(t *testing.T) {
 	v := &feed.View{Fingerprint: func(_ string, value []byte) uint64 { return uint64(value[0]) }}
 	v.ApplyChanges(0, feed.Page{Rows: []feed.Row{{Key: "k", Version: 1, Value: []byte("a1")}}, Version: 1})
@@ -188,7 +188,7 @@
 	}
 }
 
-// scriptedSource is a table that fails by script.
+// scriptedSource is a table whose calls fail according to a script.
 type scriptedSource struct {
 	mu            sync.Mutex
 	log           changeLog
@@ -228,7 +228,7 @@
 	return s.log.changesSince(since), nil
 }
 
-// recordingSink keeps what a follower brings.
+// recordingSink records what a follower delivers.
 type recordingSink struct {
 	view      feed.View
 	reachable []bool
@@ -243,12 +243,12 @@
 
 func (s *recordingSink) SetReachable(_ string, ok bool) { s.reachable = append(s.reachable, ok) }
 
-// The store refuses, loses its history and answers again. The follower reads
-// whole once more and then has every row; the loss and the return are told
-// once each.
+// The store fails three calls, loses its change history and answers again. The follower
+// must read the whole table once more and then have every row; the outage and the
+// recovery must be reported once each.
 func TestFollowerRecoversFromOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		down := errors.New("down")
+		unavailable := errors.New("down")
 		src := &scriptedSource{log: changeLog{{Key: "a", Version: 1, Value: []byte("1")}}}
 		got := &recordingSink{}
 		f := &feed.Follower{Table: "t", Source: src, Sink: got, PollTimeout: time.Second, PollInterval: 100 * time.Millisecond, Log: zap.NewNop()}
@@ -257,20 +257,20 @@
 		go func() { f.Run(ctx); close(done) }()
 		time.Sleep(3 * time.Second)
 		src.mu.Lock()
-		src.errs = []error{down, down, down, feed.ErrHistoryLost}
+		src.errs = []error{unavailable, unavailable, unavailable, feed.ErrHistoryLost}
 		src.log = append(src.log, feed.Row{Key: "a", Version: 2, Deleted: true}, feed.Row{Key: "b", Version: 3, Value: []byte("3")})
 		src.mu.Unlock()
 		time.Sleep(10 * time.Second)
 		cancel()
 		<-done
 		if rows := got.view.Rows(); len(rows) != 1 || rows[0].Key != "b" {
-			t.Errorf("got %v, want b alone", rows)
+			t.Errorf("got %v, want only b", rows)
 		}
 		if want := []bool{true, false, true}; fmt.Sprint(got.reachable) != fmt.Sprint(want) {
 			t.Errorf("got %v, want %v", got.reachable, want)
 		}
 		if src.snapshotReads != 2 {
-			t.Errorf("got %d whole reads, want 2", src.snapshotReads)
+			t.Errorf("got %d reads of the whole table, want 2", src.snapshotReads)
 		}
 	})
 }
--- a/internal/state/feed/follow.go
+++ b/internal/state/feed/follow.go
@@ -9,44 +9,48 @@
 	"go.uber.org/zap"
 )
 
-// Source is the part of the platform's store that is followed.
+// Source is the part of the platform's store that a Follower reads.
 type Source interface {
+	// ReadTable returns all rows of a table.
 	ReadTable(ctx context.Context, table string) (Page, error)
+	// ReadChanges returns the changes after version since; the store may hold the
+	// call for up to wait if there are none.
 	ReadChanges(ctx context.Context, table string, since uint64, wait time.Duration) (Page, error)
 }
 
-// Sink takes what a follower reads. Its version rises also by what peers tell.
+// Sink receives what a Follower reads. Its version also rises with changes that peers
+// send.
 type Sink interface {
 	Version(table string) uint64
 	ApplySnapshot(table string, p Page)
 	ApplyChanges(table string, since uint64, p Page)
-	// SetReachable tells that the store answers again, or no more.
-	SetReachable(table string, ok bool)
+	// SetReachable reports whether the store is reachable, each time this changes.
+	SetReachable(table string, reachable bool)
 }
 
-// Pauses after a failed call: the store may refuse because it is busy, and
-// all instances call again when it returns.
+// Limits of the backoff after a failed call: the store may refuse because it is busy,
+// and all instances call again when it returns.
 const (
 	minBackoff = 100 * time.Millisecond
 	maxBackoff = 800 * time.Millisecond
 )
 
-// passivePollInterval is the pause between two looks whether others still read.
+// passivePollInterval is the pause between two calls of IsPassive.
 const passivePollInterval = 100 * time.Millisecond
 
-// Follower keeps one table followed. Set the exported fields before Run.
+// Follower follows one table of the store. Set the exported fields before Run.
 type Follower struct {
 	Table  string
 	Source Source
 	Sink   Sink
-	// PollTimeout is how long the store may hold a call without news. A silent
-	// connection is noticed only when it is over.
+	// PollTimeout is how long the store may hold a call without changes. A dead
+	// connection is noticed only after this time.
 	PollTimeout time.Duration
-	// PollInterval lies between two calls that bring news, so that changes of many
-	// rows gather in one call.
+	// PollInterval is the pause after a call that returned changes, so that changes
+	// of many rows are batched in one call.
 	PollInterval time.Duration
-	// IsPassive reports whether others read for this follower for now; nil is
-	// never.
+	// IsPassive reports whether other instances currently read the store for this
+	// one; nil means never.
 	IsPassive func() bool
 	Log       *zap.Logger
 
@@ -57,7 +61,7 @@
 	backoff          time.Duration
 }
 
-// Run follows until ctx ends.
+// Run follows the table until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	f.needSnapshot = true
 	for ctx.Err() == nil {
@@ -67,18 +71,18 @@
 			}
 			continue
 		}
-		news, err := f.poll(ctx)
+		changed, err := f.poll(ctx)
 		pause := f.PollInterval
 		switch {
 		case ctx.Err() != nil:
 			return
 		case errors.Is(err, ErrHistoryLost):
 			f.needSnapshot = true
-			f.Log.Warn("feed: history lost, reading whole", zap.String("table", f.Table), zap.Uint64("since", f.Sink.Version(f.Table)))
+			f.Log.Warn("feed: change history lost, reading the whole table", zap.String("table", f.Table), zap.Uint64("since", f.Sink.Version(f.Table)))
 			pause = 0
 		case err != nil:
 			pause = f.recordFailure(err)
-		case !news:
+		case !changed:
 			pause = 0
 		}
 		if err == nil {
@@ -90,30 +94,30 @@
 	}
 }
 
-func (f *Follower) poll(ctx context.Context) (news bool, err error) {
+func (f *Follower) poll(ctx context.Context) (changed bool, err error) {
 	if f.needSnapshot {
-		p, err := f.Source.ReadTable(ctx, f.Table)
+		page, err := f.Source.ReadTable(ctx, f.Table)
 		if err != nil {
 			return false, err
 		}
 		f.needSnapshot = false
-		f.Sink.ApplySnapshot(f.Table, p)
+		f.Sink.ApplySnapshot(f.Table, page)
 		return true, nil
 	}
 	since := f.Sink.Version(f.Table)
-	p, err := f.Source.ReadChanges(ctx, f.Table, since, f.PollTimeout)
+	page, err := f.Source.ReadChanges(ctx, f.Table, since, f.PollTimeout)
 	if err != nil {
 		return false, err
 	}
-	f.Sink.ApplyChanges(f.Table, since, p)
-	return len(p.Rows) > 0, nil
+	f.Sink.ApplyChanges(f.Table, since, page)
+	return len(page.Rows) > 0, nil
 }
 
 func (f *Follower) recordFailure(err error) time.Duration {
 	if !f.unreachable {
 		f.unreachable = true
 		f.unreachableSince = time.Now()
-		f.Log.Warn("feed: store lost", zap.String("table", f.Table), zap.Uint64("version", f.Sink.Version(f.Table)), zap.Error(err))
+		f.Log.Warn("feed: store unreachable", zap.String("table", f.Table), zap.Uint64("version", f.Sink.Version(f.Table)), zap.Error(err))
 		f.Sink.SetReachable(f.Table, false)
 	}
 	f.backoff = min(maxBackoff, max(minBackoff, 2*f.backoff))
@@ -123,7 +127,7 @@
 func (f *Follower) recordSuccess() {
 	f.backoff = 0
 	if f.unreachable || !f.reachedOnce {
-		f.Log.Info("feed: store reached", zap.String("table", f.Table), zap.Uint64("version", f.Sink.Version(f.Table)), zap.Duration("lost", f.outageDuration()))
+		f.Log.Info("feed: store reachable", zap.String("table", f.Table), zap.Uint64("version", f.Sink.Version(f.Table)), zap.Duration("lost", f.outageDuration()))
 		f.Sink.SetReachable(f.Table, true)
 	}
 	f.unreachable = false
@@ -137,17 +141,17 @@
 	return time.Since(f.unreachableSince)
 }
 
-// Sleep waits for a time; false if ctx ended first.
+// Sleep waits for a duration; it returns false if ctx ended first.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
 	}
-	t := time.NewTimer(d)
-	defer t.Stop()
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 		return false
-	case <-t.C:
+	case <-timer.C:
 		return true
 	}
 }
--- a/internal/state/feed/view.go
+++ b/internal/state/feed/view.go
@@ -1,5 +1,5 @@
-// Package feed follows tables of the platform's store: it reads a table whole
-// once, then only what changed, and merges what other instances learned.
+// Package feed follows tables of the platform's store: it reads a whole table once,
+// then only the changes, and merges the changes that other instances send.
 //
 // It imports the errors, hash and log libraries. The adapter of the platform
 // implements Source; app/edge follows the operator's configuration and the
@@ -14,11 +14,11 @@
 	"github.com/go-faster/errors"
 )
 
-// ErrHistoryLost means that the store no longer knows all changes since the
-// version asked for; only reading the table whole helps.
-var ErrHistoryLost = errors.New("feed: history is gone")
+// ErrHistoryLost means that the store no longer has all changes since the requested
+// version, so that the whole table must be read.
+var ErrHistoryLost = errors.New("feed: change history lost")
 
-// Row is a row as of a version. A row that is gone has no value.
+// Row is a row of a table as of a version. A deleted row has no value.
 type Row struct {
 	Key     string `cbor:"1,keyasint"`
 	Version uint64 `cbor:"2,keyasint"`
@@ -26,66 +26,68 @@
 	Deleted bool   `cbor:"4,keyasint,omitempty"`
 }
 
-// Page is rows and the version up to which they tell all.
+// Page holds rows and the version up to which they are complete.
 type Page struct {
 	Rows    []Row
 	Version uint64
 }
 
-// maxTombstones bounds the gone rows remembered. Beyond it the oldest are forgotten
-// and a peer that is further behind is told the whole table.
+// maxTombstones limits the deleted rows that a view keeps. Above it the older half is
+// dropped, and a peer that is further behind is sent the whole table.
 const maxTombstones = 4096
 
-// Checkpoint is how much of a table is known: all changes up to Version, and a Digest of
-// the rows that are there. Two views with the same digest hold the same.
+// Checkpoint describes the state of a view: it has all changes up to Version, and
+// Digest is a hash of its live rows. Two views with the same digest hold the same
+// rows.
 type Checkpoint struct {
 	Version uint64
 	Digest  uint64
 }
 
-// View is what is believed of one table. The newest version of each row wins,
-// whoever told it, so a late or repeated message changes nothing. It is not
-// safe for concurrent use.
+// View is the local copy of one table. The newest version of each row wins, no matter
+// who sent it, so a late or duplicate message changes nothing. It is not safe for
+// concurrent use.
 type View struct {
-	// Fingerprint hashes what matters of a row's value, the same at all instances, so
-	// that a heartbeat is no change; nil hashes the value.
+	// Fingerprint hashes the significant part of a row's value, in the same way on all
+	// instances, so that a heartbeat is not a change; nil hashes the whole value.
 	Fingerprint func(key string, value []byte) uint64
 
 	rows       map[string]entry
 	version    uint64
 	digest     uint64
 	tombstones int
-	// tombstoneFloor is the version below which not all gone rows are known.
+	// tombstoneFloor is the version below which some deleted rows are not known.
 	tombstoneFloor uint64
 }
 
-// entry is a row as it is held.
+// entry is a row as a view stores it.
 type entry struct {
 	Row
 	hash uint64
-	// contentVersion is the version with which the content came; the row may have been
-	// written anew since.
+	// contentVersion is the version in which the content last changed; the row may
+	// have been rewritten with the same content since.
 	contentVersion uint64
 }
 
-// Version is up to where everything is known.
+// Version returns the version up to which all changes are known.
 func (v *View) Version() uint64 { return v.version }
 
-// Checkpoint is how much is known.
+// Checkpoint returns the version and the digest of the view.
 func (v *View) Checkpoint() Checkpoint { return Checkpoint{Version: v.version, Digest: v.digest} }
 
-// ConfirmVersion raises the version to that of a view which holds the same, without a row
-// being told: nothing that matters changed in between.
-func (v *View) ConfirmVersion(m Checkpoint) {
-	if m.Digest == v.digest {
-		v.version = max(v.version, m.Version)
+// ConfirmVersion raises the version to that of a peer's view with the same digest. No
+// rows are needed, since nothing significant changed in between.
+func (v *View) ConfirmVersion(peer Checkpoint) {
+	if peer.Digest == v.digest {
+		v.version = max(v.version, peer.Version)
 	}
 }
 
-// ApplySnapshot takes a page with all rows of the table and returns what changed.
+// ApplySnapshot applies a page with all rows of the table and returns the rows that
+// changed.
 func (v *View) ApplySnapshot(p Page) []Row {
 	if p.Version < v.version {
-		// A stale read knows less than the changes taken since.
+		// A stale read lacks changes that were applied already.
 		return nil
 	}
 	changed := v.replaceAll(p)
@@ -93,10 +95,10 @@
 	return changed
 }
 
-// ApplyChanges takes a page of the store with all changes after since and returns
-// those that are new here; all changes since 0 are the whole table. Rows that are
-// newer than what is known are taken in any case; the version rises only if there
-// is no gap between what is known and since.
+// ApplyChanges applies a page of the store with all changes after since and returns
+// the rows that changed; all changes since 0 are the whole table. Rows newer than the
+// view are always applied. The version rises only if there is no gap between the
+// version of the view and since.
 func (v *View) ApplyChanges(since uint64, p Page) []Row {
 	if since == 0 {
 		return v.ApplySnapshot(p)
@@ -108,24 +110,25 @@
 	return changed
 }
 
-// ApplyPeerChanges takes the changes after since that another view with that mark tells. The
-// version rises only if both hold the same after it: the other one may not know
-// of a row that was dropped before it began, or of a change that was undone before
-// it looked.
-func (v *View) ApplyPeerChanges(since uint64, rows []Row, m Checkpoint) []Row {
-	p := Page{Rows: rows, Version: m.Version}
+// ApplyPeerChanges applies the changes after since that a peer with the given
+// checkpoint sent. The version rises only if both views then hold the same rows: the
+// peer may not know of a row that was deleted before the peer started, or of a change
+// that was reverted before the peer read the table.
+func (v *View) ApplyPeerChanges(since uint64, rows []Row, peer Checkpoint) []Row {
+	p := Page{Rows: rows, Version: peer.Version}
 	var changed []Row
-	if since == 0 && m.Version >= v.version {
+	if since == 0 && peer.Version >= v.version {
 		changed = v.replaceAll(p)
 	} else {
 		changed = v.merge(p)
 	}
-	v.ConfirmVersion(m)
+	v.ConfirmVersion(peer)
 	return changed
 }
 
-// merge takes the rows that are newer and returns those that tell something new.
-// Rows up to the own version are known: one that is held older was dropped since.
+// merge applies the newer rows and returns the rows whose content changed. Rows up to
+// the view's own version are skipped because their changes are known already: such a
+// row that the view lacks was deleted since.
 func (v *View) merge(p Page) []Row {
 	var changed []Row
 	for _, r := range p.Rows {
@@ -136,17 +139,17 @@
 	return changed
 }
 
-// replaceAll makes the rows those of a whole table, but for newer ones, and returns
-// what changed.
+// replaceAll replaces all rows by those of a whole table, except for rows that are
+// newer, and returns the rows that changed.
 func (v *View) replaceAll(p Page) []Row {
 	var changed []Row
-	there := make(map[string]bool, len(p.Rows))
+	present := make(map[string]bool, len(p.Rows))
 	for _, r := range p.Rows {
-		there[r.Key] = !r.Deleted
-		held, ok := v.rows[r.Key]
-		if ok && held.Version <= p.Version && held.Version > r.Version {
-			// Whoever tells it missed versions in between, but knows what the row is
-			// in the end.
+		present[r.Key] = !r.Deleted
+		old, ok := v.rows[r.Key]
+		if ok && old.Version <= p.Version && old.Version > r.Version {
+			// The sender of the page missed versions in between, but has the final
+			// content of the row.
 			r.Version = p.Version
 		}
 		if v.putIfNewer(r) {
@@ -154,31 +157,31 @@
 		}
 	}
 	for _, key := range v.sortedKeys() {
-		held := v.rows[key]
-		if held.Deleted || there[key] || held.Version > p.Version {
+		old := v.rows[key]
+		if old.Deleted || present[key] || old.Version > p.Version {
 			continue
 		}
-		gone := Row{Key: key, Version: p.Version, Deleted: true}
-		v.putIfNewer(gone)
-		changed = append(changed, gone)
+		deleted := Row{Key: key, Version: p.Version, Deleted: true}
+		v.putIfNewer(deleted)
+		changed = append(changed, deleted)
 	}
-	// Rows that were dropped before and never held here are not known: telling
-	// the changes since an older version would leave them out.
+	// Rows that were deleted earlier and never stored here are not known: the changes
+	// since an older version would omit their deletion.
 	v.tombstoneFloor = max(v.tombstoneFloor, p.Version)
 	return changed
 }
 
-// putIfNewer takes a row that is newer and reports whether it tells something new.
+// putIfNewer stores a row if it is newer and reports whether its content changed.
 func (v *View) putIfNewer(r Row) bool {
-	old, held := v.rows[r.Key]
-	if held && old.Version >= r.Version {
+	old, found := v.rows[r.Key]
+	if found && old.Version >= r.Version {
 		return false
 	}
 	if v.rows == nil {
 		v.rows = map[string]entry{}
 	}
 	e := entry{Row: r, hash: v.rowHash(r), contentVersion: r.Version}
-	same := held && old.Deleted == r.Deleted && old.hash == e.hash
+	same := found && old.Deleted == r.Deleted && old.hash == e.hash
 	if same {
 		e.contentVersion = old.contentVersion
 	}
@@ -191,14 +194,14 @@
 	return !same
 }
 
-func countDeleted(gone bool) int {
-	if gone {
+func countDeleted(deleted bool) int {
+	if deleted {
 		return 1
 	}
 	return 0
 }
 
-// rowHash is the part of a row in the digest; none for a row that is gone.
+// rowHash returns the contribution of a row to the digest; zero for a deleted row.
 func (v *View) rowHash(r Row) uint64 {
 	if r.Deleted {
 		return 0
@@ -207,30 +210,30 @@
 	if v.Fingerprint != nil {
 		content = v.Fingerprint(r.Key, r.Value)
 	}
-	var d xxhash.Digest
-	d.Reset()
-	_, _ = d.WriteString(r.Key)
-	_, _ = d.Write(binary.BigEndian.AppendUint64(nil, content))
-	return d.Sum64()
+	var hash xxhash.Digest
+	hash.Reset()
+	_, _ = hash.WriteString(r.Key)
+	_, _ = hash.Write(binary.BigEndian.AppendUint64(nil, content))
+	return hash.Sum64()
 }
 
-// pruneTombstones drops the older half of the gone rows.
+// pruneTombstones drops the older half of the deleted rows.
 func (v *View) pruneTombstones() {
-	var gone []Row
+	var deleted []Row
 	for _, key := range v.sortedKeys() {
 		if r := v.rows[key]; r.Deleted {
-			gone = append(gone, r.Row)
+			deleted = append(deleted, r.Row)
 		}
 	}
-	sort.Slice(gone, func(i, j int) bool { return gone[i].Version < gone[j].Version })
-	for _, r := range gone[:len(gone)/2] {
+	sort.Slice(deleted, func(i, j int) bool { return deleted[i].Version < deleted[j].Version })
+	for _, r := range deleted[:len(deleted)/2] {
 		delete(v.rows, r.Key)
 		v.tombstoneFloor = max(v.tombstoneFloor, r.Version)
 		v.tombstones--
 	}
 }
 
-// ChangesSince returns all changes after a version. Where not all of them are known it
+// ChangesSince returns all changes after a version. If some of them are not known it
 // returns the whole table, which is all changes since 0.
 func (v *View) ChangesSince(version uint64) (since uint64, p Page) {
 	if version < v.tombstoneFloor {
@@ -245,7 +248,7 @@
 	return version, p
 }
 
-// Rows returns the rows that are there, in order of their keys.
+// Rows returns the live rows in the order of their keys.
 func (v *View) Rows() []Row {
 	var out []Row
 	for _, key := range v.sortedKeys() {
