--- a/internal/state/order/order_test.go
+++ b/internal/state/order/order_test.go
@@ -23,7 +23,7 @@
 	return []frame.Hold{{Model: "levy", Version: version, Depth: 24, From: from, To: to}}
 }
 
-// fakeEngine is an engine that takes orders at once.
+// fakeEngine is an engine that follows orders immediately.
 type fakeEngine struct {
 	holds       []frame.Hold
 	fence       uint64
@@ -32,22 +32,22 @@
 	orderCount  int
 }
 
-func (m *fakeEngine) apply(o frame.Order) error {
-	m.orderCount++
-	if m.checksFence && o.Fence < m.fence {
-		return errors.New("old number")
+func (e *fakeEngine) apply(o frame.Order) error {
+	e.orderCount++
+	if e.checksFence && o.Fence < e.fence {
+		return errors.New("old fencing token")
 	}
-	m.fence, m.holds = max(m.fence, o.Fence), o.Holds
+	e.fence, e.holds = max(e.fence, o.Fence), o.Holds
 	return nil
 }
 
-func (m *fakeEngine) report() frame.Engine {
-	m.seq++
-	return frame.Engine{Holds: m.holds, Seq: m.seq}
+func (e *fakeEngine) report() frame.Engine {
+	e.seq++
+	return frame.Engine{Holds: e.holds, Seq: e.seq}
 }
 
-// fakeSender is the engines of a data centre. It keeps back the orders of a held
-// sender, as a paused process does between its last check and its send.
+// fakeSender sends orders to the engines of a data centre. While paused it holds back
+// its orders, like a process that is paused between its last lease check and its send.
 type fakeSender struct {
 	engines map[spec.UpstreamID]*fakeEngine
 	paused  bool
@@ -62,7 +62,7 @@
 	return f.engines[id].apply(o)
 }
 
-// planner is an instance with its part in the lease and the orders.
+// planner is an instance with its lease and its reconciler.
 type planner struct {
 	lease      *lease.Lease
 	reconciler *order.Reconciler
@@ -113,10 +113,10 @@
 	return len(p.reconciler.Unsettled())
 }
 
-// The holder is paused between its check and its send, with orders for version
-// 1 on their way. Another instance takes over and orders version 2. Then the
-// old orders arrive: the engine that checks numbers refuses its one, the other
-// obeys, and is put right after its next report. Both end in version 2.
+// The lease holder is paused between its lease check and its send, with orders for
+// version 1 in flight. Another instance takes over and orders version 2. Then the old
+// orders arrive: the engine that checks fencing tokens refuses its order, the other
+// follows it and must be corrected after its next report. Both must end in version 2.
 func TestLateOrdersOfPausedHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table, engines := &infra.Table{}, newEngines()
@@ -130,7 +130,7 @@
 		a.reportAll()
 		a.sender.paused = true
 		if n, err := a.reconciler.Reconcile(t.Context()); n != 2 || err != nil {
-			t.Fatalf("got %d orders %v, want 2 on their way", n, err)
+			t.Fatalf("got %d orders %v, want 2 in flight", n, err)
 		}
 		for !b.lease.Held() {
 			mustSucceed(t, b.lease.Step(t.Context()))
@@ -140,8 +140,8 @@
 		for id := range engines {
 			mustSucceed(t, b.reconciler.SetDesired(t.Context(), id, holdLayers("2", 0, 12), ""))
 		}
-		if open := reconcileUntilSettled(b); open != 0 {
-			t.Errorf("got %d engines open, want none", open)
+		if unsettled := reconcileUntilSettled(b); unsettled != 0 {
+			t.Errorf("got %d unsettled engines, want none", unsettled)
 		}
 		for _, f := range a.sender.delayed {
 			f()
@@ -150,20 +150,20 @@
 			t.Errorf("got version %s on the engine that checks, want 2", got)
 		}
 		if got := engines["ignores"].holds[0].Version; got != "1" {
-			t.Errorf("got version %s on the engine that ignores numbers, want the late 1 (else this proves nothing)", got)
+			t.Errorf("got version %s on the engine that ignores fencing tokens, want the late 1 (otherwise the test proves nothing)", got)
 		}
 		reconcileUntilSettled(b)
 		if got := engines["ignores"].holds[0].Version; got != "2" {
 			t.Errorf("got version %s in the end, want 2", got)
 		}
 		if err := a.reconciler.SetDesired(t.Context(), "checks", holdLayers("1", 0, 12), ""); !errors.Is(err, order.ErrLeaseLost) {
-			t.Errorf("got %v for a wish of the former holder, want ErrLapsed", err)
+			t.Errorf("got %v for a desired state set by the former holder, want ErrLeaseLost", err)
 		}
 	})
 }
 
-// The holder dies after it wrote what it wants and ordered one of two engines.
-// The next holder finds the rows and finishes the change.
+// The lease holder dies after it wrote the desired state of two engines and sent an order
+// to one of them. The next holder must find the rows and complete the change.
 func TestNextHolderFinishesChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table, engines := &infra.Table{}, newEngines()
@@ -175,27 +175,28 @@
 		}
 		a.reportAll()
 		if n, err := a.reconciler.Reconcile(t.Context()); n != 1 || err != nil {
-			t.Fatalf("got %d orders %v, want one: the other engine waits out the margin", n, err)
+			t.Fatalf("got %d orders %v, want one: the other engine gets its order after FirstOrderDelay", n, err)
 		}
 		for !b.lease.Held() {
 			mustSucceed(t, b.lease.Step(t.Context()))
 			time.Sleep(second)
 		}
 		mustSucceed(t, b.reconciler.Adopt(t.Context()))
-		if open := reconcileUntilSettled(b); open != 0 || len(engines["ignores"].holds) != 1 {
-			t.Errorf("got %d engines open, want none", open)
+		if unsettled := reconcileUntilSettled(b); unsettled != 0 || len(engines["ignores"].holds) != 1 {
+			t.Errorf("got %d unsettled engines, want none", unsettled)
 		}
 		reads, writes := table.Counts()
 		mustSucceed(t, b.reconciler.SetDesired(t.Context(), "checks", holdLayers("1", 0, 12), "prefill"))
 		if r, w := table.Counts(); r != reads || w != writes {
-			t.Errorf("got %d reads and %d writes for a wish that stands, want none", r-reads, w-writes)
+			t.Errorf("got %d reads and %d writes for an unchanged desired state, want none", r-reads, w-writes)
 		}
 	})
 }
 
-// The answer of the table to a wish is lost, then the table is out. The holder
-// still has its lease; when the table is back its next round reads the rows,
-// writes the wish that waited and orders it, without anybody asking again.
+// The table's response to the write of a desired state is lost, then the table is
+// unavailable. The holder still has its lease. When the table is back, the next Reconcile
+// must read the rows, write the pending desired state and send the order, without another
+// call of SetDesired.
 func TestDesiredStateSurvivesLostResponseAndOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table, engines := &infra.Table{}, newEngines()
@@ -204,22 +205,23 @@
 		mustSucceed(t, p.reconciler.Adopt(t.Context()))
 		table.Fault(infra.Faults{Drop: 1})
 		if err := p.reconciler.SetDesired(t.Context(), "checks", holdLayers("1", 0, 12), ""); !errors.Is(err, order.ErrStoreUnavailable) {
-			t.Errorf("got %v for a lost answer, want ErrStore", err)
+			t.Errorf("got %v for a lost response, want ErrStoreUnavailable", err)
 		}
 		table.Fault(infra.Faults{Down: true})
 		if err := p.reconciler.SetDesired(t.Context(), "ignores", holdLayers("1", 0, 12), ""); !errors.Is(err, order.ErrStoreUnavailable) {
-			t.Errorf("got %v in the outage, want ErrStore", err)
+			t.Errorf("got %v in the outage, want ErrStoreUnavailable", err)
 		}
 		table.Fault(infra.Faults{})
 		time.Sleep(5 * second)
-		if open := reconcileUntilSettled(p); open != 0 || len(engines["checks"].holds) != 1 || len(engines["ignores"].holds) != 1 {
-			t.Errorf("got %d engines open and %v, want both engines ordered", open, engines)
+		if unsettled := reconcileUntilSettled(p); unsettled != 0 || len(engines["checks"].holds) != 1 || len(engines["ignores"].holds) != 1 {
+			t.Errorf("got %d unsettled engines and %v, want both engines ordered", unsettled, engines)
 		}
 	})
 }
 
-// Ten engines want 24 layers each from a weight store that gives 4 a second.
-// Orders go out no faster, so that no engine waits with its old layers gone.
+// Ten engines need 24 layers each from a weight store that delivers 4 per second. Orders
+// must not be sent faster: an engine that waits for the store has dropped its old layers
+// already.
 func TestWeightStoreRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table, engines := &infra.Table{}, map[spec.UpstreamID]*fakeEngine{}
@@ -239,32 +241,32 @@
 			n, err := p.reconciler.Reconcile(t.Context())
 			mustSucceed(t, err)
 			total += n
-			if most := int(time.Since(start)/(6*second)) + 1; total > most {
-				t.Fatalf("got %d orders after %v, want at most %d", total, time.Since(start), most)
+			if limit := int(time.Since(start)/(6*second)) + 1; total > limit {
+				t.Fatalf("got %d orders after %v, want at most %d", total, time.Since(start), limit)
 			}
 			time.Sleep(second)
 			mustSucceed(t, p.lease.Step(t.Context()))
 		}
 		if got := time.Since(start); got > 60*second {
-			t.Errorf("got all ordered after %v, want within 60s", got)
+			t.Errorf("got the last order after %v, want all within 60s", got)
 		}
 	})
 }
 
-// Two instances plan against each other in any order, with pauses longer than
-// the lease between check and send, table faults, and late orders that arrive
-// at any time. Whatever happened, once one of them holds the lease in peace,
-// engines of both kinds end in what the table says.
+// Two instances compete for the lease and set desired states in any order, with pauses
+// longer than the lease between check and send, with table faults, and with late orders
+// that arrive at any time. Once one instance holds the lease undisturbed, engines of both
+// kinds must reach the state in the table.
 func TestEnginesConvergeAfterPauses(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var script []int
 		for range 40 {
 			script = append(script, rapid.IntRange(0, 9).Draw(rt, "step"))
 		}
-		var fault string
-		synctest.Test(t, func(t *testing.T) { fault = runScript(t, script) })
-		if fault != "" {
-			rt.Fatal(fault)
+		var failure string
+		synctest.Test(t, func(t *testing.T) { failure = runScript(t, script) })
+		if failure != "" {
+			rt.Fatal(failure)
 		}
 	})
 }
@@ -314,8 +316,8 @@
 			return err.Error()
 		}
 	}
-	if open := reconcileUntilSettled(winner); open != 0 {
-		return fmt.Sprintf("got %d engines open, want none", open)
+	if unsettled := reconcileUntilSettled(winner); unsettled != 0 {
+		return fmt.Sprintf("got %d unsettled engines, want none", unsettled)
 	}
 	for id, m := range engines {
 		if m.holds[0].Version != "end" {
@@ -325,7 +327,7 @@
 	return ""
 }
 
-// planOnce is what a planner does at each wake-up.
+// planOnce runs one round of a planner.
 func planOnce(ctx context.Context, p *planner, version string, s int) {
 	_ = p.lease.Step(ctx)
 	if p.lease.Held() {
