--- a/internal/wire/events/events.go
+++ b/internal/wire/events/events.go
@@ -1,7 +1,7 @@
-// Package events reads the events of an answer and joins the answers of several
-// runs of a request into one.
+// Package events reads event streams and joins the streams of several runs of a
+// request into one.
 //
-// It imports the standard library. Package front passes on what it returns.
+// It imports the standard library. Package relay forwards the events that it returns.
 package events
 
 import (
@@ -15,47 +15,47 @@
 
 // Errors of this package.
 var (
-	// ErrOutOfOrder means that an event is missing: what follows belongs to no
-	// answer that may be passed on.
-	ErrOutOfOrder = errors.New("flow: event out of order")
-	// ErrTruncated means that the answer broke off, perhaps inside an event.
-	ErrTruncated = errors.New("flow: answer cut")
-	// ErrMalformed means that bytes are not an event.
-	ErrMalformed = errors.New("flow: not an event")
+	// ErrOutOfOrder means that an event is missing, so that the following events must
+	// not be forwarded.
+	ErrOutOfOrder = errors.New("events: event out of order")
+	// ErrTruncated means that the stream broke off, possibly inside an event.
+	ErrTruncated = errors.New("events: stream truncated")
+	// ErrMalformed means that the bytes read are not an event.
+	ErrMalformed = errors.New("events: malformed event")
 )
 
-// maxEventBytes bounds one event in bytes.
+// maxEventBytes limits the size of one event in bytes.
 const maxEventBytes = 64 << 10
 
-// Reader reads whole events.
+// Reader reads complete events from a stream.
 type Reader struct {
 	source *bufio.Reader
 	// lastID is the ID of the last event returned.
 	lastID int
-	// eventsRead is how many events were read, repeats among them.
+	// eventsRead is how many events were read, including skipped duplicates.
 	eventsRead int
 	event      []byte
 }
 
-// NewReader returns a reader of the answer of one run that begins after the
-// event with the ID last.
-func NewReader(body io.Reader, size, last int) *Reader {
-	return &Reader{source: bufio.NewReaderSize(body, size), lastID: last}
+// NewReader returns a reader for the stream of one run. Events up to lastID are
+// skipped; size is the size of the buffer in bytes.
+func NewReader(body io.Reader, size, lastID int) *Reader {
+	return &Reader{source: bufio.NewReaderSize(body, size), lastID: lastID}
 }
 
-// LastID is the ID of the last event returned.
+// LastID returns the ID of the last event returned by Next.
 func (r *Reader) LastID() int { return r.lastID }
 
-// EventsRead is how many events this run has brought.
+// EventsRead returns how many events this run delivered, including skipped ones.
 func (r *Reader) EventsRead() int { return r.eventsRead }
 
-// Buffered is how many bytes can be read without waiting.
+// Buffered returns how many bytes can be read without waiting.
 func (r *Reader) Buffered() int { return r.source.Buffered() }
 
-// Next returns the next event, whole, up to and with its empty line. An event
-// that was returned before is skipped: a run may begin with the last event
-// again. The bytes are valid until the next call. At a proper end it returns
-// io.EOF.
+// Next returns the next complete event, including its final empty line. It skips
+// events that were returned before, since a run may start by repeating the last
+// event. The bytes are valid until the next call. At the end of a complete stream Next
+// returns io.EOF.
 func (r *Reader) Next() ([]byte, error) {
 	for {
 		if err := r.readEvent(); err != nil {
@@ -120,7 +120,7 @@
 		}
 		id, err := strconv.Atoi(string(bytes.TrimSpace(rest)))
 		if err != nil || id < 0 {
-			return 0, false, errors.Wrap(ErrMalformed, "id is not a count")
+			return 0, false, errors.Wrap(ErrMalformed, "id is not a non-negative integer")
 		}
 		return id, true, nil
 	}
--- a/internal/wire/events/events_test.go
+++ b/internal/wire/events/events_test.go
@@ -24,9 +24,9 @@
 	return b.String()
 }
 
-// readAll returns what a reader brings after the event last, and how it ends.
-func readAll(body string, last int) (string, int, error) {
-	r := events.NewReader(strings.NewReader(body), bufferBytes, last)
+// readAll returns all events after lastID, the ID of the last event, and the final error.
+func readAll(body string, lastID int) (string, int, error) {
+	r := events.NewReader(strings.NewReader(body), bufferBytes, lastID)
 	var b strings.Builder
 	for {
 		e, err := r.Next()
@@ -46,18 +46,18 @@
 		want string
 		end  error
 	}{
-		{"whole", newEvents(1, 3), 0, newEvents(1, 3), io.EOF},
-		{"begins where the former run ended", newEvents(4, 5), 3, newEvents(4, 5), io.EOF},
-		{"repeats what is known", newEvents(2, 5), 3, newEvents(4, 5), io.EOF},
-		{"leaves one out", newEvent(1) + newEvent(3), 0, newEvent(1), events.ErrOutOfOrder},
+		{"complete", newEvents(1, 3), 0, newEvents(1, 3), io.EOF},
+		{"starts where the previous run ended", newEvents(4, 5), 3, newEvents(4, 5), io.EOF},
+		{"repeats known events", newEvents(2, 5), 3, newEvents(4, 5), io.EOF},
+		{"skips an event", newEvent(1) + newEvent(3), 0, newEvent(1), events.ErrOutOfOrder},
 		{"ends inside an event", newEvent(1) + "id: 2\ndata: pi", 0, newEvent(1), events.ErrTruncated},
 		{"ends before the empty line", newEvent(1) + "id: 2\ndata: piece 2\n", 0, newEvent(1), events.ErrTruncated},
-		{"longer than the buffer", long, 0, long, io.EOF},
-		{"with a line before the id", "weight-versions: 2\n" + newEvent(1), 0, "weight-versions: 2\n" + newEvent(1), io.EOF},
-		{"carriage returns", "id: 1\r\ndata: a\r\n\r\n", 0, "id: 1\r\ndata: a\r\n\r\n", io.EOF},
-		{"id is no number", "id: x\ndata: a\n\n", 0, "", events.ErrMalformed},
-		{"no end", strings.Repeat("x", 70<<10), 0, "", events.ErrMalformed},
-		{"nothing", "", 7, "", io.EOF},
+		{"is longer than the buffer", long, 0, long, io.EOF},
+		{"has a line before the id", "weight-versions: 2\n" + newEvent(1), 0, "weight-versions: 2\n" + newEvent(1), io.EOF},
+		{"has carriage returns", "id: 1\r\ndata: a\r\n\r\n", 0, "id: 1\r\ndata: a\r\n\r\n", io.EOF},
+		{"id is not a number", "id: x\ndata: a\n\n", 0, "", events.ErrMalformed},
+		{"never ends", strings.Repeat("x", 70<<10), 0, "", events.ErrMalformed},
+		{"is empty", "", 7, "", io.EOF},
 	}
 	for _, test := range tests {
 		got, _, err := readAll(test.body, test.last)
@@ -67,9 +67,9 @@
 	}
 }
 
-// An answer is cut at any byte of any run, and the next run begins at some
-// event that the caller may have already. What the caller reads is the whole
-// answer: no event is missing, none comes twice, none is half.
+// A stream breaks off at any byte of any run, and the next run starts at some event that
+// the caller may have already. The caller must still read the complete answer: no event
+// may be missing, duplicated or truncated.
 func TestResumedRunsHaveNoGapsOrDuplicates(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 20).Draw(t, "events")
@@ -95,7 +95,7 @@
 	f.Fuzz(func(t *testing.T, body string, last int) {
 		got, at, err := readAll(body, max(0, last))
 		if err == nil || len(got) > len(body) || at < max(0, last) {
-			t.Errorf("got %d of %d bytes up to event %d and %v, want a part, a later event and an end", len(got), len(body), at, err)
+			t.Errorf("got %d of %d bytes up to event %d and %v, want at most the body, no earlier event and an error", len(got), len(body), at, err)
 		}
 	})
 }
