--- a/internal/wire/client/client_test.go
+++ b/internal/wire/client/client_test.go
@@ -16,7 +16,7 @@
 	"github.com/go-faster/errors"
 )
 
-// startServer answers each connection by script until the test ends.
+// startServer serves each connection with script until the test ends.
 func startServer(t *testing.T, script func(net.Conn, *bufio.Reader)) string {
 	t.Helper()
 	l, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", "127.0.0.1:0")
@@ -45,9 +45,9 @@
 
 func isOwnResponse(resp *http.Response) bool { return resp.Header.Get("Id") == "mine" }
 
-func getConn(t *testing.T, p *client.Pool, address string, fresh bool) *client.Conn {
+func getConn(t *testing.T, p *client.Pool, address string, forceNew bool) *client.Conn {
 	t.Helper()
-	c, err := p.Get(context.Background(), address, fresh)
+	c, err := p.Get(context.Background(), address, forceNew)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -60,8 +60,8 @@
 
 func writeDeadline() time.Time { return time.Now().Add(10 * time.Second) }
 
-// The caller gets its own answer though a second answer to the request before
-// lies on the kept connection where this one is due.
+// A reused connection still holds a second response to the previous request. The caller
+// must get the response to its own request.
 func TestResponseToEarlierRequestIsSkipped(t *testing.T) {
 	address := startServer(t, func(c net.Conn, r *bufio.Reader) {
 		for n := 0; ; n++ {
@@ -96,8 +96,8 @@
 	}
 }
 
-// A payment is sent; the service reads it and breaks the connection. The
-// caller gets an error and the service sees it once: nothing sends it again.
+// A service reads a payment request and breaks the connection. The caller must get an
+// error and the service must see the request only once: the client must not retry it.
 func TestRequestIsWrittenOnce(t *testing.T) {
 	var seen atomic.Int32
 	address := startServer(t, func(_ net.Conn, r *bufio.Reader) {
@@ -122,8 +122,8 @@
 	}
 }
 
-// A kept connection that the upstream closed, or on which bytes of nobody's
-// answer lie, is not used again.
+// An idle connection that the upstream closed, or that holds bytes of no response, must
+// not be reused.
 func TestUnusableIdleConnectionIsDiscarded(t *testing.T) {
 	for name, end := range map[string]string{"closed": "", "more bytes": "junk"} {
 		ready := make(chan struct{}, 1)
@@ -153,7 +153,7 @@
 		_, _ = io.Copy(io.Discard, resp.Body)
 		<-ready
 		p.Put(c)
-		// The end of the connection is on its way over loopback.
+		// The close of the connection takes a moment to arrive over loopback.
 		var got *client.Conn
 		for range 200 {
 			if got = getConn(t, p, address, false); !got.Reused() {
--- a/internal/wire/client/conn.go
+++ b/internal/wire/client/conn.go
@@ -1,9 +1,9 @@
-// Package client makes single HTTP exchanges with upstreams. Each request is
-// written once and never again by itself, and an answer counts only if it is
-// for this request.
+// Package client is an HTTP client with a connection pool for requests to upstreams.
+// Each request is written once and never retried automatically, and a response is
+// accepted only if it belongs to the request.
 //
-// It imports the standard library. Packages front and edge use it for plain
-// services and for engines.
+// It imports the standard library. Packages relay and edge use it for plain services
+// and for engines.
 package client
 
 import (
@@ -21,24 +21,25 @@
 
 // Errors of this package.
 var (
-	// ErrDial means that no connection came about: the request has not left.
-	ErrDial = errors.New("send: no connection")
-	// ErrWrite means that the connection broke while the request was written;
-	// a part of it, or all, may have arrived.
-	ErrWrite = errors.New("send: request cut")
-	// ErrRead means that no answer came that is one: the request may have run.
-	ErrRead = errors.New("send: no answer")
+	// ErrDial means that no connection was established: the request was not sent.
+	ErrDial = errors.New("client: no connection")
+	// ErrWrite means that the connection broke while the request was written: a part
+	// of the request, or all of it, may have arrived.
+	ErrWrite = errors.New("client: request not fully written")
+	// ErrRead means that no valid response was received: the request may have run.
+	ErrRead = errors.New("client: no valid response")
 )
 
 const (
-	// readBufferBytes holds the head of an answer, or a few events, in bytes.
+	// readBufferBytes is the size of the read buffer in bytes: it holds the headers of
+	// a response, or a few events.
 	readBufferBytes = 2 << 10
-	// maxSkippedResponses is how many answers to other requests are skipped on one
-	// connection before it is given up.
+	// maxSkippedResponses is how many responses to other requests are skipped on one
+	// connection before the connection is abandoned.
 	maxSkippedResponses = 3
 )
 
-// Conn is a connection to an upstream that serves one request at a time.
+// Conn is a connection to an upstream. It serves one request at a time.
 type Conn struct {
 	Address string
 
@@ -48,14 +49,14 @@
 	idleSince time.Time
 }
 
-// Reused reports whether the connection has served a request before, so that
-// the upstream may have closed it meanwhile.
+// Reused reports whether the connection served a request before. The upstream may
+// have closed such a connection in the meantime.
 func (c *Conn) Reused() bool { return c.reused }
 
-// Close ends the connection; the upstream drops the request that it serves.
+// Close closes the connection; the upstream then drops the request in progress.
 func (c *Conn) Close() { _ = c.conn.Close() }
 
-// SetReadDeadline bounds the next reads; the zero time does not.
+// SetReadDeadline sets the deadline of the next reads; the zero time means none.
 func (c *Conn) SetReadDeadline(t time.Time) { _ = c.conn.SetReadDeadline(t) }
 
 // Request is one request in wire form.
@@ -68,8 +69,8 @@
 	Body   []byte
 }
 
-// WriteRequest sends the request in one piece.
-func (c *Conn) WriteRequest(r *Request, until time.Time) error {
+// WriteRequest sends the request in a single write.
+func (c *Conn) WriteRequest(r *Request, deadline time.Time) error {
 	var b bytes.Buffer
 	b.Grow(512 + len(r.Body))
 	b.WriteString(r.Method)
@@ -88,16 +89,17 @@
 	}
 	b.WriteString("\r\n")
 	b.Write(r.Body)
-	_ = c.conn.SetWriteDeadline(until)
+	_ = c.conn.SetWriteDeadline(deadline)
 	if _, err := c.conn.Write(b.Bytes()); err != nil {
 		return errors.Wrap(ErrWrite, err.Error())
 	}
 	return nil
 }
 
-// ReadResponse returns the head of the answer that mine accepts. A second answer to an
-// earlier request may lie where this one's answer is due; it is skipped.
-func (c *Conn) ReadResponse(method string, mine func(*http.Response) bool) (*http.Response, error) {
+// ReadResponse reads the status and headers of the response that accept returns true
+// for. A second response to an earlier request may precede the expected response; it is
+// skipped.
+func (c *Conn) ReadResponse(method string, accept func(*http.Response) bool) (*http.Response, error) {
 	for range maxSkippedResponses {
 		resp, err := http.ReadResponse(c.reader, &http.Request{Method: method})
 		if err != nil {
@@ -106,7 +108,7 @@
 		if resp.StatusCode < http.StatusOK && resp.StatusCode != http.StatusSwitchingProtocols {
 			continue
 		}
-		if mine(resp) {
+		if accept(resp) {
 			return resp, nil
 		}
 		if closesConn(resp) {
@@ -116,49 +118,49 @@
 			break
 		}
 	}
-	return nil, errors.Wrap(ErrRead, "answer of another request")
+	return nil, errors.Wrap(ErrRead, "response to another request")
 }
 
-// closesConn reports whether the connection ends with an answer.
+// closesConn reports whether the connection ends with the response.
 func closesConn(resp *http.Response) bool {
 	return resp.Close || resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
 }
 
-// isOpenAndEmpty reports whether an idle connection is still open with nothing to read.
-// Whatever lies there belongs to no request that will be sent on it.
+// isOpenAndEmpty reports whether an idle connection is still open and has no bytes to
+// read. Such bytes cannot belong to a request that is yet to be sent on it.
 func (c *Conn) isOpenAndEmpty() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
-	sc, ok := c.conn.(syscall.Conn)
+	syscallConn, ok := c.conn.(syscall.Conn)
 	if !ok {
 		return true
 	}
-	raw, err := sc.SyscallConn()
+	raw, err := syscallConn.SyscallConn()
 	if err != nil {
 		return false
 	}
 	open := false
 	err = raw.Read(func(fd uintptr) bool {
-		var one [1]byte
-		_, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		var peeked [1]byte
+		_, _, err := syscall.Recvfrom(int(fd), peeked[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		open = errors.Is(err, syscall.EAGAIN)
 		return true
 	})
 	return err == nil && open
 }
 
-// dial opens a connection.
+// dial opens a new connection to address.
 func (p *Pool) dial(ctx context.Context, address string) (*Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, p.DialTimeout)
 	defer cancel()
-	open := p.Dial
-	if open == nil {
-		open = (&net.Dialer{KeepAlive: -1}).DialContext
+	dial := p.Dial
+	if dial == nil {
+		dial = (&net.Dialer{KeepAlive: -1}).DialContext
 	}
-	n, err := open(ctx, "tcp", address)
+	conn, err := dial(ctx, "tcp", address)
 	if err != nil {
 		return nil, errors.Wrap(ErrDial, err.Error())
 	}
-	return &Conn{Address: address, conn: n, reader: bufio.NewReaderSize(n, readBufferBytes), idleSince: time.Now()}, nil
+	return &Conn{Address: address, conn: conn, reader: bufio.NewReaderSize(conn, readBufferBytes), idleSince: time.Now()}, nil
 }
--- a/internal/wire/client/pool.go
+++ b/internal/wire/client/pool.go
@@ -9,31 +9,32 @@
 )
 
 const (
-	// maxIdlePerUpstream is how many unused connections are kept for an upstream.
+	// maxIdlePerUpstream is how many idle connections are kept per upstream.
 	maxIdlePerUpstream = 32
-	// maxIdleTime is how long a connection may be unused. Upstreams close theirs
-	// after a time that most of them tell; this stays below the shortest seen.
+	// maxIdleTime is how long a connection may be idle. Upstreams close idle
+	// connections after a time that most of them announce; this is below the shortest
+	// such time seen.
 	maxIdleTime = 4 * time.Second
 )
 
-// Pool keeps connections to upstreams. Set the exported fields before use.
+// Pool keeps idle connections to upstreams for reuse. Set the exported fields before use.
 type Pool struct {
-	// DialTimeout bounds the time of opening a connection.
+	// DialTimeout limits the time for opening a connection.
 	DialTimeout time.Duration
-	// Dial opens a connection; nil uses the network.
+	// Dial opens a connection; nil means net.Dialer.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// OnDial is called for each new connection; nil if no one counts.
+	// OnDial is called before each new connection is opened; it may be nil.
 	OnDial func()
 
 	mu   sync.Mutex
 	idle map[string][]*Conn
 }
 
-// Get returns a connection to address: an unused one that is still open, or a
-// new one. With fresh it is always new: a request that may run once at most
-// must not meet a close that is already on its way.
-func (p *Pool) Get(ctx context.Context, address string, fresh bool) (*Conn, error) {
-	for !fresh {
+// Get returns a connection to address: an idle connection that is still open, or a new
+// one. With forceNew the connection is always new: a request that may run at most once
+// must not be sent on an idle connection that the upstream is just closing.
+func (p *Pool) Get(ctx context.Context, address string, forceNew bool) (*Conn, error) {
+	for !forceNew {
 		c := p.takeIdle(address)
 		if c == nil {
 			break
@@ -53,17 +54,17 @@
 func (p *Pool) takeIdle(address string) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	all := p.idle[address]
-	if len(all) == 0 {
+	conns := p.idle[address]
+	if len(conns) == 0 {
 		return nil
 	}
-	c := all[len(all)-1]
-	p.idle[address] = all[:len(all)-1]
+	c := conns[len(conns)-1]
+	p.idle[address] = conns[:len(conns)-1]
 	return c
 }
 
-// Release gives a connection back whose answer was read to its end; one that ends
-// with the answer is closed.
+// Release returns a connection to the pool after the response was read to its end. It
+// closes the connection instead if it ends with the response.
 func (p *Pool) Release(c *Conn, resp *http.Response) {
 	if closesConn(resp) {
 		c.Close()
@@ -72,7 +73,7 @@
 	p.Put(c)
 }
 
-// Put gives a connection back whose answer was read to its end.
+// Put returns a connection to the pool after the response was read to its end.
 func (p *Pool) Put(c *Conn) {
 	c.SetReadDeadline(time.Time{})
 	c.idleSince = time.Now()
@@ -81,33 +82,33 @@
 	if p.idle == nil {
 		p.idle = map[string][]*Conn{}
 	}
-	all := p.idle[c.Address]
-	if len(all) >= maxIdlePerUpstream || c.reader.Buffered() > 0 {
+	conns := p.idle[c.Address]
+	if len(conns) >= maxIdlePerUpstream || c.reader.Buffered() > 0 {
 		c.Close()
 		return
 	}
-	p.idle[c.Address] = append(all, c)
+	p.idle[c.Address] = append(conns, c)
 }
 
-// CloseUnused closes the unused connections of addresses that are not kept, and those
-// that were unused for long.
+// CloseUnused closes idle connections to addresses that are not in keep, and connections
+// that have been idle for maxIdleTime.
 func (p *Pool) CloseUnused(keep map[string]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for address, all := range p.idle {
-		rest := all[:0]
-		for _, c := range all {
+	for address, conns := range p.idle {
+		kept := conns[:0]
+		for _, c := range conns {
 			if keep[address] && time.Since(c.idleSince) < maxIdleTime {
-				rest = append(rest, c)
+				kept = append(kept, c)
 				continue
 			}
 			c.Close()
 		}
-		clear(all[len(rest):])
-		if len(rest) == 0 {
+		clear(conns[len(kept):])
+		if len(kept) == 0 {
 			delete(p.idle, address)
 			continue
 		}
-		p.idle[address] = rest
+		p.idle[address] = kept
 	}
 }
