--- a/internal/wire/front/front.go
+++ b/internal/wire/front/front.go
@@ -1,7 +1,7 @@
-// Package front serves callers: it finds the route and the team of a request,
-// reads it whole, has it run and passes the answer on.
+// Package front is the HTTP server for callers: it finds the route and the team of a
+// request, reads the request completely, passes it to a runner and forwards the response.
 //
-// It imports base/site and wire/relay. Package app/edge serves its Handler.
+// It imports base/site and wire/relay. Package app/edge serves its Server.
 package front
 
 import (
@@ -18,59 +18,60 @@
 	"go.opentelemetry.io/otel/trace"
 )
 
-// Dialect reads the headers of a caller's request.
+// Dialect parses the headers of a caller's request.
 type Dialect interface {
 	ParseRequest(h http.Header) (site.RequestHeader, error)
 }
 
-// ConfigSource gives what is in force; nil until something is known.
+// ConfigSource provides the configuration in force.
 type ConfigSource interface {
+	// Config returns the current configuration; nil if none is known yet.
 	Config() *site.Config
-	// AwaitConfig waits for the first configuration; nil if none came in time.
+	// AwaitConfig waits for the first configuration; nil if ctx ends first.
 	AwaitConfig(ctx context.Context) *site.Config
 }
 
-// PlainRunner runs calls of plain services.
+// PlainRunner runs calls to plain services.
 type PlainRunner interface {
 	Do(ctx context.Context, c *relay.Call) relay.Reply
 }
 
-// ModelRunner runs calls of model services. Without a Reason the answer was passed
-// to sink.
+// ModelRunner runs calls to model services. If the reply has no Reason, the response
+// was written to sink.
 type ModelRunner interface {
 	Do(ctx context.Context, c *relay.Call, sink relay.Sink) relay.Reply
 }
 
 const (
-	// defaultDeadline holds for a caller and a route without one.
+	// defaultDeadline applies if neither the caller nor the route sets a time limit.
 	defaultDeadline = time.Minute
-	// defaultMaxBodyBytes holds for a configuration without a limit, in bytes.
+	// defaultMaxBodyBytes applies to a configuration without a limit, in bytes.
 	defaultMaxBodyBytes = 4 << 20
-	// notReadyRetryAfter is when to come back to an instance that knows no configuration
-	// yet: reading it takes a few calls.
+	// notReadyRetryAfter is the Retry-After of an instance without a configuration:
+	// reading the configuration takes a few calls.
 	notReadyRetryAfter = 300 * time.Millisecond
-	// firstConfigTimeout is how long a request waits for the first configuration: an
-	// answer that begins within 500 ms is still on time, and a slow store needs
+	// firstConfigTimeout is how long a request waits for the first configuration: a
+	// response that starts within 500 ms is still on time, and a slow store needs
 	// 0.25 s for each of the first calls.
 	firstConfigTimeout = 400 * time.Millisecond
-	// bodyReadTimeout bounds the time for reading a body.
+	// bodyReadTimeout limits the time for reading a body.
 	bodyReadTimeout = 15 * time.Second
-	// maxUrgency is the last rank that engines know.
+	// maxUrgency is the highest rank number that engines accept, the least urgent.
 	maxUrgency = 9
 )
 
-// Server serves callers. Set the exported fields before use.
+// Server is the HTTP handler for callers. Set the exported fields before use.
 type Server struct {
 	Dialect      Dialect
 	ConfigSource ConfigSource
 	PlainRunner  PlainRunner
 	ModelRunner  ModelRunner
-	// TracerProvider makes a span of each request; nil makes none.
+	// TracerProvider creates a span for each request; nil creates none.
 	TracerProvider trace.TracerProvider
-	// OnRequestEnd learns how each request ended; nil tells nobody.
+	// OnRequestEnd is called with the result of each request; it may be nil.
 	OnRequestEnd func(c *relay.Call, r relay.Reply, status int, took time.Duration)
-	// OnReject learns of each request that was turned away unread; nil tells
-	// nobody.
+	// OnReject is called for each request that was rejected before it was run; it may
+	// be nil.
 	OnReject func(r *http.Request, status int, reason string)
 }
 
@@ -94,7 +95,7 @@
 	s.forward(w, r, c)
 }
 
-// reject answers a request that is not run at all.
+// reject responds to a request that is not run at all.
 func (s *Server) reject(w http.ResponseWriter, r *http.Request, status int, reason string, after time.Duration) {
 	writeRefusal(w, status, reason, after)
 	if s.OnReject != nil {
@@ -102,9 +103,9 @@
 	}
 }
 
-// currentConfig is what is in force. A process that has just started waits a moment for
-// it: after all instances died their callers are back before the store answers,
-// and who is refused then has no other try left.
+// currentConfig returns the configuration in force. A process that has just started waits
+// a moment for the first one: after a crash of all instances, callers return before the
+// store responds, and a caller that is rejected then has no retry left.
 func (s *Server) currentConfig(r *http.Request) *site.Config {
 	if config := s.ConfigSource.Config(); config != nil {
 		return config
@@ -114,20 +115,20 @@
 	return s.ConfigSource.AwaitConfig(ctx)
 }
 
-// newCall finds the route, the team and the time of a request; a status says why
-// it is not served.
+// newCall finds the route, the team and the deadline of a request. A non-zero status and
+// reason say why the request is not served.
 func (s *Server) newCall(config *site.Config, r *http.Request, start time.Time) (c *relay.Call, status int, reason string) {
 	route := config.Match(r.Host, r.URL.EscapedPath())
 	if route == nil {
 		return nil, http.StatusNotFound, "no such route"
 	}
-	ask, err := s.Dialect.ParseRequest(r.Header)
+	parsed, err := s.Dialect.ParseRequest(r.Header)
 	if err != nil {
 		return nil, http.StatusBadRequest, err.Error()
 	}
-	c = &relay.Call{ParsedHeader: ask, Route: route, Start: start, Urgency: urgency(route.Priority)}
+	c = &relay.Call{ParsedHeader: parsed, Route: route, Start: start, Urgency: urgency(route.Priority)}
 	if config.RequiresKey() && !route.AuthExempt {
-		team := config.TeamByKey(ask.Key)
+		team := config.TeamByKey(parsed.Key)
 		if team == nil {
 			return nil, http.StatusUnauthorized, "unknown key"
 		}
@@ -140,35 +141,35 @@
 	if c.Service == nil {
 		return nil, http.StatusServiceUnavailable, "the route's service is not known"
 	}
-	c.Deadline = start.Add(requestTimeout(ask.Timeout, route.Timeout))
+	c.Deadline = start.Add(requestTimeout(parsed.Timeout, route.Timeout))
 	return c, 0, ""
 }
 
 func urgency(priority int) int { return min(maxUrgency, max(0, priority)) }
 
-// requestTimeout is the time for a request: that of the caller or of the route,
-// whichever ends first.
-func requestTimeout(deadline, timeout time.Duration) time.Duration {
-	left := defaultDeadline
-	if deadline > 0 {
-		left = deadline
+// requestTimeout returns the timeout of a request: that of the caller or of the route,
+// whichever is shorter.
+func requestTimeout(callerTimeout, routeTimeout time.Duration) time.Duration {
+	timeout := defaultDeadline
+	if callerTimeout > 0 {
+		timeout = callerTimeout
 	}
-	if timeout > 0 {
-		left = min(left, timeout)
+	if routeTimeout > 0 {
+		timeout = min(timeout, routeTimeout)
 	}
-	return left
+	return timeout
 }
 
-// pickService draws one of a route's services by weight.
+// pickService picks one of a route's services at random, by weight.
 func pickService(split []site.Share) string {
-	sum := 0
+	total := 0
 	for _, s := range split {
-		sum += max(0, s.Weight)
+		total += max(0, s.Weight)
 	}
-	if sum == 0 {
+	if total == 0 {
 		return split[0].Service
 	}
-	n := rand.N(sum)
+	n := rand.N(total)
 	for _, s := range split {
 		if n -= max(0, s.Weight); n < 0 {
 			return s.Service
@@ -177,27 +178,27 @@
 	return split[0].Service
 }
 
-// readRequest takes the body, and the headers in the form in which they are passed
-// on.
+// readRequest reads the body into the call and prepares the headers for forwarding.
 func (s *Server) readRequest(config *site.Config, w http.ResponseWriter, r *http.Request, c *relay.Call) (status int, reason string) {
-	most := config.Limits.MaxBodyBytes
-	if most <= 0 {
-		most = defaultMaxBodyBytes
+	maxBodyBytes := config.Limits.MaxBodyBytes
+	if maxBodyBytes <= 0 {
+		maxBodyBytes = defaultMaxBodyBytes
 	}
 	if config.Limits.MaxHeaderBytes > 0 && headBytes(r) > config.Limits.MaxHeaderBytes {
 		return http.StatusRequestHeaderFieldsTooLarge, "headers are too large"
 	}
-	if r.ContentLength > most {
+	if r.ContentLength > maxBodyBytes {
 		return http.StatusRequestEntityTooLarge, "body is too large"
 	}
 	if r.ContentLength != 0 {
-		// A caller that stops in its body must not hold the connection for
-		// good. The error is that of a writer without deadlines, as in tests.
+		// A caller that stops sending its body must not hold the connection
+		// forever. SetReadDeadline fails only for writers without deadlines, as in
+		// tests.
 		_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyReadTimeout))
-		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, most))
-		var large *http.MaxBytesError
+		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
+		var tooLarge *http.MaxBytesError
 		switch {
-		case errors.As(err, &large):
+		case errors.As(err, &tooLarge):
 			return http.StatusRequestEntityTooLarge, "body is too large"
 		case err != nil:
 			return http.StatusBadRequest, "body is cut"
@@ -214,19 +215,19 @@
 
 func (s *Server) forward(w http.ResponseWriter, r *http.Request, c *relay.Call) {
 	var reply relay.Reply
-	r, done := s.startSpan(r, c)
+	r, endSpan := s.startSpan(r, c)
 	if c.Service.Model == nil {
 		reply = s.PlainRunner.Do(r.Context(), c)
 	} else {
 		reply = s.ModelRunner.Do(r.Context(), c, &callerSink{w: w})
 	}
 	status := s.writeReply(w, reply)
-	done(reply, status)
+	endSpan(reply, status)
 	if s.OnRequestEnd != nil {
 		s.OnRequestEnd(c, reply, status, time.Since(c.Start))
 	}
 	if status == 0 {
-		// The caller must not take a part for the whole.
+		// The caller must not take a partial response for the complete one.
 		panic(http.ErrAbortHandler)
 	}
 }
--- a/internal/wire/front/front_test.go
+++ b/internal/wire/front/front_test.go
@@ -20,7 +20,7 @@
 	"fulmarwick/internal/wire/relay"
 )
 
-// dialect is headers with names of its own.
+// dialect uses header names that exist only in these tests.
 type dialect struct{}
 
 func (dialect) ParseRequest(h http.Header) (site.RequestHeader, error) {
@@ -31,24 +31,24 @@
 	return site.ResponseHeader{RequestID: h.Get("Id"), Sealed: h.Get("Seal") != ""}
 }
 
-// staticConfig is one route of each kind.
+// staticConfig is a configuration with a model route and a plain route.
 type staticConfig struct{ config *site.Config }
 
-func (r staticConfig) Config() *site.Config                     { return r.config }
-func (r staticConfig) AwaitConfig(context.Context) *site.Config { return r.config }
+func (c staticConfig) Config() *site.Config                     { return c.config }
+func (c staticConfig) AwaitConfig(context.Context) *site.Config { return c.config }
 
-// delayedConfig are known after a while.
+// delayedConfig becomes available after a delay.
 type delayedConfig struct {
 	staticConfig
 	delay time.Duration
 }
 
-func (r delayedConfig) Config() *site.Config { return nil }
+func (c delayedConfig) Config() *site.Config { return nil }
 
-func (r delayedConfig) AwaitConfig(ctx context.Context) *site.Config {
+func (c delayedConfig) AwaitConfig(ctx context.Context) *site.Config {
 	select {
-	case <-time.After(r.delay):
-		return r.config
+	case <-time.After(c.delay):
+		return c.config
 	case <-ctx.Done():
 		return nil
 	}
@@ -71,53 +71,53 @@
 // singleUpstream is a single upstream that is always chosen.
 type singleUpstream struct{ address string }
 
-func (o singleUpstream) upstream() site.Upstream {
-	return site.Upstream{ID: "u", Service: "d", Address: o.address}
+func (u singleUpstream) upstream() site.Upstream {
+	return site.Upstream{ID: "u", Service: "d", Address: u.address}
 }
 
-func (o singleUpstream) Pick(string, []spec.UpstreamID) (site.Upstream, bool) {
-	return o.upstream(), true
+func (u singleUpstream) Pick(string, []spec.UpstreamID) (site.Upstream, bool) {
+	return u.upstream(), true
 }
-func (o singleUpstream) RecordOutcome(site.Upstream, uint64, time.Duration, ewma.Outcome) {}
-func (o singleUpstream) StartCooldown(site.Upstream)                                      {}
-func (o singleUpstream) ApplyReportedLoad(site.Upstream, site.Load)                       {}
-func (o singleUpstream) ExpectedLatency(site.Upstream) time.Duration                      { return time.Second }
-func (o singleUpstream) RecordRequest(string)                                             {}
-func (o singleUpstream) AllowRetry(string) bool                                           { return true }
+func (u singleUpstream) RecordOutcome(site.Upstream, uint64, time.Duration, ewma.Outcome) {}
+func (u singleUpstream) StartCooldown(site.Upstream)                                      {}
+func (u singleUpstream) ApplyReportedLoad(site.Upstream, site.Load)                       {}
+func (u singleUpstream) ExpectedLatency(site.Upstream) time.Duration                      { return time.Second }
+func (u singleUpstream) RecordRequest(string)                                             {}
+func (u singleUpstream) AllowRetry(string) bool                                           { return true }
 
-func (o singleUpstream) IsCulprit(uint64) bool                            { return false }
-func (o singleUpstream) Clear(uint64)                                     {}
-func (o singleUpstream) RecordFirstEvent(*relay.Run)                      {}
-func (o singleUpstream) EndRun(*relay.Run, bool)                          {}
-func (o singleUpstream) ReportConnFailure(string, spec.UpstreamID)        {}
-func (o singleUpstream) RecordRefusal(*relay.Run, string) spec.UpstreamID { return "u" }
-func (o singleUpstream) IsDead(string, spec.UpstreamID) bool              { return false }
-func (o singleUpstream) ConfirmExited(context.Context, string, spec.UpstreamID, bool) bool {
+func (u singleUpstream) IsCulprit(uint64) bool                            { return false }
+func (u singleUpstream) Clear(uint64)                                     {}
+func (u singleUpstream) RecordFirstEvent(*relay.Run)                      {}
+func (u singleUpstream) EndRun(*relay.Run, bool)                          {}
+func (u singleUpstream) ReportConnFailure(string, spec.UpstreamID)        {}
+func (u singleUpstream) RecordRefusal(*relay.Run, string) spec.UpstreamID { return "u" }
+func (u singleUpstream) IsDead(string, spec.UpstreamID) bool              { return false }
+func (u singleUpstream) ConfirmExited(context.Context, string, spec.UpstreamID, bool) bool {
 	return false
 }
 
-func (o singleUpstream) RetryAfter(*relay.Call) time.Duration { return time.Second }
+func (u singleUpstream) RetryAfter(*relay.Call) time.Duration { return time.Second }
 
-func (o singleUpstream) StartRun(context.Context, *relay.Call, relay.RunKind, []spec.UpstreamID) (*relay.Run, error) {
+func (u singleUpstream) StartRun(context.Context, *relay.Call, relay.RunKind, []spec.UpstreamID) (*relay.Run, error) {
 	chain := spec.Chain{spec.NewStage("u", spec.NewLayers(0, 1))}
-	return relay.NewRun(chain, []site.Hop{{Address: o.address}}), nil
+	return relay.NewRun(chain, []site.Hop{{Address: u.address}}), nil
 }
 
-// startProxy serves callers in front of an upstream.
+// startProxy starts a Server in front of an upstream and returns its URL.
 func startProxy(t testing.TB, upstream http.HandlerFunc) string {
 	t.Helper()
-	back := httptest.NewServer(upstream)
-	t.Cleanup(back.Close)
-	o := singleUpstream{address: back.Listener.Addr().String()}
+	upstreamServer := httptest.NewServer(upstream)
+	t.Cleanup(upstreamServer.Close)
+	single := singleUpstream{address: upstreamServer.Listener.Addr().String()}
 	pool := &client.Pool{DialTimeout: time.Second}
 	s := &front.Server{
 		Dialect: dialect{}, ConfigSource: newStaticConfig(),
-		PlainRunner: &relay.PlainRunner{Dialect: dialect{}, Pool: pool, Upstreams: o, RetryBudget: o, CrashTracker: o},
-		ModelRunner: &relay.ModelRunner{Dialect: dialect{}, Pool: pool, Paths: o, RetryBudget: o, CrashTracker: o},
+		PlainRunner: &relay.PlainRunner{Dialect: dialect{}, Pool: pool, Upstreams: single, RetryBudget: single, CrashTracker: single},
+		ModelRunner: &relay.ModelRunner{Dialect: dialect{}, Pool: pool, Paths: single, RetryBudget: single, CrashTracker: single},
 	}
-	ends := httptest.NewServer(s)
-	t.Cleanup(ends.Close)
-	return ends.URL
+	server := httptest.NewServer(s)
+	t.Cleanup(server.Close)
+	return server.URL
 }
 
 func writeEvents(w http.ResponseWriter, n int) {
@@ -147,8 +147,8 @@
 	return resp, data
 }
 
-// A caller resumes after the last event of an answer: nothing is left to send.
-// It still gets the engine's head, not one of ours.
+// A caller resumes after the last event of an answer, so no event is left to send. It must
+// still get the engine's status and headers, not those of the router.
 func TestResponseWithoutEventsKeepsUpstreamHeaders(t *testing.T) {
 	url := startProxy(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Id", "r")
@@ -158,14 +158,14 @@
 	})
 	resp, body := doRequest(t, http.MethodPost, url+"/s/1", bytes.NewReader([]byte("x")))
 	if got := resp.Header.Get("Seal"); resp.StatusCode != http.StatusOK || got != "engine" || len(body) != 0 {
-		t.Errorf("got %d with seal %q and %d bytes, want the engine's head alone", resp.StatusCode, got, len(body))
+		t.Errorf("got %d with seal %q and %d bytes, want only the engine's headers", resp.StatusCode, got, len(body))
 	}
 }
 
-// All instances died and are back, and so are their callers, before the slow
-// store has told of the configuration. A caller who comes then is served once it
-// has; refused, it would have no other try left. One who would be late is told
-// to come back.
+// All instances crashed and restarted, and callers return before the slow store has sent
+// the configuration. A request must wait up to 400 ms for the configuration, since a
+// rejected caller would have no retry left. If no configuration arrives in time, the
+// response must contain Retry-After.
 func TestRequestWaitsForFirstConfig(t *testing.T) {
 	tests := []struct {
 		after time.Duration
@@ -204,12 +204,12 @@
 		t.Errorf("got %v and %v for large headers, want 431", resp, err)
 	}
 	if resp, _ := doRequest(t, http.MethodGet, url+"/p/1", nil); resp.StatusCode != http.StatusBadGateway || resp.Header.Get("Retry-After") != "" {
-		t.Errorf("got %d for an answer without a seal, want 502 and no promise", resp.StatusCode)
+		t.Errorf("got %d for a response without a seal, want 502 without Retry-After", resp.StatusCode)
 	}
 }
 
-// An event that is passed on, with the upstream and the caller in the same
-// process; the time is that of all three.
+// BenchmarkEvent forwards one event. The upstream and the caller run in the same process,
+// so the time includes all three.
 func BenchmarkEvent(b *testing.B) {
 	url := startProxy(b, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Id", "r")
@@ -221,7 +221,7 @@
 	doRequest(b, http.MethodPost, url+"/s/1", bytes.NewReader(make([]byte, 800)))
 }
 
-// A plain request and its answer, the same way.
+// BenchmarkRequest forwards one plain request and its response in the same setup.
 func BenchmarkRequest(b *testing.B) {
 	url := startProxy(b, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Id", "r")
--- a/internal/wire/front/answer.go
+++ b/internal/wire/front/reply.go
@@ -9,8 +9,8 @@
 	"fulmarwick/internal/wire/relay"
 )
 
-// writeReply writes the final answer unless it was passed on already. It returns
-// its status, or zero if the connection must be broken.
+// writeReply writes the final response unless it was forwarded already. It returns the
+// status, or zero if the connection must be broken.
 func (s *Server) writeReply(w http.ResponseWriter, reply relay.Reply) int {
 	switch {
 	case reply.Reason == relay.ReasonNone && reply.Header == nil:
@@ -30,8 +30,8 @@
 	return status
 }
 
-// statusOf is the status of an answer without an upstream's. 503 promises that
-// the call has not run and will not.
+// statusOf returns the status of a reply without an upstream's response. Status 503
+// promises that the call has not run and will not run.
 func statusOf(r relay.Reply) int {
 	switch {
 	case !r.MayHaveRun:
@@ -42,12 +42,12 @@
 	return http.StatusBadGateway
 }
 
-// writeUpstreamResponse writes an upstream's answer as it is.
+// writeUpstreamResponse writes the response of an upstream unchanged.
 func writeUpstreamResponse(w http.ResponseWriter, reply relay.Reply) {
 	copyHeader(w.Header(), reply.Header)
 	w.Header().Set("Content-Length", strconv.Itoa(len(reply.Body)))
 	w.WriteHeader(reply.Status)
-	// A caller that left while its answer was written cannot be told.
+	// An error means that the caller disconnected, so it cannot be notified.
 	_, _ = w.Write(reply.Body)
 }
 
@@ -55,7 +55,7 @@
 	for name, values := range from {
 		to[name] = values
 	}
-	// Set to nothing, so that none is added to the upstream's headers.
+	// A nil value prevents net/http from adding these to the upstream's headers.
 	for _, name := range []string{"Date", "Content-Type"} {
 		if _, ok := from[name]; !ok {
 			to[name] = nil
@@ -63,7 +63,7 @@
 	}
 }
 
-// writeRefusal writes an answer of the router's own.
+// writeRefusal writes a response of the router itself.
 func writeRefusal(w http.ResponseWriter, status int, reason string, after time.Duration) {
 	h := w.Header()
 	if after > 0 {
@@ -72,24 +72,24 @@
 	h.Set("Content-Type", "text/plain; charset=utf-8")
 	h.Set("Content-Length", strconv.Itoa(len(reason)+1))
 	w.WriteHeader(status)
-	// A caller that left cannot be told.
+	// An error means that the caller disconnected, so it cannot be notified.
 	_, _ = io.WriteString(w, reason+"\n")
 }
 
-// stoppingRetryAfter is when a caller comes back whom a stopping instance turned away:
-// at once, to another instance.
+// stoppingRetryAfter is the Retry-After of a stopping instance: the caller should retry
+// almost immediately, on another instance.
 const stoppingRetryAfter = 20 * time.Millisecond
 
-// StoppingHandler answers requests that come too late to a stopping instance: they
-// have not run, and another instance takes them.
+// StoppingHandler answers requests that arrive too late at a stopping instance: they
+// have not run, and another instance can serve them.
 type StoppingHandler struct{}
 
-// ServeHTTP refuses the request.
+// ServeHTTP rejects the request with status 503.
 func (StoppingHandler) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	writeRefusal(w, http.StatusServiceUnavailable, "instance is stopping", stoppingRetryAfter)
 }
 
-// headBytes is the size of a request's head as it was sent.
+// headBytes returns the size of a request's request line and headers on the wire.
 func headBytes(r *http.Request) int {
 	n := len(r.Method) + len(r.RequestURI) + len(" HTTP/1.1\r\n\r\n") + len("Host: \r\n") + len(r.Host)
 	for name, values := range r.Header {
--- a/internal/wire/front/span.go
+++ b/internal/wire/front/span.go
@@ -14,9 +14,9 @@
 // tracerName names the spans of this package.
 const tracerName = "fulmarwick/front"
 
-// startSpan starts the span of a request, under the trace of its caller; done puts
-// its end on the span. Without a provider there is none.
-func (s *Server) startSpan(r *http.Request, c *relay.Call) (req *http.Request, done func(relay.Reply, int)) {
+// startSpan starts the span of a request as part of the caller's trace. endSpan records
+// the result and ends the span. Without a provider there is no span.
+func (s *Server) startSpan(r *http.Request, c *relay.Call) (req *http.Request, endSpan func(relay.Reply, int)) {
 	if s.TracerProvider == nil {
 		return r, func(relay.Reply, int) {}
 	}
--- a/internal/wire/front/span_test.go
+++ b/internal/wire/front/span_test.go
@@ -15,19 +15,19 @@
 	"go.opentelemetry.io/otel/sdk/trace/tracetest"
 )
 
-// A request of a caller that keeps a trace has a span there, with a span below
-// it for each send.
+// A request with a trace header must have a span in the caller's trace, with a child span
+// for each send.
 func TestSpanPerSend(t *testing.T) {
-	back := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	upstream := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Seal", "s")
 		w.WriteHeader(http.StatusOK)
 	}))
-	defer back.Close()
-	kept := tracetest.NewSpanRecorder()
-	o := singleUpstream{address: back.Listener.Addr().String()}
+	defer upstream.Close()
+	recorder := tracetest.NewSpanRecorder()
+	single := singleUpstream{address: upstream.Listener.Addr().String()}
 	server := httptest.NewServer(&front.Server{
-		Dialect: dialect{}, ConfigSource: newStaticConfig(), TracerProvider: sdk.NewTracerProvider(sdk.WithSpanProcessor(kept)),
-		PlainRunner: &relay.PlainRunner{Dialect: dialect{}, Pool: &client.Pool{DialTimeout: time.Second}, Upstreams: o, RetryBudget: o, CrashTracker: o},
+		Dialect: dialect{}, ConfigSource: newStaticConfig(), TracerProvider: sdk.NewTracerProvider(sdk.WithSpanProcessor(recorder)),
+		PlainRunner: &relay.PlainRunner{Dialect: dialect{}, Pool: &client.Pool{DialTimeout: time.Second}, Upstreams: single, RetryBudget: single, CrashTracker: single},
 	})
 	defer server.Close()
 	req, err := http.NewRequestWithContext(context.Background(), http.MethodGet, server.URL+"/p/1", nil)
@@ -42,11 +42,11 @@
 		t.Fatal(err)
 	}
 	_ = resp.Body.Close()
-	// The server writes its answer before its span ends.
+	// The server writes the response before it ends the span.
 	server.Close()
-	spans := kept.Ended()
+	spans := recorder.Ended()
 	if len(spans) != 2 || spans[0].Name() != "relay.send" || spans[1].Name() != "front.request" {
-		t.Fatalf("got %d spans %v, want one of the send and one of the request", len(spans), spans)
+		t.Fatalf("got %d spans %v, want one span of the send and one of the request", len(spans), spans)
 	}
 	if spans[0].Parent().SpanID() != spans[1].SpanContext().SpanID() || spans[1].SpanContext().TraceID().String() != trace {
 		t.Errorf("got a send under %s in trace %s, want it under the request in %s", spans[0].Parent().SpanID(), spans[1].SpanContext().TraceID(), trace)
