--- a/internal/wire/loop/loop.go
+++ b/internal/wire/loop/loop.go
@@ -1,14 +1,14 @@
-// Package loop runs the routing logic in its own goroutine: it gathers
-// events, ticks, and hands commands to whoever waits for them.
+// Package loop runs the routing logic in its own goroutine: it queues events, calls the
+// logic at each tick, and delivers commands to the goroutines that wait for them.
 //
-// It imports base/spec and route/world. The app builds one Loop per process;
-// package chain posts to it and waits on it, once per decision and never once
+// It imports base/spec and route/world. The app builds one Loop per process; package
+// chain posts events to it and waits for its commands, once per decision and never once
 // per token.
 //
-// Under a flood the queue of arrivals is bounded: an arrival above the limit
-// is refused at once and never reaches the logic. Other events are never
-// dropped, since the logic would keep what they end; there are at most a few
-// per request in progress and per engine.
+// The queue of arrivals is bounded in case of overload: an arrival above the limit is
+// refused at once and never reaches the logic. Other events are never dropped, since
+// the logic would keep the state that they end; there are at most a few per request in
+// progress and per engine.
 package loop
 
 import (
@@ -22,33 +22,36 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// TickInterval is the longest time between two ticks.
+// TickInterval is the maximum time between two ticks.
 const TickInterval = 20 * time.Millisecond
 
 const (
-	// DefaultMaxArrivals is the most arrivals that wait for a tick if Queue is not
-	// set.
+	// DefaultMaxArrivals is the limit of arrivals that wait for a tick if MaxArrivals
+	// is not set.
 	DefaultMaxArrivals = 8192
-	// overloadRetryAfter is what callers are told whose arrival found the queue full.
+	// overloadRetryAfter is the Retry-After for callers whose request arrives while the
+	// queue is full.
 	overloadRetryAfter = time.Second
-	// maxPendingCommands is how many commands wait for one request's goroutine.
+	// maxPendingCommands is how many commands are buffered for one request's goroutine.
 	maxPendingCommands = 4
 )
 
-// Logic is the deterministic part.
+// Logic is the deterministic routing logic: its commands depend only on the time and the
+// events that it is passed.
 type Logic interface {
 	Tick(now time.Duration, events []world.Event) []world.Command
 }
 
-// Loop drives a Logic. Set the exported fields before Run.
+// Loop runs a Logic. Set the exported fields before Run.
 type Loop struct {
 	Logic Logic
-	// HandleOther receives the commands that no request waits for; nil drops them.
-	// It runs between ticks and must not block.
+	// HandleOther is called with each command that belongs to no request; nil drops
+	// them. It runs in the loop's goroutine and must not block.
 	HandleOther func(world.Command)
-	// MaxArrivals is the most arrivals that wait for a tick.
+	// MaxArrivals is the maximum number of arrivals that wait for a tick; zero means
+	// DefaultMaxArrivals.
 	MaxArrivals int
-	// Meters takes the metrics; nil makes a private set.
+	// Meters receives the metrics; nil creates a private set.
 	Meters *metrics.Set
 
 	once     sync.Once
@@ -64,7 +67,7 @@
 	watchers    map[spec.RequestID]chan world.Command
 }
 
-// loopMetrics is what the loop tells about itself.
+// loopMetrics holds the metrics of the loop.
 type loopMetrics struct {
 	ticks           *metrics.Counter
 	refusedArrivals *metrics.Counter
@@ -91,22 +94,22 @@
 	})
 }
 
-// Post queues an event for the next tick and wakes the loop. An arrival that
-// finds the queue full is refused at once.
-func (l *Loop) Post(ev world.Event) {
+// Post queues an event for the next tick and wakes the loop. If MaxArrivals arrivals are
+// queued already, a further arrival is refused at once.
+func (l *Loop) Post(event world.Event) {
 	l.init()
-	arrived, is := ev.(world.Arrived)
+	arrived, isArrival := event.(world.Arrived)
 	l.mu.Lock()
-	if is && l.arrivals >= l.MaxArrivals {
+	if isArrival && l.arrivals >= l.MaxArrivals {
 		l.mu.Unlock()
 		l.counters.refusedArrivals.Inc()
 		l.deliver(world.Refuse{Request: arrived.Request, Reason: world.ReasonOverload, After: overloadRetryAfter})
 		return
 	}
-	if is {
+	if isArrival {
 		l.arrivals++
 	}
-	l.queue = append(l.queue, ev)
+	l.queue = append(l.queue, event)
 	l.mu.Unlock()
 	l.wakeUp()
 }
@@ -118,25 +121,25 @@
 	}
 }
 
-// Watch returns the channel on which commands for a request arrive. Call
-// Forget when the request ended; without it the channel would stay for ever.
+// Watch returns the channel on which commands for a request are delivered. Call Unwatch
+// when the request has ended; otherwise the channel is never freed.
 func (l *Loop) Watch(id spec.RequestID) <-chan world.Command {
 	l.init()
-	ch := make(chan world.Command, maxPendingCommands)
+	commands := make(chan world.Command, maxPendingCommands)
 	l.mu.Lock()
-	l.watchers[id] = ch
+	l.watchers[id] = commands
 	l.mu.Unlock()
-	return ch
+	return commands
 }
 
-// Unwatch ends a Watch.
+// Unwatch removes the channel of a request.
 func (l *Loop) Unwatch(id spec.RequestID) {
 	l.mu.Lock()
 	delete(l.watchers, id)
 	l.mu.Unlock()
 }
 
-// WatchCount is how many requests are watched.
+// WatchCount returns how many requests are watched.
 func (l *Loop) WatchCount() int {
 	l.init()
 	l.mu.Lock()
@@ -144,14 +147,14 @@
 	return len(l.watchers)
 }
 
-// Inspect runs look in the loop's goroutine between two ticks, where the tables
-// of the logic may be read, and returns when it ran. The error is that of ctx,
-// or context.Canceled if the loop ended.
-func (l *Loop) Inspect(ctx context.Context, look func()) error {
+// Inspect runs inspect in the loop's goroutine between two ticks, where the tables of the
+// logic may be read, and returns when it has run. It returns the error of ctx if ctx ends
+// first, or context.Canceled if the loop has ended.
+func (l *Loop) Inspect(ctx context.Context, inspect func()) error {
 	l.init()
 	done := make(chan struct{})
 	l.mu.Lock()
-	l.inspections = append(l.inspections, func() { look(); close(done) })
+	l.inspections = append(l.inspections, func() { inspect(); close(done) })
 	l.mu.Unlock()
 	l.wakeUp()
 	select {
@@ -183,17 +186,17 @@
 }
 
 func (l *Loop) tick(start time.Time) {
-	events, looks := l.takeQueued()
-	began := time.Now()
-	for _, c := range l.Logic.Tick(began.Sub(start), events) {
+	events, inspections := l.takeQueued()
+	tickStart := time.Now()
+	for _, c := range l.Logic.Tick(tickStart.Sub(start), events) {
 		l.deliver(c)
 	}
 	l.counters.ticks.Inc()
-	l.counters.tickDuration.UpdateDuration(began)
-	for _, look := range looks {
-		look()
+	l.counters.tickDuration.UpdateDuration(tickStart)
+	for _, inspect := range inspections {
+		inspect()
 	}
-	// The logic may keep an event but not the slice; its room serves again.
+	// The logic may keep an event but not the slice, so the slice is reused.
 	clear(events)
 	l.mu.Lock()
 	l.spareQueue = events[:0]
@@ -203,9 +206,9 @@
 func (l *Loop) takeQueued() ([]world.Event, []func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	events, looks := l.queue, l.inspections
+	events, inspections := l.queue, l.inspections
 	l.queue, l.spareQueue, l.inspections, l.arrivals = l.spareQueue, nil, nil, 0
-	return events, looks
+	return events, inspections
 }
 
 func (l *Loop) deliver(c world.Command) {
@@ -216,19 +219,19 @@
 		}
 		return
 	}
-	if r, is := c.(world.Refuse); is {
-		l.Meters.GetOrCreateCounter(`fulmarwick_refusals_total{reason="` + r.Reason.String() + `"}`).Inc()
+	if refusal, ok := c.(world.Refuse); ok {
+		l.Meters.GetOrCreateCounter(`fulmarwick_refusals_total{reason="` + refusal.Reason.String() + `"}`).Inc()
 	}
 	l.mu.Lock()
-	ch := l.watchers[id]
+	commands := l.watchers[id]
 	l.mu.Unlock()
-	if ch == nil {
+	if commands == nil {
 		return
 	}
-	// A request has at most one decision open, so the buffer never fills
-	// while its goroutine lives; a full one belongs to a goroutine that ended.
+	// A request has at most one pending decision, so the buffer never fills while the
+	// request's goroutine runs. A full buffer belongs to a goroutine that has ended.
 	select {
-	case ch <- c:
+	case commands <- c:
 	default:
 	}
 }
--- a/internal/wire/loop/loop_test.go
+++ b/internal/wire/loop/loop_test.go
@@ -14,7 +14,7 @@
 	"fulmarwick/internal/wire/loop"
 )
 
-// echoLogic starts every request that arrives and counts its ticks.
+// echoLogic starts every request that arrives; it counts its ticks and records the events.
 type echoLogic struct {
 	mu     sync.Mutex
 	ticks  int
@@ -26,10 +26,10 @@
 	defer e.mu.Unlock()
 	e.ticks++
 	var out []world.Command
-	for _, ev := range events {
-		e.events = append(e.events, ev)
-		if a, ok := ev.(world.Arrived); ok {
-			out = append(out, world.Start{Request: a.Request, Attempt: 1})
+	for _, event := range events {
+		e.events = append(e.events, event)
+		if arrived, ok := event.(world.Arrived); ok {
+			out = append(out, world.Start{Request: arrived.Request, Attempt: 1})
 		}
 	}
 	return out
@@ -41,7 +41,7 @@
 	return e.ticks, len(e.events)
 }
 
-// startLoop starts l in the bubble of the test.
+// startLoop runs l in the synctest bubble of the test until the test ends.
 func startLoop(t *testing.T, l *loop.Loop) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -87,22 +87,22 @@
 	})
 }
 
-// Callers flood the instance with more requests than a tick can take. Those
-// above the bound see their refusal at once, with a time to come back, and
-// never reach the logic; the events that end requests are kept all the same.
+// Callers send more requests than the queue holds. Arrivals above the limit must be
+// refused at once, with a Retry-After, and must never reach the logic. Events that end
+// requests must still be kept.
 func TestArrivalsAboveLimitAreRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		logic := &echoLogic{}
 		l := &loop.Loop{Logic: logic, MaxArrivals: 3}
 		var refused int
-		var chans []<-chan world.Command
+		var watched []<-chan world.Command
 		for i := range 5 {
 			id := spec.RequestID(fmt.Sprint(i))
-			chans = append(chans, l.Watch(id))
+			watched = append(watched, l.Watch(id))
 			l.Post(world.Arrived{Request: id})
 			l.Post(world.Finished{Request: id})
 		}
-		for _, ch := range chans {
+		for _, ch := range watched {
 			select {
 			case c := <-ch:
 				if r, ok := c.(world.Refuse); ok && r.Reason == world.ReasonOverload && r.After > 0 && !r.Ran {
@@ -112,18 +112,18 @@
 			}
 		}
 		if refused != 2 {
-			t.Errorf("got %d refused before the loop ran, want 2", refused)
+			t.Errorf("got %d refusals before the loop ran, want 2", refused)
 		}
 		startLoop(t, l)
 		synctest.Wait()
 		if _, got := logic.counts(); got != 3+5 {
-			t.Errorf("got %d events in the logic, want 3 arrivals and 5 ends", got)
+			t.Errorf("got %d events in the logic, want 3 arrivals and 5 finished events", got)
 		}
 	})
 }
 
-// A request's goroutine ended, or reads no more, when commands for it come.
-// The loop goes on for the others and keeps nothing.
+// The goroutine of a request has ended, or no longer reads, when commands for the request
+// are delivered. The loop must go on serving other requests and keep no state of this one.
 func TestFinishedRequestDoesNotBlockLoop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := &loop.Loop{Logic: &echoLogic{}}
@@ -187,7 +187,8 @@
 	return []world.Command{world.Warn{Print: 7}}
 }
 
-// logicWithEngines fills the logic with engines of one model, each of which holds all.
+// logicWithEngines returns a logic with engines of one model, each of which holds all
+// layers.
 func logicWithEngines(engines int) *core.Logic {
 	logic := &core.Logic{}
 	var events []world.Event
@@ -207,8 +208,8 @@
 	return logic
 }
 
-// BenchmarkDecision is the time from Post to the decision in the hands of the
-// request's goroutine.
+// BenchmarkDecision measures the time from Post until the request's goroutine receives the
+// decision.
 func BenchmarkDecision(b *testing.B) {
 	for _, engines := range []int{33, 600} {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
@@ -235,7 +236,7 @@
 	}
 }
 
-// BenchmarkIdleTick is the cost of a tick with nothing to do.
+// BenchmarkIdleTick measures the cost of a tick without events.
 func BenchmarkIdleTick(b *testing.B) {
 	for _, engines := range []int{33, 600} {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
