--- a/internal/wire/relay/model.go
+++ b/internal/wire/relay/model.go
@@ -20,7 +20,7 @@
 	WriteEvent(event []byte, flush bool) error
 }
 
-// RunKind tells a first run from a retry and from a resumed stream.
+// RunKind distinguishes a first run, a retry and a resumed stream.
 type RunKind int
 
 //go:generate stringer -type=RunKind -linecomment -output=runkind_string.go
