--- a/internal/base/site/header.go
+++ b/internal/base/site/header.go
@@ -6,36 +6,42 @@
 	"fulmarwick/internal/base/spec"
 )
 
-// RequestHeader is what the headers of a caller's request say.
+// RequestHeader holds the values of the headers of a caller's request.
 type RequestHeader struct {
 	ID string
-	// Timeout is how long the caller waits, from when it sent the request;
-	// zero if it does not say.
+	// Timeout is how long the caller waits, counted from when it sent the request; zero if
+	// the header is missing.
 	Timeout time.Duration
-	Key     string
-	Model   string
-	// PromptTokens is the number of prompt tokens, Most the most tokens of the
-	// answer, Hint the caller's guess of these; zero if it does not say.
+	// Key is the caller's API key.
+	Key   string
+	Model string
+	// PromptTokens is the number of prompt tokens; zero if the header is missing.
 	PromptTokens int
-	MaxTokens    int
-	LengthHint   int
-	// LastEventID is the ID of the last event that the caller has; zero is none.
+	// MaxTokens is the maximum number of tokens of the answer; zero if the header is missing.
+	MaxTokens int
+	// LengthHint is the caller's estimate of the number of tokens of the answer; zero if the
+	// header is missing.
+	LengthHint int
+	// LastEventID is the ID of the last event that the caller received; zero means none.
 	LastEventID int
 }
 
-// ForwardHeader is what the router adds to a request for one upstream.
+// ForwardHeader holds the values that the router adds to the headers of a request to an
+// upstream.
 type ForwardHeader struct {
-	// Expect is the upstream that it is meant for.
+	// Expect is the upstream that the request is for. An upstream with another ID at the same
+	// address must refuse it.
 	Expect spec.UpstreamID
-	// Remaining is how much time the caller leaves.
+	// Remaining is the time left until the caller's deadline.
 	Remaining time.Duration
-	// Team holds the caller's key; empty for a route without keys.
+	// Team is the team that holds the caller's API key; empty for routes without keys.
 	Team string
-	// Path is the engines of a model request, in order; empty for plain ones.
+	// Path lists the engines of a model request in order; empty for a plain request.
 	Path []Hop
-	// LastEventID is the last event that need not be sent again; zero is none.
+	// LastEventID is the ID of the last event that the upstream need not send again; zero
+	// means none.
 	LastEventID int
-	// Urgency is the rank among the requests of an engine, 0 first.
+	// Urgency is the rank of the request among those of an engine; 0 runs first.
 	Urgency int
 }
 
@@ -45,43 +51,44 @@
 	Layers  spec.Layers
 }
 
-// ResponseHeader is what the head of an upstream's answer says.
+// ResponseHeader holds what the status and headers of an upstream's response report.
 type ResponseHeader struct {
-	// RequestID is the request that it answers, empty if it does not say.
+	// RequestID is the ID of the answered request; empty if the header is missing.
 	RequestID string
-	// NotExecuted means that the upstream did not run the request and never will.
+	// NotExecuted reports that the upstream did not run the request and never will.
 	NotExecuted bool
-	// Moved means that another upstream has the address.
+	// Moved reports that another upstream now has the address.
 	Moved bool
-	// Sealed answers come from an upstream and may be passed on as they are.
+	// Sealed reports that the response comes from an upstream itself and may be passed on
+	// unchanged.
 	Sealed bool
-	// FailedAddress is the address of the engine further on that is to blame.
+	// FailedAddress is the address of the engine later on the path that caused a failure.
 	FailedAddress string
-	// Load is what the upstream says of its load; nil if it does not.
+	// Load is the load that the upstream reports; nil if it reports none.
 	Load *Load
 }
 
-// Load is an upstream's own count of its requests.
+// Load is the number of requests that an upstream reports to run and to queue, and its slots.
 type Load struct {
 	Running int
 	Waiting int
 	Slots   int
 }
 
-// Order tells an engine which layers to hold.
+// Order is a load order: it tells an engine which layers to load.
 type Order struct {
-	// Engine is the engine that is meant. One that has its address by now, with
-	// another memory perhaps, refuses.
+	// Engine is the engine that the order is for. If another engine has its address by now,
+	// possibly with another amount of memory, that engine refuses the order.
 	Engine spec.UpstreamID
 	Layers spec.Layers
-	// FencingToken is the number of the lease under which the order is given.
+	// FencingToken is the fencing token of the lease under which the order is sent.
 	FencingToken uint64
-	// ExpectedOrders is the count of orders that the engine must have accepted, so
-	// that one carried out late finds a newer count and changes nothing.
+	// ExpectedOrders is the number of orders that the engine must have accepted before this
+	// one. An order that arrives late finds a higher number and changes nothing.
 	ExpectedOrders int
 }
 
-// Repath tells the first engine of a request to go on over another path.
+// Repath tells the first engine of a running request to continue it on another path.
 type Repath struct {
 	Engine  spec.UpstreamID
 	Request string
--- a/internal/base/site/model.go
+++ b/internal/base/site/model.go
@@ -8,63 +8,68 @@
 	"fulmarwick/internal/base/spec"
 )
 
-// Card is a kind of accelerator.
+// Card is a type of accelerator card.
 type Card struct {
 	Name string
-	// MemoryMB is its memory.
+	// MemoryMB is the memory of the card in MB of 1e6 bytes.
 	MemoryMB float64
-	// StepFactor and Read say how many times longer than the reference card it takes
-	// for a step and for reading a prompt.
-	StepFactor    float64
+	// StepFactor is the time of a step relative to the reference card.
+	StepFactor float64
+	// PrefillFactor is the time of a prefill relative to the reference card.
 	PrefillFactor float64
 }
 
-// Model describes the engines of a service: what they hold and what work
-// costs on a reference card that holds all layers.
+// Model describes the engines of a service: the size of what they hold in memory, and how
+// long work takes on a reference card that holds all layers.
 type Model struct {
 	Slots  int
 	Layers int
-	// LayerMB is the memory of one layer, TokenBytes that of one token over
-	// all layers.
-	LayerMB    float64
+	// LayerMB is the memory of one layer.
+	LayerMB float64
+	// TokenBytes is the KV memory of one token over all layers; zero if it is not published.
 	TokenBytes float64
-	// StepsPerPass is how many steps a pass with writers makes.
+	// StepsPerPass is the number of steps in one pass while requests are decoding.
 	StepsPerPass int
-	// Step, Writer and Context make up the time of a step: a part for itself,
-	// one for each request that writes, one for each 1,000 tokens they hold.
-	StepTime        time.Duration
+	// StepTime is the fixed part of the time of a step.
+	StepTime time.Duration
+	// TimePerSequence is added to a step for each request that is decoding.
 	TimePerSequence time.Duration
+	// TimePer1kTokens is added to a step for each 1,000 tokens that these requests hold.
 	TimePer1kTokens time.Duration
-	// PrefillRate is tokens of prompts per second.
+	// PrefillRate is the prefill speed in prompt tokens per second.
 	PrefillRate float64
-	// PrefillChunk is the most prompt tokens read in a step.
+	// PrefillChunk is the maximum number of prompt tokens prefilled in one step.
 	PrefillChunk int
-	// TypicalPrompt and Answer are the usual sizes in tokens.
+	// TypicalPrompt is the usual size of a prompt in tokens.
 	TypicalPrompt int
+	// TypicalAnswer is the usual size of an answer in tokens.
 	TypicalAnswer int
-	// LoadTime is how long loading all layers takes; Loads is how many loads run
-	// at full speed at once, zero where nothing is published.
-	LoadTime         time.Duration
+	// LoadTime is the time to load all layers.
+	LoadTime time.Duration
+	// MaxParallelLoads is how many loads can run at full speed at the same time; zero if it is
+	// not published.
 	MaxParallelLoads int
 	Cards            []Card
-	// ActivationBytes is what engines pass on for each token; PipeRate is the bytes
-	// per second between data centres, which all requests share.
+	// ActivationBytes is the size of the activations that an engine sends to the next one for
+	// each token.
 	ActivationBytes float64
-	LinkRate        float64
-	// Delays are one-way times between data centres.
+	// LinkRate is the bandwidth between data centres in bytes per second, shared by all
+	// requests.
+	LinkRate float64
+	// Delays are the one-way network delays between data centres.
 	Delays []Delay
 }
 
-// Equal reports whether two models are the same in all that is known of them.
-func (m *Model) Equal(o *Model) bool { return reflect.DeepEqual(m, o) }
+// Equal reports whether two models are equal in all fields.
+func (m *Model) Equal(other *Model) bool { return reflect.DeepEqual(m, other) }
 
-// Delay is the one-way time between two data centres.
+// Delay is the one-way network delay between two data centres.
 type Delay struct {
 	From, To spec.DataCentre
 	Time     time.Duration
 }
 
-// Card returns the card of that name; ok is false for one that is not listed.
+// Card returns the card with the given name; ok is false if it is not listed.
 func (m *Model) Card(name string) (c Card, ok bool) {
 	for _, c := range m.Cards {
 		if c.Name == name {
@@ -74,17 +79,17 @@
 	return Card{}, false
 }
 
-// bytesPerMB is the bytes of a megabyte as memory of cards is counted.
+// bytesPerMB is the number of bytes in a megabyte; the memory of cards is counted in these.
 const bytesPerMB = 1e6
 
-// TokenLayerMB is the memory of one token in one layer.
+// TokenLayerMB returns the KV memory of one token in one layer.
 func (m *Model) TokenLayerMB() float64 {
 	return m.TokenBytes / float64(m.Layers) / bytesPerMB
 }
 
-// KVCapacity is the memory that a card has left beside so many layers, in tokens
-// times layers; negative if they do not fit. Where tokens have no published
-// size, memory never runs out.
+// KVCapacity returns the KV memory that remains on a card with this many layers loaded, in
+// token-layers; negative if the layers do not fit. If the size of tokens is not published, KV
+// memory counts as unlimited.
 func (m *Model) KVCapacity(c Card, layers int) int {
 	if m.TokenBytes <= 0 && float64(layers)*m.LayerMB <= c.MemoryMB {
 		return math.MaxInt32
@@ -92,13 +97,13 @@
 	return int((c.MemoryMB - float64(layers)*m.LayerMB) / m.TokenLayerMB())
 }
 
-// MaxLayers is how many layers fit on the card at all.
+// MaxLayers returns the maximum number of layers that fit on the card, without KV memory.
 func (m *Model) MaxLayers(c Card) int {
 	return min(m.Layers, int(c.MemoryMB/m.LayerMB))
 }
 
-// TransferTime is the time that the activations of so many tokens take to another
-// data centre.
+// TransferTime returns how long it takes to transfer the activations of this many tokens to
+// another data centre, without the network delay; zero if the bandwidth is not published.
 func (m *Model) TransferTime(tokens int) time.Duration {
 	if m.LinkRate <= 0 {
 		return 0
@@ -106,7 +111,8 @@
 	return time.Duration(float64(tokens) * m.ActivationBytes / m.LinkRate * float64(time.Second))
 }
 
-// Delay is the one-way time between two data centres; zero inside one.
+// Delay returns the one-way network delay between two data centres, listed in either
+// direction; zero within one data centre or if it is not listed.
 func (m *Model) Delay(a, b spec.DataCentre) time.Duration {
 	for _, d := range m.Delays {
 		if d.From == a && d.To == b || d.From == b && d.To == a {
--- a/internal/base/site/site.go
+++ b/internal/base/site/site.go
@@ -1,8 +1,8 @@
-// Package site holds what a deployment is made of, as typed values: routes with
-// their targets, services, teams, and the upstreams that serve them.
+// Package site holds the types that describe a deployment: routes with their targets,
+// services, teams, and the upstreams that serve them.
 //
-// Fields are exported because adapters of platforms fill them. Once a value is
-// handed on it is not changed any more: readers share it without a lock.
+// Fields are exported because platform adapters fill them. A value must not be modified once
+// it is shared: readers use it without a lock.
 package site
 
 import (
@@ -15,48 +15,50 @@
 
 //go:generate stringer -type=Kind -linecomment -output=kind_string.go
 
-// Kind says what may be done again with a request of a route.
+// Kind tells whether requests of a route may be retried, and how they are answered.
 type Kind int
 
 // The kinds of routes.
 const (
 	// KindSafe requests are idempotent.
 	KindSafe Kind = iota // safe
-	// KindUnsafe requests may run once at most.
+	// KindUnsafe requests may run at most once.
 	KindUnsafe // unsafe
-	// KindStream requests are answered by events. They may run once at most,
-	// unless the route lets an answer be resumed.
+	// KindStream requests are answered with a stream of events. They may run at most once,
+	// unless the route allows resuming a stream.
 	KindStream // stream
 )
 
-// Share is one service of a route and its part of the requests.
+// Share is one service of a route and the weight of its part of the requests.
 type Share struct {
 	Service string
 	Weight  int
 }
 
-// Route is a class of requests with its targets.
+// Route matches requests by host and path prefix, and holds how they are served and with what
+// targets.
 type Route struct {
 	Name string
 	Host string
 	// Prefix begins and ends with a slash.
 	Prefix string
 	Kind   Kind
-	// Split names the services; one of them or more.
+	// Split lists the services that share the requests; at least one.
 	Split []Share
-	// Timeout is the longest time to a final answer; zero is none.
+	// Timeout is the maximum time to the complete answer; zero means no limit.
 	Timeout time.Duration
-	// TargetLatency is the time to the answer, or to its first event, that earns full
-	// credit; Gap the longest pause between events that does.
+	// TargetLatency is the longest time to the answer, or to its first event, that gets full
+	// credit.
 	TargetLatency time.Duration
-	TargetGap     time.Duration
-	// MaxAttempts is on how many upstreams one request may run.
+	// TargetGap is the longest time between two events that gets full credit.
+	TargetGap time.Duration
+	// MaxAttempts is the maximum number of upstreams on which one request may run.
 	MaxAttempts int
-	// Priority is the rank, 0 first.
+	// Priority is the rank of the requests; 0 is served first.
 	Priority int
-	// AuthExempt routes need no key.
+	// AuthExempt means that requests need no API key.
 	AuthExempt bool
-	// Resumable lets an answer be continued by another upstream.
+	// Resumable means that another upstream may continue a stream that broke off.
 	Resumable bool
 }
 
@@ -70,31 +72,31 @@
 	Name string
 	// HealthPath is the path of the health check.
 	HealthPath string
-	// MaxConns is how many connections one upstream accepts from all callers.
+	// MaxConns is how many connections one upstream accepts from all clients together.
 	MaxConns int
-	// Model describes the engines; nil for a plain service.
+	// Model describes the engines of a model service; nil for a plain service.
 	Model *Model
 }
 
-// Team is a customer with keys.
+// Team is a customer with its API keys.
 type Team struct {
 	Name string
 	Keys []string
-	// Priority goes before that of the route if it is set.
+	// Priority, if set, overrides the priority of the route.
 	Priority *int
 }
 
-// Limits bound what a caller may send.
+// Limits restrict what callers may send and how long they may take for it.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
-	// HeaderTimeout is how long a caller may take for its headers, Idle how long a
-	// connection may be unused.
+	// HeaderTimeout is the maximum time in which a caller must send the headers.
 	HeaderTimeout time.Duration
-	IdleTimeout   time.Duration
+	// IdleTimeout is how long a connection may stay unused.
+	IdleTimeout time.Duration
 }
 
-// Config is all that the operator decides, at one version.
+// Config is one version of the operator's configuration.
 type Config struct {
 	Version  uint64
 	Routes   []Route
@@ -107,7 +109,8 @@
 	teamsByKey     map[string]*Team
 }
 
-// Index builds the look-ups; call it once before the value is shared.
+// Index builds the lookup tables for Match, Service and TeamByKey. It must be called once,
+// before the value is shared.
 func (c *Config) Index() {
 	c.routesByHost = map[string][]*Route{}
 	c.servicesByName = map[string]*Service{}
@@ -130,8 +133,8 @@
 	}
 }
 
-// Match returns the route of the host with the longest prefix of path; nil if
-// there is none.
+// Match returns the route of the host with the longest prefix of path, or nil. The port of the
+// host is ignored, and so is the case of its letters.
 func (c *Config) Match(host, path string) *Route {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 {
 		host = host[:i]
@@ -144,33 +147,37 @@
 	return nil
 }
 
-// Service returns the service of that name, or nil.
+// Service returns the service with the given name, or nil.
 func (c *Config) Service(name string) *Service { return c.servicesByName[name] }
 
-// RequiresKey reports whether callers must show a key.
+// RequiresKey reports whether callers must send an API key: they must once there are teams.
 func (c *Config) RequiresKey() bool { return len(c.Teams) > 0 }
 
-// TeamByKey returns who holds the key, or nil.
+// TeamByKey returns the team that holds the API key, or nil.
 func (c *Config) TeamByKey(key string) *Team { return c.teamsByKey[key] }
 
-// Range is a range of layers as an engine holds it.
+// Range is a range of layers that an engine holds, with its version.
+// Its names are hashed as part of Upstream and must not change.
 type Range struct {
 	Layers  spec.Layers
 	Version int
 }
 
-// State is whether an upstream takes new requests.
+// State tells whether an upstream accepts new requests.
 type State int
 
 //go:generate stringer -type=State -linecomment -output=state_string.go
 
-// The states.
+// The states of an upstream.
 const (
 	StateReady    State = iota // ready
 	StateDraining              // draining
 )
 
 // Upstream is one process that serves requests, as it registered itself.
+//
+// Instances of different builds compare hashes of its %+v form, so the names and order of the
+// fields and the texts of their String methods must not change.
 type Upstream struct {
 	ID      spec.UpstreamID
 	Service string
@@ -178,38 +185,40 @@
 	Centre  spec.DataCentre
 	State   State
 	Slots   int
-	// Card is the kind of accelerator of an engine, empty for plain ones.
+	// Card is the name of an engine's accelerator card; empty for a plain upstream.
 	Card string
-	// Held is what an engine holds; no layers if it is empty.
+	// Held is the range of layers that an engine holds; empty if it holds none.
 	Held Range
-	// Born is the start of the process in Unix milliseconds: the same ID with
-	// another Born holds and knows nothing of before.
+	// Born is the start time of the process in Unix milliseconds. An upstream with the same
+	// ID but another Born is a new process that kept no layers, requests or other state.
 	Born int64
-	// Row is the version of the row that told of it.
+	// Row is the version of the row from which this value was decoded.
 	Row uint64
 }
 
-// Report is what an engine says of itself, some hundred milliseconds late. Born
-// is zero if it does not say.
+// Report is the status that an engine reports. It is a few hundred milliseconds old.
 type Report struct {
+	// Born is the start time of the process in Unix milliseconds; zero if not reported.
 	Born    int64
 	Held    Range
 	Loading bool
-	// OrdersAccepted is how many orders the engine accepted since its start.
+	// OrdersAccepted is the number of orders that the engine accepted since its start.
 	OrdersAccepted int
-	// Active requests run, Queued ones wait.
+	// Active is the number of requests that run.
 	Active int
+	// Queued is the number of requests that wait.
 	Queued int
-	// KVUsed and Total are memory in tokens times layers.
-	KVUsed  int
+	// KVUsed is the KV memory in use, in token-layers.
+	KVUsed int
+	// KVTotal is the whole KV memory, in token-layers.
 	KVTotal int
-	// Slowdown is 1 for an engine at its usual speed, more for a slow one.
+	// Slowdown is the slowdown factor: 1 at the usual speed, more for a slow engine.
 	Slowdown float64
-	// StalledRequest are requests that wait for an engine further on.
+	// Stalled lists the requests that wait for an engine later on their path.
 	Stalled []StalledRequest
 }
 
-// StalledRequest is a request that waits for the engine at Address.
+// StalledRequest is a request that waits for the engine at Address, later on its path.
 type StalledRequest struct {
 	Request string
 	Address string
