--- a/internal/base/spec/chain.go
+++ b/internal/base/spec/chain.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Stage is one link of a chain: an engine and the layers that it runs.
+// Stage is one step of a chain: an engine and the layers that it runs.
 type Stage struct {
 	engine UpstreamID
 	layers Layers
@@ -16,17 +16,17 @@
 	return Stage{engine: engine, layers: layers}
 }
 
-// Engine names the engine that runs the stage.
+// Engine returns the engine that runs the stage.
 func (s Stage) Engine() UpstreamID { return s.engine }
 
-// Layers is the range that the stage runs.
+// Layers returns the range of layers that the stage runs.
 func (s Stage) Layers() Layers { return s.layers }
 
-// Chain is the ordered stages that together run a model once per token.
+// Chain is the ordered list of stages that together run all layers of a model for each token.
 type Chain []Stage
 
-// Check returns an error unless the chain covers [0, depth) with no gap and
-// no overlap, which is what makes each layer run exactly once per token.
+// Check returns an error unless the stages cover the layers [0, depth) in order, without gap
+// or overlap. Only then each layer runs exactly once per token.
 func (c Chain) Check(depth int) error {
 	next := 0
 	for i, s := range c {
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// String writes the chain as "engine:from-to" entries.
+// String formats the chain as "engine:from-to" entries separated by commas.
 func (c Chain) String() string {
 	parts := make([]string, 0, len(c))
 	for _, s := range c {
@@ -50,7 +50,7 @@
 	return strings.Join(parts, ",")
 }
 
-// Uses reports whether one of the stages runs on engine.
+// Uses reports whether a stage of the chain runs on engine.
 func (c Chain) Uses(engine UpstreamID) bool {
 	for _, s := range c {
 		if s.engine == engine {
--- a/internal/base/spec/layers.go
+++ b/internal/base/spec/layers.go
@@ -12,13 +12,13 @@
 	return Layers{from: from, to: to}
 }
 
-// From is the first layer of the range.
+// From returns the first layer of the range.
 func (l Layers) From() int { return l.from }
 
-// To is the layer after the last one of the range.
+// To returns the layer after the last one of the range.
 func (l Layers) To() int { return l.to }
 
-// Len is the number of layers in the range; an inverted range has none.
+// Len returns the number of layers in the range; zero for an inverted range.
 func (l Layers) Len() int { return max(0, l.to-l.from) }
 
 // Covers reports whether every layer of other is in l.
@@ -29,7 +29,7 @@
 // Has reports whether layer n is in l.
 func (l Layers) Has(n int) bool { return l.from <= n && n < l.to }
 
-// String writes the range as "from-to", the end excluded.
+// String formats the range as "from-to". The end is not part of the range.
 func (l Layers) String() string {
 	return fmt.Sprintf("%d-%d", l.from, l.to)
 }
--- a/internal/base/spec/spec.go
+++ b/internal/base/spec/spec.go
@@ -1,30 +1,29 @@
-// Package spec holds the plain values that every layer shares: names of
-// things, layer ranges, chains, classes of work and their targets.
+// Package spec holds the basic value types that all packages share: identifiers, layer ranges,
+// chains, classes of requests and their targets.
 //
-// It imports the standard library only and does no I/O. Every other package
-// may import it.
+// It imports only the standard library and does no I/O, so every other package may import it.
 package spec
 
-// RequestID names one request of one caller, unique over the fleet.
+// RequestID identifies one request of one caller. It is unique across the fleet.
 type RequestID string
 
-// UpstreamID names one upstream: a model engine or a plain service process.
+// UpstreamID identifies one upstream: an engine or the process of a plain service.
 type UpstreamID string
 
-// InstanceID names one instance of fulmarwick.
+// InstanceID identifies one instance of fulmarwick.
 type InstanceID string
 
-// DataCentre names a data centre.
+// DataCentre is the name of a data centre.
 type DataCentre string
 
-// TeamID names a team; it is the hash of the team's key, never the key.
+// TeamID identifies a team. It is the hash of the team's API key, never the key itself.
 type TeamID string
 
-// ClassName names a class of work.
+// ClassName is the name of a class of requests.
 type ClassName string
 
-// ModelName names a model that engines serve.
+// ModelName is the name of a model that engines serve.
 type ModelName string
 
-// ServiceName names a plain service, such as payments.
+// ServiceName is the name of a plain service, such as payments.
 type ServiceName string
