--- a/internal/app/cmds/check.go
+++ b/internal/app/cmds/check.go
@@ -91,7 +91,7 @@
 // documentProblems checks all documents together, as apply takes them.
 func documentProblems(documents []config.Document, found map[string][]string) {
 	var invalid *config.InvalidError
-	if err := config.CheckAlone(documents); !errors.As(err, &invalid) {
+	if err := config.CheckOffline(documents); !errors.As(err, &invalid) {
 		return
 	}
 	for _, p := range invalid.Problems {
--- a/internal/app/daemon/bridge.go
+++ b/internal/app/daemon/bridge.go
@@ -26,7 +26,7 @@
 // told takes the commands of the routing logic that no request waits for. It
 // runs between ticks and must not block.
 func (d *Daemon) told(c world.Command) {
-	if c, ok := c.(world.Place); ok {
+	if c, ok := c.(world.LoadLayers); ok {
 		d.parts.duties.place(c)
 		return
 	}
@@ -41,18 +41,18 @@
 // item is what the others should know of a command.
 func (d *Daemon) item(c world.Command) (news.Item, bool) {
 	switch c := c.(type) {
-	case world.OwnLoad:
-		body := news.Load{Engine: string(c.Engine), Active: c.Active, Tokens: c.Tokens}
+	case world.LocalLoad:
+		body := news.Load{Engine: string(c.Engine), Active: c.Active, Tokens: c.LayerTokenRate}
 		return d.made(news.KindLoad, string(c.Engine), news.ScopeCentre, loadLife, body)
-	case world.OwnRate:
+	case world.LocalTeamUsage:
 		body := news.Rate{Team: string(c.Team), Rate: c.Rate}
 		return d.made(news.KindRate, string(c.Team), news.ScopeFleet, loadLife, body)
-	case world.OwnSum:
-		body := news.Sum{DataCentre: d.unit(), Model: string(c.Model), Free: c.Free}
+	case world.LocalCapacity:
+		body := news.Sum{DataCentre: d.unit(), Model: string(c.Model), Free: c.FreeRate}
 		return d.made(news.KindSum, string(c.Model), news.ScopeFleet, sumLife, body)
-	case world.Warn:
-		key := strconv.FormatUint(c.Print, 16)
-		return d.made(news.KindPrint, key, news.ScopeFleet, printLife, news.Print{Print: c.Print, Crashes: c.Crashes, Engine: string(c.Engine)})
+	case world.ReportSuspect:
+		key := strconv.FormatUint(c.Fingerprint, 16)
+		return d.made(news.KindPrint, key, news.ScopeFleet, printLife, news.Print{Print: c.Fingerprint, Crashes: c.Crashes, Engine: string(c.Engine)})
 	}
 	return news.Item{}, false
 }
@@ -72,19 +72,19 @@
 	case news.KindHead:
 		var b news.Head
 		if news.Decode(item, &b) == nil && f.parts.follower != nil {
-			f.parts.follower.Hint(b.Version)
+			f.parts.follower.NotifyVersion(b.Version)
 		}
 	case news.KindPrint:
 		var b news.Print
 		if news.Decode(item, &b) == nil {
-			f.parts.loop.Post(world.Suspected{Print: b.Print, Crashes: b.Crashes, Engine: spec.UpstreamID(b.Engine)})
+			f.parts.loop.Post(world.SuspectReported{Fingerprint: b.Print, Crashes: b.Crashes, Engine: spec.UpstreamID(b.Engine)})
 		}
 	case news.KindSum:
 		var b news.Sum
 		if news.Decode(item, &b) == nil && b.DataCentre != f.unit() {
-			f.parts.loop.Post(world.CentreSum{
+			f.parts.loop.Post(world.CentreCapacity{
 				DataCentre: spec.DataCentre(b.DataCentre), Model: spec.ModelName(b.Model),
-				Instance: spec.InstanceID(item.Origin), Free: b.Free,
+				Instance: spec.InstanceID(item.Origin), FreeRate: b.Free,
 			})
 		}
 	default:
@@ -109,7 +109,7 @@
 }
 
 func (f *fleet) head() {
-	now := f.parts.book.Now()
+	now := f.parts.book.Snapshot()
 	if now == nil {
 		return
 	}
--- a/internal/app/daemon/build.go
+++ b/internal/app/daemon/build.go
@@ -37,7 +37,7 @@
 	meters   *metrics.Set
 	board    *meters.Board
 	spans    *spans.Sender
-	book     *config.Book
+	book     *config.Active
 	follower *config.Follower
 	applier  *config.Applier
 	// changed wakes whoever tells others of a new version.
@@ -121,25 +121,25 @@
 // breaker and the budget; records come first.
 func (d *Daemon) buildState() *plain.Sender {
 	p := &d.parts
-	client := &store.Client{Base: d.Settings.Platform.Table, HTTP: store.NewHTTP()}
+	client := &store.Client{BaseURL: d.Settings.Platform.Table, HTTP: store.NewHTTPClient()}
 	seed := xxhash.Sum64String(p.owner)
 	p.breaker = &store.Breaker{Table: client, Rand: rand.New(rand.NewPCG(seed, 0)), Meters: p.meters}
 	p.budget = &store.Budget{Meters: p.meters}
-	p.table = p.budget.Table(store.RankLease, p.breaker)
-	rest := p.budget.Table(store.RankRest, p.breaker)
-	p.book = &config.Book{}
+	p.table = p.budget.Limit(store.RankLease, p.breaker)
+	rest := p.budget.Limit(store.RankOther, p.breaker)
+	p.book = &config.Active{}
 	p.changed = make(chan struct{}, 1)
 	p.follower = &config.Follower{
-		Table: rest, Book: p.book, OnChange: d.adopt, Jitter: jitter, Meters: p.meters,
+		Table: rest, Active: p.book, OnChange: d.adopt, Jitter: jitter, Meters: p.meters,
 		OnError: func(err error) { d.Log.Warn("config: not followed", zap.Error(err)) },
 	}
-	p.applier = &config.Applier{Table: rest, From: p.follower}
+	p.applier = &config.Applier{Table: rest, StartFrom: p.follower}
 	sender := &plain.Sender{HTTP: plain.NewHTTP(), Repeats: d.repeats, Meters: p.meters}
 	p.ledger = &ledger.Ledger{
-		Table:  &store.Batcher{Table: p.budget.Table(store.RankRecord, p.breaker), Meters: p.meters},
-		Looks:  rest,
-		Sender: sender, Asker: sender, Asks: d.asks, Repeats: d.repeats,
-		Services: d.service, Owner: p.owner, Gone: d.gone, Jitter: jitter, Meters: p.meters,
+		Table:       &store.Batcher{Table: p.budget.Limit(store.RankRecord, p.breaker), Meters: p.meters},
+		LookupTable: rest,
+		Sender:      sender, Querier: sender, SupportsOutcomes: d.asks, Repeatable: d.repeats,
+		ServiceOf: d.service, Owner: p.owner, HasExited: d.gone, Jitter: jitter, Meters: p.meters,
 	}
 	return sender
 }
@@ -147,9 +147,9 @@
 func (d *Daemon) buildWatch(sender *plain.Sender) {
 	p := &d.parts
 	p.tap = &tap{Daemon: d}
-	lister := &store.Client{Base: d.Settings.Platform.List, HTTP: store.NewHTTP()}
-	if lister.Base == "" {
-		lister.Base = d.Settings.Platform.Table
+	lister := &store.Client{BaseURL: d.Settings.Platform.List, HTTP: store.NewHTTPClient()}
+	if lister.BaseURL == "" {
+		lister.BaseURL = d.Settings.Platform.Table
 	}
 	p.watcher = &watch.Watcher{
 		List: lister, Loop: p.tap, Engines: p.controls, Services: sender, HTTP: &http.Client{},
@@ -183,7 +183,7 @@
 func (d *Daemon) adopt(s *config.Snapshot) {
 	p := &d.parts
 	p.board.Keep(s.Classes())
-	p.loop.Post(world.ConfigSet{Version: s.Version(), Classes: s.Classes(), Teams: s.Teams()})
+	p.loop.Post(world.ConfigChanged{Version: s.Version(), Classes: s.Classes(), Teams: s.Teams()})
 	d.Log.Info("config: in force", zap.Uint64("version", s.Version()))
 	select {
 	case p.changed <- struct{}{}:
@@ -205,8 +205,8 @@
 
 // asks says whether a service can tell the outcome of a call.
 func (d *Daemon) asks(service spec.ServiceName) bool {
-	now := d.parts.book.Now()
-	return now != nil && now.Asks(service)
+	now := d.parts.book.Snapshot()
+	return now != nil && now.SupportsOutcomes(service)
 }
 
 // gone reports evidence that another incarnation will not go on with its
--- a/internal/app/daemon/daemon.go
+++ b/internal/app/daemon/daemon.go
@@ -116,7 +116,7 @@
 		p.duties.all()
 		return out
 	}
-	p.fleet.hub.Post(node.Duties{Duties: p.duties.specs()})
+	p.fleet.hub.Post(node.SetDuties{Duties: p.duties.specs()})
 	return append(out, p.fleet.hub.Run, p.fleet.follow, p.fleet.sayHead, p.fleet.leaving)
 }
 
--- a/internal/app/daemon/duties.go
+++ b/internal/app/daemon/duties.go
@@ -39,7 +39,7 @@
 	over    bool
 	running map[string]context.CancelFunc
 	group   sync.WaitGroup
-	places  []world.Place
+	places  []world.LoadLayers
 }
 
 func (d *Daemon) newDuties() *duties {
@@ -54,7 +54,7 @@
 }
 
 func (d *Daemon) newLease(name string) *lease.Lease {
-	return &lease.Lease{Table: d.parts.table, Name: name, Owner: d.parts.owner, Jitter: jitter, Meters: d.parts.meters}
+	return &lease.Lease{Table: d.parts.table, Duty: name, Owner: d.parts.owner, Jitter: jitter, Meters: d.parts.meters}
 }
 
 // specs are the duties there are, for the fleet logic to spread.
@@ -123,7 +123,7 @@
 		if !held {
 			adopted = 0
 		}
-		u.parts.loop.Post(world.Duties{Place: held && adopted != 0})
+		u.parts.loop.Post(world.Duties{PlansPlacement: held && adopted != 0})
 		if held {
 			adopted = u.orderRound(ctx, adopted)
 		}
@@ -142,7 +142,7 @@
 		adopted = fence
 	}
 	for _, p := range u.taken() {
-		if err := u.orders.SetDesired(ctx, p.Engine, holdFrames(p.Holds), ""); err != nil {
+		if err := u.orders.SetDesired(ctx, p.Engine, holdFrames(p.Ranges), ""); err != nil {
 			u.Log.Warn("duties: wish not written", zap.String("engine", string(p.Engine)), zap.Error(err))
 		}
 	}
@@ -153,13 +153,13 @@
 }
 
 // place queues a wish of the planner.
-func (u *duties) place(p world.Place) {
+func (u *duties) place(p world.LoadLayers) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.places = append(u.places, p)
 }
 
-func (u *duties) taken() []world.Place {
+func (u *duties) taken() []world.LoadLayers {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	out := u.places
@@ -170,7 +170,7 @@
 // runTrim removes old records while the lease is held.
 func (u *duties) runTrim(ctx context.Context) {
 	l := u.newLease(dutyTrim)
-	trimmer := &ledger.Trimmer{Table: u.parts.budget.Table(store.RankRest, u.parts.breaker)}
+	trimmer := &ledger.Trimmer{Table: u.parts.budget.Limit(store.RankOther, u.parts.breaker)}
 	var group sync.WaitGroup
 	defer group.Wait()
 	group.Go(func() { l.Run(ctx) })
@@ -202,7 +202,7 @@
 	return d.Settings.Fenced[d.parts.tap.kind(id)]
 }
 
-func holdFrames(holds []world.Hold) []frame.Hold {
+func holdFrames(holds []world.LoadedRange) []frame.Hold {
 	out := make([]frame.Hold, 0, len(holds))
 	for _, h := range holds {
 		out = append(out, frame.Hold{
--- a/internal/app/daemon/ends.go
+++ b/internal/app/daemon/ends.go
@@ -87,7 +87,7 @@
 			return nil, err
 		}
 		d.parts.fleet.hub.Self.URL = d.parts.fleet.scheme() + e.peers.at.Addr().String()
-		d.parts.fleet.logic.Self = d.parts.fleet.hub.Self
+		d.parts.fleet.logic.Local = d.parts.fleet.hub.Self
 	}
 	return &e, nil
 }
--- a/internal/app/daemon/fleet.go
+++ b/internal/app/daemon/fleet.go
@@ -56,7 +56,7 @@
 	name := d.Settings.Instance.Name
 	self := node.Peer{ID: spec.InstanceID(name), DataCentre: spec.DataCentre(d.unit())}
 	f.logic = &node.Logic{
-		Self: self, Born: uint32(f.began.Unix()),
+		Local: self, StartTime: uint32(f.began.Unix()),
 		Rand: rand.New(rand.NewPCG(xxhash.Sum64String(name), uint64(f.began.UnixNano()))),
 	}
 	f.hub = &peer.Hub{
@@ -74,7 +74,7 @@
 
 // Snapshot is the configuration in force, for an instance that joins.
 func (f *fleet) Snapshot() []byte {
-	if now := f.parts.book.Now(); now != nil {
+	if now := f.parts.book.Snapshot(); now != nil {
 		return now.Encode()
 	}
 	return nil
@@ -103,24 +103,24 @@
 	switch c := c.(type) {
 	case node.Deliver:
 		f.deliver(c.Item)
-	case node.EngineLoad:
-		loop.Post(world.PeerLoad{Engine: c.Engine, Active: c.Active, Tokens: c.Tokens})
-	case node.TeamUse:
-		loop.Post(world.TeamUsed{Team: c.Team, Rate: c.Rate})
-	case node.Expire:
-		loop.Post(world.PeerGone{Peer: c.Peer})
+	case node.PeerEngineLoad:
+		loop.Post(world.PeerLoad{Engine: c.Engine, Active: c.Active, LayerTokenRate: c.Tokens})
+	case node.TeamUsage:
+		loop.Post(world.TeamUsage{Team: c.Team, Rate: c.Rate})
+	case node.ExpirePeer:
+		loop.Post(world.PeerRemoved{Peer: c.Peer})
 	case node.Members:
 		f.met(c.Peers)
 	case node.Watch:
 		f.watch(c)
 	case node.Duty:
-		f.duties.set(c.Name, c.Mine)
+		f.duties.set(c.Name, c.Assigned)
 	case node.Ready:
 		f.mu.Lock()
 		f.ready = true
 		f.mu.Unlock()
 		f.Log.Info("fleet: caught up with the others")
-	case node.Done:
+	case node.Left:
 		close(f.done)
 	}
 }
@@ -176,7 +176,7 @@
 		time.Sleep(jobsLook)
 	}
 	f.duties.stop()
-	f.hub.Post(node.Quit{})
+	f.hub.Post(node.Leave{})
 	ctx, cancel := context.WithTimeout(ctx, quitTime)
 	defer cancel()
 	select {
--- a/internal/app/daemon/forward.go
+++ b/internal/app/daemon/forward.go
@@ -48,9 +48,9 @@
 		// An instance that died counts as live for seconds yet. Without this
 		// all tries would go to it, and the answer be cut; one that lives
 		// tells its room again.
-		m.parts.loop.Post(world.PeerGone{Peer: to})
+		m.parts.loop.Post(world.PeerRemoved{Peer: to})
 		m.Log.Info("forward: request comes back", zap.String("request", string(job.Arrived.Request)), zap.Error(err))
-		job.Arrived.Done = max(job.Arrived.Done, given.count)
+		job.Arrived.ReceivedTokens = max(job.Arrived.ReceivedTokens, given.count)
 	}
 	job.Arrived.Hops = 1
 	return m.parts.runner.Run(ctx, job, given.next())
@@ -102,13 +102,13 @@
 	a := job.Arrived
 	return peer.Job{
 		Request: a.Request, Team: a.Team, Class: a.Class, Model: a.Model, Text: job.Text,
-		Prompt: a.Prompt, Limit: a.Limit, Print: a.Print, Blocks: a.Blocks, Hops: a.Hops,
+		Prompt: a.PromptTokens, Limit: a.MaxTokens, Print: a.Fingerprint, Blocks: a.BlockHashes, Hops: a.Hops,
 	}
 }
 
 // refusalOf turns the other instance's refusal into what this one would give.
 func refusalOf(f peer.Fault) error {
-	for r := world.ReasonOverload; r <= world.ReasonReady; r++ {
+	for r := world.ReasonOverload; r <= world.ReasonNotReady; r++ {
 		if r.String() == f.Code {
 			return &chain.RefusedError{
 				Reason: r, After: time.Duration(f.After) * time.Millisecond, Ran: f.Ran != string(entry.RanNo),
@@ -125,9 +125,9 @@
 
 // ServeForwarded brings the answer to the other instance.
 func (s *server) ServeForwarded(ctx context.Context, _ spec.InstanceID, job peer.Job, sink func(peer.Token) error) (peer.End, error) {
-	arrived := world.Arrived{
-		Request: job.Request, Team: job.Team, Class: job.Class, Model: job.Model, Prompt: job.Prompt,
-		Limit: job.Limit, Blocks: job.Blocks, Print: job.Print, Hops: job.Hops,
+	arrived := world.RequestArrived{
+		Request: job.Request, Team: job.Team, Class: job.Class, Model: job.Model, PromptTokens: job.Prompt,
+		MaxTokens: job.Limit, BlockHashes: job.Blocks, Fingerprint: job.Print, Hops: job.Hops,
 	}
 	result, err := s.parts.runner.Run(ctx, chain.Job{Arrived: arrived, Text: job.Text}, func(t chain.Token) error {
 		return sink(peer.Token{Index: t.Index, Text: t.Text})
--- a/internal/app/daemon/members.go
+++ b/internal/app/daemon/members.go
@@ -41,8 +41,8 @@
 		delete(f.left, p.ID)
 	}
 	f.mu.Unlock()
-	f.parts.budget.SetLive(1 + len(peers))
-	f.parts.loop.Post(world.PeersSet{Peers: f.near(peers)})
+	f.parts.budget.SetInstances(1 + len(peers))
+	f.parts.loop.Post(world.PeersChanged{Peers: f.near(peers)})
 }
 
 // gone reports whether an instance is out of the members for so long that it
@@ -89,7 +89,7 @@
 
 // listed tells the fleet logic who should be there.
 func (f *fleet) listed(list []store.ListedBody) {
-	var ev node.Listed
+	var ev node.DiscoveryList
 	for _, p := range f.Settings.Peers {
 		ev.Peers = append(ev.Peers, node.Peer{ID: spec.InstanceID(p.Name), URL: f.scheme() + p.Address})
 	}
--- a/internal/app/daemon/settings.go
+++ b/internal/app/daemon/settings.go
@@ -19,7 +19,7 @@
 // Show is what is in force here and, as last heard, on the others.
 func (s *settings) Show(context.Context) (admin.Shown, error) {
 	out := admin.Shown{Instance: s.Settings.Instance.Name, Instances: []admin.Instance{}}
-	if now := s.parts.book.Now(); now != nil {
+	if now := s.parts.book.Snapshot(); now != nil {
 		out.Version, out.Document = now.Version(), now.Text()
 	}
 	if s.parts.fleet != nil {
@@ -37,7 +37,7 @@
 	out := make([]admin.Change, 0, len(entries))
 	for _, e := range entries {
 		out = append(out, admin.Change{
-			Version: e.Version, ID: e.ID, By: e.Who, At: stamp(time.Unix(e.At, 0)), Text: strings.Join(e.Sections, ", "),
+			Version: e.Version, ID: e.ID, By: e.Author, At: stamp(time.Unix(e.At, 0)), Text: strings.Join(e.Sections, ", "),
 		})
 	}
 	return out, nil
@@ -45,7 +45,7 @@
 
 // Apply puts a change in force.
 func (s *settings) Apply(ctx context.Context, d admin.Draft) (admin.Applied, error) {
-	change := config.Change{Who: d.By, Base: d.Base}
+	change := config.Change{Author: d.By, BaseVersion: d.Base}
 	for _, doc := range d.Documents {
 		change.Documents = append(change.Documents, config.Document{File: doc.Name, Data: []byte(doc.Text)})
 	}
@@ -53,7 +53,7 @@
 	if err != nil {
 		return admin.Applied{}, settingsError(err)
 	}
-	s.parts.follower.Hint(version)
+	s.parts.follower.NotifyVersion(version)
 	return admin.Applied{Version: version}, nil
 }
 
@@ -61,7 +61,7 @@
 func settingsError(err error) error {
 	var invalid *config.InvalidError
 	var conflict *config.ConflictError
-	var unsure *config.UnsureError
+	var unsure *config.OutcomeUnknownError
 	switch {
 	case errors.As(err, &invalid):
 		out := &admin.RefusedError{}
@@ -72,12 +72,12 @@
 	case errors.As(err, &conflict):
 		out := &admin.ConflictError{}
 		for _, w := range conflict.Winners {
-			out.Winners = append(out.Winners, admin.Change{Version: w.Version, By: w.Who, At: stamp(w.At), Text: w.Section})
+			out.Winners = append(out.Winners, admin.Change{Version: w.Version, By: w.Author, At: stamp(w.At), Text: w.Section})
 		}
 		return out
 	case errors.As(err, &unsure):
-		return &admin.UnsureError{ID: unsure.Change}
-	case errors.Is(err, config.ErrStore):
+		return &admin.UnsureError{ID: unsure.ChangeID}
+	case errors.Is(err, config.ErrStoreUnavailable):
 		return errors.Wrap(admin.ErrDown, err.Error())
 	}
 	return err
--- a/internal/app/daemon/status.go
+++ b/internal/app/daemon/status.go
@@ -20,7 +20,7 @@
 		Ready: d.ready(), Stopping: p.halt.Stopping(), Running: p.halt.Running(),
 		Classes: d.classes(), Engines: []admin.Engine{}, Leaving: []string{}, Instances: []admin.Instance{},
 	}
-	if now := p.book.Now(); now != nil {
+	if now := p.book.Snapshot(); now != nil {
 		out.Version = now.Version()
 	}
 	if p.fleet != nil {
@@ -31,7 +31,7 @@
 		if planning {
 			out.Placement = placement(p.planner.Status())
 		}
-		for _, e := range p.logic.World().Engines().Rows() {
+		for _, e := range p.logic.State().Engines().Rows() {
 			out.Engines = append(out.Engines, engineStatus(e))
 			if e.State() == world.StateLeaving {
 				out.Leaving = append(out.Leaving, string(e.ID))
@@ -44,7 +44,7 @@
 // classes are the classes in force, also those that nobody has asked for.
 func (d *Daemon) classes() []admin.Class {
 	out := []admin.Class{}
-	now := d.parts.book.Now()
+	now := d.parts.book.Snapshot()
 	if now == nil {
 		return out
 	}
@@ -57,7 +57,7 @@
 		a := seen[string(c.Name())]
 		a.Class = c
 		t := c.Target()
-		reliable := now.Reliability(c.Name())
+		reliable := now.ClassReliability(c.Name())
 		out = append(out, admin.Class{
 			Name: string(c.Name()), Kind: c.Kind().String(), Percent: t.Percent(),
 			Attained: a.Percent(), Requests: a.Seen, Reliability: reliable, Answered: a.Reliability(),
@@ -75,8 +75,8 @@
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
 func engineStatus(e *world.Engine) admin.Engine {
-	layers := make([]string, 0, len(e.Holds))
-	for _, h := range e.Holds {
+	layers := make([]string, 0, len(e.Loaded))
+	for _, h := range e.Loaded {
 		layers = append(layers, string(h.Model)+":"+h.Layers.String())
 	}
 	out := admin.Engine{
@@ -95,7 +95,7 @@
 		return nil
 	}
 	return &admin.Placement{
-		Part: s.Rate / s.Bound, Target: s.Target / s.Bound, Missing: s.Missing,
+		Part: s.Rate / s.Bound, Target: s.Target / s.Bound, Missing: s.MissingHolders,
 		Waiting: s.Waiting, Loading: s.Loading, Stuck: s.Stuck,
 	}
 }
--- a/internal/app/daemon/stop_test.go
+++ b/internal/app/daemon/stop_test.go
@@ -40,17 +40,17 @@
 
 func (g *gated) Do(context.Context, ledger.Call) (ledger.Outcome, error) {
 	<-g.gate
-	return ledger.Outcome{}, ledger.ErrBody
+	return ledger.Outcome{}, ledger.ErrBodyMismatch
 }
 
-func (g *gated) Look(context.Context, spec.TeamID, spec.ClassName, string) (ledger.Outcome, error) {
+func (g *gated) Lookup(context.Context, spec.TeamID, spec.ClassName, string) (ledger.Outcome, error) {
 	return ledger.Outcome{}, nil
 }
 
 // stopping is an instance's callers' side with all limits on time in force.
 func stopping(g *gated) (*entry.Server, *halt.Drainer) {
-	book := &config.Book{}
-	book.Take(snapshot())
+	book := &config.Active{}
+	book.SetIfNewer(snapshot())
 	s := setup.Default()
 	return &entry.Server{
 		Models: g, Calls: g, Book: book, Log: zap.NewNop(),
--- a/internal/app/daemon/tap.go
+++ b/internal/app/daemon/tap.go
@@ -22,12 +22,12 @@
 // Post passes an event on.
 func (t *tap) Post(ev world.Event) {
 	switch ev := ev.(type) {
-	case world.EngineSeen:
+	case world.EngineReport:
 		t.seen(ev.Engine)
-	case world.EngineDown:
+	case world.EngineDead:
 		t.parts.duties.orders.RemoveReport(ev.Engine)
 		t.parts.pool.Break(ev.Engine)
-	case world.EngineGone:
+	case world.EngineRemoved:
 		t.parts.duties.orders.RemoveReport(ev.Engine)
 		t.parts.pool.Forget(ev.Engine)
 		t.mu.Lock()
@@ -44,7 +44,7 @@
 	}
 	t.kinds[e.ID] = e.Kind
 	t.mu.Unlock()
-	t.parts.duties.orders.ApplyReport(e.ID, frame.Engine{Seq: e.Seq, Holds: holdFrames(e.Holds)})
+	t.parts.duties.orders.ApplyReport(e.ID, frame.Engine{Seq: e.Seq, Holds: holdFrames(e.Loaded)})
 }
 
 func (t *tap) kind(id spec.UpstreamID) string {
--- a/internal/app/edge/mesh.go
+++ b/internal/app/edge/mesh.go
@@ -122,7 +122,7 @@
 	if err != nil {
 		return err
 	}
-	c.hub.Post(node.Listed{Peers: c.decodeRoster(p)})
+	c.hub.Post(node.DiscoveryList{Peers: c.decodeRoster(p)})
 	c.rosterRead = true
 	return nil
 }
--- a/internal/app/edge/order.go
+++ b/internal/app/edge/order.go
@@ -64,7 +64,7 @@
 		return
 	}
 	// An engine takes only one of two orders that expect the same of it.
-	fence, ok := p.lease.Last()
+	fence, ok := p.lease.LastFence()
 	if !ok {
 		return
 	}
--- a/internal/app/edge/plan.go
+++ b/internal/app/edge/plan.go
@@ -93,7 +93,7 @@
 			return
 		case <-ticker.C:
 		}
-		if _, ok := p.lease.Last(); ok {
+		if _, ok := p.lease.LastFence(); ok {
 			p.issueDueOrders(ctx)
 		}
 	}
--- a/internal/app/edge/sweep.go
+++ b/internal/app/edge/sweep.go
@@ -20,7 +20,7 @@
 	for {
 		if i.mesh.logic.DutyRank(planLeaseName) < maxPlanContenders {
 			// An error is counted with the call and seen in what is held.
-			_ = i.lease.Step(ctx)
+			_ = i.lease.RenewOrAcquire(ctx)
 		} else {
 			i.lease.Release(ctx)
 		}
--- a/internal/fakes/bench/bench_test.go
+++ b/internal/fakes/bench/bench_test.go
@@ -148,7 +148,7 @@
 func BenchmarkCache(b *testing.B) {
 	policies := bench.Policies()
 	policies = append(policies, bench.Policy{Name: "blind", Logic: func(i int) *core.Logic {
-		return &core.Logic{Pick: &pick.Picker{Rand: bench.Rand(uint64(i))}}
+		return &core.Logic{Chooser: &pick.Picker{Rand: bench.Rand(uint64(i))}}
 	}})
 	for _, c := range bench.Scenarios() {
 		for _, p := range policies {
--- a/internal/fakes/bench/ends.go
+++ b/internal/fakes/bench/ends.go
@@ -57,9 +57,9 @@
 	if o != OutcomeDone {
 		return
 	}
-	r.on.post(world.Finished{
-		Request: r.ask.Request, Tokens: r.tokens, First: r.first, Gap: r.longest,
-		Whole: r.ended - r.came, OK: true,
+	r.on.post(world.RequestFinished{
+		Request: r.ask.Request, Tokens: r.tokens, FirstToken: r.first, LongestGap: r.longest,
+		TotalTime: r.ended - r.came, OK: true,
 	})
 }
 
--- a/internal/fakes/bench/engine.go
+++ b/internal/fakes/bench/engine.go
@@ -149,7 +149,7 @@
 func (e *engine) report() world.Engine {
 	e.row.Seq++
 	out := e.row
-	out.Active, out.Queued, out.Cached = e.busy, len(e.wait), e.kv
+	out.Active, out.Queued, out.KVUsed = e.busy, len(e.wait), e.kv
 	return out
 }
 
--- a/internal/fakes/bench/hedge.go
+++ b/internal/fakes/bench/hedge.go
@@ -28,5 +28,5 @@
 		o.step.canceled = true
 	}
 	o.end(OutcomeHedged)
-	o.on.post(world.Canceled{Request: o.ask.Request})
+	o.on.post(world.RequestCanceled{Request: o.ask.Request})
 }
--- a/internal/fakes/bench/instance.go
+++ b/internal/fakes/bench/instance.go
@@ -56,12 +56,12 @@
 		}
 	case world.Forward:
 		i.waits[c.Request].end(OutcomeForwarded)
-	case world.OwnLoad:
-		i.tell(world.PeerLoad{Peer: i.id, Engine: c.Engine, Active: c.Active, Tokens: c.Tokens})
-	case world.OwnRate:
+	case world.LocalLoad:
+		i.tell(world.PeerLoad{Peer: i.id, Engine: c.Engine, Active: c.Active, LayerTokenRate: c.LayerTokenRate})
+	case world.LocalTeamUsage:
 		i.site.rate(c, i.id)
-	case world.Warn:
-		i.tell(world.Suspected(c))
+	case world.ReportSuspect:
+		i.tell(world.SuspectReported(c))
 	}
 }
 
--- a/internal/fakes/bench/layout.go
+++ b/internal/fakes/bench/layout.go
@@ -55,8 +55,8 @@
 	}
 	return world.Engine{
 		ID: spec.UpstreamID(fmt.Sprintf("%s-%03d", k.name, i)), Kind: k.name, DataCentre: "dc",
-		Layer: k.layer, Slots: slots, Memory: layers.Len(), Cache: kvRoom, Hop: k.hop, Bandwidth: bps,
-		Holds: []world.Hold{{Model: Model, Version: "1", Depth: depth, Layers: layers, Width: width}},
+		LayerTime: k.layer, Slots: slots, LayerCapacity: layers.Len(), KVCapacity: kvRoom, ReportedHopTime: k.hop, Bandwidth: bps,
+		Loaded: []world.LoadedRange{{Model: Model, Version: "1", Depth: depth, Layers: layers, Width: width}},
 	}
 }
 
@@ -94,12 +94,12 @@
 func (l *Layout) Bound() float64 {
 	sum := map[int]float64{}
 	for _, e := range l.Engines {
-		layers := e.Holds[0].Layers
-		sum[layers.From()] += float64(e.Slots) / (float64(layers.Len()) * e.Layer.Seconds())
+		layers := e.Loaded[0].Layers
+		sum[layers.From()] += float64(e.Slots) / (float64(layers.Len()) * e.LayerTime.Seconds())
 	}
 	least := -1.0
 	for _, e := range l.Engines {
-		v := sum[e.Holds[0].Layers.From()]
+		v := sum[e.Loaded[0].Layers.From()]
 		if least < 0 || v < least {
 			least = v
 		}
--- a/internal/fakes/bench/load.go
+++ b/internal/fakes/bench/load.go
@@ -58,7 +58,7 @@
 
 // cost is the mean cost of a request, in tokens through the whole model.
 func (l *Load) cost() float64 {
-	return float64(l.Prompt)/pick.Chunk + 0.5 + float64(l.Out)
+	return float64(l.Prompt)/pick.ChunkPositions + 0.5 + float64(l.Out)
 }
 
 // feed schedules the arrivals of each team.
@@ -85,7 +85,7 @@
 	}
 	r := l.request(s, 0, s.instances[n%len(s.instances)])
 	r.poison = true
-	r.ask.Print = poisonPrint
+	r.ask.Fingerprint = poisonPrint
 	s.send(r)
 	s.clock.every(max(l.Again, time.Millisecond), func() bool {
 		if r.outcome == OutcomeOpen {
@@ -161,10 +161,10 @@
 	prompt := l.Prompt/2 + s.rand.IntN(l.Prompt)
 	out := l.Out/2 + s.rand.IntN(l.Out)
 	r := &run{site: s, on: on, target: l.Target, out: out, came: s.clock.now}
-	r.ask = world.Arrived{
+	r.ask = world.RequestArrived{
 		Request: spec.RequestID(fmt.Sprintf("r-%06d", n)), Team: teamID(team), Class: ClassName,
-		Model: Model, Prompt: prompt, Limit: l.Out * 3 / 2 * limitTimes,
-		Print: uint64(1_000_000 + n),
+		Model: Model, PromptTokens: prompt, MaxTokens: l.Out * 3 / 2 * limitTimes,
+		Fingerprint: uint64(1_000_000 + n),
 	}
 	shared := int(l.Shared * float64(prompt) / pick.BlockTokens)
 	for b := range prompt / pick.BlockTokens {
@@ -172,7 +172,7 @@
 		if b < shared {
 			hash = uint64(team+1)<<50 + uint64(b)
 		}
-		r.ask.Blocks = append(r.ask.Blocks, hash)
+		r.ask.BlockHashes = append(r.ask.BlockHashes, hash)
 	}
 	return r
 }
--- a/internal/fakes/bench/prefix.go
+++ b/internal/fakes/bench/prefix.go
@@ -54,9 +54,9 @@
 
 // news are the cache events since the last call; whole makes them the whole
 // content.
-func (p *prefix) news(e *engine, whole bool) world.CacheSeen {
+func (p *prefix) news(e *engine, whole bool) world.CacheReport {
 	p.seq++
-	ev := world.CacheSeen{Engine: e.row.ID, Seq: p.seq, Added: p.added, Removed: p.gone, Reset: whole}
+	ev := world.CacheReport{Engine: e.row.ID, Seq: p.seq, Added: p.added, Removed: p.gone, Reset: whole}
 	p.added, p.gone = nil, nil
 	if whole {
 		ev.Added, ev.Removed = nil, nil
--- a/internal/fakes/bench/result.go
+++ b/internal/fakes/bench/result.go
@@ -134,7 +134,7 @@
 // units is the work of an answer in tokens through the whole model, without
 // what prefix caches saved and without rebuilds.
 func (s *Site) units(r *run) int {
-	return (r.ask.Prompt+31)/32 + r.tokens
+	return (r.ask.PromptTokens+31)/32 + r.tokens
 }
 
 // tail is how long before the end requests count: those later may be open for
--- a/internal/fakes/bench/run.go
+++ b/internal/fakes/bench/run.go
@@ -27,7 +27,7 @@
 type run struct {
 	site    *Site
 	on      *instance
-	ask     world.Arrived
+	ask     world.RequestArrived
 	target  spec.Target
 	out     int
 	poison  bool
@@ -96,12 +96,12 @@
 
 func (r *run) leave(s *stage) {
 	if s.opened && s.engine.life == s.life {
-		s.engine.kv -= r.ask.Prompt + r.ask.Limit
+		s.engine.kv -= r.ask.PromptTokens + r.ask.MaxTokens
 	}
 	s.opened = false
 }
 
-func (r *run) positions() int { return r.ask.Prompt + r.tokens }
+func (r *run) positions() int { return r.ask.PromptTokens + r.tokens }
 
 // advance submits the next step, or ends the request.
 func (r *run) advance() {
@@ -117,12 +117,12 @@
 func (r *run) submit(s *stage) {
 	e := s.engine
 	hop := e.hop + r.carry(s)
-	st := &step{run: r, attempt: r.attempt, stage: s, prio: r.start.Prio}
+	st := &step{run: r, attempt: r.attempt, stage: s, prio: r.start.Priority}
 	st.done = func() { r.stepped(st) }
 	r.step = st
-	wait := r.start.Patience
+	wait := r.start.StepTimeout
 	if s.done == 0 {
-		wait = r.start.Prefill
+		wait = r.start.PrefillTimeout
 	}
 	r.watch(wait)
 	r.site.clock.after(hop, func() {
@@ -138,7 +138,7 @@
 	if s.engine.row.Bandwidth <= 0 || s.is.Layers().From() == 0 {
 		return 0
 	}
-	bytes := float64((r.positions() - s.done) * s.engine.row.Holds[0].Width)
+	bytes := float64((r.positions() - s.done) * s.engine.row.Loaded[0].Width)
 	return time.Duration(bytes / float64(s.engine.row.Bandwidth) * float64(time.Second))
 }
 
@@ -160,25 +160,25 @@
 		r.lose(s, world.CauseLeaving)
 		return
 	}
-	if !s.opened && e.kv+r.ask.Prompt+r.ask.Limit > e.row.Cache {
+	if !s.opened && e.kv+r.ask.PromptTokens+r.ask.MaxTokens > e.row.KVCapacity {
 		r.lose(s, world.CauseLeaving)
 		return
 	}
 	if !s.opened {
 		s.opened = true
 		e.opened = r.site.clock.now
-		e.kv += r.ask.Prompt + r.ask.Limit
+		e.kv += r.ask.PromptTokens + r.ask.MaxTokens
 	}
 	todo := r.positions() - s.done
 	if s.done == 0 {
-		hit := min(e.cache.hits(r.ask.Blocks)*pick.BlockTokens, r.ask.Prompt-1)
+		hit := min(e.cache.hits(r.ask.BlockHashes)*pick.BlockTokens, r.ask.PromptTokens-1)
 		r.hit += hit
-		r.prefill += r.ask.Prompt
+		r.prefill += r.ask.PromptTokens
 		todo -= hit
 	}
-	chunks := max(1, (todo+pick.Chunk-1)/pick.Chunk)
+	chunks := max(1, (todo+pick.ChunkPositions-1)/pick.ChunkPositions)
 	r.work += chunks * s.is.Layers().Len()
-	st.took = time.Duration(s.is.Layers().Len()) * e.row.Layer
+	st.took = time.Duration(s.is.Layers().Len()) * e.row.LayerTime
 	st.chunks = chunks
 	e.submit(st)
 }
@@ -189,7 +189,7 @@
 	}
 	s := st.stage
 	if s.done == 0 {
-		s.engine.cache.put(r.ask.Blocks)
+		s.engine.cache.put(r.ask.BlockHashes)
 	}
 	s.done = r.positions()
 	r.step = nil
@@ -215,7 +215,7 @@
 		r.healed = now - r.hurt
 	}
 	if r.attempt > 1 && r.tokens == r.progressed()+1 {
-		r.on.post(world.Progress{Request: r.ask.Request, Tokens: r.tokens})
+		r.on.post(world.RequestProgress{Request: r.ask.Request, Tokens: r.tokens})
 	}
 	if r.tokens >= r.out {
 		r.end(OutcomeDone)
@@ -225,4 +225,6 @@
 }
 
 // progressed is the tokens at the last start.
-func (r *run) progressed() int { return r.on.logic.World().Requests().Get(r.ask.Request).From() }
+func (r *run) progressed() int {
+	return r.on.logic.State().Requests().Get(r.ask.Request).TokensAtStart()
+}
--- a/internal/fakes/bench/scenario.go
+++ b/internal/fakes/bench/scenario.go
@@ -56,8 +56,8 @@
 func Policies() []Policy {
 	return []Policy{
 		{"served", func(int) *core.Logic { return &core.Logic{} }},
-		{"roundrobin", func(int) *core.Logic { return &core.Logic{Open: true, Pick: &pick.RoundRobin{}} }},
-		{"least", func(int) *core.Logic { return &core.Logic{Open: true, Pick: pick.Least{}} }},
+		{"roundrobin", func(int) *core.Logic { return &core.Logic{AdmitAll: true, Chooser: &pick.RoundRobin{}} }},
+		{"least", func(int) *core.Logic { return &core.Logic{AdmitAll: true, Chooser: pick.LeastLoaded{}} }},
 	}
 }
 
--- a/internal/fakes/bench/site.go
+++ b/internal/fakes/bench/site.go
@@ -67,7 +67,7 @@
 	Do func(s *Site)
 }
 
-func (s *Site) rate(c world.OwnRate, from spec.InstanceID) {
+func (s *Site) rate(c world.LocalTeamUsage, from spec.InstanceID) {
 	if s.rates[c.Team] == nil {
 		s.rates[c.Team] = map[spec.InstanceID]float64{}
 	}
@@ -78,7 +78,7 @@
 	}
 	s.clock.after(rateEvery, func() {
 		for _, i := range s.instances {
-			i.post(world.TeamUsed{Team: c.Team, Rate: sum})
+			i.post(world.TeamUsage{Team: c.Team, Rate: sum})
 		}
 	})
 }
@@ -103,7 +103,7 @@
 	s.rates = map[spec.TeamID]map[spec.InstanceID]float64{}
 	s.open = map[*run]bool{}
 	for _, row := range s.Layout.Engines {
-		e := &engine{site: s, row: row, hop: row.Hop, cache: newPrefix(s.Layout.Blocks)}
+		e := &engine{site: s, row: row, hop: row.ReportedHopTime, cache: newPrefix(s.Layout.Blocks)}
 		s.engines = append(s.engines, e)
 		s.byID[row.ID] = e
 	}
@@ -128,7 +128,7 @@
 	logic.Seed = s.Seed*1000 + uint64(n)
 	i := &instance{site: s, id: id, logic: logic, waits: map[spec.RequestID]*run{}}
 	s.instances = append(s.instances, i)
-	i.post(world.ConfigSet{Version: 1, Classes: s.Load.classes(), Teams: s.Load.teams()})
+	i.post(world.ConfigChanged{Version: 1, Classes: s.Load.classes(), Teams: s.Load.teams()})
 	s.clock.every(tickEvery, func() bool {
 		i.tick()
 		return true
@@ -137,7 +137,7 @@
 
 // follow reports an engine to all instances, late, until it is silent.
 func (s *Site) follow(e *engine) {
-	s.tellAll(world.EngineSeen{Engine: e.report()})
+	s.tellAll(world.EngineReport{Engine: e.report()})
 	phase := time.Duration(s.noise.Int64N(int64(reportEvery)))
 	var deadFor time.Duration
 	s.clock.after(phase, func() {
@@ -155,14 +155,14 @@
 func (s *Site) watch(e *engine, deadFor time.Duration) time.Duration {
 	if e.dead {
 		if deadFor < downAfter && deadFor+reportEvery >= downAfter {
-			s.tellAll(world.EngineDown{Engine: e.row.ID})
+			s.tellAll(world.EngineDead{Engine: e.row.ID})
 		}
 		return deadFor + reportEvery
 	}
-	ev := world.EngineSeen{Engine: e.report()}
+	ev := world.EngineReport{Engine: e.report()}
 	s.clock.after(reportLag, func() { s.tellAll(ev) })
-	if e.hop != e.row.Hop {
-		s.tellAll(world.HopTimed{Engine: e.row.ID, P50: e.hop, P99: e.hop, Count: 1})
+	if e.hop != e.row.ReportedHopTime {
+		s.tellAll(world.HopMeasured{Engine: e.row.ID, P50: e.hop, P99: e.hop, Count: 1})
 	}
 	return 0
 }
--- a/internal/fakes/infra/server.go
+++ b/internal/fakes/infra/server.go
@@ -82,10 +82,10 @@
 	var writes []store.Write
 	for _, b := range in.Writes {
 		if b.Remove {
-			writes = append(writes, store.Remove(b.Key, b.If))
+			writes = append(writes, store.Remove(b.Key, b.IfVersion))
 			continue
 		}
-		writes = append(writes, store.Put(b.Key, b.If, b.Value))
+		writes = append(writes, store.Put(b.Key, b.IfVersion, b.Value))
 	}
 	version, err := s.Table.Commit(req.Context(), writes)
 	if err != nil {
@@ -101,7 +101,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	version, err := s.Objects.Commit(req.Context(), []store.Write{store.Put(in.Key, in.If, in.Value)})
+	version, err := s.Objects.Commit(req.Context(), []store.Write{store.Put(in.Key, in.IfVersion, in.Value)})
 	if err != nil {
 		reject(w, err)
 		return
@@ -128,11 +128,11 @@
 // connection.
 func reject(w http.ResponseWriter, err error) {
 	switch {
-	case errors.Is(err, store.ErrMissing):
+	case errors.Is(err, store.ErrNotFound):
 		http.Error(w, "missing", http.StatusNotFound)
 	case errors.Is(err, store.ErrConflict):
 		http.Error(w, "conflict", http.StatusConflict)
-	case errors.Is(err, store.ErrDown):
+	case errors.Is(err, store.ErrUnavailable):
 		http.Error(w, "down", http.StatusServiceUnavailable)
 	default:
 		panic(http.ErrAbortHandler)
--- a/internal/fakes/infra/table.go
+++ b/internal/fakes/infra/table.go
@@ -94,7 +94,7 @@
 	t.reads++
 	r, ok := t.view()[key]
 	if !ok {
-		return store.Row{}, store.ErrMissing
+		return store.Row{}, store.ErrNotFound
 	}
 	return r, nil
 }
@@ -129,12 +129,12 @@
 	defer t.mu.Unlock()
 	if t.faults.Drop > 0 {
 		t.faults.Drop--
-		return 0, store.ErrUnsure
+		return 0, store.ErrOutcomeUnknown
 	}
 	if t.faults.Late > 0 {
 		t.faults.Late--
 		t.late = append(t.late, writes)
-		return 0, store.ErrUnsure
+		return 0, store.ErrOutcomeUnknown
 	}
 	if !t.holds(writes) {
 		return 0, store.ErrConflict
@@ -142,14 +142,14 @@
 	t.take(writes)
 	if t.faults.Lose > 0 {
 		t.faults.Lose--
-		return 0, store.ErrUnsure
+		return 0, store.ErrOutcomeUnknown
 	}
 	return t.version, nil
 }
 
 func (t *Table) holds(writes []store.Write) bool {
 	for _, w := range writes {
-		if t.rows[w.Key()].Version() != w.If() {
+		if t.rows[w.Key()].Version() != w.IfVersion() {
 			return false
 		}
 	}
@@ -202,7 +202,7 @@
 	t.mu.Lock()
 	if t.faults.Down {
 		t.mu.Unlock()
-		return store.ErrDown
+		return store.ErrUnavailable
 	}
 	return nil
 }
@@ -217,6 +217,6 @@
 	case <-timer.C:
 		return nil
 	case <-ctx.Done():
-		return store.ErrDown
+		return store.ErrUnavailable
 	}
 }
--- a/internal/fakes/trial/bench_test.go
+++ b/internal/fakes/trial/bench_test.go
@@ -110,7 +110,7 @@
 	settings.Times.Grace = 0
 	loose := "[class bench]\nkind = model\nmodel = " + clock.Model + "\nfirst = 1m\ngap = 1m\npercent = 95\n" +
 		"[team bench]\nkey-hash = " + string(config.HashKey(benchKey)) + "\n"
-	table := &store.Client{Base: platform, HTTP: store.NewHTTP()}
+	table := &store.Client{BaseURL: platform, HTTP: store.NewHTTPClient()}
 	if err := trial.Apply(context.Background(), table, loose); err != nil {
 		return err
 	}
--- a/internal/fakes/trial/trial.go
+++ b/internal/fakes/trial/trial.go
@@ -108,7 +108,7 @@
 // Apply puts a document in force.
 func Apply(ctx context.Context, table config.CommitTable, text string) error {
 	applier := &config.Applier{Table: table}
-	change := config.Change{Documents: []config.Document{{File: "trial.ini", Data: []byte(text)}}, Who: "trial"}
+	change := config.Change{Documents: []config.Document{{File: "trial.ini", Data: []byte(text)}}, Author: "trial"}
 	if _, err := applier.Apply(ctx, change); err != nil {
 		return errors.Wrap(err, "trial: configure")
 	}
--- a/internal/fleet/drain/drain.go
+++ b/internal/fleet/drain/drain.go
@@ -19,74 +19,74 @@
 
 // The phases, in order.
 const (
-	PhaseServing Phase = iota // serving
-	PhaseHanding              // handing over
-	PhaseHanded               // handed over
-	PhaseGoodbye              // saying goodbye
-	PhaseDone                 // done
+	PhaseServing     Phase = iota // serving
+	PhaseHandingOver              // handing over
+	PhaseHandedOver               // handed over
+	PhaseLeaving                  // saying goodbye
+	PhaseDone                     // done
 )
 
 // Times of a stop.
 const (
-	// Overlap is how long the watches are kept after the others know, so that
+	// WatchOverlap is how long the watches are kept after the others know, so that
 	// their first polls are done before the last one here.
-	Overlap = time.Second
-	// HandMost and ByeMost bound the wait for others that do not answer; their
+	WatchOverlap = time.Second
+	// MaxHandOverWait and ByeMost bound the wait for others that do not answer; their
 	// failure detection does the rest.
-	HandMost = 5 * time.Second
-	ByeMost  = 2 * time.Second
+	MaxHandOverWait = 5 * time.Second
+	MaxLeaveWait    = 2 * time.Second
 )
 
-// Drain is the state of a stop. The zero value serves.
-type Drain struct {
-	phase Phase
-	since time.Duration
-	waits []spec.InstanceID
-	known time.Duration
+// Drainer is the state of a stop. The zero value serves.
+type Drainer struct {
+	phase      Phase
+	phaseStart time.Duration
+	pending    []spec.InstanceID
+	allAckedAt time.Duration
 }
 
 // Phase is how far the stop got.
-func (d *Drain) Phase() Phase { return d.phase }
+func (d *Drainer) Phase() Phase { return d.phase }
 
 // Stopping reports whether a stop began.
-func (d *Drain) Stopping() bool { return d.phase != PhaseServing }
+func (d *Drainer) Stopping() bool { return d.phase != PhaseServing }
 
 // Begin starts the stop; peers must all hear of it.
-func (d *Drain) Begin(now time.Duration, peers []spec.InstanceID) {
+func (d *Drainer) Begin(now time.Duration, peers []spec.InstanceID) {
 	if d.phase == PhaseServing {
-		d.enter(now, PhaseHanding, peers)
+		d.enter(now, PhaseHandingOver, peers)
 	}
 }
 
-// Bye starts the goodbye, once nothing is in progress here.
-func (d *Drain) Bye(now time.Duration, peers []spec.InstanceID) {
-	if d.phase < PhaseGoodbye {
-		d.enter(now, PhaseGoodbye, peers)
+// BeginLeave starts the goodbye, once nothing is in progress here.
+func (d *Drainer) BeginLeave(now time.Duration, peers []spec.InstanceID) {
+	if d.phase < PhaseLeaving {
+		d.enter(now, PhaseLeaving, peers)
 	}
 }
 
-// Heard notes that a peer answered a message that said so.
-func (d *Drain) Heard(now time.Duration, peer spec.InstanceID) {
-	had := len(d.waits)
-	d.waits = slices.DeleteFunc(d.waits, func(id spec.InstanceID) bool { return id == peer })
-	if had > 0 && len(d.waits) == 0 {
-		d.known = now
+// RecordAck notes that a peer answered a message that said so.
+func (d *Drainer) RecordAck(now time.Duration, peer spec.InstanceID) {
+	had := len(d.pending)
+	d.pending = slices.DeleteFunc(d.pending, func(id spec.InstanceID) bool { return id == peer })
+	if had > 0 && len(d.pending) == 0 {
+		d.allAckedAt = now
 	}
 }
 
-// Waits returns the peers that did not answer yet.
-func (d *Drain) Waits() []spec.InstanceID { return d.waits }
+// Pending returns the peers that did not answer yet.
+func (d *Drainer) Pending() []spec.InstanceID { return d.pending }
 
 // Tick moves on and reports whether a phase ended.
-func (d *Drain) Tick(now time.Duration) bool {
+func (d *Drainer) Tick(now time.Duration) bool {
 	switch d.phase {
-	case PhaseHanding:
-		if d.heard(now, Overlap) || now-d.since >= HandMost {
-			d.phase = PhaseHanded
+	case PhaseHandingOver:
+		if d.allAcked(now, WatchOverlap) || now-d.phaseStart >= MaxHandOverWait {
+			d.phase = PhaseHandedOver
 			return true
 		}
-	case PhaseGoodbye:
-		if d.heard(now, 0) || now-d.since >= ByeMost {
+	case PhaseLeaving:
+		if d.allAcked(now, 0) || now-d.phaseStart >= MaxLeaveWait {
 			d.phase = PhaseDone
 			return true
 		}
@@ -94,13 +94,13 @@
 	return false
 }
 
-func (d *Drain) heard(now, after time.Duration) bool {
-	return len(d.waits) == 0 && now-d.known >= after
+func (d *Drainer) allAcked(now, after time.Duration) bool {
+	return len(d.pending) == 0 && now-d.allAckedAt >= after
 }
 
-func (d *Drain) enter(now time.Duration, p Phase, peers []spec.InstanceID) {
+func (d *Drainer) enter(now time.Duration, p Phase, peers []spec.InstanceID) {
 	d.phase = p
-	d.since = now
-	d.known = now
-	d.waits = slices.Clone(peers)
+	d.phaseStart = now
+	d.allAckedAt = now
+	d.pending = slices.Clone(peers)
 }
--- a/internal/fleet/drain/drain_test.go
+++ b/internal/fleet/drain/drain_test.go
@@ -11,41 +11,41 @@
 // An instance stops while one of its peers does not answer. It keeps its
 // watches until all know, at most for the time that failure detection needs,
 // and its goodbye does not wait for the silent one for ever.
-func TestSilentPeerDelaysButDoesNotHold(t *testing.T) {
-	var d drain.Drain
+func TestUnresponsivePeerDoesNotBlockStop(t *testing.T) {
+	var d drain.Drainer
 	peers := []spec.InstanceID{"a", "b"}
 	d.Begin(0, peers)
-	d.Heard(time.Millisecond, "a")
+	d.RecordAck(time.Millisecond, "a")
 	for _, c := range []struct {
 		at   time.Duration
 		want drain.Phase
-	}{{drain.Overlap, drain.PhaseHanding}, {drain.HandMost, drain.PhaseHanded}} {
+	}{{drain.WatchOverlap, drain.PhaseHandingOver}, {drain.MaxHandOverWait, drain.PhaseHandedOver}} {
 		d.Tick(c.at)
 		if got := d.Phase(); got != c.want {
 			t.Errorf("got %v at %v, want %v", got, c.at, c.want)
 		}
 	}
-	d.Bye(time.Minute, peers)
-	d.Heard(time.Minute, "b")
-	if d.Tick(time.Minute); d.Phase() != drain.PhaseGoodbye {
+	d.BeginLeave(time.Minute, peers)
+	d.RecordAck(time.Minute, "b")
+	if d.Tick(time.Minute); d.Phase() != drain.PhaseLeaving {
 		t.Errorf("got %v before all heard the goodbye, want it to go on", d.Phase())
 	}
-	if d.Tick(time.Minute + drain.ByeMost); d.Phase() != drain.PhaseDone {
+	if d.Tick(time.Minute + drain.MaxLeaveWait); d.Phase() != drain.PhaseDone {
 		t.Errorf("got %v after the longest goodbye, want done", d.Phase())
 	}
 }
 
-func TestAllHeardEndsTheWaitAfterTheOverlap(t *testing.T) {
-	var d drain.Drain
+func TestHandOverEndsAfterAllAcksAndOverlap(t *testing.T) {
+	var d drain.Drainer
 	d.Begin(0, []spec.InstanceID{"a"})
-	d.Heard(100*time.Millisecond, "a")
-	if d.Tick(drain.Overlap); d.Phase() != drain.PhaseHanding {
+	d.RecordAck(100*time.Millisecond, "a")
+	if d.Tick(drain.WatchOverlap); d.Phase() != drain.PhaseHandingOver {
 		t.Errorf("got %v, want the watches kept for the overlap", d.Phase())
 	}
-	if !d.Tick(100*time.Millisecond+drain.Overlap) || d.Phase() != drain.PhaseHanded {
+	if !d.Tick(100*time.Millisecond+drain.WatchOverlap) || d.Phase() != drain.PhaseHandedOver {
 		t.Errorf("got %v, want handed over", d.Phase())
 	}
-	d.Bye(time.Minute, nil)
+	d.BeginLeave(time.Minute, nil)
 	if !d.Tick(time.Minute) || d.Phase() != drain.PhaseDone {
 		t.Errorf("got %v with nobody to tell, want done", d.Phase())
 	}
--- a/internal/fleet/drain/phase_string.go
+++ b/internal/fleet/drain/phase_string.go
@@ -9,9 +9,9 @@
 	// Re-run the stringer command to generate them again.
 	var x [1]struct{}
 	_ = x[PhaseServing-0]
-	_ = x[PhaseHanding-1]
-	_ = x[PhaseHanded-2]
-	_ = x[PhaseGoodbye-3]
+	_ = x[PhaseHandingOver-1]
+	_ = x[PhaseHandedOver-2]
+	_ = x[PhaseLeaving-3]
 	_ = x[PhaseDone-4]
 }
 
--- a/internal/fleet/gossip/delta.go
+++ b/internal/fleet/gossip/delta.go
@@ -10,11 +10,11 @@
 
 // Digest returns the marks of all streams of at most the given scope that
 // have items. Streams without any have nothing to give, so they cost nothing.
-func (s *Store) Digest(least news.Scope) []talk.Mark {
-	var out []talk.Mark
+func (s *Store) Digest(least news.Scope) []talk.Watermark {
+	var out []talk.Watermark
 	for _, st := range s.streams {
-		if st.key.scope >= least && len(st.items) > 0 && !st.clash {
-			out = append(out, talk.Mark{Stream: st.hash, Count: st.mark})
+		if st.key.scope >= least && len(st.items) > 0 && !st.hashCollision {
+			out = append(out, talk.Watermark{StreamHash: st.hash, Stamp: st.watermark})
 		}
 	}
 	return out
@@ -23,30 +23,30 @@
 // Wants returns the own marks of the streams in which the sender of marks is
 // ahead. A mark of an own stream that is ahead shows that this instance spoke
 // before under the same birth; its stream goes on after that mark.
-func (s *Store) Wants(marks []talk.Mark) []talk.Mark {
-	var out []talk.Mark
+func (s *Store) Wants(marks []talk.Watermark) []talk.Watermark {
+	var out []talk.Watermark
 	for _, m := range marks {
-		st := s.byHash[m.Stream]
+		st := s.byHash[m.StreamHash]
 		switch {
 		case st == nil:
-			out = append(out, talk.Mark{Stream: m.Stream})
-		case st.clash || st.mark >= m.Count:
-		case st.key.origin == s.Self:
-			s.skip(st, m.Count)
+			out = append(out, talk.Watermark{StreamHash: m.StreamHash})
+		case st.hashCollision || st.watermark >= m.Stamp:
+		case st.key.origin == s.LocalID:
+			s.restampAfter(st, m.Stamp)
 		default:
-			out = append(out, talk.Mark{Stream: m.Stream, Count: st.mark})
+			out = append(out, talk.Watermark{StreamHash: m.StreamHash, Stamp: st.watermark})
 		}
 	}
 	return out
 }
 
-// skip stamps the items of an own stream anew after mark.
-func (s *Store) skip(st *stream, mark uint64) {
+// restampAfter stamps the items of an own stream anew after mark.
+func (s *Store) restampAfter(st *stream, mark uint64) {
 	for _, e := range st.items {
 		mark++
 		e.item.Stamp = mark
 	}
-	st.mark = mark
+	st.watermark = mark
 }
 
 // Delta returns what an instance with marks lacks, in at most limit bytes,
@@ -55,62 +55,62 @@
 // One item goes in order even if it is larger than the limit, or it would hold
 // up its stream for good. Start says at which stream to begin, so that a small
 // limit serves all in turn.
-func (s *Store) Delta(now time.Duration, least news.Scope, marks []talk.Mark, limit, start int) ([]talk.Block, bool) {
-	return s.delta(now, limit, start, have(marks), func(st *stream) bool { return st.key.scope >= least })
+func (s *Store) Delta(now time.Duration, least news.Scope, marks []talk.Watermark, limit, start int) ([]talk.Block, bool) {
+	return s.buildDelta(now, limit, start, watermarksByStream(marks), func(st *stream) bool { return st.key.scope >= least })
 }
 
-// Answer returns what comes after the marks wanted, like Delta.
-func (s *Store) Answer(now time.Duration, wants []talk.Mark, limit, start int) ([]talk.Block, bool) {
-	known := have(wants)
-	return s.delta(now, limit, start, known, func(st *stream) bool {
+// DeltaSince returns what comes after the marks wanted, like Delta.
+func (s *Store) DeltaSince(now time.Duration, wants []talk.Watermark, limit, start int) ([]talk.Block, bool) {
+	known := watermarksByStream(wants)
+	return s.buildDelta(now, limit, start, known, func(st *stream) bool {
 		_, ok := known[st.hash]
 		return ok
 	})
 }
 
-func have(marks []talk.Mark) map[uint32]uint64 {
+func watermarksByStream(marks []talk.Watermark) map[uint32]uint64 {
 	out := make(map[uint32]uint64, len(marks))
 	for _, m := range marks {
-		out[m.Stream] = m.Count
+		out[m.StreamHash] = m.Stamp
 	}
 	return out
 }
 
-func (s *Store) delta(now time.Duration, limit, start int, known map[uint32]uint64, want func(*stream) bool) ([]talk.Block, bool) {
-	w := &writer{now: now, limit: limit / 2, sent: map[*entry]bool{}}
+func (s *Store) buildDelta(now time.Duration, limit, start int, known map[uint32]uint64, want func(*stream) bool) ([]talk.Block, bool) {
+	w := &deltaWriter{now: now, limit: limit / 2, sentUrgent: map[*entry]bool{}}
 	lacks := make([]*stream, 0, len(s.streams))
 	for i := range s.streams {
 		st := s.streams[(i+start)%len(s.streams)]
-		if want(st) && len(st.items) > 0 && !st.clash && st.mark > known[st.hash] {
+		if want(st) && len(st.items) > 0 && !st.hashCollision && st.watermark > known[st.hash] {
 			lacks = append(lacks, st)
 		}
 	}
 	for _, st := range lacks {
-		w.urgent(st, known[st.hash])
+		w.writeUrgent(st, known[st.hash])
 	}
 	w.limit += limit - limit/2
-	w.cut = false
+	w.truncated = false
 	for _, st := range lacks {
-		w.rest(st, known[st.hash])
+		w.writeOrdered(st, known[st.hash])
 	}
-	return w.out, !w.cut
+	return w.blocks, !w.truncated
 }
 
-// writer fills blocks up to a byte limit.
-type writer struct {
-	now   time.Duration
-	limit int
-	cut   bool
-	out   []talk.Block
-	// sent are the urgent items that went out of turn; moved says that the
+// deltaWriter fills blocks up to a byte limit.
+type deltaWriter struct {
+	now       time.Duration
+	limit     int
+	truncated bool
+	blocks    []talk.Block
+	// sentUrgent are the urgent items that went out of turn; moved says that the
 	// part in order holds an item.
-	sent  map[*entry]bool
-	moved bool
+	sentUrgent     map[*entry]bool
+	orderedStarted bool
 }
 
-// urgent writes the urgent items after mark, out of turn.
-func (w *writer) urgent(st *stream, mark uint64) {
-	b := st.block()
+// writeUrgent writes the urgent items after mark, out of turn.
+func (w *deltaWriter) writeUrgent(st *stream, mark uint64) {
+	b := st.newBlock()
 	for _, e := range st.items {
 		if e.item.Stamp <= mark || !Urgent(e.item.Kind) {
 			continue
@@ -118,64 +118,64 @@
 		if !w.fits(e) {
 			break
 		}
-		w.sent[e] = true
+		w.sentUrgent[e] = true
 		w.add(&b, e)
 	}
 	if len(b.Items) > 0 {
-		w.out = append(w.out, b)
+		w.blocks = append(w.blocks, b)
 	}
 }
 
-// rest writes the items after mark in order until the limit, but for the
+// writeOrdered writes the items after mark in order until the limit, but for the
 // urgent ones that went already. They must be passed here too: a mark that
 // does not move has them sent again each time.
-func (w *writer) rest(st *stream, mark uint64) {
-	b := st.block()
-	b.Upto = st.mark
+func (w *deltaWriter) writeOrdered(st *stream, mark uint64) {
+	b := st.newBlock()
+	b.Watermark = st.watermark
 	for _, e := range st.items {
-		if e.item.Stamp <= mark || w.sent[e] {
+		if e.item.Stamp <= mark || w.sentUrgent[e] {
 			continue
 		}
-		if w.cut || w.moved && !w.fits(e) {
-			w.cut = true
+		if w.truncated || w.orderedStarted && !w.fits(e) {
+			w.truncated = true
 			// Items that came here out of turn lie beyond the own mark; what is
 			// between was never here.
-			b.Upto = min(b.Upto, max(mark, e.item.Stamp-1))
+			b.Watermark = min(b.Watermark, max(mark, e.item.Stamp-1))
 			break
 		}
-		w.moved = true
+		w.orderedStarted = true
 		w.add(&b, e)
 	}
-	if b.Upto > mark {
-		w.limit -= b.Bytes()
-		w.out = append(w.out, b)
+	if b.Watermark > mark {
+		w.limit -= b.HeaderBytes()
+		w.blocks = append(w.blocks, b)
 	}
 }
 
-func (w *writer) fits(e *entry) bool { return w.limit >= size(&e.item) }
+func (w *deltaWriter) fits(e *entry) bool { return w.limit >= itemBytes(&e.item) }
 
-func (w *writer) add(b *talk.Block, e *entry) {
-	entry := e.entry(w.now)
+func (w *deltaWriter) add(b *talk.Block, e *entry) {
+	entry := e.toWire(w.now)
 	w.limit -= entry.Bytes()
 	b.Items = append(b.Items, entry)
 }
 
-// Push returns a block that carries one item out of turn.
-func (s *Store) Push(now time.Duration, item news.Item) (talk.Block, bool) {
+// PushBlock returns a block that carries one item out of turn.
+func (s *Store) PushBlock(now time.Duration, item news.Item) (talk.Block, bool) {
 	e := s.latest[itemKey{kind: item.Kind, origin: spec.InstanceID(item.Origin), key: item.Key}]
 	if e == nil || e.item.Stamp != item.Stamp {
 		return talk.Block{}, false
 	}
-	b := e.stream.block()
-	b.Items = []talk.Entry{e.entry(now)}
+	b := e.stream.newBlock()
+	b.Items = []talk.Entry{e.toWire(now)}
 	return b, true
 }
 
-func (st *stream) block() talk.Block {
-	return talk.Block{Origin: st.key.origin, Born: st.key.born, Scope: st.key.scope}
+func (st *stream) newBlock() talk.Block {
+	return talk.Block{Origin: st.key.origin, StartTime: st.key.startTime, Scope: st.key.scope}
 }
 
-func (e *entry) entry(now time.Duration) talk.Entry {
-	left := max(1, (e.until - now).Milliseconds())
-	return talk.Entry{Kind: e.item.Kind, Key: e.item.Key, Stamp: e.item.Stamp, Life: left, Body: e.item.Body}
+func (e *entry) toWire(now time.Duration) talk.Entry {
+	left := max(1, (e.expiresAt - now).Milliseconds())
+	return talk.Entry{Kind: e.item.Kind, Key: e.item.Key, Stamp: e.item.Stamp, TTLMs: left, Body: e.item.Body}
 }
--- a/internal/fleet/gossip/store.go
+++ b/internal/fleet/gossip/store.go
@@ -23,34 +23,34 @@
 	// MaxItems and MaxBytes bound all items together.
 	MaxItems = 16384
 	MaxBytes = 8 << 20
-	// MaxOrigin bounds the items of one origin, so that one faulty instance
+	// MaxItemsPerOrigin bounds the items of one origin, so that one faulty instance
 	// cannot crowd out the rest.
-	MaxOrigin = 1024
-	// idle is how long an empty stream is remembered, so that late copies of
+	MaxItemsPerOrigin = 1024
+	// emptyStreamTTL is how long an empty stream is remembered, so that late copies of
 	// its items are known as old.
-	idle = time.Hour
+	emptyStreamTTL = time.Hour
 )
 
 // Store holds items by stream. Set Self and Born, then call Init.
 type Store struct {
-	Self spec.InstanceID
-	Born uint32
+	LocalID   spec.InstanceID
+	StartTime uint32
 
 	streams []*stream
 	index   map[streamKey]*stream
 	byHash  map[uint32]*stream
 	// latest finds the item that counts for a name whatever its birth.
-	latest  map[itemKey]*entry
-	items   int
-	bytes   int
-	refused int
-	swept   time.Duration
+	latest       map[itemKey]*entry
+	itemCount    int
+	totalBytes   int
+	refusedCount int
+	sweptAt      time.Duration
 }
 
 type streamKey struct {
-	origin spec.InstanceID
-	born   uint32
-	scope  news.Scope
+	origin    spec.InstanceID
+	startTime uint32
+	scope     news.Scope
 }
 
 type itemKey struct {
@@ -63,20 +63,20 @@
 type stream struct {
 	key  streamKey
 	hash uint32
-	// mark says that all items up to it were taken here.
-	mark  uint64
-	items []*entry
-	// clash marks a stream whose hash another stream has too.
-	clash bool
-	used  time.Duration
+	// watermark says that all items up to it were taken here.
+	watermark uint64
+	items     []*entry
+	// hashCollision marks a stream whose hash another stream has too.
+	hashCollision bool
+	lastUsed      time.Duration
 }
 
 type entry struct {
-	item   news.Item
-	stream *stream
-	until  time.Duration
-	// half is when an origin says an unchanged item again.
-	half time.Duration
+	item      news.Item
+	stream    *stream
+	expiresAt time.Duration
+	// refreshAt is when an origin says an unchanged item again.
+	refreshAt time.Duration
 }
 
 // Init empties the store.
@@ -86,11 +86,11 @@
 	s.latest = map[itemKey]*entry{}
 }
 
-// Items is how many items the store holds.
-func (s *Store) Items() int { return s.items }
+// ItemCount is how many items the store holds.
+func (s *Store) ItemCount() int { return s.itemCount }
 
-// Refused is how many items found no room.
-func (s *Store) Refused() int { return s.refused }
+// RefusedCount is how many items found no room.
+func (s *Store) RefusedCount() int { return s.refusedCount }
 
 // Get returns the item that counts for a name.
 func (s *Store) Get(kind news.Kind, origin spec.InstanceID, key string) (news.Item, bool) {
@@ -112,61 +112,61 @@
 	}
 }
 
-// Say puts in an item of the own instance. It returns false if the same is
+// Publish puts in an item of the own instance. It returns false if the same is
 // said already and still fresh, which costs nothing.
-func (s *Store) Say(now time.Duration, item news.Item) (news.Item, bool) {
-	old := s.latest[itemKey{kind: item.Kind, origin: s.Self, key: item.Key}]
-	if old != nil && now < old.half && slices.Equal(old.item.Body, item.Body) && old.item.Scope == item.Scope {
+func (s *Store) Publish(now time.Duration, item news.Item) (news.Item, bool) {
+	old := s.latest[itemKey{kind: item.Kind, origin: s.LocalID, key: item.Key}]
+	if old != nil && now < old.refreshAt && slices.Equal(old.item.Body, item.Body) && old.item.Scope == item.Scope {
 		return old.item, false
 	}
-	st := s.stream(streamKey{origin: s.Self, born: s.Born, scope: item.Scope})
-	item.Origin = string(s.Self)
-	item.Stamp = st.mark + 1
+	st := s.stream(streamKey{origin: s.LocalID, startTime: s.StartTime, scope: item.Scope})
+	item.Origin = string(s.LocalID)
+	item.Stamp = st.watermark + 1
 	if !s.put(now, st, item) {
 		return item, false
 	}
-	st.mark = item.Stamp
+	st.watermark = item.Stamp
 	return item, true
 }
 
-// Take puts in the items of a block and returns those that are new here.
-func (s *Store) Take(now time.Duration, b *talk.Block) []news.Item {
-	if b.Origin == s.Self {
+// ApplyBlock puts in the items of a block and returns those that are new here.
+func (s *Store) ApplyBlock(now time.Duration, b *talk.Block) []news.Item {
+	if b.Origin == s.LocalID {
 		return nil
 	}
-	st := s.stream(streamKey{origin: b.Origin, born: b.Born, scope: b.Scope})
-	st.used = now
+	st := s.stream(streamKey{origin: b.Origin, startTime: b.StartTime, scope: b.Scope})
+	st.lastUsed = now
 	var fresh []news.Item
 	for i := range b.Items {
 		e := &b.Items[i]
 		item := news.Item{
 			Kind: e.Kind, Key: e.Key, Origin: string(b.Origin), Stamp: e.Stamp,
-			Scope: b.Scope, Life: e.Life, Body: e.Body,
+			Scope: b.Scope, Life: e.TTLMs, Body: e.Body,
 		}
-		if e.Stamp > st.mark && s.put(now, st, item) {
+		if e.Stamp > st.watermark && s.put(now, st, item) {
 			fresh = append(fresh, item)
 		}
 	}
-	st.mark = max(st.mark, b.Upto)
+	st.watermark = max(st.watermark, b.Watermark)
 	return fresh
 }
 
-// Reborn gives the own instance a later birth: its items start new streams.
-func (s *Store) Reborn(now time.Duration, born uint32) {
+// RestartStreams gives the own instance a later birth: its items start new streams.
+func (s *Store) RestartStreams(now time.Duration, born uint32) {
 	var own []news.Item
 	for _, st := range s.streams {
-		if st.key.origin != s.Self {
+		if st.key.origin != s.LocalID {
 			continue
 		}
 		for _, e := range st.items {
 			own = append(own, e.item)
 		}
 	}
-	s.Born = born
+	s.StartTime = born
 	for _, item := range own {
-		if e := s.latest[itemKey{kind: item.Kind, origin: s.Self, key: item.Key}]; e != nil {
+		if e := s.latest[itemKey{kind: item.Kind, origin: s.LocalID, key: item.Key}]; e != nil {
 			s.drop(e)
-			_, _ = s.Say(now, item)
+			_, _ = s.Publish(now, item)
 		}
 	}
 }
@@ -176,29 +176,29 @@
 func (s *Store) put(now time.Duration, st *stream, item news.Item) bool {
 	k := itemKey{kind: item.Kind, origin: st.key.origin, key: item.Key}
 	if old := s.latest[k]; old != nil {
-		if !later(st, item.Stamp, old) {
+		if !supersedes(st, item.Stamp, old) {
 			return false
 		}
 		s.drop(old)
 	}
-	if s.full(st, item) {
-		s.refused++
+	if s.isFull(st, item) {
+		s.refusedCount++
 		return false
 	}
 	life := time.Duration(item.Life) * time.Millisecond
-	e := &entry{item: item, stream: st, until: now + life, half: now + life/2}
+	e := &entry{item: item, stream: st, expiresAt: now + life, refreshAt: now + life/2}
 	at, _ := slices.BinarySearchFunc(st.items, item.Stamp, func(e *entry, stamp uint64) int {
 		return cmp.Compare(e.item.Stamp, stamp)
 	})
 	st.items = slices.Insert(st.items, at, e)
 	s.latest[k] = e
-	s.items++
-	s.bytes += size(&item)
+	s.itemCount++
+	s.totalBytes += itemBytes(&item)
 	return true
 }
 
-func (s *Store) full(st *stream, item news.Item) bool {
-	return s.items >= MaxItems || len(st.items) >= MaxOrigin || s.bytes+size(&item) > MaxBytes
+func (s *Store) isFull(st *stream, item news.Item) bool {
+	return s.itemCount >= MaxItems || len(st.items) >= MaxItemsPerOrigin || s.totalBytes+itemBytes(&item) > MaxBytes
 }
 
 func (s *Store) drop(e *entry) {
@@ -207,15 +207,15 @@
 		st.items = slices.Delete(st.items, at, at+1)
 	}
 	delete(s.latest, itemKey{kind: e.item.Kind, origin: st.key.origin, key: e.item.Key})
-	s.items--
-	s.bytes -= size(&e.item)
+	s.itemCount--
+	s.totalBytes -= itemBytes(&e.item)
 }
 
-func later(st *stream, stamp uint64, old *entry) bool {
-	if st.key.born != old.stream.key.born {
-		return st.key.born > old.stream.key.born
+func supersedes(st *stream, stamp uint64, old *entry) bool {
+	if st.key.startTime != old.stream.key.startTime {
+		return st.key.startTime > old.stream.key.startTime
 	}
 	return stamp > old.item.Stamp
 }
 
-func size(i *news.Item) int { return len(i.Key) + len(i.Body) }
+func itemBytes(i *news.Item) int { return len(i.Key) + len(i.Body) }
--- a/internal/fleet/gossip/store_test.go
+++ b/internal/fleet/gossip/store_test.go
@@ -13,13 +13,13 @@
 	"pgregory.net/rapid"
 )
 
-func store(id spec.InstanceID) *gossip.Store {
-	s := &gossip.Store{Self: id, Born: 5}
+func newStore(id spec.InstanceID) *gossip.Store {
+	s := &gossip.Store{LocalID: id, StartTime: 5}
 	s.Init()
 	return s
 }
 
-func item(kind news.Kind, key string, size int, fill byte) news.Item {
+func newItem(kind news.Kind, key string, size int, fill byte) news.Item {
 	body := make([]byte, size)
 	for i := range body {
 		body[i] = fill
@@ -27,11 +27,11 @@
 	return news.Item{Kind: kind, Key: key, Scope: news.ScopeCentre, Life: 60_000, Body: body}
 }
 
-// exchange gives b what it lacks of a in at most limit bytes.
-func exchange(a, b *gossip.Store, limit, start int) bool {
+// syncStores gives b what it lacks of a in at most limit bytes.
+func syncStores(a, b *gossip.Store, limit, start int) bool {
 	blocks, whole := a.Delta(0, news.ScopeCentre, b.Digest(news.ScopeCentre), limit, start)
 	for i := range blocks {
-		b.Take(0, &blocks[i])
+		b.ApplyBlock(0, &blocks[i])
 	}
 	return whole
 }
@@ -39,29 +39,29 @@
 // Whatever three instances say, in whatever order they exchange and however
 // little fits into an answer, all hold in the end what a naive map of the last
 // word per name holds.
-func TestStoresAgreeWithNaiveMap(t *testing.T) {
+func TestStoresConvergeToNaiveMap(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		stores := []*gossip.Store{store("a"), store("b"), store("c")}
+		stores := []*gossip.Store{newStore("a"), newStore("b"), newStore("c")}
 		naive := map[string]byte{}
 		for range rapid.IntRange(1, 60).Draw(r, "steps") {
 			i := rapid.IntRange(0, 2).Draw(r, "store")
 			if rapid.Bool().Draw(r, "say") {
 				kind := news.Kind(rapid.SampledFrom([]int{int(news.KindPrint), int(news.KindLevel)}).Draw(r, "kind"))
 				key, fill := rapid.SampledFrom([]string{"x", "y", "z"}).Draw(r, "key"), byte(rapid.IntRange(0, 9).Draw(r, "fill"))
-				if _, ok := stores[i].Say(0, item(kind, key, 40, fill)); ok {
+				if _, ok := stores[i].Publish(0, newItem(kind, key, 40, fill)); ok {
 					naive[fmt.Sprint(i, kind, key)] = fill
 				}
 				continue
 			}
-			exchange(stores[i], stores[(i+1)%3], rapid.IntRange(60, 400).Draw(r, "limit"), rapid.IntRange(0, 9).Draw(r, "start"))
+			syncStores(stores[i], stores[(i+1)%3], rapid.IntRange(60, 400).Draw(r, "limit"), rapid.IntRange(0, 9).Draw(r, "start"))
 		}
 		for range 20 {
 			for i := range stores {
-				exchange(stores[i], stores[(i+1)%3], 200, i)
+				syncStores(stores[i], stores[(i+1)%3], 200, i)
 			}
 		}
 		for i, s := range stores {
-			if got, want := s.Items(), len(naive); got != want {
+			if got, want := s.ItemCount(), len(naive); got != want {
 				r.Fatalf("got %d items in store %d, want %d", got, i, want)
 			}
 			for j, origin := range []spec.InstanceID{"a", "b", "c"} {
@@ -79,14 +79,14 @@
 	})
 }
 
-func TestUnchangedItemIsNotSaidAgainBeforeHalfItsLife(t *testing.T) {
-	s := store("a")
+func TestUnchangedItemIsNotRefreshedBeforeHalfItsTTL(t *testing.T) {
+	s := newStore("a")
 	for _, c := range []struct {
 		at   time.Duration
 		fill byte
 		want bool
 	}{{0, 1, true}, {29 * time.Second, 1, false}, {30 * time.Second, 1, true}, {31 * time.Second, 2, true}} {
-		if _, got := s.Say(c.at, item(news.KindLevel, "k", 10, c.fill)); got != c.want {
+		if _, got := s.Publish(c.at, newItem(news.KindLevel, "k", 10, c.fill)); got != c.want {
 			t.Errorf("got said %v at %v, want %v", got, c.at, c.want)
 		}
 	}
@@ -95,32 +95,32 @@
 // One instance says without end, with ever new keys. The others keep room for
 // the rest.
 func TestOneOriginCannotFillTheStore(t *testing.T) {
-	s := store("b")
+	s := newStore("b")
 	for i := range 5000 {
-		s.Take(0, &talk.Block{Origin: "a", Born: 1, Items: []talk.Entry{
-			{Kind: news.KindLevel, Key: fmt.Sprint(i), Stamp: uint64(i + 1), Life: 1000, Body: make([]byte, 100)},
+		s.ApplyBlock(0, &talk.Block{Origin: "a", StartTime: 1, Items: []talk.Entry{
+			{Kind: news.KindLevel, Key: fmt.Sprint(i), Stamp: uint64(i + 1), TTLMs: 1000, Body: make([]byte, 100)},
 		}})
 	}
-	if got := s.Items(); got != gossip.MaxOrigin || s.Refused() == 0 {
-		t.Errorf("got %d items and %d refused, want %d and some", got, s.Refused(), gossip.MaxOrigin)
+	if got := s.ItemCount(); got != gossip.MaxItemsPerOrigin || s.RefusedCount() == 0 {
+		t.Errorf("got %d items and %d refused, want %d and some", got, s.RefusedCount(), gossip.MaxItemsPerOrigin)
 	}
-	if _, ok := s.Say(0, item(news.KindPrint, "k", 10, 1)); !ok {
+	if _, ok := s.Publish(0, newItem(news.KindPrint, "k", 10, 1)); !ok {
 		t.Errorf("got no room for an item of another origin, want room")
 	}
 	s.Tick(2 * time.Second)
-	if got := s.Items(); got != 1 {
+	if got := s.ItemCount(); got != 1 {
 		t.Errorf("got %d items after their life, want 1", got)
 	}
 }
 
 // An instance dies. Its loads count no more, but the fingerprint of a request
 // that crashes engines, which it told, still protects the others.
-func TestDeathKeepsWhatWasToldOfOthers(t *testing.T) {
-	a, b := store("a"), store("b")
-	a.Say(0, item(news.KindPrint, "p", 10, 1))
-	a.Say(0, item(news.KindLevel, "l", 10, 1))
-	exchange(a, b, 1000, 0)
-	b.Forget("a", 6)
+func TestDeadOriginKeepsItemsAboutOthers(t *testing.T) {
+	a, b := newStore("a"), newStore("b")
+	a.Publish(0, newItem(news.KindPrint, "p", 10, 1))
+	a.Publish(0, newItem(news.KindLevel, "l", 10, 1))
+	syncStores(a, b, 1000, 0)
+	b.ExpireOrigin("a", 6)
 	if _, ok := b.Get(news.KindPrint, "a", "p"); !ok {
 		t.Errorf("got no fingerprint, want it kept")
 	}
@@ -132,16 +132,16 @@
 // An instance restarts within the second of its birth and counts from one
 // again, while the others hold higher stamps of its former self. It learns so
 // from their marks and goes on after them, or nobody would take its words.
-func TestSameBirthGoesOnAfterFormerSelf(t *testing.T) {
-	old, b := store("a"), store("b")
+func TestRestartWithSameStartTimeContinuesStamps(t *testing.T) {
+	old, b := newStore("a"), newStore("b")
 	for i := range 9 {
-		old.Say(0, item(news.KindLevel, "k", 10, byte(i)))
+		old.Publish(0, newItem(news.KindLevel, "k", 10, byte(i)))
 	}
-	exchange(old, b, 1000, 0)
-	again := store("a")
-	again.Say(0, item(news.KindLevel, "k", 10, 77))
+	syncStores(old, b, 1000, 0)
+	again := newStore("a")
+	again.Publish(0, newItem(news.KindLevel, "k", 10, 77))
 	again.Wants(b.Digest(news.ScopeCentre))
-	exchange(again, b, 1000, 0)
+	syncStores(again, b, 1000, 0)
 	if got, _ := b.Get(news.KindLevel, "a", "k"); got.Body[0] != 77 {
 		t.Errorf("got %d, want the new self's 77", got.Body[0])
 	}
--- a/internal/fleet/gossip/stream.go
+++ b/internal/fleet/gossip/stream.go
@@ -10,50 +10,50 @@
 	"fulmarwick/internal/fleet/talk"
 )
 
-const sweepEvery = 100 * time.Millisecond
+const sweepInterval = 100 * time.Millisecond
 
 // stream finds or makes a stream.
 func (s *Store) stream(k streamKey) *stream {
 	if st := s.index[k]; st != nil {
 		return st
 	}
-	st := &stream{key: k, hash: talk.StreamHash(k.origin, k.born, k.scope)}
-	at, _ := slices.BinarySearchFunc(s.streams, k, func(st *stream, k streamKey) int { return compare(st.key, k) })
+	st := &stream{key: k, hash: talk.StreamHash(k.origin, k.startTime, k.scope)}
+	at, _ := slices.BinarySearchFunc(s.streams, k, func(st *stream, k streamKey) int { return compareStreamKeys(st.key, k) })
 	s.streams = slices.Insert(s.streams, at, st)
 	s.index[k] = st
 	if other := s.byHash[st.hash]; other != nil {
-		other.clash, st.clash = true, true
+		other.hashCollision, st.hashCollision = true, true
 	}
 	s.byHash[st.hash] = st
 	return st
 }
 
-func compare(a, b streamKey) int {
+func compareStreamKeys(a, b streamKey) int {
 	return cmp.Or(
 		cmp.Compare(a.origin, b.origin),
-		cmp.Compare(a.born, b.born),
+		cmp.Compare(a.startTime, b.startTime),
 		cmp.Compare(a.scope, b.scope),
 	)
 }
 
-// Forget drops the items of an origin that count only while it lives, such as
+// ExpireOrigin drops the items of an origin that count only while it lives, such as
 // its loads. What it told of others, such as a leaving upstream or a poison
 // fingerprint, stays until its own life is over.
-func (s *Store) Forget(origin spec.InstanceID, bornBefore uint32) {
+func (s *Store) ExpireOrigin(origin spec.InstanceID, bornBefore uint32) {
 	for _, st := range s.streams {
-		if st.key.origin != origin || st.key.born >= bornBefore {
+		if st.key.origin != origin || st.key.startTime >= bornBefore {
 			continue
 		}
 		for _, e := range slices.Clone(st.items) {
-			if Mortal(e.item.Kind) {
+			if EndsWithOrigin(e.item.Kind) {
 				s.drop(e)
 			}
 		}
 	}
 }
 
-// Mortal reports whether items of a kind end with their origin.
-func Mortal(k news.Kind) bool {
+// EndsWithOrigin reports whether items of a kind end with their origin.
+func EndsWithOrigin(k news.Kind) bool {
 	switch k {
 	case news.KindHead, news.KindLeaving, news.KindPrint, news.KindDown:
 		return false
@@ -74,26 +74,26 @@
 
 // Tick drops the items whose life is over and, after long, empty streams.
 func (s *Store) Tick(now time.Duration) {
-	if now-s.swept < sweepEvery {
+	if now-s.sweptAt < sweepInterval {
 		return
 	}
-	s.swept = now
+	s.sweptAt = now
 	for _, st := range s.streams {
 		st.items = slices.DeleteFunc(st.items, func(e *entry) bool {
-			if now < e.until {
+			if now < e.expiresAt {
 				return false
 			}
 			delete(s.latest, itemKey{kind: e.item.Kind, origin: st.key.origin, key: e.item.Key})
-			s.items--
-			s.bytes -= size(&e.item)
+			s.itemCount--
+			s.totalBytes -= itemBytes(&e.item)
 			return true
 		})
 		if len(st.items) > 0 {
-			st.used = now
+			st.lastUsed = now
 		}
 	}
 	s.streams = slices.DeleteFunc(s.streams, func(st *stream) bool {
-		if len(st.items) > 0 || now-st.used < idle || st.key.origin == s.Self {
+		if len(st.items) > 0 || now-st.lastUsed < emptyStreamTTL || st.key.origin == s.LocalID {
 			return false
 		}
 		delete(s.index, st.key)
--- a/internal/fleet/member/ring.go
+++ b/internal/fleet/member/ring.go
@@ -9,23 +9,23 @@
 	"fulmarwick/internal/fleet/talk"
 )
 
-// Rings is how many instances each one watches, and by how many each is
+// RingCount is how many instances each one watches, and by how many each is
 // watched, however large its data centre is.
-const Rings = 4
+const RingCount = 4
 
 // Neighbours returns the instances that the own one watches: its successor on
 // each of Rings hash rings of its data centre, or all if there are no more.
 // The rings make a graph in which news reach all in a few steps and no
 // instance has more than a handful of connections.
 func (t *Table) Neighbours() []spec.InstanceID {
-	ids := t.Members(func(r talk.Record) bool {
-		return r.DataCentre == t.Self.DataCentre && r.ID != t.Self.ID
+	ids := t.LiveMembers(func(r talk.Record) bool {
+		return r.DataCentre == t.Local.DataCentre && r.ID != t.Local.ID
 	})
-	if len(ids) <= Rings {
+	if len(ids) <= RingCount {
 		return ids
 	}
 	var out []spec.InstanceID
-	for ring := range Rings {
+	for ring := range RingCount {
 		out = append(out, t.successor(fmt.Sprintf("ring/%d", ring), ids, out))
 	}
 	slices.Sort(out)
@@ -35,7 +35,7 @@
 // successor is the next of ids after the own instance on a ring, passing over
 // those taken already.
 func (t *Table) successor(ring string, ids, taken []spec.InstanceID) spec.InstanceID {
-	own := rank.Score(ring, t.Self.ID)
+	own := rank.Score(ring, t.Local.ID)
 	var best spec.InstanceID
 	var least uint64
 	for _, id := range ids {
@@ -50,12 +50,12 @@
 	return best
 }
 
-// Members returns the live instances that f accepts, in order of ID.
-func (t *Table) Members(f func(talk.Record) bool) []spec.InstanceID {
+// LiveMembers returns the live instances that f accepts, in order of ID.
+func (t *Table) LiveMembers(f func(talk.Record) bool) []spec.InstanceID {
 	var out []spec.InstanceID
 	for _, r := range t.rows {
-		if live(&r.rec) && f(r.rec) {
-			out = append(out, r.rec.ID)
+		if isLive(&r.record) && f(r.record) {
+			out = append(out, r.record.ID)
 		}
 	}
 	return out
--- a/internal/fleet/member/suspect.go
+++ b/internal/fleet/member/suspect.go
@@ -12,73 +12,73 @@
 // after a time unless it refutes.
 func (t *Table) Suspect(now time.Duration, id spec.InstanceID) {
 	r := t.index[id]
-	if r == nil || !live(&r.rec) {
+	if r == nil || !isLive(&r.record) {
 		return
 	}
-	rec := r.rec
+	rec := r.record
 	rec.State = talk.StateSuspect
-	rec.By = t.Self.ID
-	t.Learn(now, rec)
+	rec.SuspectedBy = t.Local.ID
+	t.ApplyRecord(now, rec)
 }
 
 // Tick turns suspects whose time is over into dead ones.
 func (t *Table) Tick(now time.Duration) {
 	t.now = now
-	for _, r := range slices.Clone(t.waits) {
-		if now < r.until {
+	for _, r := range slices.Clone(t.suspects) {
+		if now < r.deadAt {
 			continue
 		}
-		rec := r.rec
+		rec := r.record
 		rec.State = talk.StateDead
-		rec.By = ""
+		rec.SuspectedBy = ""
 		t.replace(r, rec)
 	}
-	t.prune()
+	t.pruneDead()
 }
 
-// Postpone gives all suspects more time: the own instance was paused, and
+// ExtendSuspicions gives all suspects more time: the own instance was paused, and
 // their answers wait unread.
-func (t *Table) Postpone(now time.Duration) {
-	for _, r := range t.waits {
-		r.until = max(r.until, now+SuspectMin)
+func (t *Table) ExtendSuspicions(now time.Duration) {
+	for _, r := range t.suspects {
+		r.deadAt = max(r.deadAt, now+MinSuspicionTimeout)
 	}
 }
 
-// suspected starts or ends the wait of a row by its state.
-func (t *Table) suspected(r *row) {
-	t.waits = slices.DeleteFunc(t.waits, func(w *row) bool { return w == r })
-	r.by = nil
-	if r.rec.State != talk.StateSuspect {
+// updateSuspicion starts or ends the wait of a row by its state.
+func (t *Table) updateSuspicion(r *row) {
+	t.suspects = slices.DeleteFunc(t.suspects, func(w *row) bool { return w == r })
+	r.suspectedBy = nil
+	if r.record.State != talk.StateSuspect {
 		return
 	}
-	r.by = []spec.InstanceID{r.rec.By}
-	r.until = t.now + t.patience(1)
-	t.waits = append(t.waits, r)
+	r.suspectedBy = []spec.InstanceID{r.record.SuspectedBy}
+	r.deadAt = t.now + t.suspicionTimeout(1)
+	t.suspects = append(t.suspects, r)
 }
 
-// confirm counts another instance that suspects the same incarnation. Each
+// confirmSuspicion counts another instance that suspects the same incarnation. Each
 // one shortens the time, since one bad link alone does not suspect twice.
-func (t *Table) confirm(r *row, rec talk.Record) bool {
-	if slices.Contains(r.by, rec.By) || len(r.by) > Confirms {
+func (t *Table) confirmSuspicion(r *row, rec talk.Record) bool {
+	if slices.Contains(r.suspectedBy, rec.SuspectedBy) || len(r.suspectedBy) > MaxConfirmations {
 		return false
 	}
-	r.by = append(r.by, rec.By)
-	r.until = min(r.until, r.since+t.patience(len(r.by)))
-	t.spread = append(t.spread, rec)
+	r.suspectedBy = append(r.suspectedBy, rec.SuspectedBy)
+	r.deadAt = min(r.deadAt, r.changedAt+t.suspicionTimeout(len(r.suspectedBy)))
+	t.updates = append(t.updates, rec)
 	return true
 }
 
-// prune forgets the dead after Keep.
-func (t *Table) prune() {
-	if t.now-t.pruned < Keep/60 {
+// pruneDead forgets the dead after Keep.
+func (t *Table) pruneDead() {
+	if t.now-t.prunedAt < DeadTTL/60 {
 		return
 	}
-	t.pruned = t.now
+	t.prunedAt = t.now
 	t.rows = slices.DeleteFunc(t.rows, func(r *row) bool {
-		if live(&r.rec) || t.now-r.since < Keep {
+		if isLive(&r.record) || t.now-r.changedAt < DeadTTL {
 			return false
 		}
-		delete(t.index, r.rec.ID)
+		delete(t.index, r.record.ID)
 		return true
 	})
 }
--- a/internal/fleet/member/table.go
+++ b/internal/fleet/member/table.go
@@ -18,60 +18,60 @@
 
 // Times and bounds of the table.
 const (
-	// SuspectMin is how long a suspect has to refute once others agree, and
+	// MinSuspicionTimeout is how long a suspect has to refute once others agree, and
 	// SuspectMax while nobody does.
-	SuspectMin = 1500 * time.Millisecond
-	SuspectMax = 6 * time.Second
-	// Confirms is how many further suspecting instances shorten the time to
+	MinSuspicionTimeout = 1500 * time.Millisecond
+	MaxSuspicionTimeout = 6 * time.Second
+	// MaxConfirmations is how many further suspecting instances shorten the time to
 	// SuspectMin.
-	Confirms = 3
-	// Keep is how long the dead are remembered, so that an old record does
+	MaxConfirmations = 3
+	// DeadTTL is how long the dead are remembered, so that an old record does
 	// not bring them back.
-	Keep = time.Hour
-	// MaxRows bounds the table; further unknown instances are ignored.
-	MaxRows = 4096
+	DeadTTL = time.Hour
+	// MaxMembers bounds the table; further unknown instances are ignored.
+	MaxMembers = 4096
 )
 
 // Change tells that what is held true of an instance changed.
 type Change struct {
 	ID spec.InstanceID
-	// Was and Is are the states; Was is StateLeft for one that is new.
-	Was, Is talk.State
-	// Reborn says that the instance restarted.
-	Reborn bool
+	// OldState and Is are the states; Was is StateLeft for one that is new.
+	OldState, NewState talk.State
+	// Restarted says that the instance restarted.
+	Restarted bool
 }
 
 // Table holds one row per instance known, the own one among them. Set Self,
 // then call Init.
 type Table struct {
-	// Self is the own record. Only the table writes it after Init.
-	Self talk.Record
+	// Local is the own record. Only the table writes it after Init.
+	Local talk.Record
 
-	now     time.Duration
-	rows    []*row
-	index   map[spec.InstanceID]*row
-	sums    [Buckets]uint32
-	changes []Change
-	spread  []talk.Record
-	version uint64
-	// waits are the rows under suspicion, to find timeouts without a scan.
-	waits  []*row
-	pruned time.Duration
+	now       time.Duration
+	rows      []*row
+	index     map[spec.InstanceID]*row
+	checksums [ChecksumBuckets]uint32
+	changes   []Change
+	updates   []talk.Record
+	version   uint64
+	// suspects are the rows under suspicion, to find timeouts without a scan.
+	suspects []*row
+	prunedAt time.Duration
 }
 
 type row struct {
-	rec   talk.Record
-	by    []spec.InstanceID
-	since time.Duration
-	// until is when a suspect counts as dead.
-	until time.Duration
+	record      talk.Record
+	suspectedBy []spec.InstanceID
+	changedAt   time.Duration
+	// deadAt is when a suspect counts as dead.
+	deadAt time.Duration
 }
 
 // Init makes the table hold Self alone.
 func (t *Table) Init() {
 	t.index = map[spec.InstanceID]*row{}
-	t.insert(t.Self)
-	t.spread = append(t.spread, t.Self)
+	t.insert(t.Local)
+	t.updates = append(t.updates, t.Local)
 }
 
 // Version changes whenever the set of live instances does.
@@ -83,55 +83,55 @@
 	if r == nil {
 		return talk.Record{}, false
 	}
-	return r.rec, true
+	return r.record, true
 }
 
-// Live reports whether id is alive or under suspicion only.
-func (t *Table) Live(id spec.InstanceID) bool {
+// IsLive reports whether id is alive or under suspicion only.
+func (t *Table) IsLive(id spec.InstanceID) bool {
 	r := t.index[id]
-	return r != nil && live(&r.rec)
+	return r != nil && isLive(&r.record)
 }
 
 // Each calls f for every record in order of ID.
 func (t *Table) Each(f func(talk.Record)) {
 	for _, r := range t.rows {
-		f(r.rec)
+		f(r.record)
 	}
 }
 
 // Len is how many rows there are.
 func (t *Table) Len() int { return len(t.rows) }
 
-// Changes returns what changed since the last call.
-func (t *Table) Changes() []Change {
+// TakeChanges returns what changed since the last call.
+func (t *Table) TakeChanges() []Change {
 	out := t.changes
 	t.changes = nil
 	return out
 }
 
-// Spread returns the records that others should hear of since the last call.
-func (t *Table) Spread() []talk.Record {
-	out := t.spread
-	t.spread = nil
+// TakeUpdates returns the records that others should hear of since the last call.
+func (t *Table) TakeUpdates() []talk.Record {
+	out := t.updates
+	t.updates = nil
 	return out
 }
 
-// Learn takes a record heard from another instance. It reports whether it
+// ApplyRecord takes a record heard from another instance. It reports whether it
 // told anything new.
-func (t *Table) Learn(now time.Duration, rec talk.Record) bool {
+func (t *Table) ApplyRecord(now time.Duration, rec talk.Record) bool {
 	t.now = now
-	if rec.ID == t.Self.ID {
+	if rec.ID == t.Local.ID {
 		return t.refute(rec)
 	}
 	r := t.index[rec.ID]
 	switch {
 	case r == nil:
 		return t.add(rec)
-	case newer(&rec, &r.rec):
+	case supersedes(&rec, &r.record):
 		t.replace(r, rec)
 		return true
-	case sameSuspicion(&rec, &r.rec):
-		return t.confirm(r, rec)
+	case sameSuspicion(&rec, &r.record):
+		return t.confirmSuspicion(r, rec)
 	}
 	return false
 }
@@ -139,99 +139,99 @@
 // refute answers a record of the own instance that is not its own: a
 // suspicion, a death, or one of a former self.
 func (t *Table) refute(rec talk.Record) bool {
-	if !newer(&rec, &t.Self) {
+	if !supersedes(&rec, &t.Local) {
 		return false
 	}
-	if rec.Born > t.Self.Born {
+	if rec.StartTime > t.Local.StartTime {
 		// The clock went back over a restart. Without the later birth the
 		// others would hold every word of this instance for old.
-		t.Self.Born = rec.Born + 1
-		t.Self.Inc = 0
+		t.Local.StartTime = rec.StartTime + 1
+		t.Local.Incarnation = 0
 	} else {
-		t.Self.Inc = rec.Inc + 1
+		t.Local.Incarnation = rec.Incarnation + 1
 	}
-	t.put(t.index[t.Self.ID], t.Self)
-	t.spread = append(t.spread, t.Self)
+	t.setRecord(t.index[t.Local.ID], t.Local)
+	t.updates = append(t.updates, t.Local)
 	return true
 }
 
-// Passive says whether the own instance takes duties and watches; others hear
+// SetPassive says whether the own instance takes duties and watches; others hear
 // it at once.
-func (t *Table) Passive(passive bool) {
-	if t.Self.Passive == passive {
+func (t *Table) SetPassive(passive bool) {
+	if t.Local.Passive == passive {
 		return
 	}
-	t.Self.Passive = passive
-	t.Self.Inc++
-	t.put(t.index[t.Self.ID], t.Self)
-	t.spread = append(t.spread, t.Self)
+	t.Local.Passive = passive
+	t.Local.Incarnation++
+	t.setRecord(t.index[t.Local.ID], t.Local)
+	t.updates = append(t.updates, t.Local)
 	t.version++
 }
 
 // Leave ends the own membership; the own record says so from now on.
 func (t *Table) Leave() {
-	t.Self.State = talk.StateLeft
-	t.put(t.index[t.Self.ID], t.Self)
-	t.spread = append(t.spread, t.Self)
+	t.Local.State = talk.StateLeft
+	t.setRecord(t.index[t.Local.ID], t.Local)
+	t.updates = append(t.updates, t.Local)
 	t.version++
 }
 
 func (t *Table) add(rec talk.Record) bool {
 	// A dead one that was never known takes nothing away from here.
-	if len(t.rows) >= MaxRows || !live(&rec) {
+	if len(t.rows) >= MaxMembers || !isLive(&rec) {
 		return false
 	}
 	r := t.insert(rec)
-	t.changes = append(t.changes, Change{ID: rec.ID, Was: talk.StateLeft, Is: rec.State})
-	t.spread = append(t.spread, rec)
-	t.suspected(r)
+	t.changes = append(t.changes, Change{ID: rec.ID, OldState: talk.StateLeft, NewState: rec.State})
+	t.updates = append(t.updates, rec)
+	t.updateSuspicion(r)
 	return true
 }
 
 func (t *Table) insert(rec talk.Record) *row {
-	r := &row{rec: rec, since: t.now}
+	r := &row{record: rec, changedAt: t.now}
 	at, _ := slices.BinarySearchFunc(t.rows, rec.ID, func(r *row, id spec.InstanceID) int {
-		return strings.Compare(string(r.rec.ID), string(id))
+		return strings.Compare(string(r.record.ID), string(id))
 	})
 	t.rows = slices.Insert(t.rows, at, r)
 	t.index[rec.ID] = r
-	t.sums[bucket(rec.ID)] ^= sum(&rec)
+	t.checksums[bucketOf(rec.ID)] ^= recordChecksum(&rec)
 	t.version++
 	return r
 }
 
 func (t *Table) replace(r *row, rec talk.Record) {
 	t.changes = append(t.changes, Change{
-		ID: rec.ID, Was: r.rec.State, Is: rec.State, Reborn: rec.Born != r.rec.Born,
+		ID: rec.ID, OldState: r.record.State, NewState: rec.State, Restarted: rec.StartTime != r.record.StartTime,
 	})
-	if live(&rec) != live(&r.rec) || rec.Passive != r.rec.Passive || rec.URL != r.rec.URL || rec.Born != r.rec.Born {
+	if isLive(&rec) != isLive(&r.record) || rec.Passive != r.record.Passive || rec.URL != r.record.URL || rec.StartTime != r.record.StartTime {
 		t.version++
 	}
-	t.put(r, rec)
-	t.spread = append(t.spread, rec)
-	t.suspected(r)
+	t.setRecord(r, rec)
+	t.updates = append(t.updates, rec)
+	t.updateSuspicion(r)
 }
 
-func (t *Table) put(r *row, rec talk.Record) {
-	b := bucket(rec.ID)
-	t.sums[b] ^= sum(&r.rec) ^ sum(&rec)
-	r.rec = rec
-	r.since = t.now
+func (t *Table) setRecord(r *row, rec talk.Record) {
+	b := bucketOf(rec.ID)
+	t.checksums[b] ^= recordChecksum(&r.record) ^ recordChecksum(&rec)
+	r.record = rec
+	r.changedAt = t.now
 }
 
-func live(r *talk.Record) bool { return r.State <= talk.StateSuspect }
+func isLive(r *talk.Record) bool { return r.State <= talk.StateSuspect }
 
-// newer reports whether a counts over b.
-func newer(a, b *talk.Record) bool {
-	if a.Born != b.Born {
-		return a.Born > b.Born
+// supersedes reports whether a counts over b.
+func supersedes(a, b *talk.Record) bool {
+	if a.StartTime != b.StartTime {
+		return a.StartTime > b.StartTime
 	}
-	if a.Inc != b.Inc {
-		return a.Inc > b.Inc
+	if a.Incarnation != b.Incarnation {
+		return a.Incarnation > b.Incarnation
 	}
 	return a.State > b.State
 }
 
 func sameSuspicion(a, b *talk.Record) bool {
-	return a.State == talk.StateSuspect && b.State == talk.StateSuspect && a.Born == b.Born && a.Inc == b.Inc
+	return a.State == talk.StateSuspect && b.State == talk.StateSuspect && a.StartTime == b.StartTime && a.Incarnation == b.Incarnation
 }
--- a/internal/fleet/member/table_test.go
+++ b/internal/fleet/member/table_test.go
@@ -10,8 +10,8 @@
 	"fulmarwick/internal/fleet/talk"
 )
 
-func table(id spec.InstanceID) *member.Table {
-	t := &member.Table{Self: talk.Record{ID: id, DataCentre: "klang", Born: 5}}
+func newTable(id spec.InstanceID) *member.Table {
+	t := &member.Table{Local: talk.Record{ID: id, DataCentre: "klang", StartTime: 5}}
 	t.Init()
 	return t
 }
@@ -19,15 +19,15 @@
 // Two instances meet of which one knows hundreds of others. An answer has room
 // for a part of them only; answer after answer must bring new ones, or a large
 // fleet never comes to know itself.
-func TestLargeTablesAgreeByParts(t *testing.T) {
-	a, b := table("a"), table("b")
+func TestLargeTablesConvergeInParts(t *testing.T) {
+	a, b := newTable("a"), newTable("b")
 	for i := range 360 {
-		a.Learn(0, talk.Record{ID: spec.InstanceID(fmt.Sprintf("i%03d", i)), DataCentre: "klang", URL: "https://10.0.0.1:7000"})
+		a.ApplyRecord(0, talk.Record{ID: spec.InstanceID(fmt.Sprintf("i%03d", i)), DataCentre: "klang", URL: "https://10.0.0.1:7000"})
 	}
 	for round := range 64 {
-		records, whole := a.Differ(b.Sums(), 2000, round*7)
+		records, whole := a.DifferingRecords(b.Checksums(), 2000, round*7)
 		for _, r := range records {
-			b.Learn(0, r)
+			b.ApplyRecord(0, r)
 		}
 		if whole && len(records) > 0 {
 			break
@@ -36,27 +36,27 @@
 	if got, want := b.Len(), a.Len()+1; got != want {
 		t.Errorf("got %d rows, want %d", got, want)
 	}
-	if !b.Live("i359") || !b.Live("i000") {
+	if !b.IsLive("i359") || !b.IsLive("i000") {
 		t.Errorf("got some instances missing, want all")
 	}
 }
 
-func TestRecordsMergeByBirthIncarnationAndState(t *testing.T) {
+func TestRecordsMergeByStartTimeIncarnationAndState(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		rec  talk.Record
 		want talk.State
 	}{
-		{"same incarnation, suspect", talk.Record{Born: 5, Inc: 3, State: talk.StateSuspect}, talk.StateSuspect},
-		{"older incarnation, dead", talk.Record{Born: 5, Inc: 2, State: talk.StateDead}, talk.StateAlive},
-		{"same incarnation, dead", talk.Record{Born: 5, Inc: 3, State: talk.StateDead}, talk.StateDead},
-		{"older birth, left", talk.Record{Born: 4, Inc: 9, State: talk.StateLeft}, talk.StateAlive},
-		{"later birth", talk.Record{Born: 6, State: talk.StateAlive}, talk.StateAlive},
+		{"same incarnation, suspect", talk.Record{StartTime: 5, Incarnation: 3, State: talk.StateSuspect}, talk.StateSuspect},
+		{"older incarnation, dead", talk.Record{StartTime: 5, Incarnation: 2, State: talk.StateDead}, talk.StateAlive},
+		{"same incarnation, dead", talk.Record{StartTime: 5, Incarnation: 3, State: talk.StateDead}, talk.StateDead},
+		{"older birth, left", talk.Record{StartTime: 4, Incarnation: 9, State: talk.StateLeft}, talk.StateAlive},
+		{"later birth", talk.Record{StartTime: 6, State: talk.StateAlive}, talk.StateAlive},
 	} {
-		m := table("a")
-		m.Learn(0, talk.Record{ID: "x", DataCentre: "klang", Born: 5, Inc: 3})
+		m := newTable("a")
+		m.ApplyRecord(0, talk.Record{ID: "x", DataCentre: "klang", StartTime: 5, Incarnation: 3})
 		c.rec.ID, c.rec.DataCentre = "x", "klang"
-		m.Learn(0, c.rec)
+		m.ApplyRecord(0, c.rec)
 		if got, _ := m.Get("x"); got.State != c.want {
 			t.Errorf("got %v after %s, want %v", got.State, c.name, c.want)
 		}
@@ -65,34 +65,34 @@
 
 // An instance hears that it is dead, or that a former self of it with a later
 // birth lived: its clock went back. It speaks up so that all believe it.
-func TestSelfRefutes(t *testing.T) {
-	m := table("a")
-	m.Learn(0, talk.Record{ID: "a", Born: 5, Inc: 4, State: talk.StateDead})
-	if got := m.Self; got.Inc != 5 || got.State != talk.StateAlive {
+func TestLocalInstanceRefutes(t *testing.T) {
+	m := newTable("a")
+	m.ApplyRecord(0, talk.Record{ID: "a", StartTime: 5, Incarnation: 4, State: talk.StateDead})
+	if got := m.Local; got.Incarnation != 5 || got.State != talk.StateAlive {
 		t.Errorf("got %+v, want incarnation 5 alive", got)
 	}
-	m.Learn(0, talk.Record{ID: "a", Born: 9})
-	if got := m.Self.Born; got != 10 {
+	m.ApplyRecord(0, talk.Record{ID: "a", StartTime: 9})
+	if got := m.Local.StartTime; got != 10 {
 		t.Errorf("got birth %d, want 10", got)
 	}
 }
 
-func TestSuspicionEndsSoonerWhenOthersAgree(t *testing.T) {
-	for confirms, want := range map[int]time.Duration{0: member.SuspectMax, 3: member.SuspectMin} {
-		m := table("a")
+func TestConfirmationsShortenSuspicion(t *testing.T) {
+	for confirms, want := range map[int]time.Duration{0: member.MaxSuspicionTimeout, 3: member.MinSuspicionTimeout} {
+		m := newTable("a")
 		for _, id := range []spec.InstanceID{"b", "c", "d", "e", "x"} {
-			m.Learn(0, talk.Record{ID: id, DataCentre: "klang"})
+			m.ApplyRecord(0, talk.Record{ID: id, DataCentre: "klang"})
 		}
 		m.Suspect(0, "x")
 		for i := range confirms {
-			m.Learn(0, talk.Record{ID: "x", DataCentre: "klang", State: talk.StateSuspect, By: spec.InstanceID(fmt.Sprint("o", i))})
+			m.ApplyRecord(0, talk.Record{ID: "x", DataCentre: "klang", State: talk.StateSuspect, SuspectedBy: spec.InstanceID(fmt.Sprint("o", i))})
 		}
 		m.Tick(want - time.Millisecond)
-		if !m.Live("x") {
+		if !m.IsLive("x") {
 			t.Errorf("got dead before %v with %d confirms, want suspect", want, confirms)
 		}
 		m.Tick(want)
-		if m.Live("x") {
+		if m.IsLive("x") {
 			t.Errorf("got suspect at %v with %d confirms, want dead", want, confirms)
 		}
 	}
--- a/internal/fleet/mesh/cell_test.go
+++ b/internal/fleet/mesh/cell_test.go
@@ -167,7 +167,7 @@
 		for _, other := range ids[:k+1] {
 			peers = append(peers, node.Peer{ID: other, DataCentre: centreOf(other), URL: "http://" + string(other), Version: uint64(len(other))})
 		}
-		f.inbox[id] = []node.Event{node.Listed{Peers: peers}}
+		f.inbox[id] = []node.Event{node.DiscoveryList{Peers: peers}}
 	}
 	f.run(0, 8*time.Second)
 	f.checkTotals(t, large)
--- a/internal/fleet/mesh/chaos_test.go
+++ b/internal/fleet/mesh/chaos_test.go
@@ -52,7 +52,7 @@
 		peers = append(peers, node.Peer{ID: other, DataCentre: centreOf(other), URL: "http://" + string(other)})
 	}
 	f.members[id] = f.newMember(id)
-	f.inbox[id] = []node.Event{node.Listed{Peers: peers}}
+	f.inbox[id] = []node.Event{node.DiscoveryList{Peers: peers}}
 }
 
 // Instances freeze, start anew, are turned away by the store and lose each other
--- a/internal/fleet/mesh/mesh.go
+++ b/internal/fleet/mesh/mesh.go
@@ -176,9 +176,9 @@
 	}
 	for _, ev := range events {
 		switch ev := ev.(type) {
-		case node.Listed:
+		case node.DiscoveryList:
 			l.handleRoster(ev)
-		case node.Heard:
+		case node.Received:
 			l.handleMessage(now, ev)
 		}
 	}
@@ -194,7 +194,7 @@
 	return p
 }
 
-func (l *Logic) handleMessage(now time.Duration, ev node.Heard) {
+func (l *Logic) handleMessage(now time.Duration, ev node.Received) {
 	var m Message
 	if err := cbor.Unmarshal(ev.Data, &m); err != nil {
 		// A message of another version of the program tells nothing; its
--- a/internal/fleet/mesh/mesh_test.go
+++ b/internal/fleet/mesh/mesh_test.go
@@ -149,7 +149,7 @@
 		peers = append(peers, node.Peer{ID: id, DataCentre: f.members[id].logic.DataCentre, URL: "http://" + string(id)})
 	}
 	for id := range f.members {
-		f.inbox[id] = []node.Event{node.Listed{Peers: peers}}
+		f.inbox[id] = []node.Event{node.DiscoveryList{Peers: peers}}
 	}
 	return f
 }
@@ -201,7 +201,7 @@
 			f.messagesSent[id]++
 			f.bytesSent[id] += len(s.Data)
 			f.bytesReceived[[2]spec.InstanceID{s.To, id}] += len(s.Data)
-			f.inbox[s.To] = append(f.inbox[s.To], node.Heard{From: id, Data: s.Data})
+			f.inbox[s.To] = append(f.inbox[s.To], node.Received{From: id, Data: s.Data})
 		}
 	}
 }
--- a/internal/fleet/mesh/roster.go
+++ b/internal/fleet/mesh/roster.go
@@ -24,7 +24,7 @@
 
 // handleRoster notes where instances should be. One that moved is asked at its new
 // address.
-func (l *Logic) handleRoster(ev node.Listed) {
+func (l *Logic) handleRoster(ev node.DiscoveryList) {
 	l.rosterReceived = true
 	for _, p := range ev.Peers {
 		l.updateMember(Member{ID: p.ID, URL: p.URL, DataCentre: p.DataCentre, Version: p.Version}, true)
--- a/internal/fleet/mesh/spread_test.go
+++ b/internal/fleet/mesh/spread_test.go
@@ -290,7 +290,7 @@
 	told := 0
 	for now := time.Second; now < 4*time.Second; now += tickInterval {
 		f.now = now
-		for _, c := range m.logic.Tick(now, []node.Event{node.Heard{From: "old", Data: old}}) {
+		for _, c := range m.logic.Tick(now, []node.Event{node.Received{From: "old", Data: old}}) {
 			s, ok := c.(node.Send)
 			if !ok || s.To != "old" {
 				continue
--- a/internal/fleet/node/api.go
+++ b/internal/fleet/node/api.go
@@ -27,43 +27,43 @@
 // Event is something that happened outside.
 type Event interface{ event() }
 
-// Listed tells who should be there, by the platform's lagging list and the
+// DiscoveryList tells who should be there, by the platform's lagging list and the
 // settings. It is a hint: an instance missing from it is not dead.
-type Listed struct {
+type DiscoveryList struct {
 	Peers []Peer
 	// Engines are the engines of the own data centre, to be watched.
 	Engines []spec.UpstreamID
 }
 
-// Heard carries a message from another instance.
-type Heard struct {
+// Received carries a message from another instance.
+type Received struct {
 	From spec.InstanceID
 	Data []byte
 }
 
-// Lost tells that a connection to another instance broke or could not be
+// ConnectionLost tells that a connection to another instance broke or could not be
 // made.
-type Lost struct {
+type ConnectionLost struct {
 	Peer spec.InstanceID
 }
 
-// Say spreads an item. Origin and Stamp are filled in. An item of KindLoad or
+// Publish spreads an item. Origin and Stamp are filled in. An item of KindLoad or
 // KindRate is added to those of the others and comes back to them as
 // EngineLoad and TeamUse. An item that still counts must be said again before
 // its Life is over; saying it unchanged costs nothing before half of it.
-type Say struct {
+type Publish struct {
 	Item news.Item
 }
 
-// Used tells that a team used tokens here. The heaviest teams are found among
+// TokensUsed tells that a team used tokens here. The heaviest teams are found among
 // all by a bounded sketch.
-type Used struct {
+type TokensUsed struct {
 	Team   spec.TeamID
 	Tokens int
 }
 
-// Duties tells which duties there are; it replaces the former ones.
-type Duties struct {
+// SetDuties tells which duties there are; it replaces the former ones.
+type SetDuties struct {
 	Duties []DutySpec
 }
 
@@ -78,18 +78,18 @@
 // when that is done; the instance goes on speaking with the others.
 type Stop struct{}
 
-// Quit ends the graceful stop once nothing is in progress: the others are
+// Leave ends the graceful stop once nothing is in progress: the others are
 // told before this instance falls silent. Done tells when they know.
-type Quit struct{}
+type Leave struct{}
 
-func (Listed) event() {}
-func (Heard) event()  {}
-func (Lost) event()   {}
-func (Say) event()    {}
-func (Used) event()   {}
-func (Duties) event() {}
-func (Stop) event()   {}
-func (Quit) event()   {}
+func (DiscoveryList) event()  {}
+func (Received) event()       {}
+func (ConnectionLost) event() {}
+func (Publish) event()        {}
+func (TokensUsed) event()     {}
+func (SetDuties) event()      {}
+func (Stop) event()           {}
+func (Leave) event()          {}
 
 // Command is something that the logic wants done outside.
 type Command interface{ command() }
@@ -106,37 +106,37 @@
 	Item news.Item
 }
 
-// Expire tells that the items of an instance count no more: it died, left or
+// ExpirePeer tells that the items of an instance count no more: it died, left or
 // restarted.
-type Expire struct {
+type ExpirePeer struct {
 	Peer spec.InstanceID
 }
 
 // Watch tells which engines this instance reads the reports of from now on.
 type Watch struct {
 	Engines []spec.UpstreamID
-	// First are those of Engines of which it also tells the others; for the
+	// Primary are those of Engines of which it also tells the others; for the
 	// rest it stands by.
-	First []spec.UpstreamID
+	Primary []spec.UpstreamID
 }
 
 // Duty tells whether this instance should hold a duty, by rendezvous over the
 // live ones; it acts only once it also holds the duty's lease.
 type Duty struct {
-	Name string
-	Mine bool
+	Name     string
+	Assigned bool
 }
 
-// TeamUse tells the use of a heavy team over the fleet, the own use among it,
+// TeamUsage tells the use of a heavy team over the fleet, the own use among it,
 // in tokens a second.
-type TeamUse struct {
+type TeamUsage struct {
 	Team spec.TeamID
 	Rate float64
 }
 
-// EngineLoad tells what all other instances of the data centre have in flight
+// PeerEngineLoad tells what all other instances of the data centre have in flight
 // on an engine.
-type EngineLoad struct {
+type PeerEngineLoad struct {
 	Engine spec.UpstreamID
 	Active int
 	Tokens int
@@ -150,22 +150,22 @@
 // HandedOver tells that duties and watches passed on after Stop.
 type HandedOver struct{}
 
-// Done tells that the others know of the end after Quit.
-type Done struct{}
+// Left tells that the others know of the end after Quit.
+type Left struct{}
 
 // Ready tells that this instance knows what its peers know, so that it may
 // take decisions.
 type Ready struct{}
 
-func (Send) command()    {}
-func (Deliver) command() {}
-func (Expire) command()  {}
-func (Watch) command()   {}
-func (Duty) command()    {}
-func (Ready) command()   {}
-
-func (TeamUse) command()    {}
-func (EngineLoad) command() {}
-func (Members) command()    {}
-func (HandedOver) command() {}
-func (Done) command()       {}
+func (Send) command()       {}
+func (Deliver) command()    {}
+func (ExpirePeer) command() {}
+func (Watch) command()      {}
+func (Duty) command()       {}
+func (Ready) command()      {}
+
+func (TeamUsage) command()      {}
+func (PeerEngineLoad) command() {}
+func (Members) command()        {}
+func (HandedOver) command()     {}
+func (Left) command()           {}
--- a/internal/fleet/node/hear.go
+++ b/internal/fleet/node/hear.go
@@ -9,145 +9,145 @@
 	"fulmarwick/internal/fleet/talk"
 )
 
-// heard takes a message from another instance. The transport vouches for who
+// handleMessage takes a message from another instance. The transport vouches for who
 // sent it.
-func (l *Logic) heard(ev Heard) {
-	l.stats.Heard++
-	l.stats.HeardBytes += uint64(len(ev.Data))
+func (l *Logic) handleMessage(ev Received) {
+	l.stats.Received++
+	l.stats.ReceivedBytes += uint64(len(ev.Data))
 	m, err := talk.Decode(ev.Data)
-	if err != nil || ev.From == l.Self.ID {
-		l.stats.Bad++
+	if err != nil || ev.From == l.Local.ID {
+		l.stats.Malformed++
 		return
 	}
-	l.noteHeard(ev.From)
+	l.recordContact(ev.From)
 	for _, rec := range m.Records {
-		l.members.Learn(l.now, rec)
+		l.members.ApplyRecord(l.now, rec)
 	}
-	l.noteChanges()
+	l.handleMemberChanges()
 	for i := range m.Blocks {
-		l.take(ev.From, &m.Blocks[i])
+		l.applyBlock(ev.From, &m.Blocks[i])
 	}
-	if m.Share != nil && l.near(ev.From) {
-		l.share.sums.Take(l.now, ev.From, *m.Share)
+	if m.Share != nil && l.inLocalCentre(ev.From) {
+		l.shares.aggregator.SetShare(l.now, ev.From, *m.Share)
 	}
-	l.acked(ev.From, m)
-	l.called(ev.From, m)
+	l.handleAck(ev.From, m)
+	l.handleCall(ev.From, m)
 }
 
-func (l *Logic) noteHeard(id spec.InstanceID) {
-	if l.calls.heard == nil {
-		l.calls.heard = map[spec.InstanceID]time.Duration{}
+func (l *Logic) recordContact(id spec.InstanceID) {
+	if l.calls.lastSeen == nil {
+		l.calls.lastSeen = map[spec.InstanceID]time.Duration{}
 	}
-	l.calls.heard[id] = l.now
-	if rec, ok := l.members.Get(id); ok && rec.DataCentre != l.Self.DataCentre {
-		l.remotes.heardFrom(rec.DataCentre, l.now)
+	l.calls.lastSeen[id] = l.now
+	if rec, ok := l.members.Get(id); ok && rec.DataCentre != l.Local.DataCentre {
+		l.remoteCentres.recordContact(rec.DataCentre, l.now)
 	}
 }
 
-// called answers a call.
-func (l *Logic) called(from spec.InstanceID, m *talk.Message) {
+// handleCall answers a call.
+func (l *Logic) handleCall(from spec.InstanceID, m *talk.Message) {
 	switch {
-	case m.Call == 0:
-	case m.Target != "":
-		l.relay(m.Target, from, m.Call)
-	case !m.Digest:
-		l.answer(from).Ack = m.Call
+	case m.CallID == 0:
+	case m.ProbeTarget != "":
+		l.probeFor(m.ProbeTarget, from, m.CallID)
+	case !m.HasDigest:
+		l.messageForAck(from).AckID = m.CallID
 	default:
-		if l.near(from) {
-			l.meets.called(from, l.now)
+		if l.inLocalCentre(from) {
+			l.exchanges.recordCaller(from, l.now)
 		}
-		l.answerExchange(from, m)
+		l.replyToExchange(from, m)
 	}
 }
 
-// answerExchange gives what the caller lacks and asks for what it has more.
-func (l *Logic) answerExchange(from spec.InstanceID, m *talk.Message) {
-	out := l.answer(from)
-	out.Ack = m.Call
+// replyToExchange gives what the caller lacks and asks for what it has more.
+func (l *Logic) replyToExchange(from spec.InstanceID, m *talk.Message) {
+	out := l.messageForAck(from)
+	out.AckID = m.CallID
 	out.Ready = l.join.ready
-	records, all := l.members.Differ(m.Sums, mostRecords, l.turn())
+	records, all := l.members.DifferingRecords(m.Checksums, maxRecordBytes, l.randomStart())
 	if len(records) > 0 {
 		out.Records = append(out.Records, records...)
-		out.Sums = l.members.Sums()
+		out.Checksums = l.members.Checksums()
 	}
 	scope := l.scope(from)
-	blocks, whole := l.items.Delta(l.now, scope, m.Marks, l.budget.delta(), l.turn())
+	blocks, whole := l.items.Delta(l.now, scope, m.Watermarks, l.budget.deltaLimit(), l.randomStart())
 	out.Blocks = append(out.Blocks, blocks...)
-	out.Wants = l.items.Wants(m.Marks)
-	out.Whole = whole && all
+	out.Wants = l.items.Wants(m.Watermarks)
+	out.Complete = whole && all
 }
 
-// acked takes the answer to an own call.
-func (l *Logic) acked(from spec.InstanceID, m *talk.Message) {
-	if m.Ack != 0 {
-		if c := l.answered(m.Ack); c != nil && c.to == from {
-			l.join.answered(l, from, c, m)
-			if c.bye {
-				l.drain.Heard(l.now, from)
+// handleAck takes the answer to an own call.
+func (l *Logic) handleAck(from spec.InstanceID, m *talk.Message) {
+	if m.AckID != 0 {
+		if c := l.completeCall(m.AckID); c != nil && c.to == from {
+			l.join.handleAnswer(l, from, c, m)
+			if c.announcesStop {
+				l.drain.RecordAck(l.now, from)
 			}
 		}
 	}
 	if len(m.Wants) > 0 {
-		blocks, _ := l.items.Answer(l.now, m.Wants, l.budget.delta(), l.turn())
+		blocks, _ := l.items.DeltaSince(l.now, m.Wants, l.budget.deltaLimit(), l.randomStart())
 		if len(blocks) > 0 {
-			out := l.to(from)
+			out := l.messageFor(from)
 			out.Blocks = append(out.Blocks, blocks...)
 		}
 	}
 	// The answer to a call carries sums only if the tables differ.
-	if m.Ack != 0 && len(m.Sums) > 0 {
-		if records, _ := l.members.Differ(m.Sums, mostRecords, l.turn()); len(records) > 0 {
-			out := l.to(from)
+	if m.AckID != 0 && len(m.Checksums) > 0 {
+		if records, _ := l.members.DifferingRecords(m.Checksums, maxRecordBytes, l.randomStart()); len(records) > 0 {
+			out := l.messageFor(from)
 			out.Records = append(out.Records, records...)
 		}
 	}
 }
 
-// turn picks the stream to begin with, so that a small budget serves all.
-func (l *Logic) turn() int { return l.Rand.IntN(1 << 16) }
+// randomStart picks the stream to begin with, so that a small budget serves all.
+func (l *Logic) randomStart() int { return l.Rand.IntN(1 << 16) }
 
-// take takes a block of items and hands on what is new.
-func (l *Logic) take(from spec.InstanceID, b *talk.Block) {
-	if b.Scope == news.ScopeCentre && !l.near(from) {
+// applyBlock takes a block of items and hands on what is new.
+func (l *Logic) applyBlock(from spec.InstanceID, b *talk.Block) {
+	if b.Scope == news.ScopeCentre && !l.inLocalCentre(from) {
 		return
 	}
-	l.noteBirth(b)
+	l.detectRestart(b)
 	rec, known := l.members.Get(b.Origin)
-	for _, item := range l.items.Take(l.now, b) {
+	for _, item := range l.items.ApplyBlock(l.now, b) {
 		gone := known && (rec.State == talk.StateDead || rec.State == talk.StateLeft)
-		if gone && gossip.Mortal(item.Kind) {
+		if gone && gossip.EndsWithOrigin(item.Kind) {
 			continue
 		}
 		l.deliver(item)
 		if gossip.Urgent(item.Kind) {
-			l.push.item(item, from)
+			l.pushes.add(item, from)
 		}
 	}
 }
 
-// noteBirth learns of a restart from the items of the new self, so that what
+// detectRestart learns of a restart from the items of the new self, so that what
 // the former self told is forgotten before they are handed on.
-func (l *Logic) noteBirth(b *talk.Block) {
+func (l *Logic) detectRestart(b *talk.Block) {
 	rec, ok := l.members.Get(b.Origin)
-	if !ok || b.Born <= rec.Born || b.Origin == l.Self.ID {
+	if !ok || b.StartTime <= rec.StartTime || b.Origin == l.Local.ID {
 		return
 	}
-	rec.Born = b.Born
-	rec.Inc = 0
+	rec.StartTime = b.StartTime
+	rec.Incarnation = 0
 	rec.State = talk.StateAlive
 	rec.Passive = true
-	rec.By = ""
-	l.members.Learn(l.now, rec)
-	l.noteChanges()
+	rec.SuspectedBy = ""
+	l.members.ApplyRecord(l.now, rec)
+	l.handleMemberChanges()
 }
 
 // deliver hands an item of another instance to whom it concerns.
 func (l *Logic) deliver(item news.Item) {
 	switch item.Kind {
 	case news.KindLoads:
-		l.takeLoads(item)
+		l.handleLoads(item)
 	case news.KindRates:
-		l.takeRates(item)
+		l.handleRates(item)
 	case news.KindReach:
 	default:
 		l.emit(Deliver{Item: item})
--- a/internal/fleet/node/join.go
+++ b/internal/fleet/node/join.go
@@ -10,59 +10,59 @@
 
 // Times of a join.
 const (
-	// DefaultAlone is how long a new instance looks for others before it
+	// DefaultAloneTimeout is how long a new instance looks for others before it
 	// counts as the first.
-	DefaultAlone = 3 * time.Second
-	// joinMost is how much longer it waits for listed instances that do not
+	DefaultAloneTimeout = 3 * time.Second
+	// maxJoinWait is how much longer it waits for listed instances that do not
 	// answer; after that it serves, since refusing all work for want of peers
 	// would be an outage of its own.
-	joinMost = 10 * time.Second
-	// catchUp is how many peers must have given all that they have.
-	catchUp = 2
-	// resumeAfter is the pause between two answers of one peer while catching
+	maxJoinWait = 10 * time.Second
+	// minReadyPeers is how many peers must have given all that they have.
+	minReadyPeers = 2
+	// resumeDelay is the pause between two answers of one peer while catching
 	// up.
-	resumeAfter = 100 * time.Millisecond
-	// readyAfter is the pause before a peer that is not ready is asked again.
-	readyAfter = 500 * time.Millisecond
+	resumeDelay = 100 * time.Millisecond
+	// unreadyRetryDelay is the pause before a peer that is not ready is asked again.
+	unreadyRetryDelay = 500 * time.Millisecond
 )
 
-// join is how far a new instance caught up.
-type join struct {
+// joinState is how far a new instance caught up.
+type joinState struct {
 	ready bool
-	// whole are the peers that gave all they had, caught those of them that
+	// completePeers are the peers that gave all they had, caught those of them that
 	// are ready themselves.
-	whole  []spec.InstanceID
-	caught []spec.InstanceID
-	again  []meet
+	completePeers []spec.InstanceID
+	readyPeers    []spec.InstanceID
+	retries       []scheduledExchange
 }
 
-// answered notes what an answer to an exchange says about catching up.
-func (j *join) answered(l *Logic, from spec.InstanceID, c *call, m *talk.Message) {
-	if j.ready || c.why == purposeRelay {
+// handleAnswer notes what an answer to an exchange says about catching up.
+func (j *joinState) handleAnswer(l *Logic, from spec.InstanceID, c *call, m *talk.Message) {
+	if j.ready || c.purpose == purposeIndirectProbe {
 		return
 	}
-	if !m.Whole {
-		j.askAgain(from, l.now+resumeAfter)
+	if !m.Complete {
+		j.scheduleRetry(from, l.now+resumeDelay)
 		return
 	}
-	if !slices.Contains(j.whole, from) {
-		j.whole = append(j.whole, from)
+	if !slices.Contains(j.completePeers, from) {
+		j.completePeers = append(j.completePeers, from)
 	}
-	if m.Ready && !slices.Contains(j.caught, from) {
-		j.caught = append(j.caught, from)
+	if m.Ready && !slices.Contains(j.readyPeers, from) {
+		j.readyPeers = append(j.readyPeers, from)
 	}
 	// A peer that joins too will soon be ready. Without asking again, this
 	// instance would learn so only by chance and stay unready for seconds.
 	if !m.Ready {
-		j.askAgain(from, l.now+readyAfter)
+		j.scheduleRetry(from, l.now+unreadyRetryDelay)
 	}
 }
 
-// askAgain plans one further exchange with a peer. A second plan for the same
+// scheduleRetry plans one further exchange with a peer. A second plan for the same
 // peer would double with each answer.
-func (j *join) askAgain(id spec.InstanceID, at time.Duration) {
-	if !slices.ContainsFunc(j.again, func(r meet) bool { return r.id == id }) {
-		j.again = append(j.again, meet{id: id, next: at})
+func (j *joinState) scheduleRetry(id spec.InstanceID, at time.Duration) {
+	if !slices.ContainsFunc(j.retries, func(r scheduledExchange) bool { return r.id == id }) {
+		j.retries = append(j.retries, scheduledExchange{id: id, dueAt: at})
 	}
 }
 
@@ -73,59 +73,59 @@
 	if j.ready {
 		return
 	}
-	j.again = slices.DeleteFunc(j.again, func(r meet) bool {
-		if l.now < r.next {
+	j.retries = slices.DeleteFunc(j.retries, func(r scheduledExchange) bool {
+		if l.now < r.dueAt {
 			return false
 		}
-		l.exchange(r.id, purposeSeek)
+		l.startExchange(r.id, purposeBestEffort)
 		return true
 	})
-	if l.caughtUp() || l.first() {
+	if l.isCaughtUp() || l.isFirst() {
 		j.ready = true
-		j.again, j.whole, j.caught = nil, nil, nil
-		l.members.Passive(l.drain.Stopping())
-		l.watch.dirty = true
+		j.retries, j.completePeers, j.readyPeers = nil, nil, nil
+		l.members.SetPassive(l.drain.Stopping())
+		l.assignments.dirty = true
 		l.emit(Ready{})
 	}
 }
 
-// caughtUp reports whether enough ready peers gave all they had. The first
+// isCaughtUp reports whether enough ready peers gave all they had. The first
 // instance of a data centre meets one gateway of another and hears no details
 // from any, so that one is enough for it.
-func (l *Logic) caughtUp() bool {
-	near := len(l.others(true))
+func (l *Logic) isCaughtUp() bool {
+	near := len(l.livePeers(true))
 	if near == 0 {
-		return len(l.join.caught) > 0
+		return len(l.join.readyPeers) > 0
 	}
-	return len(l.join.caught) >= min(catchUp, near)
+	return len(l.join.readyPeers) >= min(minReadyPeers, near)
 }
 
-// first reports whether there is nobody to learn from: nobody was found for
+// isFirst reports whether there is nobody to learn from: nobody was found for
 // long enough, or all that were found are as new as this instance and gave
 // what they have.
-func (l *Logic) first() bool {
+func (l *Logic) isFirst() bool {
 	waited := l.now - l.started
-	if waited < l.Alone || len(l.join.caught) > 0 && waited < l.Alone+joinMost {
+	if waited < l.AloneTimeout || len(l.join.readyPeers) > 0 && waited < l.AloneTimeout+maxJoinWait {
 		return false
 	}
-	others := l.others(false)
+	others := l.livePeers(false)
 	for _, id := range others {
-		if !slices.Contains(l.join.whole, id) && waited < l.Alone+joinMost {
+		if !slices.Contains(l.join.completePeers, id) && waited < l.AloneTimeout+maxJoinWait {
 			return false
 		}
 	}
 	// Listed ones that do not answer may only be slow; a list that was never
 	// read says nothing at all.
-	silent := !l.listed.seen
-	for _, p := range l.listed.peers {
-		silent = silent || !slices.Contains(others, p.ID) && p.DataCentre == l.Self.DataCentre
+	silent := !l.discovered.received
+	for _, p := range l.discovered.peers {
+		silent = silent || !slices.Contains(others, p.ID) && p.DataCentre == l.Local.DataCentre
 	}
-	return !silent || waited >= l.Alone+joinMost
+	return !silent || waited >= l.AloneTimeout+maxJoinWait
 }
 
-// others are the other live instances, of the own data centre only if near.
-func (l *Logic) others(near bool) []spec.InstanceID {
-	return l.members.Members(func(r talk.Record) bool {
-		return r.ID != l.Self.ID && (!near || r.DataCentre == l.Self.DataCentre)
+// livePeers are the other live instances, of the own data centre only if near.
+func (l *Logic) livePeers(near bool) []spec.InstanceID {
+	return l.members.LiveMembers(func(r talk.Record) bool {
+		return r.ID != l.Local.ID && (!near || r.DataCentre == l.Local.DataCentre)
 	})
 }
--- a/internal/fleet/node/join_test.go
+++ b/internal/fleet/node/join_test.go
@@ -12,14 +12,14 @@
 	"fulmarwick/internal/fleet/node"
 )
 
-func duty(i int) node.DutySpec {
+func fleetDuty(i int) node.DutySpec {
 	return node.DutySpec{Name: fmt.Sprintf("d%02d", i), Scope: news.ScopeFleet}
 }
 
-// holders lists "duty instance" for every duty held by those that ok accepts.
-func (f *fleet) holders(ok func(*inst) bool) []string {
+// dutyHolders lists "duty instance" for every duty held by those that ok accepts.
+func (f *fleet) dutyHolders(ok func(*instance) bool) []string {
 	var out []string
-	for _, x := range f.nodes {
+	for _, x := range f.instances {
 		for name, mine := range x.duty {
 			if mine && x.up && ok(x) {
 				out = append(out, name+" "+string(x.self.ID))
@@ -30,23 +30,23 @@
 	return out
 }
 
-// watched counts the watchers of each engine, and how many speak for it.
-func (f *fleet) watched() (all, first map[spec.UpstreamID]int) {
+// countWatchers counts the watchers of each engine, and how many speak for it.
+func (f *fleet) countWatchers() (all, first map[spec.UpstreamID]int) {
 	all, first = map[spec.UpstreamID]int{}, map[spec.UpstreamID]int{}
-	for _, x := range f.nodes {
+	for _, x := range f.instances {
 		for _, e := range x.watch.Engines {
 			all[e]++
 		}
-		for _, e := range x.watch.First {
+		for _, e := range x.watch.Primary {
 			first[e]++
 		}
 	}
 	return all, first
 }
 
-func (f *fleet) wantWatched(engines int) {
+func (f *fleet) checkWatchers(engines int) {
 	f.t.Helper()
-	all, first := f.watched()
+	all, first := f.countWatchers()
 	if len(all) != engines || len(first) != engines {
 		f.t.Errorf("got %d engines watched and %d spoken for, want %d", len(all), len(first), engines)
 	}
@@ -60,10 +60,10 @@
 func TestEnginesHaveTwoWatchers(t *testing.T) {
 	f := newFleet(t, 6, 1, 30)
 	f.settle()
-	f.wantWatched(30)
-	f.kill(f.nodes[0])
+	f.checkWatchers(30)
+	f.kill(f.instances[0])
 	f.run(10 * time.Second)
-	f.wantWatched(30)
+	f.checkWatchers(30)
 }
 
 // A new instance joins while work is in flight. It takes no decision before it
@@ -71,29 +71,29 @@
 func TestJoinCatchesUpBeforeReady(t *testing.T) {
 	f := newFleet(t, 8, 1, 0)
 	for i := range 200 {
-		f.duties = append(f.duties, duty(i))
+		f.duties = append(f.duties, fleetDuty(i))
 	}
-	late := f.nodes[7]
-	for _, x := range f.nodes {
+	late := f.instances[7]
+	for _, x := range f.instances {
 		f.start(x)
 	}
 	f.kill(late)
 	f.settle()
 	var items []string
 	for i := range 300 {
-		items = append(items, f.say(f.nodes[i%7], news.KindPrint, fmt.Sprintf("p%d", i), news.ScopeFleet, news.Print{Print: uint64(i), Crashes: 1}))
+		items = append(items, f.publish(f.instances[i%7], news.KindPrint, fmt.Sprintf("p%d", i), news.ScopeFleet, news.Print{Print: uint64(i), Crashes: 1}))
 	}
 	f.run(5 * time.Second)
-	before := f.holders(everyone)
+	before := f.dutyHolders(anyInstance)
 	f.start(late)
-	f.until(20*time.Second, "ready joiner", func() bool { return late.ready != 0 })
+	f.runUntil(20*time.Second, "ready joiner", func() bool { return late.readyAt != 0 })
 	for _, i := range items {
-		if late.got[i] == 0 {
+		if late.receivedAt[i] == 0 {
 			t.Fatalf("got no %s before Ready, want all items", i)
 		}
 	}
 	f.run(5 * time.Second)
-	after := f.holders(everyone)
+	after := f.dutyHolders(anyInstance)
 	moved := 0
 	for _, h := range before {
 		if !slices.Contains(after, h) {
@@ -111,49 +111,49 @@
 func TestRollingRestartKeepsDuties(t *testing.T) {
 	f := newFleet(t, 4, 2, 10)
 	for i := range 20 {
-		f.duties = append(f.duties, duty(i))
+		f.duties = append(f.duties, fleetDuty(i))
 	}
-	for _, x := range f.nodes {
+	for _, x := range f.instances {
 		f.start(x)
 	}
 	f.settle()
-	for _, x := range f.nodes {
+	for _, x := range f.instances {
 		x.events = append(x.events, node.Stop{})
-		f.until(6*time.Second, "hand-over", func() bool { return x.handed })
-		if got := f.holders(everyone); len(got) != 20 {
+		f.runUntil(6*time.Second, "hand-over", func() bool { return x.handedOver })
+		if got := f.dutyHolders(anyInstance); len(got) != 20 {
 			t.Errorf("got %d duties held after a hand-over, want 20", len(got))
 		}
 		if got := len(x.watch.Engines); got != 0 {
 			t.Errorf("got %d watches after the hand-over, want 0", got)
 		}
-		x.events = append(x.events, node.Quit{})
-		f.until(3*time.Second, "goodbye", func() bool { return x.done })
-		for _, p := range f.nodes {
-			if p != x && p.self.DataCentre == x.self.DataCentre && p.expired[x.self.ID] == 0 {
+		x.events = append(x.events, node.Leave{})
+		f.runUntil(3*time.Second, "goodbye", func() bool { return x.left })
+		for _, p := range f.instances {
+			if p != x && p.self.DataCentre == x.self.DataCentre && p.expiredAt[x.self.ID] == 0 {
 				t.Errorf("got no end of %s at %s once it was done, want one", x.self.ID, p.self.ID)
 			}
 		}
 		f.kill(x)
 		f.run(2 * time.Second)
 		f.start(x)
-		f.until(20*time.Second, "ready again", func() bool { return x.ready != 0 })
+		f.runUntil(20*time.Second, "ready again", func() bool { return x.readyAt != 0 })
 		f.run(3 * time.Second)
 	}
-	if got := f.holders(everyone); len(got) != 20 {
+	if got := f.dutyHolders(anyInstance); len(got) != 20 {
 		t.Errorf("got %d duties held at the end, want 20", len(got))
 	}
 }
 
 func TestFirstInstanceBecomesReadyAlone(t *testing.T) {
 	f := newFleet(t, 4, 1, 2)
-	for _, x := range f.nodes[1:] {
+	for _, x := range f.instances[1:] {
 		f.kill(x)
 	}
-	took := f.until(20*time.Second, "ready", func() bool { return f.nodes[0].ready != 0 })
-	if got, want := took, node.DefaultAlone; got < want {
+	took := f.runUntil(20*time.Second, "ready", func() bool { return f.instances[0].readyAt != 0 })
+	if got, want := took, node.DefaultAloneTimeout; got < want {
 		t.Errorf("got ready after %v, want at least %v to look for others", got, want)
 	}
-	if got := len(f.nodes[0].watch.Engines); got != 2 {
+	if got := len(f.instances[0].watch.Engines); got != 2 {
 		t.Errorf("got %d engines watched, want 2", got)
 	}
 }
@@ -161,31 +161,31 @@
 // The first instance of a data centre starts beside others that serve already.
 // It is ready as soon as it heard what spreads between data centres; waiting
 // for a second peer that nothing makes it meet would keep it out for longer.
-func TestFirstOfDataCentreIsReadySoon(t *testing.T) {
+func TestFirstInstanceOfDataCentreIsReadySoon(t *testing.T) {
 	f := newFleet(t, 3, 2, 0)
-	late := f.nodes[1]
+	late := f.instances[1]
 	f.kill(late)
 	f.settle()
 	f.run(30 * time.Second)
-	late.ready = 0
+	late.readyAt = 0
 	f.start(late)
-	f.until(6*time.Second, "ready first instance", func() bool { return late.ready != 0 })
+	f.runUntil(6*time.Second, "ready first instance", func() bool { return late.readyAt != 0 })
 }
 
 // Instances are replaced by others of new names for days. The names that the
 // list gave up are not looked for any more; those still listed are, although
 // the list came back empty in between.
-func TestNamesOfReplacedInstancesAreGivenUp(t *testing.T) {
-	peers := func(from, to int) node.Listed {
-		var ev node.Listed
+func TestReplacedInstancesAreNoLongerCalled(t *testing.T) {
+	peers := func(from, to int) node.DiscoveryList {
+		var ev node.DiscoveryList
 		for i := from; i < to; i++ {
 			ev.Peers = append(ev.Peers, node.Peer{ID: spec.InstanceID(fmt.Sprint("i", i)), DataCentre: "dc", URL: "http://10.0.0.1"})
 		}
 		return ev
 	}
-	l := &node.Logic{Self: node.Peer{ID: "self", DataCentre: "dc"}, Born: 1, Rand: rand.New(rand.NewPCG(1, 2))}
+	l := &node.Logic{Local: node.Peer{ID: "self", DataCentre: "dc"}, StartTime: 1, Rand: rand.New(rand.NewPCG(1, 2))}
 	l.Tick(0, []node.Event{peers(0, 50)})
-	l.Tick(time.Hour, []node.Event{node.Listed{}})
+	l.Tick(time.Hour, []node.Event{node.DiscoveryList{}})
 	l.Tick(3*time.Hour, []node.Event{peers(45, 60)})
 	called := map[spec.InstanceID]bool{}
 	for now := 3 * time.Hour; now < 4*time.Hour; now += 50 * time.Millisecond {
--- a/internal/fleet/node/logic.go
+++ b/internal/fleet/node/logic.go
@@ -15,54 +15,54 @@
 )
 
 const (
-	// pauseGap is the time between two ticks that shows that this process did
+	// minPause is the time between two ticks that shows that this process did
 	// not run; whatever waited in the meantime proves nothing about others.
-	pauseGap = time.Second
-	// sketchSize is how many teams the sketch of heavy teams counts.
-	sketchSize = 4 * quota.Heavy
+	minPause = time.Second
+	// maxSketchTeams is how many teams the sketch of heavy teams counts.
+	maxSketchTeams = 4 * quota.MaxHeavyTeams
 )
 
 // Logic is one instance among the others. Set the exported fields before the
 // first Tick.
 type Logic struct {
-	// Self is the own instance.
-	Self Peer
-	// Born tells restarts apart: seconds since 1970 at the start. A clock that
+	// Local is the own instance.
+	Local Peer
+	// StartTime tells restarts apart: seconds since 1970 at the start. A clock that
 	// went back is made up for by what the others remember.
-	Born uint32
+	StartTime uint32
 	// Rand is a seeded source.
 	Rand *rand.Rand
-	// Alone is how long to look for peers before this instance counts as the
+	// AloneTimeout is how long to look for peers before this instance counts as the
 	// first; zero is DefaultAlone.
-	Alone time.Duration
-
-	begun   bool
-	started time.Duration
-	now     time.Duration
-	out     []Command
-	members member.Table
-	items   gossip.Store
-	budget  budget
-	outbox  outbox
-	calls   calls
-	meets   meets
-	remotes remotes
-	watch   watches
-	share   shares
-	join    join
-	drain   drain.Drain
-	listed  listed
-	push    pushes
-	stats   Stats
+	AloneTimeout time.Duration
+
+	initialized   bool
+	started       time.Duration
+	now           time.Duration
+	commands      []Command
+	members       member.Table
+	items         gossip.Store
+	budget        budget
+	outbox        outbox
+	calls         calls
+	exchanges     exchanges
+	remoteCentres remoteCentres
+	assignments   assignments
+	shares        shares
+	join          joinState
+	drain         drain.Drainer
+	discovered    discoveryList
+	pushes        pushes
+	stats         Stats
 }
 
 // Stats counts what the logic met. All counts only grow.
 type Stats struct {
 	// Sent and SentBytes count messages out, Heard and HeardBytes those in;
 	// bytes are without the transport's own.
-	Sent, SentBytes, Heard, HeardBytes uint64
-	// Bad counts messages that were refused.
-	Bad uint64
+	Sent, SentBytes, Received, ReceivedBytes uint64
+	// Malformed counts messages that were refused.
+	Malformed uint64
 	// Suspected counts suspicions that began here.
 	Suspected uint64
 	// Pauses counts times that this process did not run.
@@ -74,134 +74,134 @@
 // Stats returns the counts.
 func (l *Logic) Stats() Stats {
 	s := l.stats
-	s.Items = l.items.Items()
-	s.Refused = l.items.Refused()
+	s.Items = l.items.ItemCount()
+	s.Refused = l.items.RefusedCount()
 	return s
 }
 
 // Tick takes events in and returns what is to be done. It is called at least
 // every 50 ms and whenever an event came.
 func (l *Logic) Tick(now time.Duration, events []Event) []Command {
-	l.out = nil
-	if !l.begun {
-		l.begin(now)
+	l.commands = nil
+	if !l.initialized {
+		l.initState(now)
 	}
-	l.paused(now)
+	l.handlePause(now)
 	l.now = now
 	for _, ev := range events {
 		l.apply(ev)
-		l.noteChanges()
+		l.handleMemberChanges()
 	}
 	l.members.Tick(now)
-	l.noteChanges()
+	l.handleMemberChanges()
 	l.items.Tick(now)
 	l.tickCalls()
-	l.tickMeets()
-	l.tickRemotes()
+	l.tickExchanges()
+	l.tickRemoteCentres()
 	l.tickShares()
 	l.tickJoin()
 	l.tickDrain()
-	l.noteChanges()
-	l.tickWatch()
+	l.handleMemberChanges()
+	l.tickAssignments()
 	l.flush()
-	return l.out
+	return l.commands
 }
 
-func (l *Logic) begin(now time.Duration) {
-	l.begun = true
+func (l *Logic) initState(now time.Duration) {
+	l.initialized = true
 	l.started = now
 	l.now = now
-	l.members.Self = talk.Record{
-		ID: l.Self.ID, DataCentre: l.Self.DataCentre, URL: l.Self.URL, Born: l.Born, Passive: true,
+	l.members.Local = talk.Record{
+		ID: l.Local.ID, DataCentre: l.Local.DataCentre, URL: l.Local.URL, StartTime: l.StartTime, Passive: true,
 	}
 	l.members.Init()
-	l.items.Self = l.Self.ID
-	l.items.Born = l.Born
+	l.items.LocalID = l.Local.ID
+	l.items.StartTime = l.StartTime
 	l.items.Init()
-	l.share.sketch.Size = sketchSize
-	if l.Alone == 0 {
-		l.Alone = DefaultAlone
+	l.shares.sketch.Size = maxSketchTeams
+	if l.AloneTimeout == 0 {
+		l.AloneTimeout = DefaultAloneTimeout
 	}
 }
 
-// paused forgives everyone after this process did not run for a while. Without
+// handlePause forgives everyone after this process did not run for a while. Without
 // it, answers that wait unread would look like the death of all others.
-func (l *Logic) paused(now time.Duration) {
-	if now-l.now < pauseGap {
+func (l *Logic) handlePause(now time.Duration) {
+	if now-l.now < minPause {
 		return
 	}
 	l.stats.Pauses++
-	l.members.Postpone(now)
+	l.members.ExtendSuspicions(now)
 	l.calls.rows = nil
 }
 
 func (l *Logic) apply(ev Event) {
 	switch ev := ev.(type) {
-	case Listed:
-		l.list(ev)
-	case Heard:
-		l.heard(ev)
-	case Lost:
-		l.lost(ev.Peer)
-	case Say:
-		l.say(ev.Item)
-	case Used:
-		l.share.sketch.Add(ev.Team, float64(ev.Tokens))
-	case Duties:
-		l.watch.duties(ev.Duties)
+	case DiscoveryList:
+		l.handleDiscoveryList(ev)
+	case Received:
+		l.handleMessage(ev)
+	case ConnectionLost:
+		l.handleConnectionLost(ev.Peer)
+	case Publish:
+		l.publish(ev.Item)
+	case TokensUsed:
+		l.shares.sketch.Add(ev.Team, float64(ev.Tokens))
+	case SetDuties:
+		l.assignments.setDuties(ev.Duties)
 	case Stop:
-		l.stop()
-	case Quit:
-		l.quit()
+		l.beginStop()
+	case Leave:
+		l.leave()
 	}
 }
 
-func (l *Logic) emit(c Command) { l.out = append(l.out, c) }
+func (l *Logic) emit(c Command) { l.commands = append(l.commands, c) }
 
-// noteChanges acts on what changed in the member table.
-func (l *Logic) noteChanges() {
-	for _, c := range l.members.Changes() {
+// handleMemberChanges acts on what changed in the member table.
+func (l *Logic) handleMemberChanges() {
+	for _, c := range l.members.TakeChanges() {
 		switch {
-		case c.Is == talk.StateDead || c.Is == talk.StateLeft:
+		case c.NewState == talk.StateDead || c.NewState == talk.StateLeft:
 			l.expire(c.ID, math.MaxUint32)
-		case c.Reborn:
+		case c.Restarted:
 			rec, _ := l.members.Get(c.ID)
-			l.expire(c.ID, rec.Born)
+			l.expire(c.ID, rec.StartTime)
 		}
 	}
-	if born := l.members.Self.Born; born != l.items.Born {
-		l.items.Reborn(l.now, born)
+	if born := l.members.Local.StartTime; born != l.items.StartTime {
+		l.items.RestartStreams(l.now, born)
 	}
 }
 
 func (l *Logic) expire(id spec.InstanceID, before uint32) {
-	l.items.Forget(id, before)
-	l.share.sums.Drop(id)
-	l.emit(Expire{Peer: id})
+	l.items.ExpireOrigin(id, before)
+	l.shares.aggregator.Remove(id)
+	l.emit(ExpirePeer{Peer: id})
 }
 
-// say spreads an item of the own instance.
-func (l *Logic) say(item news.Item) {
+// publish spreads an item of the own instance.
+func (l *Logic) publish(item news.Item) {
 	switch item.Kind {
 	case news.KindLoad, news.KindRate:
-		l.use(item)
+		l.setLocalUsage(item)
 		return
 	case news.KindSum:
-		l.share.room(item)
+		l.shares.setMemorySum(item)
 		return
 	case news.KindHead:
-		if l.headKnown(item) {
+		if l.isHeadKnown(item) {
 			return
 		}
 	}
-	if item, fresh := l.items.Say(l.now, item); fresh && gossip.Urgent(item.Kind) {
-		l.push.item(item, "")
+	if item, fresh := l.items.Publish(l.now, item); fresh && gossip.Urgent(item.Kind) {
+		l.pushes.add(item, "")
 	}
 }
 
-// headKnown reports whether the others were told of the version or a later
+// isHeadKnown reports whether the others were told of the version or a later
 // one already: at 360 instances each would else tell all the same.
-func (l *Logic) headKnown(item news.Item) bool {
+func (l *Logic) isHeadKnown(item news.Item) bool {
 	mine, ok := decodeHead(item)
 	if !ok {
 		return true
--- a/internal/fleet/node/measure_test.go
+++ b/internal/fleet/node/measure_test.go
@@ -12,69 +12,69 @@
 	"fulmarwick/internal/fleet/node"
 )
 
-// size is a fleet that is measured.
-type size struct {
-	n, centres, engines int
-	teams               int
+// fleetSize is a fleet that is measured.
+type fleetSize struct {
+	instances, centres, engines int
+	teams                       int
 }
 
-func sizes() []size {
-	return []size{{4, 1, 30, 10}, {36, 1, 60, 40}, {120, 4, 60, 40}, {360, 10, 60, 40}}
+func fleetSizes() []fleetSize {
+	return []fleetSize{{4, 1, 30, 10}, {36, 1, 60, 40}, {120, 4, 60, 40}, {360, 10, 60, 40}}
 }
 
-func (s size) String() string { return fmt.Sprintf("instances=%d", s.n) }
+func (s fleetSize) String() string { return fmt.Sprintf("instances=%d", s.instances) }
 
-// work makes every instance say once a second what a busy one says: the load
+// publishWork makes every instance say once a second what a busy one says: the load
 // of the engines that it speaks for, its own work on every engine of its data
 // centre, its use by heavy teams and the room for each of five models.
-func (f *fleet) work(teams int) {
-	for i, x := range f.nodes {
-		if !x.up || (f.now/step+time.Duration(i))%(time.Second/step) != 0 {
+func (f *fleet) publishWork(teams int) {
+	for i, x := range f.instances {
+		if !x.up || (f.now/tickInterval+time.Duration(i))%(time.Second/tickInterval) != 0 {
 			continue
 		}
-		for _, e := range x.watch.First {
+		for _, e := range x.watch.Primary {
 			seq := uint64(f.now / time.Second)
-			f.tell(x, news.KindLevel, string(e), news.ScopeCentre, 5, news.Level{
+			f.publishFor(x, news.KindLevel, string(e), news.ScopeCentre, 5, news.Level{
 				Born: 1700000000, Seq: seq, Queued: rand.IntN(20), Active: rand.IntN(16), Cached: rand.IntN(100000),
 			})
-			f.tell(x, news.KindReport, string(e), news.ScopeCentre, 300, news.Report{
+			f.publishFor(x, news.KindReport, string(e), news.ScopeCentre, 300, news.Report{
 				Engine: string(e), URL: "http://10.0.0.1:9000", Data: make([]byte, 450),
 			})
 		}
 		for _, e := range f.engines[x.self.DataCentre] {
-			f.tell(x, news.KindLoad, string(e), news.ScopeCentre, 5, news.Load{Engine: string(e), Active: rand.IntN(8), Tokens: rand.IntN(4000)})
+			f.publishFor(x, news.KindLoad, string(e), news.ScopeCentre, 5, news.Load{Engine: string(e), Active: rand.IntN(8), Tokens: rand.IntN(4000)})
 		}
 		for t := range teams {
-			f.tell(x, news.KindRate, "t", news.ScopeFleet, 5, news.Rate{Team: team(t), Rate: rate(t) * (0.9 + 0.2*rand.Float64())})
+			f.publishFor(x, news.KindRate, "t", news.ScopeFleet, 5, news.Rate{Team: teamName(t), Rate: teamRate(t) * (0.9 + 0.2*rand.Float64())})
 		}
 		for m := range 5 {
-			f.tell(x, news.KindSum, fmt.Sprintf("m%d", m), news.ScopeFleet, 10, news.Sum{DataCentre: string(x.self.DataCentre), Model: fmt.Sprintf("m%d", m), Free: rand.Float64()})
+			f.publishFor(x, news.KindSum, fmt.Sprintf("m%d", m), news.ScopeFleet, 10, news.Sum{DataCentre: string(x.self.DataCentre), Model: fmt.Sprintf("m%d", m), Free: rand.Float64()})
 		}
 	}
 }
 
-func team(t int) string { return fmt.Sprintf("%064d", t) }
+func teamName(t int) string { return fmt.Sprintf("%064d", t) }
 
-// rate falls with the rank of a team, as use does.
-func rate(t int) float64 { return 1000 / float64(1+t) }
+// teamRate falls with the rank of a team, as use does.
+func teamRate(t int) float64 { return 1000 / float64(1+t) }
 
-func (f *fleet) tell(x *inst, kind news.Kind, key string, scope news.Scope, life int64, body any) {
+func (f *fleet) publishFor(x *instance, kind news.Kind, key string, scope news.Scope, life int64, body any) {
 	item, err := news.Make(kind, key, scope, life*1000, body)
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	x.events = append(x.events, node.Say{Item: item})
+	x.events = append(x.events, node.Publish{Item: item})
 }
 
 // runWork lets d pass with every instance at work.
 func (f *fleet) runWork(d time.Duration, teams int) {
 	for end := f.now + d; f.now < end; {
-		f.work(teams)
-		f.run(step)
+		f.publishWork(teams)
+		f.run(tickInterval)
 	}
 }
 
-func heap() float64 {
+func heapBytes() float64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -82,47 +82,47 @@
 	return float64(m.HeapAlloc)
 }
 
-// BenchmarkControl measures what the fleet logic costs one instance at work.
+// BenchmarkFleetLogic measures what the fleet logic costs one instance at work.
 // Bytes are counted with 70 for TLS, TCP and IP on each message, and both
 // ways; processor time is that of the logic with its codec.
-func BenchmarkControl(b *testing.B) {
-	for _, s := range sizes() {
+func BenchmarkFleetLogic(b *testing.B) {
+	for _, s := range fleetSizes() {
 		b.Run(s.String(), func(b *testing.B) {
 			for b.Loop() {
-				before := heap()
-				f := newFleet(b, s.n, s.centres, s.engines)
-				f.idle = 2 * step
+				before := heapBytes()
+				f := newFleet(b, s.instances, s.centres, s.engines)
+				f.idleInterval = 2 * tickInterval
 				f.settle()
 				f.runWork(20*time.Second, s.teams)
 				const d = 30 * time.Second
-				f.reset()
+				f.resetCounts()
 				f.runWork(d, s.teams)
 				f.reportControl(b, d)
-				b.ReportMetric((heap()-before)/float64(s.n)/(1<<20), "MB/instance")
+				b.ReportMetric((heapBytes()-before)/float64(s.instances)/(1<<20), "MB/instance")
 				runtime.KeepAlive(f)
 			}
 		})
 	}
 }
 
-func (f *fleet) reset() {
-	for _, x := range f.nodes {
-		x.bytes, x.msgs, x.got, x.gotMsgs, x.spent = 0, 0, map[string]time.Duration{}, 0, 0
-		x.gotBytes, x.expires = 0, 0
+func (f *fleet) resetCounts() {
+	for _, x := range f.instances {
+		x.bytesSent, x.messagesSent, x.receivedAt, x.messagesReceived, x.cpuTime = 0, 0, map[string]time.Duration{}, 0, 0
+		x.bytesReceived, x.expiryCount = 0, 0
 	}
 }
 
 func (f *fleet) reportControl(b *testing.B, d time.Duration) {
 	var sum, most, msgs, cpu, mostCPU float64
-	for _, x := range f.nodes {
-		total := float64(x.bytes+x.gotBytes) / d.Seconds() / 1024
+	for _, x := range f.instances {
+		total := float64(x.bytesSent+x.bytesReceived) / d.Seconds() / 1024
 		sum += total
 		most = max(most, total)
-		msgs += float64(x.msgs+x.gotMsgs) / d.Seconds()
-		cpu += x.spent.Seconds() / d.Seconds() * 100
-		mostCPU = max(mostCPU, x.spent.Seconds()/d.Seconds()*100)
+		msgs += float64(x.messagesSent+x.messagesReceived) / d.Seconds()
+		cpu += x.cpuTime.Seconds() / d.Seconds() * 100
+		mostCPU = max(mostCPU, x.cpuTime.Seconds()/d.Seconds()*100)
 	}
-	n := float64(len(f.nodes))
+	n := float64(len(f.instances))
 	b.ReportMetric(sum/n, "KB/s")
 	b.ReportMetric(most, "KB/s-max")
 	b.ReportMetric(msgs/n, "msgs/s")
@@ -131,12 +131,12 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkSpread measures how long news take to reach all, at work.
-func BenchmarkSpread(b *testing.B) {
-	for _, s := range sizes() {
+// BenchmarkPropagation measures how long news take to reach all, at work.
+func BenchmarkPropagation(b *testing.B) {
+	for _, s := range fleetSizes() {
 		b.Run(s.String(), func(b *testing.B) {
 			for b.Loop() {
-				f := newFleet(b, s.n, s.centres, s.engines)
+				f := newFleet(b, s.instances, s.centres, s.engines)
 				f.settle()
 				f.runWork(3*time.Second, s.teams)
 				b.ReportMetric(0, "ns/op")
@@ -150,25 +150,25 @@
 
 // reportSpread says ten items one after another and reports how long the
 // instances that should know took.
-func (f *fleet) reportSpread(b *testing.B, s size, name string, kind news.Kind, scope news.Scope) {
+func (f *fleet) reportSpread(b *testing.B, s fleetSize, name string, kind news.Kind, scope news.Scope) {
 	var took []time.Duration
 	for i := range 10 {
-		from := f.nodes[f.rand.IntN(len(f.nodes))]
-		ok := everyone
+		from := f.instances[f.rand.IntN(len(f.instances))]
+		ok := anyInstance
 		if scope == news.ScopeCentre {
-			ok = of(from.self.DataCentre)
+			ok = inCentre(from.self.DataCentre)
 		}
-		item := f.say(from, kind, fmt.Sprintf("k%d", i), scope, news.Head{Version: uint64(i + 1)})
+		item := f.publish(from, kind, fmt.Sprintf("k%d", i), scope, news.Head{Version: uint64(i + 1)})
 		begin := f.now
 		f.runWork(3*time.Second, s.teams)
-		for _, x := range f.nodes {
+		for _, x := range f.instances {
 			if x == from || !ok(x) {
 				continue
 			}
-			if x.got[item] == 0 {
+			if x.receivedAt[item] == 0 {
 				b.Errorf("got no %s at %s after 3s", item, x.self.ID)
 			}
-			took = append(took, x.got[item]-begin)
+			took = append(took, x.receivedAt[item]-begin)
 		}
 	}
 	slices.Sort(took)
@@ -180,30 +180,30 @@
 // BenchmarkDetection measures how long a death takes to be known to its data
 // centre, and what is suspected or told dead falsely in two minutes before.
 func BenchmarkDetection(b *testing.B) {
-	for _, s := range []size{{4, 1, 30, 10}, {36, 1, 60, 10}} {
+	for _, s := range []fleetSize{{4, 1, 30, 10}, {36, 1, 60, 10}} {
 		for _, loss := range []float64{0, 0.05, 0.2} {
 			b.Run(fmt.Sprintf("%v/loss=%v", s, loss), func(b *testing.B) {
 				for b.Loop() {
-					detection(b, s, loss)
+					measureDetection(b, s, loss)
 				}
 			})
 		}
 	}
 }
 
-func detection(b *testing.B, s size, loss float64) {
-	f := newFleet(b, s.n, s.centres, s.engines)
+func measureDetection(b *testing.B, s fleetSize, loss float64) {
+	f := newFleet(b, s.instances, s.centres, s.engines)
 	f.settle()
 	f.loss = loss
 	before := f.suspicions()
 	f.run(2 * time.Minute)
 	b.ReportMetric(0, "ns/op")
-	b.ReportMetric(float64(f.suspicions()-before)/float64(s.n)/2*60, "false-suspicions/instance-hour")
-	b.ReportMetric(float64(f.expires())/float64(s.n)/2*60, "false-deaths-told/instance-hour")
+	b.ReportMetric(float64(f.suspicions()-before)/float64(s.instances)/2*60, "false-suspicions/instance-hour")
+	b.ReportMetric(float64(f.expiryCount())/float64(s.instances)/2*60, "false-deaths-told/instance-hour")
 	var took []time.Duration
 	for _, silent := range []bool{false, true} {
 		for i := range 10 {
-			took = append(took, f.death(f.nodes[i%s.n], silent))
+			took = append(took, f.timeDeathDetection(f.instances[i%s.instances], silent))
 		}
 		slices.Sort(took)
 		name := "crash"
@@ -216,20 +216,20 @@
 	}
 }
 
-// death ends an instance, waits until the others of its data centre know, and
+// timeDeathDetection ends an instance, waits until the others of its data centre know, and
 // starts it again. A silent one does not even break its connections.
-func (f *fleet) death(x *inst, silent bool) time.Duration {
-	f.silent = silent
-	for _, p := range f.nodes {
-		delete(p.expired, x.self.ID)
+func (f *fleet) timeDeathDetection(x *instance, silent bool) time.Duration {
+	f.keepsConnections = silent
+	for _, p := range f.instances {
+		delete(p.expiredAt, x.self.ID)
 	}
 	f.kill(x)
-	took := f.until(time.Minute, "death known", func() bool {
-		return !slices.ContainsFunc(f.nodes, func(p *inst) bool {
-			return p.up && p.self.DataCentre == x.self.DataCentre && p.expired[x.self.ID] == 0
+	took := f.runUntil(time.Minute, "death known", func() bool {
+		return !slices.ContainsFunc(f.instances, func(p *instance) bool {
+			return p.up && p.self.DataCentre == x.self.DataCentre && p.expiredAt[x.self.ID] == 0
 		})
 	})
-	f.silent = false
+	f.keepsConnections = false
 	f.start(x)
 	f.run(15 * time.Second)
 	return took
@@ -237,24 +237,24 @@
 
 // BenchmarkDuties measures how many duties and watches a join moves.
 func BenchmarkDuties(b *testing.B) {
-	for _, s := range []size{{4, 1, 30, 0}, {36, 1, 60, 0}} {
+	for _, s := range []fleetSize{{4, 1, 30, 0}, {36, 1, 60, 0}} {
 		b.Run(s.String(), func(b *testing.B) {
 			for b.Loop() {
-				f := newFleet(b, s.n, s.centres, s.engines)
+				f := newFleet(b, s.instances, s.centres, s.engines)
 				for i := range 1000 {
-					f.duties = append(f.duties, duty(i))
+					f.duties = append(f.duties, fleetDuty(i))
 				}
-				for _, x := range f.nodes {
+				for _, x := range f.instances {
 					f.start(x)
 				}
-				late := f.nodes[s.n-1]
+				late := f.instances[s.instances-1]
 				f.kill(late)
 				f.settle()
-				before := f.holders(everyone)
+				before := f.dutyHolders(anyInstance)
 				f.start(late)
-				f.until(20*time.Second, "ready joiner", func() bool { return late.ready != 0 })
+				f.runUntil(20*time.Second, "ready joiner", func() bool { return late.readyAt != 0 })
 				f.run(5 * time.Second)
-				after := f.holders(everyone)
+				after := f.dutyHolders(anyInstance)
 				moved := 0
 				for _, h := range before {
 					if _, same := slices.BinarySearch(after, h); !same {
--- a/internal/fleet/node/meet.go
+++ b/internal/fleet/node/meet.go
@@ -10,103 +10,103 @@
 )
 
 const (
-	// meetEvery is the time between two exchanges with one neighbour.
-	meetEvery = time.Second
-	// seekFast and seekSlow are the times between two tries to find instances
+	// exchangeInterval is the time between two exchanges with one neighbour.
+	exchangeInterval = time.Second
+	// joinDiscoveryInterval and seekSlow are the times between two tries to find instances
 	// that are listed but not known as alive, before and after Ready.
-	seekFast = 300 * time.Millisecond
-	seekSlow = 3 * time.Second
-	// seekAtOnce is how many are tried at once before Ready.
-	seekAtOnce = 3
+	joinDiscoveryInterval = 300 * time.Millisecond
+	discoveryInterval     = 3 * time.Second
+	// joinDiscoveryCount is how many are tried at once before Ready.
+	joinDiscoveryCount = 3
 )
 
-// meets are the regular exchanges with the neighbours.
-type meets struct {
-	rows    []meet
+// exchanges are the regular exchanges with the neighbours.
+type exchanges struct {
+	rows    []scheduledExchange
 	version uint64
 	// callers are the instances that have this one as a neighbour.
-	callers []caller
-	seek    time.Duration
+	callers     []caller
+	nextAttempt time.Duration
 }
 
-type meet struct {
-	id   spec.InstanceID
-	next time.Duration
+type scheduledExchange struct {
+	id    spec.InstanceID
+	dueAt time.Duration
 }
 
 type caller struct {
-	id   spec.InstanceID
-	last time.Duration
+	id       spec.InstanceID
+	lastCall time.Duration
 }
 
-func (m *meets) has(id spec.InstanceID) bool {
-	return slices.ContainsFunc(m.rows, func(r meet) bool { return r.id == id })
+func (m *exchanges) has(id spec.InstanceID) bool {
+	return slices.ContainsFunc(m.rows, func(r scheduledExchange) bool { return r.id == id })
 }
 
-// called notes that an instance of the own data centre made an exchange.
-func (m *meets) called(id spec.InstanceID, now time.Duration) {
+// recordCaller notes that an instance of the own data centre made an exchange.
+func (m *exchanges) recordCaller(id spec.InstanceID, now time.Duration) {
 	for i := range m.callers {
 		if m.callers[i].id == id {
-			m.callers[i].last = now
+			m.callers[i].lastCall = now
 			return
 		}
 	}
-	m.callers = append(m.callers, caller{id: id, last: now})
+	m.callers = append(m.callers, caller{id: id, lastCall: now})
 }
 
-// tickMeets makes the exchanges that are due.
-func (l *Logic) tickMeets() {
-	m := &l.meets
-	m.callers = slices.DeleteFunc(m.callers, func(c caller) bool { return l.now-c.last > callerMemory })
+// tickExchanges makes the exchanges that are due.
+func (l *Logic) tickExchanges() {
+	m := &l.exchanges
+	m.callers = slices.DeleteFunc(m.callers, func(c caller) bool { return l.now-c.lastCall > callerTTL })
 	if m.version != l.members.Version() {
 		m.version = l.members.Version()
-		l.setMeets()
+		l.updateNeighbours()
 	}
 	for i := range m.rows {
 		r := &m.rows[i]
-		if l.now >= r.next {
-			r.next = l.now + l.jitter(meetEvery)
-			l.exchange(r.id, purposeMeet)
+		if l.now >= r.dueAt {
+			r.dueAt = l.now + l.jitter(exchangeInterval)
+			l.startExchange(r.id, purposeExchange)
 		}
 	}
-	l.tickSeeking()
+	l.tickDiscovery()
 }
 
-// setMeets follows the neighbours that the member table gives. A new one is
+// updateNeighbours follows the neighbours that the member table gives. A new one is
 // met at a random moment, so that exchanges spread over time.
-func (l *Logic) setMeets() {
-	old := l.meets.rows
-	l.meets.rows = nil
+func (l *Logic) updateNeighbours() {
+	old := l.exchanges.rows
+	l.exchanges.rows = nil
 	for _, id := range l.members.Neighbours() {
-		row := meet{id: id, next: l.now + time.Duration(l.Rand.Int64N(int64(meetEvery/4)))}
-		if at := slices.IndexFunc(old, func(r meet) bool { return r.id == id }); at >= 0 {
+		row := scheduledExchange{id: id, dueAt: l.now + time.Duration(l.Rand.Int64N(int64(exchangeInterval/4)))}
+		if at := slices.IndexFunc(old, func(r scheduledExchange) bool { return r.id == id }); at >= 0 {
 			row = old[at]
 		}
-		l.meets.rows = append(l.meets.rows, row)
+		l.exchanges.rows = append(l.exchanges.rows, row)
 	}
 }
 
-// tickSeeking calls instances that are listed but not known as alive: the
+// tickDiscovery calls instances that are listed but not known as alive: the
 // first contact of a new instance, and the way back after a cut.
-func (l *Logic) tickSeeking() {
-	if l.now < l.meets.seek {
+func (l *Logic) tickDiscovery() {
+	if l.now < l.exchanges.nextAttempt {
 		return
 	}
-	every, count := seekSlow, 1
+	every, count := discoveryInterval, 1
 	if !l.join.ready {
-		every, count = seekFast, seekAtOnce
+		every, count = joinDiscoveryInterval, joinDiscoveryCount
 	}
-	l.meets.seek = l.now + l.jitter(every)
+	l.exchanges.nextAttempt = l.now + l.jitter(every)
 	var lost []spec.InstanceID
-	alone := len(l.meets.rows) == 0
-	for _, p := range l.listed.peers {
-		if !l.members.Live(p.ID) && (alone || p.DataCentre == l.Self.DataCentre) {
+	alone := len(l.exchanges.rows) == 0
+	for _, p := range l.discovered.peers {
+		if !l.members.IsLive(p.ID) && (alone || p.DataCentre == l.Local.DataCentre) {
 			lost = append(lost, p.ID)
 		}
 	}
 	for range min(count, len(lost)) {
 		i := l.Rand.IntN(len(lost))
-		l.exchange(lost[i], purposeSeek)
+		l.startExchange(lost[i], purposeBestEffort)
 		lost = slices.Delete(lost, i, i+1)
 	}
 }
@@ -116,44 +116,44 @@
 	return d*9/10 + time.Duration(l.Rand.Int64N(int64(d)/5))
 }
 
-// targets are whom news are pushed to: the neighbours, those that have this
+// pushTargets are whom news are pushed to: the neighbours, those that have this
 // one as neighbour, and for a gateway its partners in other data centres.
-func (l *Logic) targets() []spec.InstanceID {
+func (l *Logic) pushTargets() []spec.InstanceID {
 	var out []spec.InstanceID
-	for _, r := range l.meets.rows {
+	for _, r := range l.exchanges.rows {
 		out = append(out, r.id)
 	}
-	for _, c := range l.meets.callers {
-		if !slices.Contains(out, c.id) && l.members.Live(c.id) {
+	for _, c := range l.exchanges.callers {
+		if !slices.Contains(out, c.id) && l.members.IsLive(c.id) {
 			out = append(out, c.id)
 		}
 	}
-	return append(out, l.remotes.partners()...)
+	return append(out, l.remoteCentres.partners()...)
 }
 
-// near reports whether an instance is of the own data centre; an unknown one
+// inLocalCentre reports whether an instance is of the own data centre; an unknown one
 // is not, so it gets nothing that should stay inside.
-func (l *Logic) near(id spec.InstanceID) bool {
+func (l *Logic) inLocalCentre(id spec.InstanceID) bool {
 	if rec, ok := l.members.Get(id); ok {
-		return rec.DataCentre == l.Self.DataCentre
+		return rec.DataCentre == l.Local.DataCentre
 	}
-	return l.listed.centre(id) == l.Self.DataCentre
+	return l.discovered.centreOf(id) == l.Local.DataCentre
 }
 
 // scope is the least scope of what goes to an instance.
 func (l *Logic) scope(id spec.InstanceID) news.Scope {
-	if l.near(id) {
+	if l.inLocalCentre(id) {
 		return news.ScopeCentre
 	}
 	return news.ScopeFleet
 }
 
-// active returns the instances of a data centre that take duties; if there
+// activeInstances returns the instances of a data centre that take duties; if there
 // are none yet, all of them.
-func (l *Logic) active(centre spec.DataCentre) []spec.InstanceID {
-	ids := l.members.Members(func(r talk.Record) bool { return r.DataCentre == centre && !r.Passive })
+func (l *Logic) activeInstances(centre spec.DataCentre) []spec.InstanceID {
+	ids := l.members.LiveMembers(func(r talk.Record) bool { return r.DataCentre == centre && !r.Passive })
 	if len(ids) > 0 {
 		return ids
 	}
-	return l.members.Members(func(r talk.Record) bool { return r.DataCentre == centre })
+	return l.members.LiveMembers(func(r talk.Record) bool { return r.DataCentre == centre })
 }
--- a/internal/fleet/node/outbox.go
+++ b/internal/fleet/node/outbox.go
@@ -9,91 +9,95 @@
 )
 
 const (
-	// bytesPerSecond is what this instance sends at most over time. As much
+	// maxBytesPerSecond is what this instance sends at most over time. As much
 	// comes in on average, which keeps both together under 24 KB/s.
-	bytesPerSecond = 11 << 10
-	// burst is how much may be saved up for a busy moment.
-	burst = 16 << 10
-	// overhead is what TLS, TCP and IP add to a message.
-	overhead = 70
-	// leastDelta and mostDelta bound the items in one answer. The least lets a
+	maxBytesPerSecond = 11 << 10
+	// maxBurstBytes is how much may be saved up for a busy moment.
+	maxBurstBytes = 16 << 10
+	// messageOverheadBytes is what TLS, TCP and IP add to a message.
+	messageOverheadBytes = 70
+	// minDeltaBytes and mostDelta bound the items in one answer. The least lets a
 	// busy instance still move on.
-	leastDelta = 512
-	mostDelta  = 6 << 10
-	// mostRecords bounds the member records in one answer, in bytes.
-	mostRecords = 4 << 10
+	minDeltaBytes = 512
+	maxDeltaBytes = 6 << 10
+	// maxRecordBytes bounds the member records in one answer, in bytes.
+	maxRecordBytes = 4 << 10
 )
 
 // budget is a token bucket of bytes. Answers and urgent items may overdraw
 // it; the rest waits until it is paid back.
 type budget struct {
-	left float64
-	last time.Duration
+	availableBytes float64
+	refilledAt     time.Duration
 }
 
 func (b *budget) refill(now time.Duration) {
-	b.left = min(burst, b.left+(now-b.last).Seconds()*bytesPerSecond)
-	b.last = now
+	b.availableBytes = min(maxBurstBytes, b.availableBytes+(now-b.refilledAt).Seconds()*maxBytesPerSecond)
+	b.refilledAt = now
 }
 
-// delta is how many bytes of items an answer may carry now.
-func (b *budget) delta() int { return min(mostDelta, max(leastDelta, int(b.left))) }
+// deltaLimit is how many bytes of items an answer may carry now.
+func (b *budget) deltaLimit() int {
+	return min(maxDeltaBytes, max(minDeltaBytes, int(b.availableBytes)))
+}
 
 // spend pays for a message. The debt has a bound: without one, the meeting of
 // a whole fleet at its start held items back for minutes.
-func (b *budget) spend(bytes int) { b.left = max(b.left-float64(bytes), -burst) }
+func (b *budget) spend(bytes int) {
+	b.availableBytes = max(b.availableBytes-float64(bytes), -maxBurstBytes)
+}
 
-func (b *budget) spent() bool { return b.left <= -burst }
+func (b *budget) isExhausted() bool { return b.availableBytes <= -maxBurstBytes }
 
 // outbox gathers what goes to each instance in a tick into one message.
 type outbox struct {
-	index map[spec.InstanceID]*letter
-	order []*letter
+	index map[spec.InstanceID]*outgoing
+	order []*outgoing
 }
 
-type letter struct {
-	to  spec.InstanceID
-	url string
-	msg talk.Message
+type outgoing struct {
+	to      spec.InstanceID
+	url     string
+	message talk.Message
 }
 
-// to returns the message that goes to id in this tick. One message carries
+// messageFor returns the message that goes to id in this tick. One message carries
 // one call and one answer at most.
-func (l *Logic) to(id spec.InstanceID) *talk.Message { return &l.letter(id).msg }
+func (l *Logic) messageFor(id spec.InstanceID) *talk.Message { return &l.outgoingFor(id).message }
 
-func (l *Logic) letter(id spec.InstanceID) *letter {
+func (l *Logic) outgoingFor(id spec.InstanceID) *outgoing {
 	if l.outbox.index == nil {
-		l.outbox.index = map[spec.InstanceID]*letter{}
+		l.outbox.index = map[spec.InstanceID]*outgoing{}
 	}
 	if w := l.outbox.index[id]; w != nil {
 		return w
 	}
-	return l.newLetter(id)
+	return l.newOutgoing(id)
 }
 
-func (l *Logic) newLetter(id spec.InstanceID) *letter {
-	w := &letter{to: id, url: l.url(id)}
+func (l *Logic) newOutgoing(id spec.InstanceID) *outgoing {
+	w := &outgoing{to: id, url: l.peerURL(id)}
 	l.outbox.index[id] = w
 	l.outbox.order = append(l.outbox.order, w)
 	return w
 }
 
-// ask returns a message to id that has no call yet, and answer one that has no
+// messageForCall returns a message to id that has no call yet, and answer one that has no
 // answer yet.
-func (l *Logic) ask(id spec.InstanceID) *talk.Message {
-	w := l.letter(id)
-	if w.msg.Call != 0 {
-		w = l.newLetter(id)
+func (l *Logic) messageForCall(id spec.InstanceID) *talk.Message {
+	w := l.outgoingFor(id)
+	if w.message.CallID != 0 {
+		w = l.newOutgoing(id)
 	}
-	return &w.msg
+	return &w.message
 }
 
-func (l *Logic) answer(id spec.InstanceID) *talk.Message {
-	w := l.letter(id)
-	if w.msg.Ack != 0 {
-		w = l.newLetter(id)
+func (l *Logic) messageForAck(id spec.InstanceID) *talk.Message {
+	w := l.outgoingFor(id)
+	if w.message.AckID != 0 {
+		w = l.newOutgoing(id)
 	}
-	return &w.msg
+	return &w.message
 }
 
 // flush sends the tick's messages.
@@ -101,11 +105,11 @@
 	l.budget.refill(l.now)
 	l.flushPushes()
 	for _, w := range l.outbox.order {
-		data, err := talk.Encode(&w.msg)
-		if err != nil || len(data) > talk.MaxBytes {
+		data, err := talk.Encode(&w.message)
+		if err != nil || len(data) > talk.MaxMessageBytes {
 			continue
 		}
-		l.budget.spend(len(data) + overhead)
+		l.budget.spend(len(data) + messageOverheadBytes)
 		l.stats.Sent++
 		l.stats.SentBytes += uint64(len(data))
 		l.emit(Send{To: w.to, URL: w.url, Data: data})
@@ -114,44 +118,44 @@
 	clear(l.outbox.index)
 }
 
-// url is where an instance answers, by its own word or the platform's list.
-func (l *Logic) url(id spec.InstanceID) string {
+// peerURL is where an instance answers, by its own word or the platform's list.
+func (l *Logic) peerURL(id spec.InstanceID) string {
 	if rec, ok := l.members.Get(id); ok && rec.URL != "" {
 		return rec.URL
 	}
-	return l.listed.url(id)
+	return l.discovered.urlOf(id)
 }
 
 // pushes are the urgent items and member records of a tick.
 type pushes struct {
-	items []pushed
+	items []pushedItem
 }
 
-type pushed struct {
+type pushedItem struct {
 	item news.Item
 	from spec.InstanceID
 }
 
-// item queues an item for all neighbours but the one it came from.
-func (p *pushes) item(i news.Item, from spec.InstanceID) {
-	p.items = append(p.items, pushed{item: i, from: from})
+// add queues an item for all neighbours but the one it came from.
+func (p *pushes) add(i news.Item, from spec.InstanceID) {
+	p.items = append(p.items, pushedItem{item: i, from: from})
 }
 
 // flushPushes floods what is new: each instance passes on only what it had
 // not heard, so a push ends by itself. What does not fit the budget is left to
 // the exchanges.
 func (l *Logic) flushPushes() {
-	records := l.members.Spread()
-	items := l.push.items
-	l.push.items = nil
-	if l.budget.spent() || len(records) == 0 && len(items) == 0 {
+	records := l.members.TakeUpdates()
+	items := l.pushes.items
+	l.pushes.items = nil
+	if l.budget.isExhausted() || len(records) == 0 && len(items) == 0 {
 		return
 	}
-	for _, id := range l.targets() {
-		far := !l.near(id)
+	for _, id := range l.pushTargets() {
+		far := !l.inLocalCentre(id)
 		for _, rec := range records {
 			if rec.ID != id || rec.State != talk.StateAlive {
-				m := l.to(id)
+				m := l.messageFor(id)
 				m.Records = append(m.Records, rec)
 			}
 		}
@@ -164,8 +168,8 @@
 }
 
 func (l *Logic) pushItem(id spec.InstanceID, item news.Item) {
-	if b, ok := l.items.Push(l.now, item); ok {
-		m := l.to(id)
+	if b, ok := l.items.PushBlock(l.now, item); ok {
+		m := l.messageFor(id)
 		m.Blocks = append(m.Blocks, b)
 	}
 }
--- a/internal/fleet/node/remote.go
+++ b/internal/fleet/node/remote.go
@@ -12,120 +12,122 @@
 )
 
 const (
-	// gateways is how many instances of a data centre speak with the others;
+	// gatewaysPerCentre is how many instances of a data centre speak with the others;
 	// two, so that losing one cuts nothing off.
-	gateways = 2
-	// remoteEvery is the time between two exchanges of a gateway with one
+	gatewaysPerCentre = 2
+	// remoteExchangeInterval is the time between two exchanges of a gateway with one
 	// other data centre. Urgent items are pushed and do not wait for it.
-	remoteEvery = 3 * time.Second
-	// avoidFor is how long a partner that did not answer is passed over.
-	avoidFor = 10 * time.Second
-	// cutAfter is the silence after which a data centre counts as cut off.
-	cutAfter = 8 * time.Second
-	// reachEvery is the time between two looks at which data centres are cut.
-	reachEvery = 500 * time.Millisecond
-	// reachLife is the life of a gateway's word on a data centre.
-	reachLife = 15 * time.Second
+	remoteExchangeInterval = 3 * time.Second
+	// partnerCooldown is how long a partner that did not answer is passed over.
+	partnerCooldown = 10 * time.Second
+	// cutOffTimeout is the silence after which a data centre counts as cut off.
+	cutOffTimeout = 8 * time.Second
+	// reachabilityInterval is the time between two looks at which data centres are cut.
+	reachabilityInterval = 500 * time.Millisecond
+	// reachabilityTTL is the life of a gateway's word on a data centre.
+	reachabilityTTL = 15 * time.Second
 )
 
-// remotes are the other data centres, in order of name.
-type remotes struct {
-	rows    []*remote
-	version uint64
-	listed  int
-	gates   []spec.InstanceID
-	isGate  bool
-	rank    int
-	reach   time.Duration
-	avoid   map[spec.InstanceID]time.Duration
+// remoteCentres are the other data centres, in order of name.
+type remoteCentres struct {
+	rows                  []*remoteCentre
+	version               uint64
+	listedCount           int
+	gateways              []spec.InstanceID
+	isGateway             bool
+	gatewayRank           int
+	nextReachabilityCheck time.Duration
+	avoidUntil            map[spec.InstanceID]time.Duration
 }
 
-type remote struct {
-	centre  spec.DataCentre
-	partner spec.InstanceID
-	next    time.Duration
-	heard   time.Duration
-	told    time.Duration
-	// cut is what this gateway found, unreachable what all gateways say.
-	cut         bool
+type remoteCentre struct {
+	centre       spec.DataCentre
+	partner      spec.InstanceID
+	nextExchange time.Duration
+	lastSeen     time.Duration
+	reportedAt   time.Duration
+	// cutOff is what this gateway found, unreachable what all gateways say.
+	cutOff      bool
 	unreachable bool
 }
 
-// speaker reports whether this instance is the first gateway, which alone
+// isFirstGateway reports whether this instance is the first gateway, which alone
 // says the sums of its data centre.
-func (l *Logic) speaker() bool { return l.remotes.isGate && l.remotes.rank == 0 }
+func (l *Logic) isFirstGateway() bool {
+	return l.remoteCentres.isGateway && l.remoteCentres.gatewayRank == 0
+}
 
-// tickRemotes makes a gateway's exchanges with other data centres.
-func (l *Logic) tickRemotes() {
-	r := &l.remotes
-	if r.version != l.members.Version() || r.listed != len(l.listed.peers) {
-		r.version, r.listed = l.members.Version(), len(l.listed.peers)
-		l.setRemotes()
+// tickRemoteCentres makes a gateway's exchanges with other data centres.
+func (l *Logic) tickRemoteCentres() {
+	r := &l.remoteCentres
+	if r.version != l.members.Version() || r.listedCount != len(l.discovered.peers) {
+		r.version, r.listedCount = l.members.Version(), len(l.discovered.peers)
+		l.updateRemoteCentres()
 	}
-	if !r.isGate {
+	if !r.isGateway {
 		return
 	}
 	for _, c := range r.rows {
-		if l.now >= c.next {
-			c.next = l.now + l.jitter(remoteEvery)
-			l.meetCentre(c)
+		if l.now >= c.nextExchange {
+			c.nextExchange = l.now + l.jitter(remoteExchangeInterval)
+			l.exchangeWithCentre(c)
 		}
-		l.judge(c)
+		l.reportReachability(c)
 	}
 }
 
-// setRemotes finds the other data centres and whether this is a gateway.
-func (l *Logic) setRemotes() {
-	r := &l.remotes
-	r.gates = rank.Top(gateKey(l.Self.DataCentre), l.active(l.Self.DataCentre), gateways)
-	r.rank = slices.Index(r.gates, l.Self.ID)
-	was := r.isGate
-	r.isGate = r.rank >= 0
-	l.members.Each(func(rec talk.Record) { l.addRemote(rec.DataCentre) })
-	for _, p := range l.listed.peers {
-		l.addRemote(p.DataCentre)
-	}
-	if r.isGate && !was {
+// updateRemoteCentres finds the other data centres and whether this is a gateway.
+func (l *Logic) updateRemoteCentres() {
+	r := &l.remoteCentres
+	r.gateways = rank.Top(gatewayKey(l.Local.DataCentre), l.activeInstances(l.Local.DataCentre), gatewaysPerCentre)
+	r.gatewayRank = slices.Index(r.gateways, l.Local.ID)
+	was := r.isGateway
+	r.isGateway = r.gatewayRank >= 0
+	l.members.Each(func(rec talk.Record) { l.addRemoteCentre(rec.DataCentre) })
+	for _, p := range l.discovered.peers {
+		l.addRemoteCentre(p.DataCentre)
+	}
+	if r.isGateway && !was {
 		for _, c := range r.rows {
-			c.heard = l.now
+			c.lastSeen = l.now
 		}
 	}
 }
 
-func gateKey(c spec.DataCentre) string { return "gate/" + string(c) }
+func gatewayKey(c spec.DataCentre) string { return "gate/" + string(c) }
 
-func (l *Logic) addRemote(centre spec.DataCentre) {
-	if centre == l.Self.DataCentre || centre == "" {
+func (l *Logic) addRemoteCentre(centre spec.DataCentre) {
+	if centre == l.Local.DataCentre || centre == "" {
 		return
 	}
-	rows := l.remotes.rows
-	at, found := slices.BinarySearchFunc(rows, centre, func(r *remote, c spec.DataCentre) int {
+	rows := l.remoteCentres.rows
+	at, found := slices.BinarySearchFunc(rows, centre, func(r *remoteCentre, c spec.DataCentre) int {
 		return strings.Compare(string(r.centre), string(c))
 	})
 	if !found {
-		row := &remote{centre: centre, heard: l.now, next: l.now + time.Duration(l.Rand.Int64N(int64(remoteEvery/4)))}
-		l.remotes.rows = slices.Insert(rows, at, row)
+		row := &remoteCentre{centre: centre, lastSeen: l.now, nextExchange: l.now + time.Duration(l.Rand.Int64N(int64(remoteExchangeInterval/4)))}
+		l.remoteCentres.rows = slices.Insert(rows, at, row)
 	}
 }
 
-// meetCentre makes an exchange with a gateway of another data centre, or with
+// exchangeWithCentre makes an exchange with a gateway of another data centre, or with
 // whoever answers there.
-func (l *Logic) meetCentre(c *remote) {
-	ids := l.active(c.centre)
+func (l *Logic) exchangeWithCentre(c *remoteCentre) {
+	ids := l.activeInstances(c.centre)
 	if len(ids) == 0 {
-		ids = l.listed.of(c.centre)
+		ids = l.discovered.inCentre(c.centre)
 	}
-	ids = slices.DeleteFunc(ids, func(id spec.InstanceID) bool { return l.now < l.remotes.avoid[id] })
+	ids = slices.DeleteFunc(ids, func(id spec.InstanceID) bool { return l.now < l.remoteCentres.avoidUntil[id] })
 	if len(ids) == 0 {
-		clear(l.remotes.avoid)
+		clear(l.remoteCentres.avoidUntil)
 		return
 	}
-	top := rank.Top(gateKey(c.centre), ids, gateways)
-	c.partner = top[l.remotes.rank%len(top)]
-	l.exchange(c.partner, purposeSeek)
+	top := rank.Top(gatewayKey(c.centre), ids, gatewaysPerCentre)
+	c.partner = top[l.remoteCentres.gatewayRank%len(top)]
+	l.startExchange(c.partner, purposeBestEffort)
 }
 
-func (s *listed) of(centre spec.DataCentre) []spec.InstanceID {
+func (s *discoveryList) inCentre(centre spec.DataCentre) []spec.InstanceID {
 	var out []spec.InstanceID
 	for _, p := range s.peers {
 		if p.DataCentre == centre {
@@ -136,58 +138,58 @@
 }
 
 // partners are the instances that a gateway pushes to.
-func (r *remotes) partners() []spec.InstanceID {
-	if !r.isGate {
+func (r *remoteCentres) partners() []spec.InstanceID {
+	if !r.isGateway {
 		return nil
 	}
 	var out []spec.InstanceID
 	for _, c := range r.rows {
-		if c.partner != "" && !c.cut {
+		if c.partner != "" && !c.cutOff {
 			out = append(out, c.partner)
 		}
 	}
 	return out
 }
 
-// missed passes over an instance that did not answer.
-func (r *remotes) missed(id spec.InstanceID, now time.Duration) {
-	if r.avoid == nil {
-		r.avoid = map[spec.InstanceID]time.Duration{}
+// avoidPartner passes over an instance that did not answer.
+func (r *remoteCentres) avoidPartner(id spec.InstanceID, now time.Duration) {
+	if r.avoidUntil == nil {
+		r.avoidUntil = map[spec.InstanceID]time.Duration{}
 	}
-	r.avoid[id] = now + avoidFor
+	r.avoidUntil[id] = now + partnerCooldown
 }
 
-// heardFrom notes a word of another data centre.
-func (r *remotes) heardFrom(centre spec.DataCentre, now time.Duration) {
+// recordContact notes a word of another data centre.
+func (r *remoteCentres) recordContact(centre spec.DataCentre, now time.Duration) {
 	for _, c := range r.rows {
 		if c.centre == centre {
-			c.heard = now
+			c.lastSeen = now
 		}
 	}
 }
 
-// judge tells the own data centre whether the other one can be reached.
-func (l *Logic) judge(c *remote) {
-	cut := l.now-c.heard >= cutAfter
-	if cut == c.cut && (!cut || l.now-c.told < reachLife/3) {
+// reportReachability tells the own data centre whether the other one can be reached.
+func (l *Logic) reportReachability(c *remoteCentre) {
+	cut := l.now-c.lastSeen >= cutOffTimeout
+	if cut == c.cutOff && (!cut || l.now-c.reportedAt < reachabilityTTL/3) {
 		return
 	}
-	c.cut = cut
-	c.told = l.now
-	item, err := news.Make(news.KindReach, string(c.centre), news.ScopeCentre, reachLife.Milliseconds(), news.Reach{Cut: cut})
+	c.cutOff = cut
+	c.reportedAt = l.now
+	item, err := news.Make(news.KindReach, string(c.centre), news.ScopeCentre, reachabilityTTL.Milliseconds(), news.Reach{Cut: cut})
 	if err != nil {
 		return
 	}
-	_, _ = l.items.Say(l.now, item)
+	_, _ = l.items.Publish(l.now, item)
 }
 
-// reachable reports whether a data centre can be reached: one gateway that
+// isReachable reports whether a data centre can be reached: one gateway that
 // reaches it is enough.
-func (l *Logic) reachable(centre spec.DataCentre) bool {
-	if centre == l.Self.DataCentre {
+func (l *Logic) isReachable(centre spec.DataCentre) bool {
+	if centre == l.Local.DataCentre {
 		return true
 	}
-	for _, id := range l.remotes.gates {
+	for _, id := range l.remoteCentres.gateways {
 		item, ok := l.items.Get(news.KindReach, id, string(centre))
 		var word news.Reach
 		if !ok || news.Decode(item, &word) != nil || !word.Cut {
@@ -197,16 +199,16 @@
 	return false
 }
 
-// tickReach follows which data centres can be reached.
-func (l *Logic) tickReach() {
-	if l.now < l.remotes.reach {
+// updateReachability follows which data centres can be reached.
+func (l *Logic) updateReachability() {
+	if l.now < l.remoteCentres.nextReachabilityCheck {
 		return
 	}
-	l.remotes.reach = l.now + reachEvery
-	for _, c := range l.remotes.rows {
-		if out := !l.reachable(c.centre); out != c.unreachable {
+	l.remoteCentres.nextReachabilityCheck = l.now + reachabilityInterval
+	for _, c := range l.remoteCentres.rows {
+		if out := !l.isReachable(c.centre); out != c.unreachable {
 			c.unreachable = out
-			l.watch.dirty = true
+			l.assignments.dirty = true
 		}
 	}
 }
--- a/internal/fleet/node/same_test.go
+++ b/internal/fleet/node/same_test.go
@@ -21,27 +21,27 @@
 func TestSameEventsSameCommands(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		f := newFleet(t, rapid.IntRange(2, 6).Draw(r, "instances"), rapid.IntRange(1, 3).Draw(r, "centres"), 5)
-		f.duties = []node.DutySpec{duty(1), duty(2), duty(3)}
+		f.duties = []node.DutySpec{fleetDuty(1), fleetDuty(2), fleetDuty(3)}
 		f.loss = rapid.Float64Range(0, 0.3).Draw(r, "loss")
-		x := f.nodes[0]
+		x := f.instances[0]
 		f.start(x)
-		x.record = &record{}
+		x.recording = &recording{}
 		for range rapid.IntRange(2, 4).Draw(r, "turns") {
-			other := f.nodes[rapid.IntRange(1, len(f.nodes)-1).Draw(r, "other")]
+			other := f.instances[rapid.IntRange(1, len(f.instances)-1).Draw(r, "other")]
 			switch rapid.IntRange(0, 3).Draw(r, "turn") {
 			case 0:
 				f.kill(other)
 			case 1:
 				f.start(other)
 			case 2:
-				f.say(other, news.KindPrint, "p", news.ScopeFleet, news.Print{Print: uint64(f.now)})
+				f.publish(other, news.KindPrint, "p", news.ScopeFleet, news.Print{Print: uint64(f.now)})
 			case 3:
-				x.events = append(x.events, node.Used{Team: "t", Tokens: 50}, node.Lost{Peer: other.self.ID})
+				x.events = append(x.events, node.TokensUsed{Team: "t", Tokens: 50}, node.ConnectionLost{Peer: other.self.ID})
 			}
 			f.runWork(time.Second, 5)
 		}
-		again := &node.Logic{Self: x.self, Born: x.born, Rand: rand.New(rand.NewPCG(0, uint64(x.lives)))}
-		for i, k := range x.record.ticks {
+		again := &node.Logic{Local: x.self, StartTime: x.startTime, Rand: rand.New(rand.NewPCG(0, uint64(x.starts)))}
+		for i, k := range x.recording.ticks {
 			if got := again.Tick(k.now, k.events); !reflect.DeepEqual(got, k.commands) {
 				r.Fatalf("got %v at tick %d, want %v", got, i, k.commands)
 			}
@@ -52,29 +52,29 @@
 // A heavy team sends to all instances. Each one knows what the team uses over
 // the fleet, so that its limit holds once and not once per instance; when an
 // instance joins or dies the figure follows.
-func TestTeamUseIsKnownFleetWide(t *testing.T) {
+func TestTeamUsageIsKnownFleetWide(t *testing.T) {
 	f := newFleet(t, 4, 2, 2)
 	f.settle()
 	use := func() float64 {
 		for range 10 {
-			for _, x := range f.nodes {
+			for _, x := range f.instances {
 				if x.up {
-					f.tell(x, news.KindRate, "t", news.ScopeFleet, 5, news.Rate{Team: "big", Rate: 250})
+					f.publishFor(x, news.KindRate, "t", news.ScopeFleet, 5, news.Rate{Team: "big", Rate: 250})
 				}
 			}
 			f.run(time.Second)
 		}
-		return f.nodes[0].teams["big"]
+		return f.instances[0].teamRates["big"]
 	}
 	if got := use(); got != 1000 {
 		t.Errorf("got a use of %v, want 1000", got)
 	}
-	f.kill(f.nodes[1])
+	f.kill(f.instances[1])
 	f.run(10 * time.Second)
 	if got := use(); got != 750 {
 		t.Errorf("got a use of %v after a death, want 750", got)
 	}
-	f.start(f.nodes[1])
+	f.start(f.instances[1])
 	f.run(10 * time.Second)
 	if got := use(); got != 1000 {
 		t.Errorf("got a use of %v after a join, want 1000", got)
@@ -82,38 +82,38 @@
 }
 
 // The sketch finds a heavy team from single uses; nobody told of its rate.
-func TestHeavyTeamIsFoundFromUses(t *testing.T) {
+func TestHeavyTeamIsFoundFromTokenCounts(t *testing.T) {
 	f := newFleet(t, 4, 1, 0)
 	f.settle()
 	for range 400 {
-		for i, x := range f.nodes {
-			x.events = append(x.events, node.Used{Team: "big", Tokens: 10}, node.Used{Team: spec.TeamID(fmt.Sprint("s", i, f.now)), Tokens: 1})
+		for i, x := range f.instances {
+			x.events = append(x.events, node.TokensUsed{Team: "big", Tokens: 10}, node.TokensUsed{Team: spec.TeamID(fmt.Sprint("s", i, f.now)), Tokens: 1})
 		}
 		f.run(100 * time.Millisecond)
 	}
-	if got := f.nodes[0].teams["big"]; got < 300 || got > 450 {
+	if got := f.instances[0].teamRates["big"]; got < 300 || got > 450 {
 		t.Errorf("got a use of %v, want about 400 tokens a second", got)
 	}
 }
 
 // Callers' work is in flight on an engine from three instances. The fourth
 // corrects the engine's late report by theirs, and forgets that of a dead one.
-func TestOthersLoadIsKnownAndForgotten(t *testing.T) {
+func TestPeerLoadIsReportedAndExpires(t *testing.T) {
 	f := newFleet(t, 4, 1, 1)
 	f.settle()
-	e := f.engines[centre(0)][0]
-	for _, x := range f.nodes {
-		f.tell(x, news.KindLoad, string(e), news.ScopeCentre, 5, news.Load{Engine: string(e), Active: 3, Tokens: 100})
+	e := f.engines[centreName(0)][0]
+	for _, x := range f.instances {
+		f.publishFor(x, news.KindLoad, string(e), news.ScopeCentre, 5, news.Load{Engine: string(e), Active: 3, Tokens: 100})
 	}
 	f.run(5 * time.Second)
-	for _, x := range f.nodes {
+	for _, x := range f.instances {
 		if got := x.loads[e]; got.Active != 9 || got.Tokens != 300 {
 			t.Errorf("got %+v at %s, want 9 requests and 300 tokens", got, x.self.ID)
 		}
 	}
-	f.kill(f.nodes[2])
+	f.kill(f.instances[2])
 	f.run(10 * time.Second)
-	if got := f.nodes[0].loads[e]; got.Active != 6 {
+	if got := f.instances[0].loads[e]; got.Active != 6 {
 		t.Errorf("got %+v after a death, want 6 requests", got)
 	}
 }
@@ -122,38 +122,38 @@
 // instance knows it, is from the truth while rates change and instances join
 // and die.
 func BenchmarkShare(b *testing.B) {
-	for _, s := range []size{{4, 3, 2, 1}, {360, 10, 2, 1}} {
+	for _, s := range []fleetSize{{4, 3, 2, 1}, {360, 10, 2, 1}} {
 		for _, churn := range []bool{false, true} {
 			b.Run(fmt.Sprintf("%v/churn=%v", s, churn), func(b *testing.B) {
 				for b.Loop() {
-					shareError(b, s, churn)
+					measureShareError(b, s, churn)
 				}
 			})
 		}
 	}
 }
 
-func shareError(b *testing.B, s size, churn bool) {
-	f := newFleet(b, s.n, s.centres, s.engines)
+func measureShareError(b *testing.B, s fleetSize, churn bool) {
+	f := newFleet(b, s.instances, s.centres, s.engines)
 	f.settle()
-	rates := make([]float64, s.n)
+	rates := make([]float64, s.instances)
 	var off []float64
 	for second := range 60 {
 		if churn && second%10 == 5 {
-			f.kill(f.nodes[second%s.n])
-			f.start(f.nodes[second%s.n])
+			f.kill(f.instances[second%s.instances])
+			f.start(f.instances[second%s.instances])
 		}
 		total := 0.0
-		for i, x := range f.nodes {
+		for i, x := range f.instances {
 			// A random walk of a tenth a second, as bursts of a large team give.
 			rates[i] = max(10, min(200, rates[i]*(0.9+0.2*f.rand.Float64())+f.rand.Float64()))
 			total += rates[i]
-			f.tell(x, news.KindRate, "t", news.ScopeFleet, 5, news.Rate{Team: "big", Rate: rates[i]})
+			f.publishFor(x, news.KindRate, "t", news.ScopeFleet, 5, news.Rate{Team: "big", Rate: rates[i]})
 		}
 		f.run(time.Second)
-		for _, x := range f.nodes {
-			if second >= 20 && x.ready != 0 {
-				off = append(off, max(x.teams["big"]-total, total-x.teams["big"])/total*100)
+		for _, x := range f.instances {
+			if second >= 20 && x.readyAt != 0 {
+				off = append(off, max(x.teamRates["big"]-total, total-x.teamRates["big"])/total*100)
 			}
 		}
 	}
--- a/internal/fleet/node/stop.go
+++ b/internal/fleet/node/stop.go
@@ -7,52 +7,52 @@
 	"fulmarwick/internal/fleet/drain"
 )
 
-// byeEvery is the time between two goodbyes to those that did not answer.
-const byeEvery = 200 * time.Millisecond
+// leaveResendInterval is the time between two goodbyes to those that did not answer.
+const leaveResendInterval = 200 * time.Millisecond
 
-// stop begins the graceful stop: the others spread its duties and watches
+// beginStop begins the graceful stop: the others spread its duties and watches
 // among themselves as soon as they hear.
-func (l *Logic) stop() {
+func (l *Logic) beginStop() {
 	if l.drain.Stopping() {
 		return
 	}
-	l.members.Passive(true)
-	l.drain.Begin(l.now, l.circle())
-	l.watch.dirty = true
-	l.tellCircle()
+	l.members.SetPassive(true)
+	l.drain.Begin(l.now, l.stopRecipients())
+	l.assignments.dirty = true
+	l.announceStop()
 }
 
-// quit says goodbye. Whoever does not hear it finds out by itself.
-func (l *Logic) quit() {
-	if l.drain.Phase() >= drain.PhaseGoodbye {
+// leave says goodbye. Whoever does not hear it finds out by itself.
+func (l *Logic) leave() {
+	if l.drain.Phase() >= drain.PhaseLeaving {
 		return
 	}
-	l.drain.Bye(l.now, l.circle())
+	l.drain.BeginLeave(l.now, l.stopRecipients())
 	l.members.Leave()
-	l.sayBye()
+	l.sendLeave()
 }
 
-// circle are the instances that watch this one and pass news on.
-func (l *Logic) circle() []spec.InstanceID { return l.targets() }
+// stopRecipients are the instances that watch this one and pass news on.
+func (l *Logic) stopRecipients() []spec.InstanceID { return l.pushTargets() }
 
-// tellCircle has each of them answer a call that tells of the stop, so that
+// announceStop has each of them answer a call that tells of the stop, so that
 // this one knows that it was heard.
-func (l *Logic) tellCircle() {
-	for _, id := range l.drain.Waits() {
-		l.exchange(id, purposeSeek)
+func (l *Logic) announceStop() {
+	for _, id := range l.drain.Pending() {
+		l.startExchange(id, purposeBestEffort)
 	}
 }
 
-func (l *Logic) sayBye() {
-	l.meets.seek = l.now + byeEvery
-	for _, id := range l.drain.Waits() {
-		c := l.open(id, purposeSeek)
+func (l *Logic) sendLeave() {
+	l.exchanges.nextAttempt = l.now + leaveResendInterval
+	for _, id := range l.drain.Pending() {
+		c := l.openCall(id, purposeBestEffort)
 		if c == nil {
 			return
 		}
-		m := l.ask(id)
-		m.Call = c.num
-		m.Records = append(m.Records, l.members.Self)
+		m := l.messageForCall(id)
+		m.CallID = c.id
+		m.Records = append(m.Records, l.members.Local)
 	}
 }
 
@@ -61,17 +61,17 @@
 	if !l.drain.Stopping() {
 		return
 	}
-	if l.drain.Phase() == drain.PhaseGoodbye && l.now >= l.meets.seek {
-		l.sayBye()
+	if l.drain.Phase() == drain.PhaseLeaving && l.now >= l.exchanges.nextAttempt {
+		l.sendLeave()
 	}
 	if !l.drain.Tick(l.now) {
 		return
 	}
 	switch l.drain.Phase() {
-	case drain.PhaseHanded:
-		l.watch.dirty = true
+	case drain.PhaseHandedOver:
+		l.assignments.dirty = true
 		l.emit(HandedOver{})
 	case drain.PhaseDone:
-		l.emit(Done{})
+		l.emit(Left{})
 	}
 }
--- a/internal/fleet/node/sums.go
+++ b/internal/fleet/node/sums.go
@@ -12,81 +12,81 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-func (l *Logic) sayLoads(name string, in func(spec.UpstreamID) bool) {
-	body := news.Loads{Sums: l.share.sums.Loads(in)}
-	item, err := news.Make(news.KindLoads, name, news.ScopeCentre, loadsLife.Milliseconds(), body)
+func (l *Logic) publishLoads(name string, in func(spec.UpstreamID) bool) {
+	body := news.Loads{Sums: l.shares.aggregator.Loads(in)}
+	item, err := news.Make(news.KindLoads, name, news.ScopeCentre, loadsTTL.Milliseconds(), body)
 	if err != nil {
 		return
 	}
-	if item, fresh := l.items.Say(l.now, item); fresh {
-		l.takeLoads(item)
+	if item, fresh := l.items.Publish(l.now, item); fresh {
+		l.handleLoads(item)
 	}
 }
 
-// room keeps the latest sum of a model until sums are said again. They change
+// setMemorySum keeps the latest sum of a model until sums are said again. They change
 // all the time, and 360 instances hear each one.
-func (s *shares) room(item news.Item) {
-	at := slices.IndexFunc(s.rooms, func(r news.Item) bool { return r.Key == item.Key })
+func (s *shares) setMemorySum(item news.Item) {
+	at := slices.IndexFunc(s.memorySums, func(r news.Item) bool { return r.Key == item.Key })
 	switch {
 	case at >= 0:
-		s.rooms[at] = item
-	case len(s.rooms) < maxRooms:
-		s.rooms = append(s.rooms, item)
+		s.memorySums[at] = item
+	case len(s.memorySums) < maxMemorySums:
+		s.memorySums = append(s.memorySums, item)
 	}
 }
 
-// sayRooms says the sums. In a small fleet each instance tells its part of the
+// publishMemorySums says the sums. In a small fleet each instance tells its part of the
 // room; in a larger one a voice per data centre has to do for the others.
-func (l *Logic) sayRooms() {
-	if l.speaker() || l.members.Len() <= smallFleet {
-		for _, item := range l.share.rooms {
-			_, _ = l.items.Say(l.now, item)
+func (l *Logic) publishMemorySums() {
+	if l.isFirstGateway() || l.members.Len() <= maxSmallFleet {
+		for _, item := range l.shares.memorySums {
+			_, _ = l.items.Publish(l.now, item)
 		}
 	}
-	l.share.rooms = nil
+	l.shares.memorySums = nil
 }
 
-func (l *Logic) sayRates() {
-	body := news.Rates{Sums: l.share.sums.Rates()}
-	item, err := news.Make(news.KindRates, string(l.Self.DataCentre), news.ScopeFleet, ratesLife.Milliseconds(), body)
+func (l *Logic) publishRates() {
+	body := news.Rates{Sums: l.shares.aggregator.Rates()}
+	item, err := news.Make(news.KindRates, string(l.Local.DataCentre), news.ScopeFleet, ratesTTL.Milliseconds(), body)
 	if err != nil {
 		return
 	}
-	if item, fresh := l.items.Say(l.now, item); fresh {
-		l.takeRates(item)
+	if item, fresh := l.items.Publish(l.now, item); fresh {
+		l.handleRates(item)
 	}
 }
 
-func (l *Logic) takeRates(item news.Item) {
+func (l *Logic) handleRates(item news.Item) {
 	var body news.Rates
 	if news.Decode(item, &body) == nil {
-		l.share.view.TakeRates(l.now, item.Key, time.Duration(item.Life)*time.Millisecond, body.Sums)
+		l.shares.fleet.SetCentreRates(l.now, item.Key, time.Duration(item.Life)*time.Millisecond, body.Sums)
 	}
 }
 
-// takeLoads passes on what others have in flight: the sum less what was told
+// handleLoads passes on what others have in flight: the sum less what was told
 // of here.
-func (l *Logic) takeLoads(item news.Item) {
+func (l *Logic) handleLoads(item news.Item) {
 	var body news.Loads
 	if news.Decode(item, &body) != nil {
 		return
 	}
-	s := &l.share
+	s := &l.shares
 	if s.groups == nil {
 		s.groups = map[string][]spec.UpstreamID{}
-		s.out = map[spec.UpstreamID]EngineLoad{}
+		s.peerLoads = map[spec.UpstreamID]PeerEngineLoad{}
 	}
 	before := s.groups[item.Key]
 	engines := make([]spec.UpstreamID, 0, len(body.Sums))
 	for _, sum := range body.Sums {
 		e := spec.UpstreamID(sum.Engine)
 		engines = append(engines, e)
-		told := s.told[e]
-		l.engineLoad(EngineLoad{Engine: e, Active: max(0, sum.Active-told.Active), Tokens: max(0, sum.Tokens-told.Tokens)})
+		told := s.reportedLoads[e]
+		l.emitPeerLoad(PeerEngineLoad{Engine: e, Active: max(0, sum.Active-told.Active), Tokens: max(0, sum.Tokens-told.Tokens)})
 	}
 	for _, e := range before {
 		if !slices.Contains(engines, e) {
-			l.engineLoad(EngineLoad{Engine: e})
+			l.emitPeerLoad(PeerEngineLoad{Engine: e})
 		}
 	}
 	s.keepGroup(item.Key, engines)
@@ -104,19 +104,19 @@
 	s.groups[name] = engines
 }
 
-func (l *Logic) engineLoad(e EngineLoad) {
-	if l.share.out[e.Engine] == e {
+func (l *Logic) emitPeerLoad(e PeerEngineLoad) {
+	if l.shares.peerLoads[e.Engine] == e {
 		return
 	}
 	if e.Active == 0 && e.Tokens == 0 {
-		delete(l.share.out, e.Engine)
+		delete(l.shares.peerLoads, e.Engine)
 	} else {
-		l.share.out[e.Engine] = e
+		l.shares.peerLoads[e.Engine] = e
 	}
 	l.emit(e)
 }
 
-// group names the engines whose loads one instance adds up.
-func group(e spec.UpstreamID, groups int) string {
+// loadGroup names the engines whose loads one instance adds up.
+func loadGroup(e spec.UpstreamID, groups int) string {
 	return fmt.Sprintf("%d/%d", xxhash.Sum64String(string(e))%uint64(groups), groups)
 }
--- a/internal/fleet/node/watch.go
+++ b/internal/fleet/node/watch.go
@@ -12,64 +12,64 @@
 	"fulmarwick/internal/fleet/talk"
 )
 
-// watchers is how many instances read each engine's reports.
-const watchers = 2
+// watchersPerEngine is how many instances read each engine's reports.
+const watchersPerEngine = 2
 
-// watches are the engines and duties of this instance.
-type watches struct {
-	version uint64
-	dirty   bool
-	engines []spec.UpstreamID
-	first   []spec.UpstreamID
-	told    bool
-	specs   []DutySpec
-	mine    map[string]bool
+// assignments are the engines and duties of this instance.
+type assignments struct {
+	version   uint64
+	dirty     bool
+	engines   []spec.UpstreamID
+	primary   []spec.UpstreamID
+	reported  bool
+	dutySpecs []DutySpec
+	assigned  map[string]bool
 }
 
-func (w *watches) duties(specs []DutySpec) {
-	w.specs = slices.Clone(specs)
-	slices.SortFunc(w.specs, func(a, b DutySpec) int { return strings.Compare(a.Name, b.Name) })
+func (w *assignments) setDuties(specs []DutySpec) {
+	w.dutySpecs = slices.Clone(specs)
+	slices.SortFunc(w.dutySpecs, func(a, b DutySpec) int { return strings.Compare(a.Name, b.Name) })
 	w.dirty = true
 }
 
-// tickWatch spreads watches and duties anew when the members changed.
-func (l *Logic) tickWatch() {
-	l.tickReach()
-	w := &l.watch
+// tickAssignments spreads watches and duties anew when the members changed.
+func (l *Logic) tickAssignments() {
+	l.updateReachability()
+	w := &l.assignments
 	changed := w.version != l.members.Version()
 	if !changed && !w.dirty {
 		return
 	}
 	w.version, w.dirty = l.members.Version(), false
 	if changed {
-		l.emit(l.peers())
+		l.emit(l.membersCommand())
 	}
 	l.assignEngines()
 	l.assignDuties()
 }
 
-func (l *Logic) peers() Members {
+func (l *Logic) membersCommand() Members {
 	var out Members
 	l.members.Each(func(r talk.Record) {
-		if r.State <= talk.StateSuspect && r.ID != l.Self.ID {
-			out.Peers = append(out.Peers, Peer{ID: r.ID, DataCentre: r.DataCentre, URL: l.url(r.ID), Passive: r.Passive})
+		if r.State <= talk.StateSuspect && r.ID != l.Local.ID {
+			out.Peers = append(out.Peers, Peer{ID: r.ID, DataCentre: r.DataCentre, URL: l.peerURL(r.ID), Passive: r.Passive})
 		}
 	})
 	return out
 }
 
 func (l *Logic) assignEngines() {
-	w := &l.watch
+	w := &l.assignments
 	// During the hand-over the old watches are kept, so that the first polls
 	// of the new watchers are done before the last ones here.
-	if l.drain.Phase() == drain.PhaseHanding {
+	if l.drain.Phase() == drain.PhaseHandingOver {
 		return
 	}
-	able := l.active(l.Self.DataCentre)
+	able := l.activeInstances(l.Local.DataCentre)
 	var engines, first []spec.UpstreamID
-	for _, e := range l.listed.engines {
-		top := rank.Top("watch/"+string(e), able, watchers)
-		if at := slices.Index(top, l.Self.ID); at >= 0 {
+	for _, e := range l.discovered.engines {
+		top := rank.Top("watch/"+string(e), able, watchersPerEngine)
+		if at := slices.Index(top, l.Local.ID); at >= 0 {
 			engines = append(engines, e)
 			if at == 0 {
 				first = append(first, e)
@@ -79,23 +79,23 @@
 	if l.drain.Stopping() {
 		engines, first = nil, nil
 	}
-	if w.told && slices.Equal(engines, w.engines) && slices.Equal(first, w.first) {
+	if w.reported && slices.Equal(engines, w.engines) && slices.Equal(first, w.primary) {
 		return
 	}
-	w.told, w.engines, w.first = true, engines, first
-	l.emit(Watch{Engines: engines, First: first})
+	w.reported, w.engines, w.primary = true, engines, first
+	l.emit(Watch{Engines: engines, Primary: first})
 }
 
 // assignDuties tells which duties begin or end here. Two instances may both
 // hold one for a moment: its lease decides.
 func (l *Logic) assignDuties() {
-	w := &l.watch
-	if w.mine == nil {
-		w.mine = map[string]bool{}
+	w := &l.assignments
+	if w.assigned == nil {
+		w.assigned = map[string]bool{}
 	}
 	var gone []string
-	for name, mine := range w.mine {
-		if mine && !slices.ContainsFunc(w.specs, func(d DutySpec) bool { return d.Name == name }) {
+	for name, mine := range w.assigned {
+		if mine && !slices.ContainsFunc(w.dutySpecs, func(d DutySpec) bool { return d.Name == name }) {
 			gone = append(gone, name)
 		}
 	}
@@ -103,27 +103,27 @@
 	for _, name := range gone {
 		l.setDuty(name, false)
 	}
-	for _, d := range w.specs {
-		mine := l.join.ready && !l.drain.Stopping() && rank.IsFirst("duty/"+d.Name, l.able(d.Scope), l.Self.ID)
+	for _, d := range w.dutySpecs {
+		mine := l.join.ready && !l.drain.Stopping() && rank.IsFirst("duty/"+d.Name, l.dutyCandidates(d.Scope), l.Local.ID)
 		l.setDuty(d.Name, mine)
 	}
 }
 
 func (l *Logic) setDuty(name string, mine bool) {
-	if l.watch.mine[name] != mine {
-		l.watch.mine[name] = mine
-		l.emit(Duty{Name: name, Mine: mine})
+	if l.assignments.assigned[name] != mine {
+		l.assignments.assigned[name] = mine
+		l.emit(Duty{Name: name, Assigned: mine})
 	}
 }
 
-// able are the instances among which a duty of the scope is spread.
-func (l *Logic) able(scope news.Scope) []spec.InstanceID {
+// dutyCandidates are the instances among which a duty of the scope is spread.
+func (l *Logic) dutyCandidates(scope news.Scope) []spec.InstanceID {
 	if scope == news.ScopeCentre {
-		return l.active(l.Self.DataCentre)
+		return l.activeInstances(l.Local.DataCentre)
 	}
 	cut := map[spec.DataCentre]bool{}
-	for _, c := range l.remotes.rows {
+	for _, c := range l.remoteCentres.rows {
 		cut[c.centre] = c.unreachable
 	}
-	return l.members.Members(func(r talk.Record) bool { return !r.Passive && !cut[r.DataCentre] })
+	return l.members.LiveMembers(func(r talk.Record) bool { return !r.Passive && !cut[r.DataCentre] })
 }
--- a/internal/fleet/quota/own.go
+++ b/internal/fleet/quota/own.go
@@ -11,32 +11,32 @@
 
 // Bounds of what one instance tells of its use.
 const (
-	// Heavy is how many teams an instance and a data centre tell of.
-	Heavy = 32
+	// MaxHeavyTeams is how many teams an instance and a data centre tell of.
+	MaxHeavyTeams = 32
 	// maxLoads bounds the engines an instance tells of.
 	maxLoads = 4096
-	// fresh is how long a rate counts that was not set again; the routing logic
+	// rateTTL is how long a rate counts that was not set again; the routing logic
 	// sets an unchanged one every 5 s.
-	fresh = 12 * time.Second
+	rateTTL = 12 * time.Second
 )
 
-// Own holds what the own instance uses.
-type Own struct {
+// LocalUsage holds what the own instance uses.
+type LocalUsage struct {
 	loads []talk.Load
-	rates []ownRate
+	rates []localRate
 }
 
-type ownRate struct {
+type localRate struct {
 	team spec.TeamID
 	hash uint64
 	rate float64
-	// told is the rate in the last share sent.
-	told  float64
-	until time.Duration
+	// reported is the rate in the last share sent.
+	reported  float64
+	expiresAt time.Duration
 }
 
-// Load sets what is in flight on an engine.
-func (o *Own) Load(l talk.Load) {
+// SetLoad sets what is in flight on an engine.
+func (o *LocalUsage) SetLoad(l talk.Load) {
 	at, found := slices.BinarySearchFunc(o.loads, l, func(a, b talk.Load) int { return cmp.Compare(a.Engine, b.Engine) })
 	none := l.Active <= 0 && l.Tokens <= 0
 	switch {
@@ -50,7 +50,7 @@
 }
 
 // Loads returns what is in flight on the engines that f accepts.
-func (o *Own) Loads(f func(spec.UpstreamID) bool) []talk.Load {
+func (o *LocalUsage) Loads(f func(spec.UpstreamID) bool) []talk.Load {
 	var out []talk.Load
 	for _, l := range o.loads {
 		if f(l.Engine) {
@@ -60,17 +60,17 @@
 	return out
 }
 
-// Rate sets the use by a team, in tokens a second. Of more than Heavy teams
+// SetRate sets the use by a team, in tokens a second. Of more than Heavy teams
 // the lightest is dropped.
-func (o *Own) Rate(now time.Duration, team spec.TeamID, rate float64) {
-	at, found := slices.BinarySearchFunc(o.rates, team, func(r ownRate, t spec.TeamID) int { return cmp.Compare(r.team, t) })
+func (o *LocalUsage) SetRate(now time.Duration, team spec.TeamID, rate float64) {
+	at, found := slices.BinarySearchFunc(o.rates, team, func(r localRate, t spec.TeamID) int { return cmp.Compare(r.team, t) })
 	if found {
-		o.rates[at].rate, o.rates[at].until = rate, now+fresh
+		o.rates[at].rate, o.rates[at].expiresAt = rate, now+rateTTL
 		return
 	}
-	row := ownRate{team: team, hash: talk.TeamHash(team), rate: rate, until: now + fresh}
+	row := localRate{team: team, hash: talk.TeamHash(team), rate: rate, expiresAt: now + rateTTL}
 	o.rates = slices.Insert(o.rates, at, row)
-	if len(o.rates) <= Heavy {
+	if len(o.rates) <= MaxHeavyTeams {
 		return
 	}
 	least := 0
@@ -82,20 +82,20 @@
 	o.rates = slices.Delete(o.rates, least, least+1)
 }
 
-// Rates returns the rates to tell and notes them as told.
-func (o *Own) Rates() []talk.Rate {
+// ReportRates returns the rates to tell and notes them as told.
+func (o *LocalUsage) ReportRates() []talk.Rate {
 	out := make([]talk.Rate, 0, len(o.rates))
 	for i := range o.rates {
 		r := &o.rates[i]
-		r.told = r.rate
+		r.reported = r.rate
 		if r.rate > 0 {
-			out = append(out, talk.Rate{Team: r.hash, Rate: float32(r.rate)})
+			out = append(out, talk.Rate{TeamHash: r.hash, Rate: float32(r.rate)})
 		}
 	}
 	return out
 }
 
 // Tick drops rates that were not set for long.
-func (o *Own) Tick(now time.Duration) {
-	o.rates = slices.DeleteFunc(o.rates, func(r ownRate) bool { return now >= r.until })
+func (o *LocalUsage) Tick(now time.Duration) {
+	o.rates = slices.DeleteFunc(o.rates, func(r localRate) bool { return now >= r.expiresAt })
 }
--- a/internal/fleet/quota/quota_test.go
+++ b/internal/fleet/quota/quota_test.go
@@ -42,7 +42,7 @@
 	})
 }
 
-func TestSketchFindsHeavyAmongThousands(t *testing.T) {
+func TestSketchFindsHeavyTeamsAmongThousands(t *testing.T) {
 	s := quota.Sketch{Size: 128}
 	random := rand.New(rand.NewPCG(1, 2))
 	for range 200_000 {
@@ -58,11 +58,11 @@
 	}
 }
 
-func TestSharesReplaceAndEnd(t *testing.T) {
-	var s quota.Sums
-	s.Take(0, "a", talk.Share{HasRates: true, Rates: []talk.Rate{{Team: 1, Rate: 10}}, HasLoads: true, Loads: []talk.Load{{Engine: "e", Active: 2}}})
-	s.Take(0, "b", talk.Share{HasRates: true, Rates: []talk.Rate{{Team: 1, Rate: 5}}})
-	s.Take(0, "a", talk.Share{HasLoads: true})
+func TestSharesAreReplacedAndExpire(t *testing.T) {
+	var s quota.Aggregator
+	s.SetShare(0, "a", talk.Share{HasRates: true, Rates: []talk.Rate{{TeamHash: 1, Rate: 10}}, HasLoads: true, Loads: []talk.Load{{Engine: "e", Active: 2}}})
+	s.SetShare(0, "b", talk.Share{HasRates: true, Rates: []talk.Rate{{TeamHash: 1, Rate: 5}}})
+	s.SetShare(0, "a", talk.Share{HasLoads: true})
 	all := func(spec.UpstreamID) bool { return true }
 	if got := s.Loads(all); len(got) != 0 {
 		t.Errorf("got loads %v, want none after an empty share", got)
@@ -70,7 +70,7 @@
 	if got := s.Rates(); len(got) != 1 || got[0].Rate != 15 {
 		t.Errorf("got rates %v, want 15", got)
 	}
-	s.Drop("a")
+	s.Remove("a")
 	if got := s.Rates(); len(got) != 1 || got[0].Rate != 5 {
 		t.Errorf("got rates %v after a death, want 5", got)
 	}
@@ -80,40 +80,40 @@
 	}
 }
 
-func TestSmallTeamsAreNotTold(t *testing.T) {
-	var s quota.Sums
+func TestSmallTeamsAreOmitted(t *testing.T) {
+	var s quota.Aggregator
 	var share talk.Share
 	share.HasRates = true
 	for i := range 30 {
-		share.Rates = append(share.Rates, talk.Rate{Team: uint64(i), Rate: 1})
+		share.Rates = append(share.Rates, talk.Rate{TeamHash: uint64(i), Rate: 1})
 	}
 	share.Rates[7].Rate = 1000
-	s.Take(0, "a", share)
+	s.SetShare(0, "a", share)
 	if got := s.Rates(); len(got) != 1 || got[0] != (news.RateSum{Team: 7, Rate: 1000}) {
 		t.Errorf("got %v, want the one heavy team", got)
 	}
 }
 
-func TestUseOfOthersAddsToOwn(t *testing.T) {
-	var v quota.View
-	var own quota.Own
-	own.Rate(0, "big", 100)
-	own.Rates()
+func TestPeerUsageAddsToLocal(t *testing.T) {
+	var v quota.FleetUsage
+	var own quota.LocalUsage
+	own.SetRate(0, "big", 100)
+	own.ReportRates()
 	sum := news.RateSum{Team: talk.TeamHash("big"), Rate: 400}
-	v.TakeRates(0, "klang", time.Second, []news.RateSum{sum})
-	v.TakeRates(0, "penang", time.Second, []news.RateSum{sum})
-	own.Rate(0, "big", 150)
-	if got := v.Teams(0, &own); len(got) != 1 || got[0].Rate != 850 {
+	v.SetCentreRates(0, "klang", time.Second, []news.RateSum{sum})
+	v.SetCentreRates(0, "penang", time.Second, []news.RateSum{sum})
+	own.SetRate(0, "big", 150)
+	if got := v.ChangedTeams(0, &own); len(got) != 1 || got[0].Rate != 850 {
 		t.Errorf("got %v, want 700 of others and 150 own", got)
 	}
-	if got := v.Teams(0, &own); len(got) != 0 {
+	if got := v.ChangedTeams(0, &own); len(got) != 0 {
 		t.Errorf("got %v again, want nothing unchanged", got)
 	}
-	if got := v.Teams(5*time.Second, &own); len(got) != 1 || got[0].Rate != 850 {
+	if got := v.ChangedTeams(5*time.Second, &own); len(got) != 1 || got[0].Rate != 850 {
 		t.Errorf("got %v after a while, want the same once more", got)
 	}
 	v.Tick(2 * time.Second)
-	if got := v.Teams(2*time.Second, &own); len(got) != 1 || got[0].Rate != 150 {
+	if got := v.ChangedTeams(2*time.Second, &own); len(got) != 1 || got[0].Rate != 150 {
 		t.Errorf("got %v after silence, want the own 150", got)
 	}
 }
