--- a/internal/fleet/quota/sums.go
+++ b/internal/fleet/quota/sums.go
@@ -10,63 +10,63 @@
 	"fulmarwick/internal/fleet/talk"
 )
 
-// shareLife is how long a share counts that was not sent again; its sender
+// shareTTL is how long a share counts that was not sent again; its sender
 // may have chosen another instance to add up.
-const shareLife = 10 * time.Second
+const shareTTL = 10 * time.Second
 
-// least is the share of a data centre's use from which on a team is heavy.
-const least = 0.01
+// minHeavyShare is the share of a data centre's use from which on a team is heavy.
+const minHeavyShare = 0.01
 
-// Sums adds up the shares that instances of a data centre send.
-type Sums struct {
-	rows []shareRow
+// Aggregator adds up the shares that instances of a data centre send.
+type Aggregator struct {
+	rows []senderShare
 }
 
-type shareRow struct {
-	from  spec.InstanceID
-	loads []talk.Load
-	rates []talk.Rate
+type senderShare struct {
+	sender spec.InstanceID
+	loads  []talk.Load
+	rates  []talk.Rate
 	// Each list counts until its own time.
-	loadsUntil time.Duration
-	ratesUntil time.Duration
+	loadsExpireAt time.Duration
+	ratesExpireAt time.Duration
 }
 
-// Take takes a share; each list that it has replaces its sender's former one.
-func (s *Sums) Take(now time.Duration, from spec.InstanceID, share talk.Share) {
-	at, found := slices.BinarySearchFunc(s.rows, from, func(r shareRow, id spec.InstanceID) int { return cmp.Compare(r.from, id) })
+// SetShare takes a share; each list that it has replaces its sender's former one.
+func (s *Aggregator) SetShare(now time.Duration, from spec.InstanceID, share talk.Share) {
+	at, found := slices.BinarySearchFunc(s.rows, from, func(r senderShare, id spec.InstanceID) int { return cmp.Compare(r.sender, id) })
 	if !found {
-		s.rows = slices.Insert(s.rows, at, shareRow{from: from})
+		s.rows = slices.Insert(s.rows, at, senderShare{sender: from})
 	}
 	row := &s.rows[at]
 	if share.HasLoads {
-		row.loads, row.loadsUntil = share.Loads, now+shareLife
+		row.loads, row.loadsExpireAt = share.Loads, now+shareTTL
 	}
 	if share.HasRates {
-		row.rates, row.ratesUntil = share.Rates, now+shareLife
+		row.rates, row.ratesExpireAt = share.Rates, now+shareTTL
 	}
 }
 
-// Drop forgets the share of an instance that is gone.
-func (s *Sums) Drop(from spec.InstanceID) {
-	s.rows = slices.DeleteFunc(s.rows, func(r shareRow) bool { return r.from == from })
+// Remove forgets the share of an instance that is gone.
+func (s *Aggregator) Remove(from spec.InstanceID) {
+	s.rows = slices.DeleteFunc(s.rows, func(r senderShare) bool { return r.sender == from })
 }
 
 // Tick forgets shares that were not sent again.
-func (s *Sums) Tick(now time.Duration) {
+func (s *Aggregator) Tick(now time.Duration) {
 	for i := range s.rows {
 		r := &s.rows[i]
-		if now >= r.loadsUntil {
+		if now >= r.loadsExpireAt {
 			r.loads = nil
 		}
-		if now >= r.ratesUntil {
+		if now >= r.ratesExpireAt {
 			r.rates = nil
 		}
 	}
-	s.rows = slices.DeleteFunc(s.rows, func(r shareRow) bool { return now >= max(r.loadsUntil, r.ratesUntil) })
+	s.rows = slices.DeleteFunc(s.rows, func(r senderShare) bool { return now >= max(r.loadsExpireAt, r.ratesExpireAt) })
 }
 
 // Loads adds up the work in flight per engine, for the engines that f accepts.
-func (s *Sums) Loads(f func(spec.UpstreamID) bool) []news.LoadSum {
+func (s *Aggregator) Loads(f func(spec.UpstreamID) bool) []news.LoadSum {
 	at := map[spec.UpstreamID]int{}
 	var out []news.LoadSum
 	for _, r := range s.rows {
@@ -89,16 +89,16 @@
 }
 
 // Rates adds up the use per team and returns the heaviest.
-func (s *Sums) Rates() []news.RateSum {
+func (s *Aggregator) Rates() []news.RateSum {
 	at := map[uint64]int{}
 	var out []news.RateSum
 	for _, r := range s.rows {
 		for _, t := range r.rates {
-			i, ok := at[t.Team]
+			i, ok := at[t.TeamHash]
 			if !ok {
 				i = len(out)
-				at[t.Team] = i
-				out = append(out, news.RateSum{Team: t.Team})
+				at[t.TeamHash] = i
+				out = append(out, news.RateSum{Team: t.TeamHash})
 			}
 			out[i].Rate += t.Rate
 		}
@@ -106,18 +106,18 @@
 	slices.SortFunc(out, func(a, b news.RateSum) int {
 		return cmp.Or(cmp.Compare(b.Rate, a.Rate), cmp.Compare(a.Team, b.Team))
 	})
-	return heavy(out)
+	return keepHeaviest(out)
 }
 
-// heavy cuts rates in falling order to the heaviest teams. Those under a
+// keepHeaviest cuts rates in falling order to the heaviest teams. Those under a
 // hundredth of all cannot crowd out others, so nobody hears of them.
-func heavy(rates []news.RateSum) []news.RateSum {
+func keepHeaviest(rates []news.RateSum) []news.RateSum {
 	total := float32(0)
 	for _, r := range rates {
 		total += r.Rate
 	}
 	n := 0
-	for n < min(Heavy, len(rates)) && rates[n].Rate >= least*total {
+	for n < min(MaxHeavyTeams, len(rates)) && rates[n].Rate >= minHeavyShare*total {
 		n++
 	}
 	return rates[:n]
--- a/internal/fleet/talk/codec.go
+++ b/internal/fleet/talk/codec.go
@@ -12,22 +12,22 @@
 
 // Limits of one message.
 const (
-	MaxBytes   = 64 << 10
-	maxName    = 255
-	maxBody    = 16 << 10
-	maxEntries = 4096
-	maxLife    = 24 * 60 * 60 * 1000
+	MaxMessageBytes  = 64 << 10
+	maxNameBytes     = 255
+	maxBodyBytes     = 16 << 10
+	maxArrayElements = 4096
+	maxTTLMs         = 24 * 60 * 60 * 1000
 	// maxKind leaves room for the kinds of a newer version: an older instance
 	// passes them on unread.
-	maxKind = 64
-	maxInc  = 1 << 31
+	maxKind        = 64
+	maxIncarnation = 1 << 31
 	// MaxStamp keeps a hostile stamp from using up the number range: no
 	// stream reaches it in use.
 	MaxStamp = 1 << 48
 )
 
-// ErrBad is returned for bytes that are not a message of an instance.
-var ErrBad = errors.New("talk: not a message")
+// ErrMalformed is returned for bytes that are not a message of an instance.
+var ErrMalformed = errors.New("talk: not a message")
 
 var (
 	encoder = newEncoder()
@@ -46,7 +46,7 @@
 	m, err := cbor.DecOptions{
 		DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden,
 		TagsMd: cbor.TagsForbidden, MaxNestedLevels: 8,
-		MaxArrayElements: maxEntries, MaxMapPairs: 64,
+		MaxArrayElements: maxArrayElements, MaxMapPairs: 64,
 	}.DecMode()
 	if err != nil {
 		panic(err)
@@ -58,7 +58,7 @@
 func Encode(m *Message) ([]byte, error) {
 	data, err := encoder.Marshal(m)
 	if err != nil {
-		return nil, errors.Wrap(ErrBad, err.Error())
+		return nil, errors.Wrap(ErrMalformed, err.Error())
 	}
 	return data, nil
 }
@@ -66,21 +66,21 @@
 // Decode reads a message. It returns ErrBad for anything that is malformed,
 // too large or out of range; nothing of such a message counts.
 func Decode(data []byte) (*Message, error) {
-	if len(data) > MaxBytes {
-		return nil, errors.Wrap(ErrBad, "too large")
+	if len(data) > MaxMessageBytes {
+		return nil, errors.Wrap(ErrMalformed, "too large")
 	}
 	var m Message
 	if err := decoder.Unmarshal(data, &m); err != nil {
-		return nil, errors.Wrap(ErrBad, err.Error())
+		return nil, errors.Wrap(ErrMalformed, err.Error())
 	}
 	if !m.valid() {
-		return nil, errors.Wrap(ErrBad, "value out of range")
+		return nil, errors.Wrap(ErrMalformed, "value out of range")
 	}
 	return &m, nil
 }
 
 func (m *Message) valid() bool {
-	if len(m.Target) > maxName || len(m.Sums) > maxName {
+	if len(m.ProbeTarget) > maxNameBytes || len(m.Checksums) > maxNameBytes {
 		return false
 	}
 	for i := range m.Records {
@@ -93,12 +93,12 @@
 			return false
 		}
 	}
-	return validMarks(m.Marks) && validMarks(m.Wants) && m.Share.valid()
+	return validWatermarks(m.Watermarks) && validWatermarks(m.Wants) && m.Share.valid()
 }
 
-func validMarks(marks []Mark) bool {
+func validWatermarks(marks []Watermark) bool {
 	for _, k := range marks {
-		if k.Count >= MaxStamp {
+		if k.Stamp >= MaxStamp {
 			return false
 		}
 	}
@@ -106,12 +106,12 @@
 }
 
 func (r *Record) valid() bool {
-	return named(string(r.ID)) && len(r.DataCentre) <= maxName && len(r.URL) <= maxName &&
-		len(r.By) <= maxName && r.Born < math.MaxUint32 && r.Inc < maxInc && r.State >= StateAlive && r.State <= StateLeft
+	return isValidName(string(r.ID)) && len(r.DataCentre) <= maxNameBytes && len(r.URL) <= maxNameBytes &&
+		len(r.SuspectedBy) <= maxNameBytes && r.StartTime < math.MaxUint32 && r.Incarnation < maxIncarnation && r.State >= StateAlive && r.State <= StateLeft
 }
 
 func (b *Block) valid() bool {
-	if !named(string(b.Origin)) || b.Upto >= MaxStamp {
+	if !isValidName(string(b.Origin)) || b.Watermark >= MaxStamp {
 		return false
 	}
 	if b.Scope != news.ScopeCentre && b.Scope != news.ScopeFleet {
@@ -126,8 +126,8 @@
 }
 
 func (e *Entry) valid() bool {
-	return e.Kind >= 0 && e.Kind < maxKind && len(e.Key) <= maxName && len(e.Body) <= maxBody &&
-		e.Stamp > 0 && e.Stamp < MaxStamp && e.Life > 0 && e.Life <= maxLife
+	return e.Kind >= 0 && e.Kind < maxKind && len(e.Key) <= maxNameBytes && len(e.Body) <= maxBodyBytes &&
+		e.Stamp > 0 && e.Stamp < MaxStamp && e.TTLMs > 0 && e.TTLMs <= maxTTLMs
 }
 
 func (s *Share) valid() bool {
@@ -135,7 +135,7 @@
 		return true
 	}
 	for _, l := range s.Loads {
-		if !named(string(l.Engine)) || l.Active < 0 || l.Tokens < 0 || l.Active > 1<<30 || l.Tokens > 1<<40 {
+		if !isValidName(string(l.Engine)) || l.Active < 0 || l.Tokens < 0 || l.Active > 1<<30 || l.Tokens > 1<<40 {
 			return false
 		}
 	}
@@ -148,26 +148,26 @@
 	return true
 }
 
-func named(s string) bool { return s != "" && len(s) <= maxName }
+func isValidName(s string) bool { return s != "" && len(s) <= maxNameBytes }
 
 // Sizes of the parts, for sharing out a byte budget. They are upper bounds
 // but for the strings, which are counted.
 const (
-	entryBytes  = 16
-	blockBytes  = 22
-	recordBytes = 18
+	entryOverheadBytes  = 16
+	blockOverheadBytes  = 22
+	recordOverheadBytes = 18
 )
 
 // Bytes is about how much e takes on the wire.
-func (e *Entry) Bytes() int { return entryBytes + len(e.Key) + len(e.Body) }
+func (e *Entry) Bytes() int { return entryOverheadBytes + len(e.Key) + len(e.Body) }
 
-// Bytes is about how much the head of b takes on the wire.
-func (b *Block) Bytes() int { return blockBytes + len(b.Origin) }
+// HeaderBytes is about how much the head of b takes on the wire.
+func (b *Block) HeaderBytes() int { return blockOverheadBytes + len(b.Origin) }
 
 // Bytes is about how much r takes on the wire.
 func (r *Record) Bytes() int {
-	return recordBytes + len(r.ID) + len(r.DataCentre) + len(r.URL) + len(r.By)
+	return recordOverheadBytes + len(r.ID) + len(r.DataCentre) + len(r.URL) + len(r.SuspectedBy)
 }
 
 // TeamHash is the short name of a team in messages.
-func TeamHash(team spec.TeamID) uint64 { return hash(string(team)) }
+func TeamHash(team spec.TeamID) uint64 { return hashString(string(team)) }
--- a/internal/fleet/talk/hash.go
+++ b/internal/fleet/talk/hash.go
@@ -9,7 +9,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-func hash(s string) uint64 { return xxhash.Sum64String(s) }
+func hashString(s string) uint64 { return xxhash.Sum64String(s) }
 
 // StreamHash names a stream in a Mark. Two of a few hundred streams share a
 // hash about once in a hundred thousand fleets; the marks of both are then
@@ -25,13 +25,13 @@
 	return uint32(d.Sum64())
 }
 
-// Sum is the checksum of a record in the sums of a member table. The
+// Checksum is the checksum of a record in the sums of a member table. The
 // suspicions of different instances count as one: they differ for a while and
 // need no repair.
-func (r *Record) Sum() uint32 {
+func (r *Record) Checksum() uint32 {
 	var tail [10]byte
-	binary.BigEndian.PutUint32(tail[:4], r.Born)
-	binary.BigEndian.PutUint32(tail[4:8], r.Inc)
+	binary.BigEndian.PutUint32(tail[:4], r.StartTime)
+	binary.BigEndian.PutUint32(tail[4:8], r.Incarnation)
 	tail[8] = byte(r.State)
 	if r.Passive {
 		tail[9] = 1
--- a/internal/fleet/talk/talk.go
+++ b/internal/fleet/talk/talk.go
@@ -29,25 +29,25 @@
 	ID         spec.InstanceID
 	DataCentre spec.DataCentre
 	URL        string
-	// Born tells restarts apart: seconds on the instance's own clock.
-	Born uint32
-	// Inc is the incarnation number of SWIM, which only the instance itself
+	// StartTime tells restarts apart: seconds on the instance's own clock.
+	StartTime uint32
+	// Incarnation is the incarnation number of SWIM, which only the instance itself
 	// raises, to refute a suspicion.
-	Inc   uint32
-	State State
+	Incarnation uint32
+	State       State
 	// Passive says that the instance takes no duties and watches: it is still
 	// catching up, or on its way out.
 	Passive bool
-	// By is who suspects; empty unless State is StateSuspect.
-	By spec.InstanceID
+	// SuspectedBy is who suspects; empty unless State is StateSuspect.
+	SuspectedBy spec.InstanceID
 }
 
-// Mark says how far its sender has the items of one stream.
-type Mark struct {
+// Watermark says how far its sender has the items of one stream.
+type Watermark struct {
 	_ struct{} `cbor:",toarray"`
-	// Stream is the hash of origin, birth and scope.
-	Stream uint32
-	Count  uint64
+	// StreamHash is the hash of origin, birth and scope.
+	StreamHash uint32
+	Stamp      uint64
 }
 
 // Entry is an item without what its block says already.
@@ -56,21 +56,21 @@
 	Kind  news.Kind
 	Key   string
 	Stamp uint64
-	// Life is what remains of it, in milliseconds.
-	Life int64
-	Body []byte
+	// TTLMs is what remains of it, in milliseconds.
+	TTLMs int64
+	Body  []byte
 }
 
 // Block carries items of one stream.
 type Block struct {
-	_      struct{} `cbor:",toarray"`
-	Origin spec.InstanceID
-	Born   uint32
-	Scope  news.Scope
-	// Upto is the mark that the receiver reaches by this block; zero if the
+	_         struct{} `cbor:",toarray"`
+	Origin    spec.InstanceID
+	StartTime uint32
+	Scope     news.Scope
+	// Watermark is the mark that the receiver reaches by this block; zero if the
 	// items were sent out of turn.
-	Upto  uint64
-	Items []Entry
+	Watermark uint64
+	Items     []Entry
 }
 
 // Load is the sender's work in flight on an engine.
@@ -84,9 +84,9 @@
 // Rate is the sender's use by a team, in tokens a second.
 type Rate struct {
 	_ struct{} `cbor:",toarray"`
-	// Team is the hash of the team's name.
-	Team uint64
-	Rate float32
+	// TeamHash is the hash of the team's name.
+	TeamHash uint64
+	Rate     float32
 }
 
 // Share goes to whoever adds up the shares of a data centre.
@@ -102,24 +102,24 @@
 // Message is everything that one instance tells another at once. Each part
 // may be missing.
 type Message struct {
-	// Call asks for an answer that carries the number as Ack.
-	Call uint64 `cbor:"1,keyasint,omitempty"`
-	Ack  uint64 `cbor:"2,keyasint,omitempty"`
-	// Target asks the receiver to call a third instance; the answer comes
+	// CallID asks for an answer that carries the number as Ack.
+	CallID uint64 `cbor:"1,keyasint,omitempty"`
+	AckID  uint64 `cbor:"2,keyasint,omitempty"`
+	// ProbeTarget asks the receiver to call a third instance; the answer comes
 	// only once that one answered.
-	Target spec.InstanceID `cbor:"3,keyasint,omitempty"`
+	ProbeTarget spec.InstanceID `cbor:"3,keyasint,omitempty"`
 	// Records are what the sender holds true of members.
 	Records []Record `cbor:"4,keyasint,omitempty"`
-	// Sums are checksums of the sender's member table, four bytes a bucket.
-	Sums []byte `cbor:"5,keyasint,omitempty"`
-	// Digest says that Marks are all that the sender has.
-	Digest bool   `cbor:"6,keyasint,omitempty"`
-	Marks  []Mark `cbor:"7,keyasint,omitempty"`
+	// Checksums are checksums of the sender's member table, four bytes a bucket.
+	Checksums []byte `cbor:"5,keyasint,omitempty"`
+	// HasDigest says that Marks are all that the sender has.
+	HasDigest  bool        `cbor:"6,keyasint,omitempty"`
+	Watermarks []Watermark `cbor:"7,keyasint,omitempty"`
 	// Wants asks for what comes after these marks.
-	Wants  []Mark  `cbor:"8,keyasint,omitempty"`
-	Blocks []Block `cbor:"9,keyasint,omitempty"`
-	// Whole says that the receiver now has all that the sender has.
-	Whole bool `cbor:"10,keyasint,omitempty"`
+	Wants  []Watermark `cbor:"8,keyasint,omitempty"`
+	Blocks []Block     `cbor:"9,keyasint,omitempty"`
+	// Complete says that the receiver now has all that the sender has.
+	Complete bool `cbor:"10,keyasint,omitempty"`
 	// Ready says that the sender itself caught up with its peers.
 	Ready bool   `cbor:"12,keyasint,omitempty"`
 	Share *Share `cbor:"11,keyasint,omitempty"`
--- a/internal/route/admit/admit.go
+++ b/internal/route/admit/admit.go
@@ -12,26 +12,26 @@
 	"fulmarwick/internal/route/world"
 )
 
-// Patient is how long a request whose class has no limit on the first token
+// DefaultMaxWait is how long a request whose class has no limit on the first token
 // or the whole answer may wait.
-const Patient = 30 * time.Second
+const DefaultMaxWait = 30 * time.Second
 
 // Estimate is what is predicted for a request.
 type Estimate struct {
 	// Elapsed is the time since it came, Wait how long it must wait still.
-	Elapsed time.Duration
-	Wait    time.Duration
-	Plan    world.Plan
+	Elapsed       time.Duration
+	RemainingWait time.Duration
+	Plan          world.Plan
 }
 
-// Late returns by how much the estimate misses the target, and false if it
+// TargetMiss returns by how much the estimate misses the target, and false if it
 // holds. The margin widens what was predicted so that the class's percentage
 // of requests holds it.
-func Late(target spec.Target, m Margin, e Estimate) (time.Duration, bool) {
-	before := e.Elapsed + e.Wait
-	first := scale(e.Plan.First, m.First)
-	token := scale(e.Plan.Token, m.Token)
-	whole := first + scale(e.Plan.Whole-e.Plan.First, m.Token)
+func TargetMiss(target spec.Target, m Margin, e Estimate) (time.Duration, bool) {
+	before := e.Elapsed + e.RemainingWait
+	first := scaleDuration(e.Plan.FirstTokenTime, m.First)
+	token := scaleDuration(e.Plan.TokenTime, m.Token)
+	whole := first + scaleDuration(e.Plan.TotalTime-e.Plan.FirstTokenTime, m.Token)
 	over := time.Duration(0)
 	if limit := target.FirstEvent(); limit > 0 {
 		over = max(over, before+first-limit)
@@ -40,7 +40,7 @@
 		over = max(over, before+whole-limit)
 	}
 	if target.FirstEvent() == 0 && target.TotalTime() == 0 {
-		over = max(over, before-Patient)
+		over = max(over, before-DefaultMaxWait)
 	}
 	if limit := target.Gap(); limit > 0 && token > limit {
 		over = max(over, token-limit)
@@ -48,31 +48,31 @@
 	return over, over > 0
 }
 
-// Latest is when a request that came at must start for the target to hold.
-func Latest(target spec.Target, m Margin, at time.Duration, plan world.Plan) time.Duration {
-	last := at + Patient
-	first := scale(plan.First, m.First)
+// LatestStart is when a request that came at must start for the target to hold.
+func LatestStart(target spec.Target, m Margin, at time.Duration, plan world.Plan) time.Duration {
+	last := at + DefaultMaxWait
+	first := scaleDuration(plan.FirstTokenTime, m.First)
 	if limit := target.FirstEvent(); limit > 0 {
 		last = min(last, at+limit-first)
 	}
 	if limit := target.TotalTime(); limit > 0 {
-		last = min(last, at+limit-first-scale(plan.Whole-plan.First, m.Token))
+		last = min(last, at+limit-first-scaleDuration(plan.TotalTime-plan.FirstTokenTime, m.Token))
 	}
 	return last
 }
 
-func scale(d time.Duration, by float64) time.Duration {
+func scaleDuration(d time.Duration, by float64) time.Duration {
 	return time.Duration(float64(d) * by)
 }
 
 const (
-	afterLeast = time.Second
-	afterMost  = time.Minute
+	minRetryAfter = time.Second
+	maxRetryAfter = time.Minute
 )
 
-// After is what a refused caller is told to wait: the time by which the target
+// RetryAfter is what a refused caller is told to wait: the time by which the target
 // was missed, spread by a draw in [0, 1) so that callers refused together do
 // not come back together.
-func After(over time.Duration, draw float64) time.Duration {
-	return min(scale(max(over, afterLeast), 1+draw/2), afterMost)
+func RetryAfter(over time.Duration, draw float64) time.Duration {
+	return min(scaleDuration(max(over, minRetryAfter), 1+draw/2), maxRetryAfter)
 }
--- a/internal/route/admit/admit_test.go
+++ b/internal/route/admit/admit_test.go
@@ -12,8 +12,8 @@
 	"fulmarwick/internal/route/world"
 )
 
-func TestLate(t *testing.T) {
-	plan := world.Plan{First: time.Second, Token: 10 * time.Millisecond, Whole: 3 * time.Second}
+func TestTargetMiss(t *testing.T) {
+	plan := world.Plan{FirstTokenTime: time.Second, TokenTime: 10 * time.Millisecond, TotalTime: 3 * time.Second}
 	plain := admit.Margin{First: 1, Token: 1}
 	tests := []struct {
 		name   string
@@ -31,19 +31,19 @@
 		{"no limit ends", spec.NewTarget(0, 0, 0, 95), plain, 31 * time.Second, time.Second},
 	}
 	for _, test := range tests {
-		got, late := admit.Late(test.target, test.margin, admit.Estimate{Wait: test.wait, Plan: plan})
+		got, late := admit.TargetMiss(test.target, test.margin, admit.Estimate{RemainingWait: test.wait, Plan: plan})
 		if got != test.want || late != (test.want > 0) {
 			t.Errorf("%s: got %v %v, want %v", test.name, got, late, test.want)
 		}
 	}
 }
 
-// flows are teams that burst independently to four times their low rate.
-func flows(n int, seed uint64, bins int) []admit.Flow {
+// burstyFlows are teams that burst independently to four times their low rate.
+func burstyFlows(n int, seed uint64, bins int) []admit.Flow {
 	r := rand.New(rand.NewPCG(seed, 0))
 	out := make([]admit.Flow, n)
 	for i := range out {
-		out[i].Bin = 250 * time.Millisecond
+		out[i].BinWidth = 250 * time.Millisecond
 		high := false
 		for range bins {
 			if r.Float64() < map[bool]float64{true: 0.25, false: 0.0625}[high] {
@@ -67,9 +67,9 @@
 	}
 }
 
-// held is the part of the tokens that a first-come queue at rate would start
+// shareInTime is the part of the tokens that a first-come queue at rate would start
 // within limit.
-func held(flows []admit.Flow, rate float64, limit time.Duration) float64 {
+func shareInTime(flows []admit.Flow, rate float64, limit time.Duration) float64 {
 	queue, good, all := 0.0, 0.0, 0.0
 	for b := range flows[0].Bins {
 		sum := 0.0
@@ -79,14 +79,14 @@
 		all += sum
 		room := max(0, rate*limit.Seconds()-queue)
 		good += min(sum, room)
-		queue = max(0, queue+sum-rate*flows[0].Bin.Seconds())
+		queue = max(0, queue+sum-rate*flows[0].BinWidth.Seconds())
 	}
 	return good / all
 }
 
-// perRequest is what the decision per request makes of all flows: tokens that
+// servedPerRequest is what the decision per request makes of all flows: tokens that
 // would wait longer than the limit are refused, the others are served.
-func perRequest(flows []admit.Flow, rate float64, limit time.Duration) float64 {
+func servedPerRequest(flows []admit.Flow, rate float64, limit time.Duration) float64 {
 	queue, good := 0.0, 0.0
 	for b := range flows[0].Bins {
 		sum := 0.0
@@ -95,23 +95,23 @@
 		}
 		taken := min(sum, max(0, rate*limit.Seconds()-queue))
 		good += taken
-		queue = max(0, queue+taken-rate*flows[0].Bin.Seconds())
+		queue = max(0, queue+taken-rate*flows[0].BinWidth.Seconds())
 	}
 	return good
 }
 
 // A rule that admits by the past must not let the future's callers wait: on
 // other draws of the same teams the target holds for what each rule admits.
-func TestRulesHoldTheirTarget(t *testing.T) {
+func TestRulesMeetTarget(t *testing.T) {
 	const rate, limit = 2000.0, time.Second
-	past, future := flows(80, 1, 2400), flows(80, 2, 2400)
-	for _, rule := range []admit.Rule{admit.Headroom{Free: 0.2}, admit.Worst{}, admit.Bound{}} {
-		n := rule.Admits(past, rate, limit, 95)
+	past, future := burstyFlows(80, 1, 2400), burstyFlows(80, 2, 2400)
+	for _, rule := range []admit.Rule{admit.Headroom{FreeShare: 0.2}, admit.WorstCase{}, admit.StochasticBound{}} {
+		n := rule.AdmitCount(past, rate, limit, 95)
 		if n == 0 {
 			t.Errorf("%T: admits nobody", rule)
 			continue
 		}
-		if got := held(future[:n], rate, limit); got < 0.95 {
+		if got := shareInTime(future[:n], rate, limit); got < 0.95 {
 			t.Errorf("%T: got %d teams with %.3f in time, want at least 0.95", rule, n, got)
 		}
 	}
@@ -119,29 +119,29 @@
 
 func BenchmarkRules(b *testing.B) {
 	const rate = 2000.0
-	past, future := flows(80, 1, 2400), flows(80, 2, 2400)
+	past, future := burstyFlows(80, 1, 2400), burstyFlows(80, 2, 2400)
 	for _, limit := range []time.Duration{500 * time.Millisecond, time.Second, 3 * time.Second} {
-		for _, rule := range []admit.Rule{admit.Headroom{Free: 0.1}, admit.Headroom{Free: 0.2}, admit.Worst{}, admit.Bound{}} {
+		for _, rule := range []admit.Rule{admit.Headroom{FreeShare: 0.1}, admit.Headroom{FreeShare: 0.2}, admit.WorstCase{}, admit.StochasticBound{}} {
 			b.Run(fmt.Sprintf("%v/%T%v", limit, rule, rule), func(b *testing.B) {
 				n := 0
 				for range b.N {
-					n = rule.Admits(past, rate, limit, 95)
+					n = rule.AdmitCount(past, rate, limit, 95)
 				}
 				served := 0.0
 				for _, f := range future[:n] {
-					served += f.Mean()
+					served += f.MeanRate()
 				}
 				b.ReportMetric(float64(n), "teams")
 				b.ReportMetric(100*served/rate, "%used")
 				if n > 0 {
-					b.ReportMetric(100*held(future[:n], rate, limit), "%held")
+					b.ReportMetric(100*shareInTime(future[:n], rate, limit), "%held")
 				}
 			})
 		}
 		b.Run(fmt.Sprintf("%v/per-request", limit), func(b *testing.B) {
 			all := 0.0
 			for range b.N {
-				all = perRequest(future, rate, limit)
+				all = servedPerRequest(future, rate, limit)
 			}
 			seconds := float64(len(future[0].Bins)) * 0.25
 			b.ReportMetric(80, "teams")
--- a/internal/route/admit/margin.go
+++ b/internal/route/admit/margin.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// startWith is the margin while too little was seen; leastBy and mostBy
+	// initialMargin is the margin while too little was seen; leastBy and mostBy
 	// bound what is learnt.
-	startWith = 1.1
-	leastBy   = 0.9
-	mostBy    = 3.0
-	// lengthWeight is the weight of the past in the usual length.
-	lengthWeight = 31
+	initialMargin = 1.1
+	minMargin     = 0.9
+	maxMargin     = 3.0
+	// pastLengthWeight is the weight of the past in the usual length.
+	pastLengthWeight = 31
 )
 
 // Margin is what predictions are multiplied with.
@@ -28,54 +28,54 @@
 // are. The quantile that is read is the percentage of the class's target: a
 // class that must hold for 99 of 100 gets more slack than one for 90.
 type Margins struct {
-	classes map[spec.ClassName]*record
+	classes map[spec.ClassName]*classStats
 }
 
-type record struct {
-	first, token hist.Ratios
-	length       float64
+type classStats struct {
+	firstRatios, tokenRatios hist.Ratios
+	lengthShare              float64
 }
 
-// Saw notes a request that ran to its end on its first chain.
-func (s *Margins) Saw(r *world.Request, ev world.Finished) {
+// RecordAnswer notes a request that ran to its end on its first chain.
+func (s *Margins) RecordAnswer(r *world.Request, ev world.RequestFinished) {
 	plan := r.Plan()
-	if ev.Tokens < 1 || plan.First <= 0 || plan.Token <= 0 {
+	if ev.Tokens < 1 || plan.FirstTokenTime <= 0 || plan.TokenTime <= 0 {
 		return
 	}
-	c := s.get(r.Arrived().Class)
-	first := ev.First - (r.Started() - r.At())
-	c.first.Add(float64(first) / float64(plan.First))
+	c := s.statsOf(r.Arrival().Class)
+	first := ev.FirstToken - (r.StartedAt() - r.ArrivedAt())
+	c.firstRatios.Add(float64(first) / float64(plan.FirstTokenTime))
 	if ev.Tokens > 1 {
-		token := (ev.Whole - ev.First) / time.Duration(ev.Tokens-1)
-		c.token.Add(float64(token) / float64(plan.Token))
+		token := (ev.TotalTime - ev.FirstToken) / time.Duration(ev.Tokens-1)
+		c.tokenRatios.Add(float64(token) / float64(plan.TokenTime))
 	}
-	part := float64(ev.Tokens) / float64(max(1, r.Arrived().Limit))
-	c.length = (lengthWeight*c.length + part) / (lengthWeight + 1)
+	part := float64(ev.Tokens) / float64(max(1, r.Arrival().MaxTokens))
+	c.lengthShare = (pastLengthWeight*c.lengthShare + part) / (pastLengthWeight + 1)
 }
 
-// Of is the margin of a class.
-func (s *Margins) Of(class spec.Class) Margin {
+// ForClass is the margin of a class.
+func (s *Margins) ForClass(class spec.Class) Margin {
 	c := s.classes[class.Name()]
 	if c == nil {
-		return Margin{First: startWith, Token: startWith}
+		return Margin{First: initialMargin, Token: initialMargin}
 	}
 	percent := class.Target().Percent()
-	return Margin{First: slack(&c.first, percent), Token: slack(&c.token, percent)}
+	return Margin{First: learnedMargin(&c.firstRatios, percent), Token: learnedMargin(&c.tokenRatios, percent)}
 }
 
-// Length is how many tokens the request is expected to make.
-func (s *Margins) Length(r *world.Request) int {
-	limit := r.Arrived().Limit
-	c := s.classes[r.Arrived().Class]
+// ExpectedTokens is how many tokens the request is expected to make.
+func (s *Margins) ExpectedTokens(r *world.Request) int {
+	limit := r.Arrival().MaxTokens
+	c := s.classes[r.Arrival().Class]
 	if c == nil {
 		return max(1, limit)
 	}
-	return max(1, int(c.length*float64(limit)))
+	return max(1, int(c.lengthShare*float64(limit)))
 }
 
-// Keep drops what was learnt for classes that are no longer in force.
-func (s *Margins) Keep(classes []spec.Class) {
-	kept := map[spec.ClassName]*record{}
+// KeepClasses drops what was learnt for classes that are no longer in force.
+func (s *Margins) KeepClasses(classes []spec.Class) {
+	kept := map[spec.ClassName]*classStats{}
 	for _, c := range classes {
 		if r := s.classes[c.Name()]; r != nil {
 			kept[c.Name()] = r
@@ -84,21 +84,21 @@
 	s.classes = kept
 }
 
-func (s *Margins) get(class spec.ClassName) *record {
+func (s *Margins) statsOf(class spec.ClassName) *classStats {
 	if s.classes == nil {
-		s.classes = map[spec.ClassName]*record{}
+		s.classes = map[spec.ClassName]*classStats{}
 	}
 	c := s.classes[class]
 	if c == nil {
-		c = &record{length: 1}
+		c = &classStats{lengthShare: 1}
 		s.classes[class] = c
 	}
 	return c
 }
 
-func slack(r *hist.Ratios, percent float64) float64 {
+func learnedMargin(r *hist.Ratios, percent float64) float64 {
 	if ratio, ok := r.Percentile(percent); ok {
-		return min(max(leastBy, ratio), mostBy)
+		return min(max(minMargin, ratio), maxMargin)
 	}
-	return startWith
+	return initialMargin
 }
--- a/internal/route/core/away_test.go
+++ b/internal/route/core/away_test.go
@@ -9,11 +9,11 @@
 // A caller whose answer came from another data centre is cut off and resumes
 // here, where no engine has the model. The request must go to the other data
 // centre again; waiting here for engines that never come would lose it.
-func TestResumedRequestIsForwardedWhereNoEngineIs(t *testing.T) {
-	g := newRig(t, lax())
-	g.tick(world.CentreSum{DataCentre: "other", Model: model, Instance: "far", Free: 1000})
-	a := g.ask("team")
-	a.Done = 7
+func TestResumedRequestIsForwardedWithoutLocalEngine(t *testing.T) {
+	g := newHarness(t, lenientTarget())
+	g.tick(world.CentreCapacity{DataCentre: "other", Model: testModel, Instance: "far", FreeRate: 1000})
+	a := g.newRequest("team")
+	a.ReceivedTokens = 7
 	cs := g.tick(a)
 	if len(cs) != 1 {
 		t.Fatalf("got %d commands, want 1", len(cs))
@@ -27,10 +27,10 @@
 // gone. It is refused at once, so that the instance that sent it can try
 // another one; holding it back for engines to return would hold its caller.
 func TestForwardedRequestIsRefusedAtOnce(t *testing.T) {
-	g := newRig(t, lax())
-	a := g.ask("team")
-	a.Done, a.Hops = 7, 1
-	if r, ok := refused(g.tick(a), a.Request); !ok || r.Reason != world.ReasonNoEngine {
+	g := newHarness(t, lenientTarget())
+	a := g.newRequest("team")
+	a.ReceivedTokens, a.Hops = 7, 1
+	if r, ok := findRefusal(g.tick(a), a.Request); !ok || r.Reason != world.ReasonNoEngine {
 		t.Errorf("got %+v, want a refusal for want of engines", r)
 	}
 }
--- a/internal/route/core/core.go
+++ b/internal/route/core/core.go
@@ -20,7 +20,7 @@
 
 // Planner is a system that plans what engines should hold.
 type Planner interface {
-	Run(w *world.World)
+	Run(w *world.RoutingState)
 }
 
 // Logic is the routing logic of one instance. Set the exported fields before
@@ -30,40 +30,40 @@
 	ID spec.InstanceID
 	// Seed makes the instance's draws its own; give each instance another.
 	Seed uint64
-	// Pick chooses chains; nil is a pick.Picker.
-	Pick pick.Chooser
-	// Limit is the part of an engine's capacity up to which it takes new
+	// Chooser chooses chains; nil is a pick.Picker.
+	Chooser pick.Chooser
+	// UtilizationLimit is the part of an engine's capacity up to which it takes new
 	// work; zero lets the targets decide.
-	Limit float64
-	// Open starts every request at once and suspects none of poison. It is the
+	UtilizationLimit float64
+	// AdmitAll starts every request at once and suspects none of poison. It is the
 	// naive side of comparisons.
-	Open bool
+	AdmitAll bool
 	// Planner, if set, runs at the end of each tick.
 	Planner Planner
 
-	ready    bool
-	world    world.World
-	rand     *rand.Rand
-	cache    pick.Cache
-	margins  admit.Margins
-	fill     admit.Fill
-	rates    fair.Rates
-	budget   retry.Budget
-	patience retry.Patience
-	book     poison.Book
-	queues   map[spec.ModelName]*queue
-	order    []spec.ModelName
-	held     []*held
-	tell     tell
+	initialized bool
+	state       world.RoutingState
+	rand        *rand.Rand
+	prefixCache pick.Cache
+	margins     admit.Margins
+	utilization admit.UtilizationLimits
+	teamRates   fair.Rates
+	retryBudget retry.Budget
+	timeouts    retry.TimeoutEstimator
+	suspects    poison.Tracker
+	queues      map[spec.ModelName]*modelQueue
+	modelOrder  []spec.ModelName
+	held        []*heldRequest
+	announcer   announcer
 }
 
-// World gives the tables for reading.
-func (l *Logic) World() *world.World { return &l.world }
+// State gives the tables for reading.
+func (l *Logic) State() *world.RoutingState { return &l.state }
 
-// Waiting is how many requests wait in the queues.
-func (l *Logic) Waiting() int {
+// WaitingCount is how many requests wait in the queues.
+func (l *Logic) WaitingCount() int {
 	n := len(l.held)
-	for _, name := range l.order {
+	for _, name := range l.modelOrder {
 		n += l.queues[name].fair.Len()
 	}
 	return n
@@ -72,19 +72,19 @@
 // Tick applies events at now, runs the systems and returns their commands.
 func (l *Logic) Tick(now time.Duration, events []world.Event) []world.Command {
 	l.init()
-	w := &l.world
-	w.Begin(now)
+	w := &l.state
+	w.BeginTick(now)
 	for _, ev := range events {
 		l.apply(ev)
 	}
-	l.book.Run(w)
-	for _, r := range w.Requests().Due() {
+	l.suspects.Run(w)
+	for _, r := range w.Requests().TakeDue() {
 		l.decide(r)
 	}
-	l.runHeld()
-	l.runQueues()
-	l.rates.Run(w)
-	l.tell.run(l)
+	l.startHeld()
+	l.serveQueues()
+	l.teamRates.Run(w)
+	l.announcer.announce(l)
 	if l.Planner != nil {
 		l.Planner.Run(w)
 	}
@@ -92,90 +92,90 @@
 }
 
 func (l *Logic) init() {
-	if l.ready {
+	if l.initialized {
 		return
 	}
-	l.ready = true
+	l.initialized = true
 	l.rand = rand.New(rand.NewPCG(l.Seed, 0))
-	if l.Pick == nil {
-		l.Pick = &pick.Picker{Rand: l.rand, Cache: &l.cache}
+	if l.Chooser == nil {
+		l.Chooser = &pick.Picker{Rand: l.rand, Cache: &l.prefixCache}
 	}
-	l.queues = map[spec.ModelName]*queue{}
+	l.queues = map[spec.ModelName]*modelQueue{}
 }
 
 // apply takes an event into the tables and tells the systems that keep state
 // of their own.
 func (l *Logic) apply(ev world.Event) {
-	w := &l.world
+	w := &l.state
 	switch ev := ev.(type) {
-	case world.Finished:
-		l.learn(ev)
+	case world.RequestFinished:
+		l.observeResult(ev)
 	case world.StageLost:
-		l.crashed(ev)
-	case world.EngineDown:
-		l.cache.Gone(ev.Engine)
-	case world.EngineGone:
-		l.cache.Gone(ev.Engine)
-		l.tell.forget(ev.Engine)
-	case world.CacheSeen:
-		l.cache.Seen(w.Now(), ev)
-	case world.TeamUsed:
-		l.rates.Heard(w.Now(), ev)
-	case world.Suspected:
-		l.book.Heard(w.Now(), ev)
-	case world.ConfigSet:
+		l.recordStageLoss(ev)
+	case world.EngineDead:
+		l.prefixCache.RemoveEngine(ev.Engine)
+	case world.EngineRemoved:
+		l.prefixCache.RemoveEngine(ev.Engine)
+		l.announcer.removeEngine(ev.Engine)
+	case world.CacheReport:
+		l.prefixCache.ApplyEvent(w.Now(), ev)
+	case world.TeamUsage:
+		l.teamRates.ApplyReport(w.Now(), ev)
+	case world.SuspectReported:
+		l.suspects.ApplyPeerReport(w.Now(), ev)
+	case world.ConfigChanged:
 		if ev.Version >= w.Version() {
-			l.budget.Keep(ev.Classes)
-			l.patience.Keep(ev.Classes)
-			l.margins.Keep(ev.Classes)
+			l.retryBudget.RetainClasses(ev.Classes)
+			l.timeouts.RetainClasses(ev.Classes)
+			l.margins.KeepClasses(ev.Classes)
 		}
 	}
 	w.Apply(ev)
 }
 
-// learn compares what was predicted for an answer with what it took.
-func (l *Logic) learn(ev world.Finished) {
-	r := l.world.Requests().Get(ev.Request)
+// observeResult compares what was predicted for an answer with what it took.
+func (l *Logic) observeResult(ev world.RequestFinished) {
+	r := l.state.Requests().Get(ev.Request)
 	if r == nil || !ev.OK || r.Attempt() != 1 {
 		return
 	}
-	l.margins.Saw(r, ev)
-	l.fill.Saw(r, ev, l.queue(r.Arrived().Model).fair.Len() > 0)
-	l.patience.Saw(r, ev)
+	l.margins.RecordAnswer(r, ev)
+	l.utilization.RecordAnswer(r, ev, l.queueFor(r.Arrival().Model).fair.Len() > 0)
+	l.timeouts.Observe(r, ev)
 }
 
-// crashed counts a death against the request before the tables forget on
+// recordStageLoss counts a death against the request before the tables forget on
 // which chain it ran.
-func (l *Logic) crashed(ev world.StageLost) {
-	w := &l.world
+func (l *Logic) recordStageLoss(ev world.StageLost) {
+	w := &l.state
 	r := w.Requests().Get(ev.Request)
-	if r == nil || r.Attempt() != ev.Attempt || r.Asking() {
+	if r == nil || r.Attempt() != ev.Attempt || r.AwaitsRestart() {
 		return
 	}
-	l.book.Lost(r)
-	if ev.Cause != world.CauseBroken && !l.isDown(ev) {
+	l.suspects.HandleStageLoss(r)
+	if ev.Cause != world.CauseBroken && !l.lostToDeadEngine(ev) {
 		return
 	}
-	l.cache.Gone(ev.Engine)
-	if l.Open {
+	l.prefixCache.RemoveEngine(ev.Engine)
+	if l.AdmitAll {
 		return
 	}
-	for _, e := range r.Plan().Fresh {
+	for _, e := range r.Plan().NewEngines {
 		if e == ev.Engine {
-			l.book.Crashed(w, r, ev.Engine)
+			l.suspects.RecordCrash(w, r, ev.Engine)
 		}
 	}
 }
 
-func (l *Logic) isDown(ev world.StageLost) bool {
-	e := l.world.Engines().Get(ev.Engine)
-	return ev.Cause == world.CauseTimeout && e != nil && e.State() == world.StateDown
+func (l *Logic) lostToDeadEngine(ev world.StageLost) bool {
+	e := l.state.Engines().Get(ev.Engine)
+	return ev.Cause == world.CauseTimeout && e != nil && e.State() == world.StateDead
 }
 
 func (l *Logic) decide(r *world.Request) {
-	if r.Attempt() == 0 && r.Arrived().Done == 0 {
-		l.fresh(r)
+	if r.Attempt() == 0 && r.Arrival().ReceivedTokens == 0 {
+		l.decideNew(r)
 		return
 	}
-	l.resume(r)
+	l.decideResumed(r)
 }
--- a/internal/route/core/core_test.go
+++ b/internal/route/core/core_test.go
@@ -12,16 +12,16 @@
 // The caller of an answer that is half done sees the next token, not a new
 // answer: the engine of the second stage dies, and the new chain keeps the
 // first stage with its state and replaces only the range that was lost.
-func TestDeathReplacesOnlyTheLostRange(t *testing.T) {
-	g := newRig(t, lax(), engine("a1", 0, 4), engine("a2", 0, 4), engine("b1", 4, 8), engine("b2", 4, 8))
-	a := g.ask("big")
-	first := g.start(a)
+func TestEngineDeathReplacesOnlyLostRange(t *testing.T) {
+	g := newHarness(t, lenientTarget(), newEngine("a1", 0, 4), newEngine("a2", 0, 4), newEngine("b1", 4, 8), newEngine("b2", 4, 8))
+	a := g.newRequest("big")
+	first := g.mustStart(a)
 	dead := first.Chain[1].Engine()
 	cs := g.tick(
-		world.Progress{Request: a.Request, Tokens: 5},
+		world.RequestProgress{Request: a.Request, Tokens: 5},
 		world.StageLost{Request: a.Request, Attempt: 1, Engine: dead, Cause: world.CauseBroken},
 	)
-	second, ok := started(cs, a.Request)
+	second, ok := findStart(cs, a.Request)
 	if !ok {
 		t.Fatalf("got %v, want a start in the tick of the loss", cs)
 	}
@@ -39,36 +39,36 @@
 // The caller of a request whose last engine died waits while nothing covers
 // the model, and goes on when the engine is back. The report that was under
 // way when the engine died does not bring it back.
-func TestRunningRequestWaitsForCover(t *testing.T) {
-	only := engine("a1", 0, 8)
-	g := newRig(t, lax(), only)
-	a := g.ask("big")
-	g.start(a)
+func TestRunningRequestWaitsForEngine(t *testing.T) {
+	only := newEngine("a1", 0, 8)
+	g := newHarness(t, lenientTarget(), only)
+	a := g.newRequest("big")
+	g.mustStart(a)
 	late := only
 	late.Seq = 2
 	cs := g.tick(
 		world.StageLost{Request: a.Request, Attempt: 1, Engine: "a1", Cause: world.CauseBroken},
-		world.EngineSeen{Engine: late},
+		world.EngineReport{Engine: late},
 	)
 	if len(cs) > 0 {
-		if _, ok := started(cs, a.Request); ok {
+		if _, ok := findStart(cs, a.Request); ok {
 			t.Fatal("started on a dead engine by a late report")
 		}
 	}
-	g.pass(2 * time.Second)
-	other := engine("a2", 0, 8)
-	if _, ok := started(g.tick(world.EngineSeen{Engine: other}), a.Request); !ok {
+	g.tickFor(2 * time.Second)
+	other := newEngine("a2", 0, 8)
+	if _, ok := findStart(g.tick(world.EngineReport{Engine: other}), a.Request); !ok {
 		t.Error("got no start when an engine covers the model again")
 	}
 }
 
 // A caller who comes while no engines cover the model is refused at once, is
 // told that nothing ran, and when to come back.
-func TestNoCoverIsRefusedAtOnce(t *testing.T) {
-	g := newRig(t, lax(), engine("a1", 0, 4))
-	a := g.ask("big")
-	r, ok := refused(g.tick(a), a.Request)
-	if !ok || r.Reason != world.ReasonNoEngine || r.Ran || r.After <= 0 {
+func TestUncoveredModelIsRefusedAtOnce(t *testing.T) {
+	g := newHarness(t, lenientTarget(), newEngine("a1", 0, 4))
+	a := g.newRequest("big")
+	r, ok := findRefusal(g.tick(a), a.Request)
+	if !ok || r.Reason != world.ReasonNoEngine || r.Ran || r.RetryAfter <= 0 {
 		t.Errorf("got %+v (%v), want a refusal no-engine that did not run, with a time", r, ok)
 	}
 }
@@ -77,45 +77,45 @@
 // still holds; the others are refused in the tick in which they come, with the
 // time after which the backlog is worked off, and what waits is started when
 // there is room.
-func TestOverloadRefusesAtOnceAndQueuesTheRest(t *testing.T) {
-	g := newRig(t, spec.NewTarget(time.Second, 0, 0, 95), engine("a1", 0, 8))
+func TestOverloadRefusesLateRequestsAndQueuesOthers(t *testing.T) {
+	g := newHarness(t, spec.NewTarget(time.Second, 0, 0, 95), newEngine("a1", 0, 8))
 	var ran []spec.RequestID
 	starts, refusals := 0, 0
 	for range 60 {
-		a := g.ask("big")
+		a := g.newRequest("big")
 		cs := g.tick(a)
-		if _, ok := started(cs, a.Request); ok {
+		if _, ok := findStart(cs, a.Request); ok {
 			starts++
 			ran = append(ran, a.Request)
 		}
-		if r, ok := refused(cs, a.Request); ok {
+		if r, ok := findRefusal(cs, a.Request); ok {
 			refusals++
-			if r.After < time.Second || r.Ran {
+			if r.RetryAfter < time.Second || r.Ran {
 				t.Errorf("refusal: got %+v, want a time of at least 1s and not ran", r)
 			}
 		}
 	}
-	waiting := g.logic.Waiting()
+	waiting := g.logic.WaitingCount()
 	if starts == 0 || refusals == 0 || waiting == 0 {
 		t.Fatalf("got %d started, %d refused, %d waiting; want some of each", starts, refusals, waiting)
 	}
-	cs := g.tick(world.Finished{Request: ran[0], Tokens: 50, OK: true})
-	if g.logic.Waiting() >= waiting {
+	cs := g.tick(world.RequestFinished{Request: ran[0], Tokens: 50, OK: true})
+	if g.logic.WaitingCount() >= waiting {
 		t.Errorf("got %v, want one of the queue settled when room came", cs)
 	}
 }
 
 // A caller who waits in the queue learns in the moment in which the target
 // cannot hold any more that it is refused, not at its deadline.
-func TestHopelessWaitEndsEarly(t *testing.T) {
-	g := newRig(t, spec.NewTarget(2*time.Second, 0, 0, 95), engine("a1", 0, 8))
+func TestHopelessQueuedRequestIsRefusedEarly(t *testing.T) {
+	g := newHarness(t, spec.NewTarget(2*time.Second, 0, 0, 95), newEngine("a1", 0, 8))
 	asked := map[spec.RequestID]time.Duration{}
 	for range 30 {
-		a := g.ask("big")
+		a := g.newRequest("big")
 		g.tick(a)
 		asked[a.Request] = g.now
 	}
-	waiting := g.logic.Waiting()
+	waiting := g.logic.WaitingCount()
 	if waiting == 0 {
 		t.Fatal("nothing waits")
 	}
@@ -139,22 +139,22 @@
 
 // A small team's caller does not wait behind the backlog of a large team: its
 // request is the next one that starts.
-func TestSmallTeamGoesAheadOfBacklog(t *testing.T) {
-	g := newRig(t, lax(), engine("a1", 0, 8))
+func TestSmallTeamStartsBeforeLargeBacklog(t *testing.T) {
+	g := newHarness(t, lenientTarget(), newEngine("a1", 0, 8))
 	var ran []spec.RequestID
 	for range 40 {
-		a := g.ask("big")
-		if _, ok := started(g.tick(a), a.Request); ok {
+		a := g.newRequest("big")
+		if _, ok := findStart(g.tick(a), a.Request); ok {
 			ran = append(ran, a.Request)
 		}
 	}
-	small := g.ask("small")
+	small := g.newRequest("small")
 	cs := g.tick(small)
 	for i := 0; i < len(ran); i++ {
-		if _, ok := started(cs, small.Request); ok {
+		if _, ok := findStart(cs, small.Request); ok {
 			return
 		}
-		cs = g.tick(world.Finished{Request: ran[i], Tokens: 50, OK: true})
+		cs = g.tick(world.RequestFinished{Request: ran[i], Tokens: 50, OK: true})
 		for _, c := range cs {
 			if s, ok := c.(world.Start); ok && s.Request != small.Request {
 				t.Fatalf("got %s of the large team started before the small one", s.Request)
@@ -166,46 +166,46 @@
 
 // A caller whose own data centre is full is sent to another that has room, at
 // most once: a request that came from another instance is refused instead.
-func TestForwardOnceToWhereThereIsRoom(t *testing.T) {
-	g := newRig(t, spec.NewTarget(time.Second, 0, 0, 95))
-	g.tick(world.CentreSum{DataCentre: "other", Model: model, Instance: "far", Free: 1000})
-	a := g.ask("big")
+func TestRequestIsForwardedOnlyOnce(t *testing.T) {
+	g := newHarness(t, spec.NewTarget(time.Second, 0, 0, 95))
+	g.tick(world.CentreCapacity{DataCentre: "other", Model: testModel, Instance: "far", FreeRate: 1000})
+	a := g.newRequest("big")
 	cs := g.tick(a)
 	if f, ok := cs[0].(world.Forward); !ok || f.To != "far" {
 		t.Fatalf("got %v, want it forwarded to far", cs)
 	}
-	b := g.ask("big")
+	b := g.newRequest("big")
 	b.Hops = 1
-	if _, ok := refused(g.tick(b), b.Request); !ok {
+	if _, ok := findRefusal(g.tick(b), b.Request); !ok {
 		t.Error("a request that was forwarded already: want it refused")
 	}
-	g.tick(world.PeerGone{Peer: "far"})
-	c := g.ask("big")
-	if _, ok := refused(g.tick(c), c.Request); !ok {
+	g.tick(world.PeerRemoved{Peer: "far"})
+	c := g.newRequest("big")
+	if _, ok := findRefusal(g.tick(c), c.Request); !ok {
 		t.Error("the other instance is gone: want a refusal")
 	}
 }
 
 // A leaving engine gets nothing in the tick of the first signal or after,
 // though its late reports call it live, until it comes back restarted.
-func TestLeavingEngineGetsNothingNew(t *testing.T) {
-	one, two := engine("a1", 0, 8), engine("a2", 0, 8)
+func TestLeavingEngineGetsNoNewRequests(t *testing.T) {
+	one, two := newEngine("a1", 0, 8), newEngine("a2", 0, 8)
 	one.Slots, two.Slots = 64, 64
-	g := newRig(t, lax(), one, two)
+	g := newHarness(t, lenientTarget(), one, two)
 	late := one
 	late.Seq = 9
-	g.tick(world.EngineLeaving{Engine: "a1"}, world.EngineSeen{Engine: late})
+	g.tick(world.EngineLeaving{Engine: "a1"}, world.EngineReport{Engine: late})
 	for range 8 {
-		a := g.ask("big")
-		if s := g.start(a); s.Chain.Uses("a1") {
+		a := g.newRequest("big")
+		if s := g.mustStart(a); s.Chain.Uses("a1") {
 			t.Fatalf("got chain %v, want none over the leaving engine", s.Chain)
 		}
 	}
 	late.Incarnation, late.Seq = 7, 1
-	g.tick(world.EngineSeen{Engine: late})
+	g.tick(world.EngineReport{Engine: late})
 	used := false
 	for range 8 {
-		used = used || g.start(g.ask("big")).Chain.Uses("a1")
+		used = used || g.mustStart(g.newRequest("big")).Chain.Uses("a1")
 	}
 	if !used {
 		t.Error("a restarted engine was never used")
@@ -215,24 +215,24 @@
 // A caller whose request timed out is tried elsewhere, but a class in which
 // everything times out stops retrying: its bank of retries is spent, and the
 // load is not multiplied.
-func TestTimeoutsSpendABudget(t *testing.T) {
+func TestTimeoutsSpendRetryBudget(t *testing.T) {
 	var engines []world.Engine
 	for i := range 20 {
-		engines = append(engines, engine(fmt.Sprint("e", i), 0, 8))
+		engines = append(engines, newEngine(fmt.Sprint("e", i), 0, 8))
 	}
-	g := newRig(t, lax(), engines...)
+	g := newHarness(t, lenientTarget(), engines...)
 	starts, retries := 0, 0
 	for range 60 {
-		a := g.ask("big")
-		s, ok := started(g.tick(a), a.Request)
+		a := g.newRequest("big")
+		s, ok := findStart(g.tick(a), a.Request)
 		for ok {
 			starts++
 			lost := s.Chain[0].Engine()
 			cs := g.tick(world.StageLost{Request: a.Request, Attempt: s.Attempt, Engine: lost, Cause: world.CauseTimeout})
-			if s, ok = started(cs, a.Request); ok {
+			if s, ok = findStart(cs, a.Request); ok {
 				retries++
 			} else {
-				g.tick(world.Canceled{Request: a.Request})
+				g.tick(world.RequestCanceled{Request: a.Request})
 			}
 		}
 	}
@@ -242,22 +242,22 @@
 }
 
 // An engine that was removed, and a peer that went, leave nothing behind.
-func TestGoneLeavesNothing(t *testing.T) {
-	g := newRig(t, lax(), engine("a1", 0, 8))
-	a := g.ask("big")
-	g.start(a)
-	g.tick(world.PeerLoad{Peer: "p", Engine: "a1", Active: 3, Tokens: 900})
-	e := g.logic.World().Engines().Get("a1")
-	busy := e.Draw()
-	g.tick(world.PeerGone{Peer: "p"})
-	if got, want := busy-e.Draw(), int64(900); got != want {
+func TestRemovedEngineAndPeerLeaveNoLoad(t *testing.T) {
+	g := newHarness(t, lenientTarget(), newEngine("a1", 0, 8))
+	a := g.newRequest("big")
+	g.mustStart(a)
+	g.tick(world.PeerLoad{Peer: "p", Engine: "a1", Active: 3, LayerTokenRate: 900})
+	e := g.logic.State().Engines().Get("a1")
+	busy := e.Demand()
+	g.tick(world.PeerRemoved{Peer: "p"})
+	if got, want := busy-e.Demand(), int64(900); got != want {
 		t.Errorf("draw that went with the peer: got %d, want %d", got, want)
 	}
-	g.tick(world.EngineGone{Engine: "a1"}, world.PeerLoad{Peer: "q", Engine: "a1", Active: 1, Tokens: 0}, world.EngineSeen{Engine: engine("a1", 0, 8)}, world.Canceled{Request: a.Request})
-	if got := g.logic.World().Engines().Get("a1").Draw(); got != 0 {
+	g.tick(world.EngineRemoved{Engine: "a1"}, world.PeerLoad{Peer: "q", Engine: "a1", Active: 1, LayerTokenRate: 0}, world.EngineReport{Engine: newEngine("a1", 0, 8)}, world.RequestCanceled{Request: a.Request})
+	if got := g.logic.State().Engines().Get("a1").Demand(); got != 0 {
 		t.Errorf("draw on the engine of the same name: got %d, want 0", got)
 	}
-	if got := g.logic.World().Requests().Len(); got != 0 {
+	if got := g.logic.State().Requests().Len(); got != 0 {
 		t.Errorf("requests: got %d, want 0", got)
 	}
 }
--- a/internal/route/core/fresh.go
+++ b/internal/route/core/fresh.go
@@ -14,47 +14,47 @@
 )
 
 const (
-	// coverRetry is what callers are told when no set of engines covers their
+	// uncoveredRetryAfter is what callers are told when no set of engines covers their
 	// model: about the time that a replacement takes to load.
-	coverRetry = 5 * time.Second
-	// readyRetry is the same while this instance knows no engine of it yet.
-	readyRetry = 2 * time.Second
-	// openPatience is the fixed timeout of the naive side.
-	openPatience = 30 * time.Second
-	// anyLimit lets every engine have room.
-	anyLimit = 1e9
-	// smallExtra is how much over the limit a team may go that is within its
+	uncoveredRetryAfter = 5 * time.Second
+	// notReadyRetryAfter is the same while this instance knows no engine of it yet.
+	notReadyRetryAfter = 2 * time.Second
+	// admitAllTimeout is the fixed timeout of the naive side.
+	admitAllTimeout = 30 * time.Second
+	// noUtilizationLimit lets every engine have room.
+	noUtilizationLimit = 1e9
+	// withinShareExtra is how much over the limit a team may go that is within its
 	// share, so that it does not wait behind a burst that filled the engines.
-	smallExtra = 0.10
-	// joinExtra is the same for an instance that has less than its part of
+	withinShareExtra = 0.10
+	// newInstanceExtra is the same for an instance that has less than its part of
 	// the work: one that joined finds everything full, and would otherwise
 	// refuse all its callers.
-	joinExtra = 0.15
+	newInstanceExtra = 0.15
 )
 
-// fresh decides on a request that has not run.
-func (l *Logic) fresh(r *world.Request) {
-	w := &l.world
-	if _, ok := w.Class(r.Arrived().Class); !ok {
-		w.Refuse(r, world.ReasonClass, 0)
+// decideNew decides on a request that has not run.
+func (l *Logic) decideNew(r *world.Request) {
+	w := &l.state
+	if _, ok := w.Class(r.Arrival().Class); !ok {
+		w.Refuse(r, world.ReasonUnknownClass, 0)
 		return
 	}
-	switch l.book.Judge(w.Now(), r) {
-	case poison.VerdictGuilty:
+	switch l.suspects.Evaluate(w.Now(), r) {
+	case poison.VerdictCulprit:
 		w.Refuse(r, world.ReasonPoison, 0)
-	case poison.VerdictWait, poison.VerdictSolo:
-		l.resume(r)
+	case poison.VerdictWait, poison.VerdictIsolate:
+		l.decideResumed(r)
 	default:
-		l.limited(r)
+		l.checkTeamLimit(r)
 	}
 }
 
-// limited admits the request unless its team is above its limit.
-func (l *Logic) limited(r *world.Request) {
-	w := &l.world
-	if t, ok := w.Team(r.Arrived().Team); ok {
-		if over := l.rates.Above(w.Now(), t.ID(), t.Limit()); over > 0 {
-			w.Refuse(r, world.ReasonTeam, admit.After(over, l.rand.Float64()))
+// checkTeamLimit admits the request unless its team is above its limit.
+func (l *Logic) checkTeamLimit(r *world.Request) {
+	w := &l.state
+	if t, ok := w.Team(r.Arrival().Team); ok {
+		if over := l.teamRates.LimitDelay(w.Now(), t.ID(), t.Limit()); over > 0 {
+			w.Refuse(r, world.ReasonTeamLimit, admit.RetryAfter(over, l.rand.Float64()))
 			return
 		}
 	}
@@ -62,189 +62,189 @@
 }
 
 func (l *Logic) admit(r *world.Request) {
-	q := l.queue(r.Arrived().Model)
-	choice, ok := l.choose(r, q)
+	q := l.queueFor(r.Arrival().Model)
+	choice, ok := l.chooseChain(r, q)
 	switch {
 	case !ok:
-		l.refuse(r, world.ReasonNoEngine, coverRetry, 0)
-	case l.Open:
-		l.start(r, choice)
+		l.forwardOrRefuse(r, world.ReasonNoEngine, uncoveredRetryAfter, 0)
+	case l.AdmitAll:
+		l.startRun(r, choice)
 	default:
-		l.weigh(r, q, choice)
+		l.startOrQueue(r, q, choice)
 	}
 }
 
-func (l *Logic) choose(r *world.Request, q *queue) (pick.Choice, bool) {
-	ask := pick.Ask{Limit: l.limit(r, q), Out: l.margins.Length(r)}
-	return l.Pick.Choose(&l.world, r, ask)
+func (l *Logic) chooseChain(r *world.Request, q *modelQueue) (pick.Choice, bool) {
+	ask := pick.Query{MaxUtilization: l.utilizationLimit(r, q), RemainingTokens: l.margins.ExpectedTokens(r)}
+	return l.Chooser.Choose(&l.state, r, ask)
 }
 
-// limit is how full an engine may be for this request.
-func (l *Logic) limit(r *world.Request, q *queue) float64 {
-	limit := l.Limit
+// utilizationLimit is how full an engine may be for this request.
+func (l *Logic) utilizationLimit(r *world.Request, q *modelQueue) float64 {
+	limit := l.UtilizationLimit
 	if limit == 0 {
-		limit = l.fill.Limit(r.Arrived().Model)
+		limit = l.utilization.Limit(r.Arrival().Model)
 	}
-	if q.fair.Lead(r.Arrived().Team) <= 0 {
-		limit += smallExtra
+	if q.fair.AheadOfShare(r.Arrival().Team) <= 0 {
+		limit += withinShareExtra
 	}
-	if l.world.Pace(r.Arrived().Model) < l.part(r.Arrived().Model)/2 {
-		limit += joinExtra
+	if l.state.TokenRate(r.Arrival().Model) < l.capacityShare(r.Arrival().Model)/2 {
+		limit += newInstanceExtra
 	}
 	return limit
 }
 
-// part is this instance's part of the model's capacity, in tokens a second.
-func (l *Logic) part(model spec.ModelName) float64 {
+// capacityShare is this instance's part of the model's capacity, in tokens a second.
+func (l *Logic) capacityShare(model spec.ModelName) float64 {
 	sum := 0.0
-	for _, m := range l.world.Engines().Index().Versions(model) {
+	for _, m := range l.state.Engines().Index().Versions(model) {
 		sum += m.Capacity()
 	}
-	return sum / float64(1+len(l.world.Peers()))
+	return sum / float64(1+len(l.state.Peers()))
 }
 
-// drain is how many tokens a second this instance's queue of the model works
+// drainRate is how many tokens a second this instance's queue of the model works
 // off: what its own requests make, since each that ends lets one in.
-func (l *Logic) drain(model spec.ModelName) float64 {
-	return max(1, l.world.Pace(model), l.part(model)/2)
-}
-
-// weigh starts the request, lets it wait, or refuses it at once.
-func (l *Logic) weigh(r *world.Request, q *queue, choice pick.Choice) {
-	drain := l.drain(r.Arrived().Model)
-	team := r.Arrived().Team
-	cost := l.cost(r)
-	charge := l.charge(r, cost)
-	v := l.view(r, q, choice, drain, cost)
-	if v.ahead == 0 && choice.Fits && !v.late {
-		q.fair.Began(team, charge)
-		l.start(r, choice)
+func (l *Logic) drainRate(model spec.ModelName) float64 {
+	return max(1, l.state.TokenRate(model), l.capacityShare(model)/2)
+}
+
+// startOrQueue starts the request, lets it wait, or refuses it at once.
+func (l *Logic) startOrQueue(r *world.Request, q *modelQueue, choice pick.Choice) {
+	drain := l.drainRate(r.Arrival().Model)
+	team := r.Arrival().Team
+	cost := l.tokenCost(r)
+	charge := l.teamCharge(r, cost)
+	v := l.assess(r, q, choice, drain, cost)
+	if v.tokensAhead == 0 && choice.Fits && !v.isLate {
+		q.fair.ChargeTeam(team, charge)
+		l.startRun(r, choice)
 		return
 	}
-	if v.late && choice.Fits {
+	if v.isLate && choice.Fits {
 		// Only slow engines have room now; faster ones may have it in time.
-		if fast, ok := l.Pick.Choose(&l.world, r, pick.Ask{Limit: anyLimit, Out: l.margins.Length(r)}); ok {
+		if fast, ok := l.Chooser.Choose(&l.state, r, pick.Query{MaxUtilization: noUtilizationLimit, RemainingTokens: l.margins.ExpectedTokens(r)}); ok {
 			choice = pick.Choice{Plan: fast.Plan}
-			v = l.view(r, q, choice, drain, cost)
+			v = l.assess(r, q, choice, drain, cost)
 		}
 	}
-	if v.late || q.fair.Len() >= fair.Most {
-		reason := l.reason(r, q, v, drain)
-		l.refuse(r, reason, v.over, 1/choice.Plan.Token.Seconds())
+	if v.isLate || q.fair.Len() >= fair.MaxQueued {
+		reason := l.refusalReason(r, q, v, drain)
+		l.forwardOrRefuse(r, reason, v.lateBy, 1/choice.Plan.TokenTime.Seconds())
 		return
 	}
 	q.fair.Push(&fair.Item{
-		Request: r, Cost: cost, Charge: charge, Latest: v.latest, Rate: 1 / choice.Plan.Token.Seconds(),
+		Request: r, Cost: cost, Charge: charge, LatestStart: v.latestStart, TokenRate: 1 / choice.Plan.TokenTime.Seconds(),
 	})
 }
 
-// view is how a request stands with a plan.
-type view struct {
-	est    admit.Estimate
-	latest time.Duration
-	ahead  float64
-	over   time.Duration
-	late   bool
+// assessment is how a request stands with a plan.
+type assessment struct {
+	estimate    admit.Estimate
+	latestStart time.Duration
+	tokensAhead float64
+	lateBy      time.Duration
+	isLate      bool
 }
 
-func (l *Logic) view(r *world.Request, q *queue, choice pick.Choice, drain, cost float64) view {
+func (l *Logic) assess(r *world.Request, q *modelQueue, choice pick.Choice, drain, cost float64) assessment {
 	class := r.Class()
-	margin := l.margins.Of(class)
-	v := view{latest: admit.Latest(class.Target(), margin, r.At(), choice.Plan)}
-	v.ahead = q.fair.Ahead(r.Arrived().Team, v.latest)
-	v.est = admit.Estimate{Elapsed: l.world.Now() - r.At(), Plan: choice.Plan}
-	if v.ahead > 0 || !choice.Fits {
-		v.est.Wait = seconds((v.ahead + cost/2) / drain)
-	}
-	v.over, v.late = admit.Late(class.Target(), margin, v.est)
+	margin := l.margins.ForClass(class)
+	v := assessment{latestStart: admit.LatestStart(class.Target(), margin, r.ArrivedAt(), choice.Plan)}
+	v.tokensAhead = q.fair.CostAhead(r.Arrival().Team, v.latestStart)
+	v.estimate = admit.Estimate{Elapsed: l.state.Now() - r.ArrivedAt(), Plan: choice.Plan}
+	if v.tokensAhead > 0 || !choice.Fits {
+		v.estimate.RemainingWait = toDuration((v.tokensAhead + cost/2) / drain)
+	}
+	v.lateBy, v.isLate = admit.TargetMiss(class.Target(), margin, v.estimate)
 	return v
 }
 
-// reason tells whether the request is late because of its own team's backlog:
+// refusalReason tells whether the request is late because of its own team's backlog:
 // it would be in time if the team were within its share.
-func (l *Logic) reason(r *world.Request, q *queue, v view, drain float64) world.Reason {
-	if q.fair.Lead(r.Arrived().Team) <= 0 {
+func (l *Logic) refusalReason(r *world.Request, q *modelQueue, v assessment, drain float64) world.Reason {
+	if q.fair.AheadOfShare(r.Arrival().Team) <= 0 {
 		return world.ReasonOverload
 	}
-	v.est.Wait = seconds(q.fair.AheadOfNew(v.latest) / drain)
-	if _, late := admit.Late(r.Class().Target(), l.margins.Of(r.Class()), v.est); late {
+	v.estimate.RemainingWait = toDuration(q.fair.CostAheadOfNewTeam(v.latestStart) / drain)
+	if _, late := admit.TargetMiss(r.Class().Target(), l.margins.ForClass(r.Class()), v.estimate); late {
 		return world.ReasonOverload
 	}
-	return world.ReasonTeam
+	return world.ReasonTeamLimit
 }
 
-// cost is what the request takes, in tokens through the whole model.
-func (l *Logic) cost(r *world.Request) float64 {
-	return float64(r.Arrived().Prompt)/pick.Chunk + float64(l.margins.Length(r))
+// tokenCost is what the request takes, in tokens through the whole model.
+func (l *Logic) tokenCost(r *world.Request) float64 {
+	return float64(r.Arrival().PromptTokens)/pick.ChunkPositions + float64(l.margins.ExpectedTokens(r))
 }
 
-// charge is what the request costs its team: more for a small share, and more
+// teamCharge is what the request costs its team: more for a small share, and more
 // for a team that uses much elsewhere.
-func (l *Logic) charge(r *world.Request, cost float64) float64 {
-	w := &l.world
+func (l *Logic) teamCharge(r *world.Request, cost float64) float64 {
+	w := &l.state
 	share := 1.0
-	if t, ok := w.Team(r.Arrived().Team); ok && t.Share() > 0 {
+	if t, ok := w.Team(r.Arrival().Team); ok && t.Share() > 0 {
 		share = t.Share()
 	}
-	return cost / share * l.rates.Factor(w.Now(), r.Arrived().Team)
+	return cost / share * l.teamRates.ChargeFactor(w.Now(), r.Arrival().Team)
 }
 
-// refuse sends the request to another data centre that has room for rate
+// forwardOrRefuse sends the request to another data centre that has room for rate
 // tokens a second, if there is one, and else ends it.
-func (l *Logic) refuse(r *world.Request, reason world.Reason, over time.Duration, rate float64) {
-	w := &l.world
-	if c := l.elsewhere(r, rate); c != nil && reason != world.ReasonTeam {
-		c.Give(rate)
+func (l *Logic) forwardOrRefuse(r *world.Request, reason world.Reason, over time.Duration, rate float64) {
+	w := &l.state
+	if c := l.chooseRemoteCentre(r, rate); c != nil && reason != world.ReasonTeamLimit {
+		c.Reserve(rate)
 		w.Forward(r, c.Instance())
 		return
 	}
 	if reason == world.ReasonNoEngine && len(w.Engines().Rows()) == 0 {
-		over = readyRetry
+		over = notReadyRetryAfter
 	}
-	w.Refuse(r, reason, admit.After(over, l.rand.Float64()))
+	w.Refuse(r, reason, admit.RetryAfter(over, l.rand.Float64()))
 }
 
-// start runs the request on a chain and tells the systems.
-func (l *Logic) start(r *world.Request, choice pick.Choice) {
-	w := &l.world
+// startRun runs the request on a chain and tells the systems.
+func (l *Logic) startRun(r *world.Request, choice pick.Choice) {
+	w := &l.state
 	now := w.Now()
 	if r.Attempt() == 0 {
-		l.budget.Began(r.Arrived().Class)
-		l.rates.Use(now, r.Arrived().Team, l.cost(r))
+		l.retryBudget.RecordRequest(r.Arrival().Class)
+		l.teamRates.RecordUse(now, r.Arrival().Team, l.tokenCost(r))
 	}
-	for _, e := range choice.Plan.Fresh {
-		l.cache.Ran(now, e, r.Arrived().Blocks)
+	for _, e := range choice.Plan.NewEngines {
+		l.prefixCache.RecordPrompt(now, e, r.Arrival().BlockHashes)
 	}
-	times := l.patience.Times(r, choice.Plan)
-	if l.Open {
-		times = retry.Times{Step: openPatience, Prefill: openPatience}
+	times := l.timeouts.Timeouts(r, choice.Plan)
+	if l.AdmitAll {
+		times = retry.Timeouts{Step: admitAllTimeout, Prefill: admitAllTimeout}
 	}
-	w.Start(r, choice.Plan, prio(r), times.Step, times.Prefill)
+	w.Start(r, choice.Plan, enginePriority(r), times.Step, times.Prefill)
 }
 
 const (
-	prioBase = 32
-	prioNone = 31
+	newRequestPriorityOffset = 32
+	noTargetPriority         = 31
 )
 
-// prio orders work inside engines: a tighter target runs first, and what
+// enginePriority orders work inside engines: a tighter target runs first, and what
 // resumes before what starts, since its caller has waited already.
-func prio(r *world.Request) int {
+func enginePriority(r *world.Request) int {
 	target := r.Class().Target()
 	limit := target.FirstEvent()
 	if limit == 0 {
 		limit = target.TotalTime()
 	}
-	p := prioNone
+	p := noTargetPriority
 	if limit > 0 {
-		p = min(prioNone, bits.Len64(uint64(limit.Milliseconds())))
+		p = min(noTargetPriority, bits.Len64(uint64(limit.Milliseconds())))
 	}
 	if r.Attempt() > 0 {
 		return p
 	}
-	return p + prioBase
+	return p + newRequestPriorityOffset
 }
 
-func seconds(s float64) time.Duration {
+func toDuration(s float64) time.Duration {
 	return time.Duration(min(s, 3600) * float64(time.Second))
 }
--- a/internal/route/core/limit_test.go
+++ b/internal/route/core/limit_test.go
@@ -8,12 +8,12 @@
 	"fulmarwick/internal/route/world"
 )
 
-// limited is a rig whose big team may use 100 tokens a second.
-func limited(t *testing.T) *rig {
+// newLimitedHarness is a rig whose big team may use 100 tokens a second.
+func newLimitedHarness(t *testing.T) *harness {
 	t.Helper()
-	g := newRig(t, lax(), engine("a", 0, 8), engine("b", 0, 8))
-	g.tick(world.ConfigSet{
-		Version: 2, Classes: []spec.Class{spec.NewModelClass("c", model, lax())},
+	g := newHarness(t, lenientTarget(), newEngine("a", 0, 8), newEngine("b", 0, 8))
+	g.tick(world.ConfigChanged{
+		Version: 2, Classes: []spec.Class{spec.NewModelClass("c", testModel, lenientTarget())},
 		Teams: []spec.Team{spec.NewTeam("big", "big", 1).WithLimit(100), spec.NewTeam("small", "small", 1)},
 	})
 	return g
@@ -23,20 +23,20 @@
 // seconds' worth, is then refused at once with the time to come back, and is
 // served again after that time. Others are not touched.
 func TestTeamAboveItsLimitIsRefused(t *testing.T) {
-	g := limited(t)
+	g := newLimitedHarness(t)
 	for range 200 {
-		a := g.ask("big")
-		r, ok := refused(g.tick(a), a.Request)
+		a := g.newRequest("big")
+		r, ok := findRefusal(g.tick(a), a.Request)
 		if !ok {
-			g.tick(world.Finished{Request: a.Request, Tokens: 1, OK: true})
+			g.tick(world.RequestFinished{Request: a.Request, Tokens: 1, OK: true})
 			continue
 		}
-		if r.Reason != world.ReasonTeam || r.After <= 0 {
+		if r.Reason != world.ReasonTeamLimit || r.RetryAfter <= 0 {
 			t.Fatalf("got %+v, want team-limit and a time to come back", r)
 		}
-		g.start(g.ask("small"))
-		g.pass(r.After)
-		g.start(g.ask("big"))
+		g.mustStart(g.newRequest("small"))
+		g.tickFor(r.RetryAfter)
+		g.mustStart(g.newRequest("big"))
 		return
 	}
 	t.Error("got 200 requests of a limited team served at once, want a refusal")
@@ -44,13 +44,13 @@
 
 // The team's use at other instances is heard of. It counts against the limit
 // here, so that four instances do not give four times the limit.
-func TestLimitCountsUseElsewhere(t *testing.T) {
-	g := limited(t)
-	g.tick(world.TeamUsed{Team: "big", Rate: 300})
-	a := g.ask("big")
-	if r, ok := refused(g.tick(a), a.Request); !ok || r.Reason != world.ReasonTeam {
+func TestTeamLimitCountsRemoteUsage(t *testing.T) {
+	g := newLimitedHarness(t)
+	g.tick(world.TeamUsage{Team: "big", Rate: 300})
+	a := g.newRequest("big")
+	if r, ok := findRefusal(g.tick(a), a.Request); !ok || r.Reason != world.ReasonTeamLimit {
 		t.Errorf("got %+v, want team-limit", r)
 	}
-	g.pass(time.Minute)
-	g.start(g.ask("big"))
+	g.tickFor(time.Minute)
+	g.mustStart(g.newRequest("big"))
 }
--- a/internal/route/core/poison_test.go
+++ b/internal/route/core/poison_test.go
@@ -9,10 +9,10 @@
 	"fulmarwick/internal/route/world"
 )
 
-// kill ends engine under the requests that ran on it.
-func kill(g *rig, engine spec.UpstreamID, running map[spec.RequestID]world.Start) []world.Command {
+// crashEngine ends engine under the requests that ran on it.
+func crashEngine(g *harness, engine spec.UpstreamID, running map[spec.RequestID]world.Start) []world.Command {
 	var events []world.Event
-	for n := 1; n <= g.n; n++ {
+	for n := 1; n <= g.requestCount; n++ {
 		id := spec.RequestID(fmt.Sprint(n))
 		if s, ok := running[id]; ok && s.Chain.Uses(engine) {
 			events = append(events, world.StageLost{Request: id, Attempt: s.Attempt, Engine: engine, Cause: world.CauseBroken})
@@ -25,18 +25,18 @@
 // caller sees an error after the second death; the callers of the others see
 // their whole answers. Each suspect runs again with no other suspect beside
 // it, so the second death names one request only.
-func TestPoisonKillsTwoEnginesAndNoInnocent(t *testing.T) {
+func TestPoisonRequestCrashesAtMostTwoEngines(t *testing.T) {
 	var engines []world.Engine
 	for i := range 4 {
-		e := engine(fmt.Sprint("e", i), 0, 8)
+		e := newEngine(fmt.Sprint("e", i), 0, 8)
 		e.Slots = 64
 		engines = append(engines, e)
 	}
-	g := newRig(t, lax(), engines...)
+	g := newHarness(t, lenientTarget(), engines...)
 	running := map[spec.RequestID]world.Start{}
 	for range 24 {
-		a := g.ask("big")
-		running[a.Request] = g.start(a)
+		a := g.newRequest("big")
+		running[a.Request] = g.mustStart(a)
 	}
 	const guilty = spec.RequestID("7")
 	deaths := 0
@@ -47,7 +47,7 @@
 		if ok {
 			deaths++
 			engine := s.Chain[0].Engine()
-			cs = kill(g, engine, running)
+			cs = crashEngine(g, engine, running)
 			for id, s := range running {
 				if s.Chain.Uses(engine) {
 					delete(running, id)
@@ -64,10 +64,10 @@
 				}
 			}
 			var progress []world.Event
-			for n := 1; n <= g.n; n++ {
+			for n := 1; n <= g.requestCount; n++ {
 				id := spec.RequestID(fmt.Sprint(n))
 				if s, ok := running[id]; ok && s.Attempt > 1 && id != guilty {
-					progress = append(progress, world.Progress{Request: id, Tokens: 9})
+					progress = append(progress, world.RequestProgress{Request: id, Tokens: 9})
 				}
 			}
 			cs = g.tick(progress...)
@@ -87,64 +87,64 @@
 // The caller of a poison request sends it again to another instance, which
 // heard of two deaths: it is refused before it runs. After one death heard it
 // waits until the first instance must have settled it.
-func TestPoisonResentElsewhereIsCaught(t *testing.T) {
-	g := newRig(t, lax(), engine("e1", 0, 8), engine("e2", 0, 8))
-	a := g.ask("big")
-	g.tick(world.Suspected{Print: a.Print, Crashes: 1, Engine: "x"})
-	if _, ok := started(g.tick(a), a.Request); ok {
+func TestPoisonRequestIsRefusedAfterPeerReports(t *testing.T) {
+	g := newHarness(t, lenientTarget(), newEngine("e1", 0, 8), newEngine("e2", 0, 8))
+	a := g.newRequest("big")
+	g.tick(world.SuspectReported{Fingerprint: a.Fingerprint, Crashes: 1, Engine: "x"})
+	if _, ok := findStart(g.tick(a), a.Request); ok {
 		t.Fatal("started while another instance may have it on probation")
 	}
-	r, ok := refused(g.tick(world.Suspected{Print: a.Print, Crashes: 1, Engine: "y"}), a.Request)
+	r, ok := findRefusal(g.tick(world.SuspectReported{Fingerprint: a.Fingerprint, Crashes: 1, Engine: "y"}), a.Request)
 	if !ok || r.Reason != world.ReasonPoison || r.Ran {
 		t.Errorf("got %+v (%v), want it refused as poison before it ran", r, ok)
 	}
 	b := a
 	b.Request = "again"
-	if r, ok := refused(g.tick(b), b.Request); !ok || r.Reason != world.ReasonPoison {
+	if r, ok := findRefusal(g.tick(b), b.Request); !ok || r.Reason != world.ReasonPoison {
 		t.Errorf("sent again: got %+v (%v), want the same", r, ok)
 	}
-	g.pass(11 * time.Minute)
+	g.tickFor(11 * time.Minute)
 	c := a
 	c.Request = "later"
-	g.start(c)
+	g.mustStart(c)
 }
 
 // Two engines of one chain die at once, one after the other noticed. The
 // caller's request is innocent: the second stage was kept from before and had
 // run the whole request, so its death counts nothing and the answer goes on.
-func TestCoincidentDeathsCondemnNobody(t *testing.T) {
-	g := newRig(t, lax(), engine("a1", 0, 4), engine("a2", 0, 4), engine("b1", 4, 8), engine("b2", 4, 8))
-	a := g.ask("big")
-	first := g.start(a)
+func TestSimultaneousCrashesMakeNoCulprit(t *testing.T) {
+	g := newHarness(t, lenientTarget(), newEngine("a1", 0, 4), newEngine("a2", 0, 4), newEngine("b1", 4, 8), newEngine("b2", 4, 8))
+	a := g.newRequest("big")
+	first := g.mustStart(a)
 	cs := g.tick(world.StageLost{Request: a.Request, Attempt: 1, Engine: first.Chain[0].Engine(), Cause: world.CauseBroken, Tokens: 5})
-	second, ok := started(cs, a.Request)
+	second, ok := findStart(cs, a.Request)
 	if !ok {
 		t.Fatalf("got %v, want a second start", cs)
 	}
 	g.tick(world.StageLost{Request: a.Request, Attempt: 2, Engine: second.Chain[1].Engine(), Cause: world.CauseBroken})
-	if cs := g.pass(time.Second); len(cs) == 0 {
+	if cs := g.tickFor(time.Second); len(cs) == 0 {
 		t.Error("got nothing, want a third start")
-	} else if _, ok := started(cs, a.Request); !ok {
+	} else if _, ok := findStart(cs, a.Request); !ok {
 		t.Errorf("got %v, want a third start", cs)
 	}
 }
 
 // A suspect that got past the point where its engine died is cleared: when
 // another engine dies under it much later, it is a first death again.
-func TestClearedSuspectStartsAnew(t *testing.T) {
+func TestClearedSuspectStartsWithoutCrashes(t *testing.T) {
 	var engines []world.Engine
 	for i := range 6 {
-		engines = append(engines, engine(fmt.Sprint("e", i), 0, 8))
+		engines = append(engines, newEngine(fmt.Sprint("e", i), 0, 8))
 	}
-	g := newRig(t, lax(), engines...)
-	a := g.ask("big")
-	s := g.start(a)
+	g := newHarness(t, lenientTarget(), engines...)
+	a := g.newRequest("big")
+	s := g.mustStart(a)
 	for n := range 4 {
 		cs := g.tick(world.StageLost{Request: a.Request, Attempt: s.Attempt, Engine: s.Chain[0].Engine(), Cause: world.CauseBroken, Tokens: 10*n + 1})
 		var ok bool
-		if s, ok = started(cs, a.Request); !ok {
+		if s, ok = findStart(cs, a.Request); !ok {
 			t.Fatalf("death %d: got %v, want a start", n, cs)
 		}
-		g.tick(world.Progress{Request: a.Request, Tokens: 10*n + 2})
+		g.tick(world.RequestProgress{Request: a.Request, Tokens: 10*n + 2})
 	}
 }
--- a/internal/route/core/queue.go
+++ b/internal/route/core/queue.go
@@ -9,70 +9,70 @@
 	"fulmarwick/internal/route/world"
 )
 
-// checkEvery is how often the whole queue is looked through for requests that
+// purgeInterval is how often the whole queue is looked through for requests that
 // others went ahead of.
-const checkEvery = 100 * time.Millisecond
+const purgeInterval = 100 * time.Millisecond
 
-// queue is what waits for engines of one model.
-type queue struct {
-	fair  fair.Queue
-	check time.Duration
-	ran   time.Duration
+// modelQueue is what waits for engines of one model.
+type modelQueue struct {
+	fair      fair.Queue
+	nextPurge time.Duration
+	lastRun   time.Duration
 }
 
-func (l *Logic) queue(model spec.ModelName) *queue {
+func (l *Logic) queueFor(model spec.ModelName) *modelQueue {
 	q := l.queues[model]
 	if q == nil {
-		q = &queue{}
+		q = &modelQueue{}
 		l.queues[model] = q
-		l.order = append(l.order, model)
+		l.modelOrder = append(l.modelOrder, model)
 	}
 	return q
 }
 
-// runQueues starts what has room now, and refuses what cannot start in time
+// serveQueues starts what has room now, and refuses what cannot start in time
 // any more: waiting on would only make its caller wait for a refusal.
-func (l *Logic) runQueues() {
-	for _, model := range l.order {
+func (l *Logic) serveQueues() {
+	for _, model := range l.modelOrder {
 		q := l.queues[model]
-		now := l.world.Now()
-		q.fair.Advance(l.drain(model) * (now - q.ran).Seconds())
-		q.ran = now
+		now := l.state.Now()
+		q.fair.Advance(l.drainRate(model) * (now - q.lastRun).Seconds())
+		q.lastRun = now
 		if q.fair.Len() == 0 {
 			continue
 		}
-		l.runQueue(q)
-		l.purge(model, q)
+		l.startQueued(q)
+		l.refuseHopeless(model, q)
 	}
 }
 
-func (l *Logic) purge(model spec.ModelName, q *queue) {
-	now := l.world.Now()
-	if now < q.check {
+func (l *Logic) refuseHopeless(model spec.ModelName, q *modelQueue) {
+	now := l.state.Now()
+	if now < q.nextPurge {
 		return
 	}
-	q.check = now + checkEvery
-	for _, it := range q.fair.Hopeless(now, l.drain(model)) {
-		l.giveUp(it, world.ReasonOverload, time.Second)
+	q.nextPurge = now + purgeInterval
+	for _, it := range q.fair.RemoveUnmeetable(now, l.drainRate(model)) {
+		l.refuseQueued(it, world.ReasonOverload, time.Second)
 	}
 }
 
-// runQueue starts from the front what has room. A request for which only
+// startQueued starts from the front what has room. A request for which only
 // engines too slow for it have room is passed over, a few at a time, so that
 // one with a shorter prompt can use them.
-func (l *Logic) runQueue(q *queue) {
+func (l *Logic) startQueued(q *modelQueue) {
 	var passed []*fair.Item
-	for len(passed) < passMost {
+	for len(passed) < maxPassedOver {
 		it := q.fair.Head()
 		if it == nil {
 			break
 		}
-		verdict := l.front(q, it)
-		if verdict == frontFull {
+		verdict := l.tryHead(q, it)
+		if verdict == headLacksCapacity {
 			break
 		}
-		if verdict == frontSlow {
-			q.fair.Take(it)
+		if verdict == headTooSlow {
+			q.fair.Remove(it)
 			passed = append(passed, it)
 		}
 	}
@@ -81,45 +81,45 @@
 	}
 }
 
-// passMost is how many requests are passed over in a tick.
-const passMost = 4
+// maxPassedOver is how many requests are passed over in a tick.
+const maxPassedOver = 4
 
-// front says what became of the request at the front.
-type front int
+// headResult says what became of the request at the front.
+type headResult int
 
 const (
-	frontTaken front = iota
-	frontFull
-	frontSlow
+	headSettled headResult = iota
+	headLacksCapacity
+	headTooSlow
 )
 
-func (l *Logic) front(q *queue, it *fair.Item) front {
-	w := &l.world
+func (l *Logic) tryHead(q *modelQueue, it *fair.Item) headResult {
+	w := &l.state
 	r := it.Request
-	choice, ok := l.choose(r, q)
+	choice, ok := l.chooseChain(r, q)
 	if !ok {
-		q.fair.Take(it)
-		l.giveUp(it, world.ReasonNoEngine, coverRetry)
-		return frontTaken
+		q.fair.Remove(it)
+		l.refuseQueued(it, world.ReasonNoEngine, uncoveredRetryAfter)
+		return headSettled
 	}
-	if w.Now() > it.Latest {
-		q.fair.Take(it)
-		l.giveUp(it, world.ReasonOverload, w.Now()-it.Latest)
-		return frontTaken
+	if w.Now() > it.LatestStart {
+		q.fair.Remove(it)
+		l.refuseQueued(it, world.ReasonOverload, w.Now()-it.LatestStart)
+		return headSettled
 	}
 	if !choice.Fits {
-		return frontFull
+		return headLacksCapacity
 	}
-	est := admit.Estimate{Elapsed: w.Now() - r.At(), Plan: choice.Plan}
-	if _, late := admit.Late(r.Class().Target(), l.margins.Of(r.Class()), est); late {
-		return frontSlow
+	est := admit.Estimate{Elapsed: w.Now() - r.ArrivedAt(), Plan: choice.Plan}
+	if _, late := admit.TargetMiss(r.Class().Target(), l.margins.ForClass(r.Class()), est); late {
+		return headTooSlow
 	}
-	q.fair.Take(it)
-	q.fair.Began(r.Arrived().Team, it.Charge)
-	l.start(r, choice)
-	return frontTaken
+	q.fair.Remove(it)
+	q.fair.ChargeTeam(r.Arrival().Team, it.Charge)
+	l.startRun(r, choice)
+	return headSettled
 }
 
-func (l *Logic) giveUp(it *fair.Item, reason world.Reason, over time.Duration) {
-	l.refuse(it.Request, reason, over, it.Rate)
+func (l *Logic) refuseQueued(it *fair.Item, reason world.Reason, over time.Duration) {
+	l.forwardOrRefuse(it.Request, reason, over, it.TokenRate)
 }
--- a/internal/route/core/same_test.go
+++ b/internal/route/core/same_test.go
@@ -20,39 +20,39 @@
 	n := rapid.IntRange(0, 40).Draw(t, "n")
 	switch rapid.IntRange(0, 17).Draw(t, "kind") {
 	case 0, 1, 2, 3:
-		return world.Arrived{
-			Request: request, Team: spec.TeamID(fmt.Sprint("t", n%3)), Class: "c", Model: model,
-			Prompt: 1 + n*10, Limit: 1 + n, Print: uint64(n % 5), Hops: n % 2, Blocks: []uint64{uint64(n % 3), 7},
+		return world.RequestArrived{
+			Request: request, Team: spec.TeamID(fmt.Sprint("t", n%3)), Class: "c", Model: testModel,
+			PromptTokens: 1 + n*10, MaxTokens: 1 + n, Fingerprint: uint64(n % 5), Hops: n % 2, BlockHashes: []uint64{uint64(n % 3), 7},
 		}
 	case 4:
-		return world.Progress{Request: request, Tokens: n}
+		return world.RequestProgress{Request: request, Tokens: n}
 	case 5, 6:
 		return world.StageLost{Request: request, Attempt: uint32(1 + n%3), Engine: engineID, Cause: world.Cause(n % 5)}
 	case 7:
-		return world.Finished{Request: request, Tokens: n, First: time.Duration(n) * time.Millisecond, Whole: time.Second, OK: n%4 > 0}
+		return world.RequestFinished{Request: request, Tokens: n, FirstToken: time.Duration(n) * time.Millisecond, TotalTime: time.Second, OK: n%4 > 0}
 	case 8:
-		return world.Canceled{Request: request}
+		return world.RequestCanceled{Request: request}
 	case 9, 10:
-		e := engine(string(engineID), 0, 4)
+		e := newEngine(string(engineID), 0, 4)
 		if engineID[0] == 'b' {
-			e = engine(string(engineID), 4, 8)
+			e = newEngine(string(engineID), 4, 8)
 		}
 		e.Seq, e.Active, e.Queued, e.Incarnation = uint64(n), n%5, n%3, uint64(n%2)
-		return world.EngineSeen{Engine: e}
+		return world.EngineReport{Engine: e}
 	case 11:
-		return world.EngineDown{Engine: engineID}
+		return world.EngineDead{Engine: engineID}
 	case 12:
-		return world.EngineGone{Engine: engineID}
+		return world.EngineRemoved{Engine: engineID}
 	case 13:
-		return world.HopTimed{Engine: engineID, P50: time.Duration(n) * time.Millisecond, Count: 1}
+		return world.HopMeasured{Engine: engineID, P50: time.Duration(n) * time.Millisecond, Count: 1}
 	case 14:
-		return world.PeerLoad{Peer: spec.InstanceID(fmt.Sprint("p", n%3)), Engine: engineID, Active: n, Tokens: n * 50}
+		return world.PeerLoad{Peer: spec.InstanceID(fmt.Sprint("p", n%3)), Engine: engineID, Active: n, LayerTokenRate: n * 50}
 	case 15:
-		return world.PeerGone{Peer: spec.InstanceID(fmt.Sprint("p", n%3))}
+		return world.PeerRemoved{Peer: spec.InstanceID(fmt.Sprint("p", n%3))}
 	case 16:
-		return world.Suspected{Print: uint64(n % 5), Crashes: n % 3, Engine: engineID}
+		return world.SuspectReported{Fingerprint: uint64(n % 5), Crashes: n % 3, Engine: engineID}
 	default:
-		return world.CacheSeen{Engine: engineID, Seq: uint64(n), Added: []uint64{uint64(n % 3)}, Reset: n%7 == 0}
+		return world.CacheReport{Engine: engineID, Seq: uint64(n), Added: []uint64{uint64(n % 3)}, Reset: n%7 == 0}
 	}
 }
 
@@ -62,8 +62,8 @@
 func TestSameEventsSameCommands(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		one, two := &core.Logic{ID: "i", Seed: 3}, &core.Logic{ID: "i", Seed: 3}
-		config := world.ConfigSet{Version: 1, Classes: []spec.Class{spec.NewModelClass("c", model, spec.NewTarget(time.Second, 0, 0, 90))}}
-		first := []world.Event{config, world.EngineSeen{Engine: engine("a1", 0, 4)}, world.EngineSeen{Engine: engine("b1", 4, 8)}}
+		config := world.ConfigChanged{Version: 1, Classes: []spec.Class{spec.NewModelClass("c", testModel, spec.NewTarget(time.Second, 0, 0, 90))}}
+		first := []world.Event{config, world.EngineReport{Engine: newEngine("a1", 0, 4)}, world.EngineReport{Engine: newEngine("b1", 4, 8)}}
 		one.Tick(0, first)
 		two.Tick(0, first)
 		now := time.Duration(0)
@@ -73,7 +73,7 @@
 			var events []world.Event
 			for range rapid.IntRange(0, 6).Draw(t, "events") {
 				ev := drawEvent(t)
-				if a, ok := ev.(world.Arrived); ok && one.World().Requests().Get(a.Request) == nil {
+				if a, ok := ev.(world.RequestArrived); ok && one.State().Requests().Get(a.Request) == nil {
 					if _, twice := hops[a.Request]; twice {
 						continue
 					}
@@ -85,12 +85,12 @@
 			if !reflect.DeepEqual(got, want) {
 				t.Fatalf("got %v, want %v", got, want)
 			}
-			check(t, got, hops)
+			checkCommands(t, got, hops)
 		}
 	})
 }
 
-func check(t *rapid.T, cs []world.Command, hops map[spec.RequestID]int) {
+func checkCommands(t *rapid.T, cs []world.Command, hops map[spec.RequestID]int) {
 	settled := map[spec.RequestID]bool{}
 	for _, c := range cs {
 		var id spec.RequestID
--- a/internal/route/core/tell.go
+++ b/internal/route/core/tell.go
@@ -9,152 +9,152 @@
 )
 
 const (
-	// tellEvery bounds how often one engine's load is told.
-	tellEvery = 200 * time.Millisecond
-	// sumEvery is how often the sums per model are looked at, sumOld when one
+	// loadInterval bounds how often one engine's load is told.
+	loadInterval = 200 * time.Millisecond
+	// capacityInterval is how often the sums per model are looked at, sumOld when one
 	// is told again unchanged, and sumChange the part of the capacity by which
 	// it must have changed else.
-	sumEvery  = time.Second
-	sumOld    = 4 * time.Second
-	sumChange = 0.05
-	// sumKeep is how long another data centre's sum counts.
-	sumKeep = 10 * time.Second
-	// sumLimit is the part of the capacity that is offered to others, and
+	capacityInterval    = time.Second
+	capacityResendAfter = 4 * time.Second
+	minCapacityChange   = 0.05
+	// remoteCapacityTTL is how long another data centre's sum counts.
+	remoteCapacityTTL = 10 * time.Second
+	// offeredShare is the part of the capacity that is offered to others, and
 	// spare how many times a request's rate must be free there.
-	sumLimit = 0.9
-	spare    = 2
+	offeredShare = 0.9
+	spareFactor  = 2
 )
 
-// tell is what this instance last told others.
-type tell struct {
-	loads map[spec.UpstreamID]*toldLoad
-	dirty []*toldLoad
-	sums  map[spec.ModelName]*toldSum
-	next  time.Duration
+// announcer is what this instance last told others.
+type announcer struct {
+	loads          map[spec.UpstreamID]*announcedLoad
+	changed        []*announcedLoad
+	capacities     map[spec.ModelName]*announcedCapacity
+	nextCapacities time.Duration
 }
 
-type toldLoad struct {
-	engine *world.Engine
-	active int
-	draw   int64
-	at     time.Duration
-	sent   bool
-	dirty  bool
+type announcedLoad struct {
+	engine  *world.Engine
+	active  int
+	demand  int64
+	sentAt  time.Duration
+	sent    bool
+	changed bool
 }
 
-type toldSum struct {
-	free float64
-	at   time.Duration
+type announcedCapacity struct {
+	freeRate float64
+	sentAt   time.Duration
 }
 
-func (t *tell) run(l *Logic) {
-	t.touched(&l.world)
-	t.tellLoads(&l.world)
-	if now := l.world.Now(); now >= t.next {
-		t.next = now + sumEvery
-		t.tellSums(l)
+func (t *announcer) announce(l *Logic) {
+	t.markChanged(&l.state)
+	t.announceLoads(&l.state)
+	if now := l.state.Now(); now >= t.nextCapacities {
+		t.nextCapacities = now + capacityInterval
+		t.announceCapacities(l)
 	}
 }
 
-func (t *tell) touched(w *world.World) {
-	for _, e := range w.Touched() {
+func (t *announcer) markChanged(w *world.RoutingState) {
+	for _, e := range w.TakeChangedEngines() {
 		if w.Engines().Get(e.ID) != e {
 			continue
 		}
 		if t.loads == nil {
-			t.loads = map[spec.UpstreamID]*toldLoad{}
+			t.loads = map[spec.UpstreamID]*announcedLoad{}
 		}
 		s := t.loads[e.ID]
 		if s == nil || s.engine != e {
-			s = &toldLoad{engine: e}
+			s = &announcedLoad{engine: e}
 			t.loads[e.ID] = s
 		}
-		if !s.dirty {
-			s.dirty = true
-			t.dirty = append(t.dirty, s)
+		if !s.changed {
+			s.changed = true
+			t.changed = append(t.changed, s)
 		}
 	}
 }
 
-func (t *tell) tellLoads(w *world.World) {
-	keep := t.dirty[:0]
-	for _, s := range t.dirty {
-		if s.sent && w.Now()-s.at < tellEvery {
+func (t *announcer) announceLoads(w *world.RoutingState) {
+	keep := t.changed[:0]
+	for _, s := range t.changed {
+		if s.sent && w.Now()-s.sentAt < loadInterval {
 			keep = append(keep, s)
 			continue
 		}
-		s.dirty = false
-		if s.active == s.engine.Own() && s.draw == s.engine.OwnDraw() {
+		s.changed = false
+		if s.active == s.engine.LocalRequests() && s.demand == s.engine.LocalDemand() {
 			continue
 		}
-		s.active, s.draw = s.engine.Own(), s.engine.OwnDraw()
-		s.at, s.sent = w.Now(), true
-		w.Emit(world.OwnLoad{Engine: s.engine.ID, Active: s.active, Tokens: int(s.draw)})
+		s.active, s.demand = s.engine.LocalRequests(), s.engine.LocalDemand()
+		s.sentAt, s.sent = w.Now(), true
+		w.Emit(world.LocalLoad{Engine: s.engine.ID, Active: s.active, LayerTokenRate: int(s.demand)})
 	}
-	t.dirty = keep
+	t.changed = keep
 }
 
-func (t *tell) forget(engine spec.UpstreamID) {
+func (t *announcer) removeEngine(engine spec.UpstreamID) {
 	s := t.loads[engine]
 	if s == nil {
 		return
 	}
 	delete(t.loads, engine)
-	for i, d := range t.dirty {
+	for i, d := range t.changed {
 		if d == s {
-			t.dirty = append(t.dirty[:i], t.dirty[i+1:]...)
+			t.changed = append(t.changed[:i], t.changed[i+1:]...)
 			return
 		}
 	}
 }
 
-// tellSums tells per model this instance's part of what is free, so that what
+// announceCapacities tells per model this instance's part of what is free, so that what
 // others send to all instances together fits.
-func (t *tell) tellSums(l *Logic) {
-	w := &l.world
-	if t.sums == nil {
-		t.sums = map[spec.ModelName]*toldSum{}
+func (t *announcer) announceCapacities(l *Logic) {
+	w := &l.state
+	if t.capacities == nil {
+		t.capacities = map[spec.ModelName]*announcedCapacity{}
 	}
-	for _, name := range w.Engines().Index().Names() {
+	for _, name := range w.Engines().Index().ModelNames() {
 		free, capacity := 0.0, 0.0
 		for _, m := range w.Engines().Index().Versions(name) {
-			free += max(0, m.Free(sumLimit))
+			free += max(0, m.FreeRate(offeredShare))
 			capacity += m.Capacity()
 		}
 		free /= float64(1 + len(w.Peers()))
-		t.tellSum(w, name, math.Floor(free), capacity)
+		t.announceCapacity(w, name, math.Floor(free), capacity)
 	}
 }
 
-func (t *tell) tellSum(w *world.World, name spec.ModelName, free, capacity float64) {
-	s := t.sums[name]
+func (t *announcer) announceCapacity(w *world.RoutingState, name spec.ModelName, free, capacity float64) {
+	s := t.capacities[name]
 	if s == nil {
-		s = &toldSum{at: -sumOld}
-		t.sums[name] = s
+		s = &announcedCapacity{sentAt: -capacityResendAfter}
+		t.capacities[name] = s
 	}
-	moved := math.Abs(free-s.free) > sumChange*capacity/float64(1+len(w.Peers()))
-	none := (free == 0) != (s.free == 0)
-	if !moved && !none && w.Now()-s.at < sumOld {
+	moved := math.Abs(free-s.freeRate) > minCapacityChange*capacity/float64(1+len(w.Peers()))
+	none := (free == 0) != (s.freeRate == 0)
+	if !moved && !none && w.Now()-s.sentAt < capacityResendAfter {
 		return
 	}
-	s.free, s.at = free, w.Now()
-	w.Emit(world.OwnSum{Model: name, Free: free})
+	s.freeRate, s.sentAt = free, w.Now()
+	w.Emit(world.LocalCapacity{Model: name, FreeRate: free})
 }
 
-// elsewhere is an instance of another data centre that has room for a request
+// chooseRemoteCentre is an instance of another data centre that has room for a request
 // of rate tokens a second. A request that was forwarded already, or that ran
 // here, stays: so it takes at most one hop and no circle.
-func (l *Logic) elsewhere(r *world.Request, rate float64) *world.Centre {
-	a := r.Arrived()
+func (l *Logic) chooseRemoteCentre(r *world.Request, rate float64) *world.RemoteCentre {
+	a := r.Arrival()
 	if a.Hops > 0 || r.Attempt() > 0 {
 		return nil
 	}
-	w := &l.world
-	fits := func(c *world.Centre) bool {
-		return w.Now()-c.Heard() < sumKeep && c.Free() > 0 && c.Free() >= spare*rate
+	w := &l.state
+	fits := func(c *world.RemoteCentre) bool {
+		return w.Now()-c.ReportedAt() < remoteCapacityTTL && c.FreeRate() > 0 && c.FreeRate() >= spareFactor*rate
 	}
-	var open []*world.Centre
-	for _, c := range w.Centres(a.Model) {
+	var open []*world.RemoteCentre
+	for _, c := range w.RemoteCentres(a.Model) {
 		if fits(c) {
 			open = append(open, c)
 		}
@@ -166,7 +166,7 @@
 	// from all sending to one.
 	x := open[l.rand.IntN(len(open))]
 	y := open[l.rand.IntN(len(open))]
-	if y.Free() > x.Free() {
+	if y.FreeRate() > x.FreeRate() {
 		return y
 	}
 	return x
--- a/internal/route/core/tell_test.go
+++ b/internal/route/core/tell_test.go
@@ -10,21 +10,21 @@
 
 // Other instances hear of a changing load soon, but at most five times a
 // second per engine however many requests come, and the last word is the end.
-func TestLoadIsToldAtMostFiveTimesASecond(t *testing.T) {
-	e := engine("a1", 0, 8)
+func TestLoadIsAnnouncedAtMostFiveTimesASecond(t *testing.T) {
+	e := newEngine("a1", 0, 8)
 	e.Slots = 1000
-	g := newRig(t, lax(), e)
-	var told []world.OwnLoad
+	g := newHarness(t, lenientTarget(), e)
+	var told []world.LocalLoad
 	note := func(cs []world.Command) {
 		for _, c := range cs {
-			if o, ok := c.(world.OwnLoad); ok {
+			if o, ok := c.(world.LocalLoad); ok {
 				told = append(told, o)
 			}
 		}
 	}
 	var ids []spec.RequestID
 	for range 100 {
-		a := g.ask("big")
+		a := g.newRequest("big")
 		ids = append(ids, a.Request)
 		note(g.tick(a))
 	}
@@ -32,31 +32,31 @@
 		t.Errorf("told in two seconds: got %d times, want about 10", got)
 	}
 	for _, id := range ids {
-		note(g.tick(world.Canceled{Request: id}))
+		note(g.tick(world.RequestCanceled{Request: id}))
 	}
-	note(g.pass(time.Second))
-	if last := told[len(told)-1]; last.Active != 0 || last.Tokens != 0 {
+	note(g.tickFor(time.Second))
+	if last := told[len(told)-1]; last.Active != 0 || last.LayerTokenRate != 0 {
 		t.Errorf("last word: got %+v, want nothing in flight", last)
 	}
 }
 
-func TestSumsAndHeavyTeamsAreTold(t *testing.T) {
-	e := engine("a1", 0, 8)
+func TestCapacityAndHeavyTeamsAreAnnounced(t *testing.T) {
+	e := newEngine("a1", 0, 8)
 	e.Slots = 1000
-	g := newRig(t, lax(), e)
+	g := newHarness(t, lenientTarget(), e)
 	g.tick(world.PeerLoad{Peer: "p", Engine: "a1"})
 	var cs []world.Command
 	for range 100 {
-		cs = append(cs, g.tick(g.ask("big"))...)
+		cs = append(cs, g.tick(g.newRequest("big"))...)
 	}
-	cs = append(cs, g.tick(g.ask("small"))...)
-	cs = append(cs, g.pass(2*time.Second)...)
+	cs = append(cs, g.tick(g.newRequest("small"))...)
+	cs = append(cs, g.tickFor(2*time.Second)...)
 	free, rates := 0.0, map[spec.TeamID]float64{}
 	for _, c := range cs {
 		switch c := c.(type) {
-		case world.OwnSum:
-			free = c.Free
-		case world.OwnRate:
+		case world.LocalCapacity:
+			free = c.FreeRate
+		case world.LocalTeamUsage:
 			rates[c.Team] = c.Rate
 		}
 	}
@@ -71,21 +71,21 @@
 
 // The use of a team at other instances counts here: with the same use here and
 // much elsewhere, the other team's request goes first.
-func TestUseElsewhereLetsOthersGoFirst(t *testing.T) {
-	g := newRig(t, lax(), engine("a1", 0, 8))
-	g.tick(world.TeamUsed{Team: "big", Rate: 5000}, world.TeamUsed{Team: "small", Rate: 1})
+func TestRemoteUsageLowersTeamPriority(t *testing.T) {
+	g := newHarness(t, lenientTarget(), newEngine("a1", 0, 8))
+	g.tick(world.TeamUsage{Team: "big", Rate: 5000}, world.TeamUsage{Team: "small", Rate: 1})
 	var ran []spec.RequestID
 	team := map[spec.RequestID]spec.TeamID{}
 	for i := range 40 {
-		a := g.ask(spec.TeamID([]string{"big", "small"}[i%2]))
+		a := g.newRequest(spec.TeamID([]string{"big", "small"}[i%2]))
 		team[a.Request] = a.Team
-		if _, ok := started(g.tick(a), a.Request); ok {
+		if _, ok := findStart(g.tick(a), a.Request); ok {
 			ran = append(ran, a.Request)
 		}
 	}
 	first := map[spec.TeamID]int{}
 	for _, id := range ran {
-		for _, c := range g.tick(world.Finished{Request: id, Tokens: 50, OK: true}) {
+		for _, c := range g.tick(world.RequestFinished{Request: id, Tokens: 50, OK: true}) {
 			if s, ok := c.(world.Start); ok {
 				first[team[s.Request]]++
 			}
--- a/internal/route/core/tick_test.go
+++ b/internal/route/core/tick_test.go
@@ -22,16 +22,16 @@
 			name := fmt.Sprint("m", m)
 			classes = append(classes, spec.NewModelClass(spec.ClassName(name), spec.ModelName(name), spec.NewTarget(time.Minute, 0, 0, 95)))
 		}
-		events := []world.Event{world.ConfigSet{Version: 1, Classes: classes}}
+		events := []world.Event{world.ConfigChanged{Version: 1, Classes: classes}}
 		var rows []world.Engine
 		for i := range n {
 			part := i % 4
-			e := engine(fmt.Sprintf("e%05d", i), 2*part, 2*part+2)
-			e.Layer *= time.Duration(1 + i/4%5)
+			e := newEngine(fmt.Sprintf("e%05d", i), 2*part, 2*part+2)
+			e.LayerTime *= time.Duration(1 + i/4%5)
 			e.Slots = 16
-			e.Holds[0].Model = spec.ModelName(fmt.Sprint("m", i/4%models))
+			e.Loaded[0].Model = spec.ModelName(fmt.Sprint("m", i/4%models))
 			rows = append(rows, e)
-			events = append(events, world.EngineSeen{Engine: e})
+			events = append(events, world.EngineReport{Engine: e})
 		}
 		l.Tick(0, events)
 		now := time.Second
@@ -44,11 +44,11 @@
 				id := spec.RequestID(fmt.Sprint(now))
 				m := fmt.Sprint("m", i%models)
 				l.Tick(now, []world.Event{
-					world.EngineSeen{Engine: *e},
-					world.Arrived{Request: id, Team: "t", Class: spec.ClassName(m), Model: spec.ModelName(m), Prompt: 256, Limit: 64},
+					world.EngineReport{Engine: *e},
+					world.RequestArrived{Request: id, Team: "t", Class: spec.ClassName(m), Model: spec.ModelName(m), PromptTokens: 256, MaxTokens: 64},
 				})
 				now += time.Millisecond
-				l.Tick(now, []world.Event{world.Finished{Request: id, Tokens: 64, First: time.Second, Whole: 2 * time.Second, OK: true}})
+				l.Tick(now, []world.Event{world.RequestFinished{Request: id, Tokens: 64, FirstToken: time.Second, TotalTime: 2 * time.Second, OK: true}})
 			}
 		})
 		b.Run(fmt.Sprintf("%d/idle", n), func(b *testing.B) {
--- a/internal/route/fair/fair_test.go
+++ b/internal/route/fair/fair_test.go
@@ -12,18 +12,18 @@
 	"pgregory.net/rapid"
 )
 
-// requests makes a request per team name, in order.
-func requests(teams ...string) []*world.Request {
-	w := &world.World{}
-	w.Begin(0)
+// newRequests makes a request per team name, in order.
+func newRequests(teams ...string) []*world.Request {
+	w := &world.RoutingState{}
+	w.BeginTick(0)
 	for i, team := range teams {
-		w.Apply(world.Arrived{Request: spec.RequestID(fmt.Sprint(i)), Team: spec.TeamID(team)})
+		w.Apply(world.RequestArrived{Request: spec.RequestID(fmt.Sprint(i)), Team: spec.TeamID(team)})
 	}
-	return w.Requests().Due()
+	return w.Requests().TakeDue()
 }
 
-func item(r *world.Request, latest time.Duration) *fair.Item {
-	return &fair.Item{Request: r, Cost: 100, Charge: 100, Latest: latest}
+func newItem(r *world.Request, latest time.Duration) *fair.Item {
+	return &fair.Item{Request: r, Cost: 100, Charge: 100, LatestStart: latest}
 }
 
 // serve takes n requests from the queue and counts them per team.
@@ -34,22 +34,22 @@
 		if it == nil {
 			break
 		}
-		q.Take(it)
-		team := it.Request.Arrived().Team
-		q.Began(team, it.Charge)
+		q.Remove(it)
+		team := it.Request.Arrival().Team
+		q.ChargeTeam(team, it.Charge)
 		out[team]++
 	}
 	return out
 }
 
-func TestTeamsShareAlikeWhateverTheyAskFor(t *testing.T) {
+func TestTeamsShareEquallyRegardlessOfDemand(t *testing.T) {
 	q := &fair.Queue{}
 	var teams []string
 	for i := range 120 {
 		teams = append(teams, []string{"big", "big", "big", "big", "big", "small"}[i%6])
 	}
-	for i, r := range requests(teams...) {
-		q.Push(item(r, time.Duration(i)))
+	for i, r := range newRequests(teams...) {
+		q.Push(newItem(r, time.Duration(i)))
 	}
 	got := serve(q, 40)
 	if got["small"] < 19 {
@@ -60,52 +60,52 @@
 	}
 }
 
-func TestDeadlinesOrderWithinATeamAndAmongEquals(t *testing.T) {
+func TestDeadlinesOrderWithinTeamAndQuantum(t *testing.T) {
 	q := &fair.Queue{}
-	rs := requests("a", "a", "b")
-	q.Push(item(rs[0], 30))
-	q.Push(item(rs[1], 10))
-	q.Push(item(rs[2], 20))
+	rs := newRequests("a", "a", "b")
+	q.Push(newItem(rs[0], 30))
+	q.Push(newItem(rs[1], 10))
+	q.Push(newItem(rs[2], 20))
 	for _, want := range []*world.Request{rs[1], rs[2], rs[0]} {
 		it := q.Head()
 		if it.Request != want {
-			t.Fatalf("got %s, want %s", it.Request.Arrived().Request, want.Arrived().Request)
+			t.Fatalf("got %s, want %s", it.Request.Arrival().Request, want.Arrival().Request)
 		}
-		q.Take(it)
+		q.Remove(it)
 	}
 }
 
-func TestIdleTeamsCostNothing(t *testing.T) {
+func TestIdleTeamsUseNoMemory(t *testing.T) {
 	q := &fair.Queue{}
 	rates := &fair.Rates{}
-	w := &world.World{}
+	w := &world.RoutingState{}
 	for i := range 37000 {
 		now := time.Duration(i) * time.Millisecond
 		team := spec.TeamID(fmt.Sprint(i))
 		q.Advance(20)
-		q.Began(team, 10)
-		rates.Use(now, team, 10)
-		w.Begin(now)
+		q.ChargeTeam(team, 10)
+		rates.RecordUse(now, team, 10)
+		w.BeginTick(now)
 		rates.Run(w)
 	}
-	if got := q.Teams(); got > 200 {
+	if got := q.TeamCount(); got > 200 {
 		t.Errorf("teams in the queue: got %d, want at most 200", got)
 	}
-	w.Begin(2 * time.Minute)
+	w.BeginTick(2 * time.Minute)
 	rates.Run(w)
-	if got := rates.Len(); got != 0 {
+	if got := rates.TeamCount(); got != 0 {
 		t.Errorf("teams followed: got %d, want 0", got)
 	}
 }
 
-func TestUseElsewhereCounts(t *testing.T) {
+func TestFleetRateRaisesCharge(t *testing.T) {
 	rates := &fair.Rates{}
-	rates.Use(0, "big", 500)
-	rates.Heard(0, world.TeamUsed{Team: "big", Rate: 400})
-	if got := rates.Factor(0, "big"); got != 4 {
+	rates.RecordUse(0, "big", 500)
+	rates.ApplyReport(0, world.TeamUsage{Team: "big", Rate: 400})
+	if got := rates.ChargeFactor(0, "big"); got != 4 {
 		t.Errorf("factor: got %v, want 4", got)
 	}
-	if got := rates.Factor(time.Minute, "big"); got != 1 {
+	if got := rates.ChargeFactor(time.Minute, "big"); got != 1 {
 		t.Errorf("factor of an old rate: got %v, want 1", got)
 	}
 }
@@ -117,16 +117,16 @@
 		names := rapid.SliceOfN(rapid.SampledFrom([]string{"a", "b", "c"}), 1, 60).Draw(t, "teams")
 		q := &fair.Queue{}
 		left := map[spec.TeamID]int{}
-		for i, r := range requests(names...) {
-			q.Push(item(r, time.Duration(rapid.IntRange(0, 1000).Draw(t, "latest")+i)))
-			left[r.Arrived().Team]++
+		for i, r := range newRequests(names...) {
+			q.Push(newItem(r, time.Duration(rapid.IntRange(0, 1000).Draw(t, "latest")+i)))
+			left[r.Arrival().Team]++
 		}
 		served := map[spec.TeamID]int{}
 		for range names {
 			it := q.Head()
-			q.Take(it)
-			team := it.Request.Arrived().Team
-			q.Began(team, it.Charge)
+			q.Remove(it)
+			team := it.Request.Arrival().Team
+			q.ChargeTeam(team, it.Charge)
 			served[team]++
 			left[team]--
 			for other, n := range left {
--- a/internal/route/fair/flow.go
+++ b/internal/route/fair/flow.go
@@ -7,24 +7,24 @@
 	"fulmarwick/internal/base/spec"
 )
 
-func (q *Queue) start(f *flow) float64 { return max(q.virtual, f.finish) }
+func (q *Queue) virtualStart(f *flow) float64 { return max(q.virtualTime, f.virtualFinish) }
 
-// place is where a request with this latest start goes: after those that must
+// insertIndex is where a request with this latest start goes: after those that must
 // start no later.
-func (f *flow) place(latest time.Duration) int {
-	return sort.Search(len(f.items), func(i int) bool { return f.items[i].Latest > latest })
+func (f *flow) insertIndex(latest time.Duration) int {
+	return sort.Search(len(f.items), func(i int) bool { return f.items[i].LatestStart > latest })
 }
 
-func (q *Queue) cut(f *flow, i int) {
+func (q *Queue) removeAt(f *flow, i int) {
 	it := f.items[i]
 	f.items = append(f.items[:i], f.items[i+1:]...)
-	f.cost -= it.Cost
-	f.charge -= it.Charge
+	f.queuedCost -= it.Cost
+	f.queuedCharge -= it.Charge
 	q.length--
 	if len(f.items) > 0 {
 		return
 	}
-	f.cost, f.charge = 0, 0
+	f.queuedCost, f.queuedCharge = 0, 0
 	for n, o := range q.active {
 		if o == f {
 			q.active = append(q.active[:n], q.active[n+1:]...)
@@ -33,7 +33,7 @@
 	}
 }
 
-func (q *Queue) flow(team spec.TeamID) *flow {
+func (q *Queue) flowOf(team spec.TeamID) *flow {
 	if f := q.flows[team]; f != nil {
 		return f
 	}
@@ -45,19 +45,19 @@
 	return f
 }
 
-// drop forgets teams that are idle: their finish lies behind the virtual time
+// dropIdleTeams forgets teams that are idle: their finish lies behind the virtual time
 // and is worth nothing. Small teams so cost no memory between requests.
-func (q *Queue) drop() {
-	if len(q.flows) < max(tidyAt, 2*q.tidy) {
+func (q *Queue) dropIdleTeams() {
+	if len(q.flows) < max(minCleanupTeams, 2*q.teamsAfterCleanup) {
 		return
 	}
 	for team, f := range q.flows {
-		if f.finish <= q.virtual && len(f.items) == 0 {
+		if f.virtualFinish <= q.virtualTime && len(f.items) == 0 {
 			delete(q.flows, team)
 		}
 	}
-	q.tidy = len(q.flows)
+	q.teamsAfterCleanup = len(q.flows)
 }
 
-// Teams is how many teams are remembered.
-func (q *Queue) Teams() int { return len(q.flows) }
+// TeamCount is how many teams are remembered.
+func (q *Queue) TeamCount() int { return len(q.flows) }
--- a/internal/route/pick/cache.go
+++ b/internal/route/pick/cache.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// DefaultBlocks bounds the prompt blocks remembered; with at most
+	// DefaultMaxBlocks bounds the prompt blocks remembered; with at most
 	// holdersMost engines each this is about 4 MB.
-	DefaultBlocks = 16384
-	holdersMost   = 8
-	// ownKeep is how long own history counts for an engine that tells no
+	DefaultMaxBlocks = 16384
+	maxBlockHolders  = 8
+	// localEntryTTL is how long own history counts for an engine that tells no
 	// cache events.
-	ownKeep = 2 * time.Minute
+	localEntryTTL = 2 * time.Minute
 	// BlockTokens is how many prompt tokens a block covers, as package entry
 	// cuts them.
 	BlockTokens = 64
@@ -25,21 +25,21 @@
 // was sent to them and from their cache events. Memory is bounded: the block
 // used longest ago goes first.
 type Cache struct {
-	// Blocks bounds the blocks remembered; zero is DefaultBlocks.
-	Blocks int
+	// MaxBlocks bounds the blocks remembered; zero is DefaultBlocks.
+	MaxBlocks int
 
-	blocks  map[uint64]*list.Element
-	recent  list.List
-	engines map[spec.UpstreamID]*feed
-	epochs  uint64
+	blocks    map[uint64]*list.Element
+	lru       list.List
+	feeds     map[spec.UpstreamID]*feed
+	lastEpoch uint64
 }
 
 // feed follows the cache events of an engine.
 type feed struct {
 	seq uint64
 	// synced is set while no event was missed since the last whole list.
-	synced bool
-	heard  bool
+	synced   bool
+	received bool
 	// epoch changes when all that was known of the engine became doubtful;
 	// entries of other epochs count no more.
 	epoch uint64
@@ -51,45 +51,45 @@
 }
 
 type holder struct {
-	engine spec.UpstreamID
-	epoch  uint64
-	at     time.Duration
-	told   bool
+	engine     spec.UpstreamID
+	epoch      uint64
+	recordedAt time.Duration
+	reported   bool
 }
 
-// cached is an engine with some of a prompt.
-type cached struct {
+// cachedPrefix is an engine with some of a prompt.
+type cachedPrefix struct {
 	engine *world.Engine
 	tokens int
 }
 
-// Ran notes that a prompt went through an engine.
-func (c *Cache) Ran(now time.Duration, engine spec.UpstreamID, blocks []uint64) {
-	f := c.feed(engine)
+// RecordPrompt notes that a prompt went through an engine.
+func (c *Cache) RecordPrompt(now time.Duration, engine spec.UpstreamID, blocks []uint64) {
+	f := c.feedOf(engine)
 	for _, b := range blocks {
-		c.put(b, holder{engine: engine, epoch: f.epoch, at: now})
+		c.put(b, holder{engine: engine, epoch: f.epoch, recordedAt: now})
 	}
 }
 
-// Seen takes cache events. After a gap nothing known of the engine before is
+// ApplyEvent takes cache events. After a gap nothing known of the engine before is
 // trusted, since a missed event may have removed it; until a whole list comes
 // only what is sent to the engine after the gap counts.
-func (c *Cache) Seen(now time.Duration, ev world.CacheSeen) {
-	f := c.feed(ev.Engine)
-	if f.heard && ev.Seq <= f.seq {
+func (c *Cache) ApplyEvent(now time.Duration, ev world.CacheReport) {
+	f := c.feedOf(ev.Engine)
+	if f.received && ev.Seq <= f.seq {
 		return
 	}
 	// The first event of all shows the whole content so far.
-	f.synced = f.synced || (!f.heard && ev.Seq == 1)
-	gap := f.heard && ev.Seq != f.seq+1
-	f.heard = true
+	f.synced = f.synced || (!f.received && ev.Seq == 1)
+	gap := f.received && ev.Seq != f.seq+1
+	f.received = true
 	f.seq = ev.Seq
 	switch {
 	case ev.Reset:
-		c.doubt(f)
+		c.invalidate(f)
 		f.synced = true
 	case gap:
-		c.doubt(f)
+		c.invalidate(f)
 		f.synced = false
 	}
 	for _, b := range ev.Removed {
@@ -99,42 +99,42 @@
 		return
 	}
 	for _, b := range ev.Added {
-		c.put(b, holder{engine: ev.Engine, epoch: f.epoch, at: now, told: true})
+		c.put(b, holder{engine: ev.Engine, epoch: f.epoch, recordedAt: now, reported: true})
 	}
 }
 
-// Gone forgets what an engine had: it died or was removed. Its entries count
+// RemoveEngine forgets what an engine had: it died or was removed. Its entries count
 // no more, since a later life of it starts at an epoch of its own.
-func (c *Cache) Gone(engine spec.UpstreamID) { delete(c.engines, engine) }
+func (c *Cache) RemoveEngine(engine spec.UpstreamID) { delete(c.feeds, engine) }
 
-// doubt ends the trust in all that is known of an engine.
-func (c *Cache) doubt(f *feed) {
-	c.epochs++
-	f.epoch = c.epochs
+// invalidate ends the trust in all that is known of an engine.
+func (c *Cache) invalidate(f *feed) {
+	c.lastEpoch++
+	f.epoch = c.lastEpoch
 }
 
-// find returns the engines with the longest cached prefixes of a prompt.
-func (c *Cache) find(w *world.World, blocks []uint64) []cached {
-	var out []cached
-	for i := len(blocks) - 1; i >= 0 && len(out) < cachedTry; i-- {
+// longestPrefixes returns the engines with the longest cached prefixes of a prompt.
+func (c *Cache) longestPrefixes(w *world.RoutingState, blocks []uint64) []cachedPrefix {
+	var out []cachedPrefix
+	for i := len(blocks) - 1; i >= 0 && len(out) < maxCachedEngines; i-- {
 		el := c.blocks[blocks[i]]
 		if el == nil {
 			continue
 		}
-		c.recent.MoveToFront(el)
+		c.lru.MoveToFront(el)
 		for _, h := range el.Value.(*block).holders {
-			if !c.valid(w.Now(), h) || found(out, h.engine) || len(out) >= cachedTry {
+			if !c.isValid(w.Now(), h) || containsEngine(out, h.engine) || len(out) >= maxCachedEngines {
 				continue
 			}
 			if e := w.Engines().Get(h.engine); e != nil {
-				out = append(out, cached{engine: e, tokens: (i + 1) * BlockTokens})
+				out = append(out, cachedPrefix{engine: e, tokens: (i + 1) * BlockTokens})
 			}
 		}
 	}
 	return out
 }
 
-func found(out []cached, id spec.UpstreamID) bool {
+func containsEngine(out []cachedPrefix, id spec.UpstreamID) bool {
 	for _, o := range out {
 		if o.engine.ID == id {
 			return true
@@ -143,26 +143,26 @@
 	return false
 }
 
-func (c *Cache) valid(now time.Duration, h holder) bool {
-	f := c.engines[h.engine]
+func (c *Cache) isValid(now time.Duration, h holder) bool {
+	f := c.feeds[h.engine]
 	if f == nil || f.epoch != h.epoch {
 		return false
 	}
-	return h.told || f.synced || now-h.at < ownKeep
+	return h.reported || f.synced || now-h.recordedAt < localEntryTTL
 }
 
 // Len is how many blocks are remembered.
-func (c *Cache) Len() int { return c.recent.Len() }
+func (c *Cache) Len() int { return c.lru.Len() }
 
-func (c *Cache) feed(engine spec.UpstreamID) *feed {
-	if c.engines == nil {
-		c.engines = map[spec.UpstreamID]*feed{}
+func (c *Cache) feedOf(engine spec.UpstreamID) *feed {
+	if c.feeds == nil {
+		c.feeds = map[spec.UpstreamID]*feed{}
 	}
-	f := c.engines[engine]
+	f := c.feeds[engine]
 	if f == nil {
 		f = &feed{}
-		c.doubt(f)
-		c.engines[engine] = f
+		c.invalidate(f)
+		c.feeds[engine] = f
 	}
 	return f
 }
@@ -173,11 +173,11 @@
 	}
 	el := c.blocks[hash]
 	if el == nil {
-		el = c.recent.PushFront(&block{hash: hash})
+		el = c.lru.PushFront(&block{hash: hash})
 		c.blocks[hash] = el
-		c.trim()
+		c.evict()
 	} else {
-		c.recent.MoveToFront(el)
+		c.lru.MoveToFront(el)
 	}
 	b := el.Value.(*block)
 	for i := range b.holders {
@@ -186,7 +186,7 @@
 			return
 		}
 	}
-	if len(b.holders) >= holdersMost {
+	if len(b.holders) >= maxBlockHolders {
 		b.holders = append(b.holders[:0], b.holders[1:]...)
 	}
 	b.holders = append(b.holders, h)
@@ -205,19 +205,19 @@
 		}
 	}
 	if len(b.holders) == 0 {
-		c.recent.Remove(el)
+		c.lru.Remove(el)
 		delete(c.blocks, hash)
 	}
 }
 
-func (c *Cache) trim() {
-	limit := c.Blocks
+func (c *Cache) evict() {
+	limit := c.MaxBlocks
 	if limit == 0 {
-		limit = DefaultBlocks
+		limit = DefaultMaxBlocks
 	}
-	for c.recent.Len() > limit {
-		last := c.recent.Back()
-		c.recent.Remove(last)
+	for c.lru.Len() > limit {
+		last := c.lru.Back()
+		c.lru.Remove(last)
 		delete(c.blocks, last.Value.(*block).hash)
 	}
 }
--- a/internal/route/pick/doc.go
+++ b/internal/route/pick/doc.go
@@ -12,19 +12,19 @@
 	"fulmarwick/internal/route/world"
 )
 
-// Chunk is how many prompt positions an engine is taken to run in the time of
+// ChunkPositions is how many prompt positions an engine is taken to run in the time of
 // one token. What it really is shows in the first-token times, from which
 // admission learns its margin.
-const Chunk = 32
-
-// Ask is what a chain is wanted for.
-type Ask struct {
-	// Limit is the part of an engine's capacity up to which it takes new work.
-	Limit float64
-	// Out is how many tokens are expected still.
-	Out int
+const ChunkPositions = 32
+
+// Query is what a chain is wanted for.
+type Query struct {
+	// MaxUtilization is the part of an engine's capacity up to which it takes new work.
+	MaxUtilization float64
+	// RemainingTokens is how many tokens are expected still.
+	RemainingTokens int
 	// Solo, if set, tells where a poison suspect may run.
-	Solo func(engine spec.UpstreamID) bool
+	AllowsSuspect func(engine spec.UpstreamID) bool
 }
 
 // Choice is a chain with whether its engines have room for it.
@@ -36,12 +36,12 @@
 // Chooser chooses chains.
 type Chooser interface {
 	// Choose reports false if no set of usable engines covers the model.
-	Choose(w *world.World, r *world.Request, ask Ask) (Choice, bool)
+	Choose(w *world.RoutingState, r *world.Request, ask Query) (Choice, bool)
 }
 
-// positions is how many positions a stage without state must run first.
-func positions(r *world.Request) int { return r.Arrived().Prompt + r.Tokens() }
+// prefillPositions is how many positions a stage without state must run first.
+func prefillPositions(r *world.Request) int { return r.Arrival().PromptTokens + r.Tokens() }
 
-func chunks(positions int) time.Duration {
-	return time.Duration(max(1, (positions+Chunk-1)/Chunk))
+func chunkCount(positions int) time.Duration {
+	return time.Duration(max(1, (positions+ChunkPositions-1)/ChunkPositions))
 }
--- a/internal/route/pick/naive.go
+++ b/internal/route/pick/naive.go
@@ -14,23 +14,23 @@
 }
 
 // Choose implements Chooser; the chain always fits.
-func (n *RoundRobin) Choose(w *world.World, r *world.Request, ask Ask) (Choice, bool) {
+func (n *RoundRobin) Choose(w *world.RoutingState, r *world.Request, ask Query) (Choice, bool) {
 	if n.next == nil {
 		n.next = map[*world.Group]int{}
 	}
-	return naive(w, r, ask, func(g *world.Group) *world.Engine {
+	return greedyChain(w, r, ask, func(g *world.Group) *world.Engine {
 		n.next[g]++
 		return g.Engines()[n.next[g]%len(g.Engines())]
 	})
 }
 
-// Least takes the engine of each layer range with the least load in its last
+// LeastLoaded takes the engine of each layer range with the least load in its last
 // report, as queue length. It is the naive side of comparisons.
-type Least struct{}
+type LeastLoaded struct{}
 
 // Choose implements Chooser; the chain always fits.
-func (Least) Choose(w *world.World, r *world.Request, ask Ask) (Choice, bool) {
-	return naive(w, r, ask, func(g *world.Group) *world.Engine {
+func (LeastLoaded) Choose(w *world.RoutingState, r *world.Request, ask Query) (Choice, bool) {
+	return greedyChain(w, r, ask, func(g *world.Group) *world.Engine {
 		var best *world.Engine
 		for _, e := range g.Engines() {
 			if best == nil || e.Active+e.Queued < best.Active+best.Queued {
@@ -41,10 +41,10 @@
 	})
 }
 
-// naive walks the layers from the first to the last, each time with the range
+// greedyChain walks the layers from the first to the last, each time with the range
 // that reaches furthest.
-func naive(w *world.World, r *world.Request, ask Ask, pick func(*world.Group) *world.Engine) (Choice, bool) {
-	versions := w.Engines().Index().Versions(r.Arrived().Model)
+func greedyChain(w *world.RoutingState, r *world.Request, ask Query, pick func(*world.Group) *world.Engine) (Choice, bool) {
+	versions := w.Engines().Index().Versions(r.Arrival().Model)
 	if len(versions) == 0 {
 		return Choice{}, false
 	}
@@ -58,12 +58,12 @@
 		e := pick(g)
 		layers := spec.NewLayers(at, g.Layers().To())
 		out.Plan.Chain = append(out.Plan.Chain, spec.NewStage(e.ID, layers))
-		out.Plan.Token += time.Duration(layers.Len())*e.Pace() + e.HopTime()
-		out.Plan.Fresh = append(out.Plan.Fresh, e.ID)
+		out.Plan.TokenTime += time.Duration(layers.Len())*e.PositiveLayerTime() + e.HopTime()
+		out.Plan.NewEngines = append(out.Plan.NewEngines, e.ID)
 		at = g.Layers().To()
 	}
-	out.Plan.First = out.Plan.Token * chunks(positions(r))
-	out.Plan.Whole = out.Plan.First + time.Duration(ask.Out)*out.Plan.Token
+	out.Plan.FirstTokenTime = out.Plan.TokenTime * chunkCount(prefillPositions(r))
+	out.Plan.TotalTime = out.Plan.FirstTokenTime + time.Duration(ask.RemainingTokens)*out.Plan.TokenTime
 	return out, true
 }
 
--- a/internal/route/pick/pick.go
+++ b/internal/route/pick/pick.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// DefaultTries is how many engines of a group are drawn and compared.
-	DefaultTries = 2
-	// scanMost is the size of a group that is read whole when none of the
+	// DefaultSamples is how many engines of a group are drawn and compared.
+	DefaultSamples = 2
+	// maxFullScan is the size of a group that is read whole when none of the
 	// engines drawn has room; of a larger one wideTries are drawn.
-	scanMost  = 32
-	wideTries = 16
-	cachedTry = 4
+	maxFullScan      = 32
+	wideSamples      = 16
+	maxCachedEngines = 4
 )
 
 // Picker chooses among a few engines per layer range, drawn at random in
@@ -27,128 +27,128 @@
 	Rand *rand.Rand
 	// Cache is what engines have of prompt prefixes; nil knows nothing.
 	Cache *Cache
-	// Tries is how many engines are drawn per range; zero is DefaultTries.
-	Tries int
+	// Samples is how many engines are drawn per range; zero is DefaultTries.
+	Samples int
 
-	typical map[spec.ModelName]time.Duration
+	tokenTimes map[spec.ModelName]time.Duration
 }
 
-// call is the state of one choice.
-type call struct {
+// selection is the state of one choice.
+type selection struct {
 	*Picker
-	w         *world.World
-	r         *world.Request
-	ask       Ask
-	typical   time.Duration
-	positions int
-	cached    []cached
+	w                *world.RoutingState
+	r                *world.Request
+	query            Query
+	typicalTokenTime time.Duration
+	positions        int
+	cached           []cachedPrefix
 }
 
 // Choose returns the chain with the least predicted finish that covers one
 // version of the model. A request that made tokens stays on its version and
 // keeps the stages that live, unless rebuilding them elsewhere is faster.
-func (p *Picker) Choose(w *world.World, r *world.Request, ask Ask) (Choice, bool) {
-	c := &call{Picker: p, w: w, r: r, ask: ask, positions: positions(r)}
+func (p *Picker) Choose(w *world.RoutingState, r *world.Request, ask Query) (Choice, bool) {
+	c := &selection{Picker: p, w: w, r: r, query: ask, positions: prefillPositions(r)}
 	if p.Cache != nil {
-		c.cached = p.Cache.find(w, r.Arrived().Blocks)
+		c.cached = p.Cache.longestPrefixes(w, r.Arrival().BlockHashes)
 	}
 	best, rank, found := Choice{}, time.Duration(0), false
-	for _, m := range w.Engines().Index().Versions(r.Arrived().Model) {
+	for _, m := range w.Engines().Index().Versions(r.Arrival().Model) {
 		if v := r.Plan().Version; v != "" && v != m.Version() {
 			continue
 		}
-		c.typical = p.usual(m)
-		got, cost, ok := c.version(m)
+		c.typicalTokenTime = p.estimateTokenTime(m)
+		got, cost, ok := c.searchVersion(m)
 		if ok && (!found || cost < rank) {
 			best, rank, found = got, cost, true
 		}
 	}
 	if found {
-		p.learn(r.Arrived().Model, best.Plan.Token)
+		p.recordTokenTime(r.Arrival().Model, best.Plan.TokenTime)
 	}
 	return best, found
 }
 
-// version searches one version, first among few engines and then, if those
+// searchVersion searches one version, first among few engines and then, if those
 // have no room, among more.
-func (c *call) version(m *world.Model) (Choice, time.Duration, bool) {
-	tries := c.Tries
+func (c *selection) searchVersion(m *world.Model) (Choice, time.Duration, bool) {
+	tries := c.Samples
 	if tries == 0 {
-		tries = DefaultTries
+		tries = DefaultSamples
 	}
-	got, rank, ok := c.search(m, c.offers(m, tries, false))
+	got, rank, ok := c.search(m, c.candidates(m, tries, false))
 	if ok && got.Fits {
 		return got, rank, true
 	}
-	return c.search(m, c.offers(m, wideTries, true))
+	return c.search(m, c.candidates(m, wideSamples, true))
 }
 
-func (c *call) offers(m *world.Model, tries int, wide bool) []offer {
-	out := c.keepable(m)
+func (c *selection) candidates(m *world.Model, tries int, wide bool) []candidate {
+	out := c.keptStages(m)
 	for _, g := range m.Groups() {
-		c.group(g, tries, wide, &out)
+		c.addGroupCandidates(g, tries, wide, &out)
 	}
 	return out
 }
 
-// keepable are the stages of the request that live still. Those of a leaving
+// keptStages are the stages of the request that live still. Those of a leaving
 // engine stay: it finishes what runs on it.
-func (c *call) keepable(m *world.Model) []offer {
+func (c *selection) keptStages(m *world.Model) []candidate {
 	if c.r.Attempt() == 0 {
 		return nil
 	}
-	var out []offer
+	var out []candidate
 	for _, s := range c.r.Chain() {
 		e := c.w.Engines().Get(s.Engine())
-		if e == nil || e.State() == world.StateDown || c.r.Avoids(e.ID) {
+		if e == nil || e.State() == world.StateDead || c.r.Avoids(e.ID) {
 			continue
 		}
-		if h, ok := e.Hold(m.Name(), m.Version(), s.Layers()); ok {
-			out = append(out, offer{engine: e, layers: s.Layers(), width: h.Width, kept: true})
+		if h, ok := e.FindLoaded(m.Name(), m.Version(), s.Layers()); ok {
+			out = append(out, candidate{engine: e, layers: s.Layers(), width: h.Width, kept: true})
 		}
 	}
 	return out
 }
 
-// group adds the best engine of those drawn and the best of those that have
+// addGroupCandidates adds the best engine of those drawn and the best of those that have
 // some of the prompt cached.
-func (c *call) group(g *world.Group, tries int, wide bool, out *[]offer) {
-	cold, warm := bestOf{call: c, group: g}, bestOf{call: c, group: g}
-	c.draw(g, tries, wide, func(e *world.Engine) { cold.consider(e, 0) })
+func (c *selection) addGroupCandidates(g *world.Group, tries int, wide bool, out *[]candidate) {
+	cold, warm := bestCandidate{selection: c, group: g}, bestCandidate{selection: c, group: g}
+	c.sampleEngines(g, tries, wide, func(e *world.Engine) { cold.consider(e, 0) })
 	for _, h := range c.cached {
-		if g.Has(h.engine) {
+		if g.Contains(h.engine) {
 			warm.consider(h.engine, h.tokens)
 		}
 	}
-	for _, b := range []bestOf{cold, warm} {
-		if b.offer.engine != nil {
-			*out = append(*out, b.offer)
+	for _, b := range []bestCandidate{cold, warm} {
+		if b.candidate.engine != nil {
+			*out = append(*out, b.candidate)
 		}
 	}
 }
 
-// bestOf keeps the offer of a group with the least predicted finish.
-type bestOf struct {
-	call  *call
-	group *world.Group
-	offer offer
-	rank  time.Duration
+// bestCandidate keeps the offer of a group with the least predicted finish.
+type bestCandidate struct {
+	selection *selection
+	group     *world.Group
+	candidate candidate
+	rank      time.Duration
 }
 
-func (b *bestOf) consider(e *world.Engine, hit int) {
-	if e == nil || !b.call.usable(e) {
+func (b *bestCandidate) consider(e *world.Engine, hit int) {
+	if e == nil || !b.selection.usable(e) {
 		return
 	}
-	o := offer{engine: e, layers: b.group.Layers(), width: b.group.Width(), hit: hit}
-	rank := b.call.price(&o, o.layers.Len()).rank
-	if b.offer.engine == nil || rank < b.rank {
-		b.offer, b.rank = o, rank
+	o := candidate{engine: e, layers: b.group.Layers(), width: b.group.Width(), cachedPositions: hit}
+	rank := b.selection.predictCost(&o, o.layers.Len()).rank
+	if b.candidate.engine == nil || rank < b.rank {
+		b.candidate, b.rank = o, rank
 	}
 }
 
-func (c *call) draw(g *world.Group, tries int, wide bool, take func(*world.Engine)) {
+func (c *selection) sampleEngines(g *world.Group, tries int, wide bool, take func(*world.Engine)) {
 	engines := g.Engines()
-	if len(engines) <= tries || (wide && len(engines) <= scanMost) {
+	if len(engines) <= tries || (wide && len(engines) <= maxFullScan) {
 		for _, e := range engines {
 			take(e)
 		}
@@ -158,38 +158,38 @@
 		take(g.Sample(c.Rand))
 	}
 	if wide {
-		for _, e := range g.Freed() {
+		for _, e := range g.RecentlyFreed() {
 			take(e)
 		}
 	}
 }
 
-func (c *call) usable(e *world.Engine) bool {
+func (c *selection) usable(e *world.Engine) bool {
 	if !e.Usable(c.w.Now()) || c.r.Avoids(e.ID) {
 		return false
 	}
-	return c.ask.Solo == nil || c.ask.Solo(e.ID)
+	return c.query.AllowsSuspect == nil || c.query.AllowsSuspect(e.ID)
 }
 
-// usual is the time that a token of the model usually takes.
-func (p *Picker) usual(m *world.Model) time.Duration {
-	if t := p.typical[m.Name()]; t > 0 {
+// estimateTokenTime is the time that a token of the model usually takes.
+func (p *Picker) estimateTokenTime(m *world.Model) time.Duration {
+	if t := p.tokenTimes[m.Name()]; t > 0 {
 		return t
 	}
 	sum := time.Duration(0)
 	for _, g := range m.Groups() {
 		e := g.Engines()[0]
-		sum += time.Duration(g.Layers().Len())*e.Pace() + e.HopTime()
+		sum += time.Duration(g.Layers().Len())*e.PositiveLayerTime() + e.HopTime()
 	}
 	return max(sum, time.Microsecond)
 }
 
-func (p *Picker) learn(model spec.ModelName, token time.Duration) {
-	if p.typical == nil {
-		p.typical = map[spec.ModelName]time.Duration{}
+func (p *Picker) recordTokenTime(model spec.ModelName, token time.Duration) {
+	if p.tokenTimes == nil {
+		p.tokenTimes = map[spec.ModelName]time.Duration{}
 	}
-	if old := p.typical[model]; old > 0 {
+	if old := p.tokenTimes[model]; old > 0 {
 		token = (7*old + token) / 8
 	}
-	p.typical[model] = max(token, time.Microsecond)
+	p.tokenTimes[model] = max(token, time.Microsecond)
 }
--- a/internal/route/pick/search.go
+++ b/internal/route/pick/search.go
@@ -10,27 +10,27 @@
 
 // step is the best way found to a layer boundary.
 type step struct {
-	ok    bool
-	rank  time.Duration
-	first time.Duration
-	token time.Duration
-	// long and longFirst are the longest step of one stage so far.
-	long      time.Duration
-	longFirst time.Duration
-	prev      int
-	offer     *offer
-	full      bool
+	reachable      bool
+	rank           time.Duration
+	firstTokenTime time.Duration
+	tokenTime      time.Duration
+	// maxStepTime and longFirst are the longest step of one stage so far.
+	maxStepTime    time.Duration
+	maxPrefillTime time.Duration
+	prev           int
+	candidate      *candidate
+	lacksCapacity  bool
 }
 
 // search is a shortest path over the layer boundaries: an engine that holds
 // [from, to) may run from any boundary within it to any later one, so
 // overlaps are trimmed.
-func (c *call) search(m *world.Model, offers []offer) (Choice, time.Duration, bool) {
-	bounds := c.bounds(m, offers)
+func (c *selection) search(m *world.Model, offers []candidate) (Choice, time.Duration, bool) {
+	bounds := c.boundaries(m, offers)
 	best := make([]step, len(bounds))
-	best[0].ok = bounds[0] == 0
+	best[0].reachable = bounds[0] == 0
 	for i := range bounds {
-		if !best[i].ok {
+		if !best[i].reachable {
 			continue
 		}
 		for k := range offers {
@@ -38,15 +38,15 @@
 		}
 	}
 	last := len(bounds) - 1
-	if !best[last].ok || bounds[last] != m.Depth() {
+	if !best[last].reachable || bounds[last] != m.Depth() {
 		return Choice{}, 0, false
 	}
-	return c.trace(m, best, bounds), best[last].rank, true
+	return c.buildChoice(m, best, bounds), best[last].rank, true
 }
 
-// bounds are the boundaries of the model with those of kept stages, which may
+// boundaries are the boundaries of the model with those of kept stages, which may
 // come from an earlier layout.
-func (c *call) bounds(m *world.Model, offers []offer) []int {
+func (c *selection) boundaries(m *world.Model, offers []candidate) []int {
 	out := append([]int(nil), m.Bounds()...)
 	for _, o := range offers {
 		if !o.kept {
@@ -67,7 +67,7 @@
 	return uniq
 }
 
-func (c *call) extend(best []step, bounds []int, i int, o *offer) {
+func (c *selection) extend(best []step, bounds []int, i int, o *candidate) {
 	at := bounds[i]
 	if !o.layers.Has(at) || (o.kept && o.layers.From() != at) {
 		return
@@ -76,43 +76,43 @@
 		if o.kept && bounds[j] != o.layers.To() {
 			continue
 		}
-		cost := c.price(o, bounds[j]-at)
+		cost := c.predictCost(o, bounds[j]-at)
 		rank := best[i].rank + cost.rank
-		if best[j].ok && best[j].rank <= rank {
+		if best[j].reachable && best[j].rank <= rank {
 			continue
 		}
 		best[j] = step{
-			ok: true, rank: rank, prev: i, offer: o,
-			first: best[i].first + cost.first, token: best[i].token + cost.token,
-			long: max(best[i].long, cost.token), longFirst: max(best[i].longFirst, cost.first),
-			full: best[i].full || cost.full,
+			reachable: true, rank: rank, prev: i, candidate: o,
+			firstTokenTime: best[i].firstTokenTime + cost.firstTokenTime, tokenTime: best[i].tokenTime + cost.tokenTime,
+			maxStepTime: max(best[i].maxStepTime, cost.tokenTime), maxPrefillTime: max(best[i].maxPrefillTime, cost.firstTokenTime),
+			lacksCapacity: best[i].lacksCapacity || cost.lacksCapacity,
 		}
 	}
 }
 
-func (c *call) trace(m *world.Model, best []step, bounds []int) Choice {
+func (c *selection) buildChoice(m *world.Model, best []step, bounds []int) Choice {
 	var path []int
 	for at := len(bounds) - 1; at > 0; at = best[at].prev {
 		path = append(path, at)
 	}
 	end := best[len(bounds)-1]
-	out := Choice{Fits: !end.full}
-	plan := world.Plan{Depth: m.Depth(), Version: m.Version(), First: end.first, Token: end.token}
-	plan.Step, plan.Prefill = end.long, end.longFirst
-	plan.Whole = end.first + time.Duration(max(0, c.ask.Out-1))*end.token
+	out := Choice{Fits: !end.lacksCapacity}
+	plan := world.Plan{Depth: m.Depth(), Version: m.Version(), FirstTokenTime: end.firstTokenTime, TokenTime: end.tokenTime}
+	plan.MaxStepTime, plan.MaxPrefillTime = end.maxStepTime, end.maxPrefillTime
+	plan.TotalTime = end.firstTokenTime + time.Duration(max(0, c.query.RemainingTokens-1))*end.tokenTime
 	saved := 0
 	for k := len(path) - 1; k >= 0; k-- {
 		s := best[path[k]]
 		layers := spec.NewLayers(bounds[s.prev], bounds[path[k]])
-		plan.Chain = append(plan.Chain, spec.NewStage(s.offer.engine.ID, layers))
-		plan.Draws = append(plan.Draws, int64(float64(layers.Len())/end.token.Seconds()))
-		saved += s.offer.hit * layers.Len()
-		if !s.offer.kept {
-			plan.Fresh = append(plan.Fresh, s.offer.engine.ID)
+		plan.Chain = append(plan.Chain, spec.NewStage(s.candidate.engine.ID, layers))
+		plan.StageDemands = append(plan.StageDemands, int64(float64(layers.Len())/end.tokenTime.Seconds()))
+		saved += s.candidate.cachedPositions * layers.Len()
+		if !s.candidate.kept {
+			plan.NewEngines = append(plan.NewEngines, s.candidate.engine.ID)
 		}
 	}
 	if c.positions > 0 {
-		plan.Hit = float64(saved) / float64(c.positions*m.Depth())
+		plan.CacheHitShare = float64(saved) / float64(c.positions*m.Depth())
 	}
 	out.Plan = plan
 	return out
--- a/internal/route/pick/search_test.go
+++ b/internal/route/pick/search_test.go
@@ -12,19 +12,19 @@
 	"pgregory.net/rapid"
 )
 
-// cheapest is the naive side: the least time for a token over all chains that
+// cheapestTokenTime is the naive side: the least time for a token over all chains that
 // hand over at any layer.
-func cheapest(engines []world.Engine, depth int) time.Duration {
+func cheapestTokenTime(engines []world.Engine, depth int) time.Duration {
 	best := make([]time.Duration, depth+1)
 	for at := 1; at <= depth; at++ {
 		best[at] = -1
 		for _, e := range engines {
-			l := e.Holds[0].Layers
+			l := e.Loaded[0].Layers
 			for from := l.From(); from < at && at <= l.To(); from++ {
 				if from > 0 && best[from] < 0 {
 					continue
 				}
-				cost := best[from] + e.Hop + time.Duration(at-from)*e.Layer
+				cost := best[from] + e.ReportedHopTime + time.Duration(at-from)*e.LayerTime
 				if best[at] < 0 || cost < best[at] {
 					best[at] = cost
 				}
@@ -40,21 +40,21 @@
 	const depth = 8
 	rapid.Check(t, func(t *rapid.T) {
 		var engines []world.Engine
-		w := &world.World{}
-		w.Begin(0)
+		w := &world.RoutingState{}
+		w.BeginTick(0)
 		for i := range rapid.IntRange(1, 6).Draw(t, "engines") {
 			from := rapid.IntRange(0, depth-1).Draw(t, "from")
 			to := rapid.IntRange(from+1, depth).Draw(t, "to")
-			e := engine(fmt.Sprint("e", i), from, to)
+			e := newEngine(fmt.Sprint("e", i), from, to)
 			e.Slots = 1 << 20
-			e.Layer = time.Duration(rapid.IntRange(1, 9).Draw(t, "layer")) * time.Millisecond
+			e.LayerTime = time.Duration(rapid.IntRange(1, 9).Draw(t, "layer")) * time.Millisecond
 			engines = append(engines, e)
-			w.Apply(world.EngineSeen{Engine: e})
+			w.Apply(world.EngineReport{Engine: e})
 		}
-		w.Apply(world.Arrived{Request: "r", Model: model, Prompt: 1, Limit: 1000})
-		p := &pick.Picker{Rand: rand.New(rand.NewPCG(1, 1)), Tries: 64}
-		want := cheapest(engines, depth)
-		c, ok := p.Choose(w, w.Requests().Due()[0], pick.Ask{Limit: 1, Out: 1000})
+		w.Apply(world.RequestArrived{Request: "r", Model: model, PromptTokens: 1, MaxTokens: 1000})
+		p := &pick.Picker{Rand: rand.New(rand.NewPCG(1, 1)), Samples: 64}
+		want := cheapestTokenTime(engines, depth)
+		c, ok := p.Choose(w, w.Requests().TakeDue()[0], pick.Query{MaxUtilization: 1, RemainingTokens: 1000})
 		if ok != (want >= 0) {
 			t.Fatalf("found: got %v, want %v", ok, want >= 0)
 		}
@@ -64,7 +64,7 @@
 		if err := c.Plan.Chain.Check(depth); err != nil {
 			t.Fatal(err)
 		}
-		if got := c.Plan.Token; got > want+want/1000 {
+		if got := c.Plan.TokenTime; got > want+want/1000 {
 			t.Fatalf("token: got %v by %v, want %v", got, c.Plan.Chain, want)
 		}
 	})
@@ -73,28 +73,28 @@
 // Two versions of a model stand side by side while one replaces the other. A
 // chain never mixes them, and an answer that began on one stays on it.
 func TestVersionsAreNeverMixed(t *testing.T) {
-	w := &world.World{}
-	w.Begin(0)
+	w := &world.RoutingState{}
+	w.BeginTick(0)
 	add := func(id, version string, from, to int, layer time.Duration) {
-		e := engine(id, from, to)
-		e.Layer = layer
-		e.Holds[0].Version = version
-		w.Apply(world.EngineSeen{Engine: e})
+		e := newEngine(id, from, to)
+		e.LayerTime = layer
+		e.Loaded[0].Version = version
+		w.Apply(world.EngineReport{Engine: e})
 	}
 	add("old1", "1", 0, 4, 9*time.Millisecond)
 	add("old2", "1", 4, 8, 9*time.Millisecond)
 	add("new1", "2", 0, 4, time.Millisecond)
-	w.Apply(world.Arrived{Request: "r", Model: model, Prompt: 1, Limit: 10})
-	r := w.Requests().Due()[0]
+	w.Apply(world.RequestArrived{Request: "r", Model: model, PromptTokens: 1, MaxTokens: 10})
+	r := w.Requests().TakeDue()[0]
 	p := &pick.Picker{Rand: rand.New(rand.NewPCG(1, 1))}
-	c, ok := p.Choose(w, r, pick.Ask{Limit: 1, Out: 10})
+	c, ok := p.Choose(w, r, pick.Query{MaxUtilization: 1, RemainingTokens: 10})
 	if !ok || c.Plan.Version != "1" {
 		t.Fatalf("got %v %v, want a chain of version 1", c.Plan, ok)
 	}
 	w.Start(r, c.Plan, 0, 0, 0)
 	add("new2", "2", 4, 8, time.Millisecond)
-	w.Apply(world.StageLost{Request: "r", Attempt: 1, Engine: c.Plan.Chain[0].Engine(), Cause: world.CauseState})
-	again, ok := p.Choose(w, r, pick.Ask{Limit: 1, Out: 10})
+	w.Apply(world.StageLost{Request: "r", Attempt: 1, Engine: c.Plan.Chain[0].Engine(), Cause: world.CauseStateLost})
+	again, ok := p.Choose(w, r, pick.Query{MaxUtilization: 1, RemainingTokens: 10})
 	if !ok || again.Plan.Version != "1" {
 		t.Errorf("got %v %v, want version 1 still", again.Plan, ok)
 	}
--- a/internal/route/place/bench_test.go
+++ b/internal/route/place/bench_test.go
@@ -21,16 +21,16 @@
 	hop    time.Duration
 }
 
-// site is a deployment to plan for.
-type site struct {
+// deployment is a deployment to plan for.
+type deployment struct {
 	name   string
 	goal   place.Goal
 	kinds  []kind
 	models []place.Model
 }
 
-// five kinds of accelerators whose links differ a hundredfold.
-func five(times int) []kind {
+// fiveKinds kinds of accelerators whose links differ a hundredfold.
+func fiveKinds(times int) []kind {
 	return []kind{
 		{"h200", 6 * times, 20 * time.Microsecond, 32, 40, 10 << 30, 20 * time.Microsecond},
 		{"a100", 10 * times, 35 * time.Microsecond, 24, 24, 5 << 30, 50 * time.Microsecond},
@@ -40,11 +40,11 @@
 	}
 }
 
-func one() []place.Model {
+func singleModel() []place.Model {
 	return []place.Model{{Name: "levy-70b", Version: "1", Depth: 80, Width: 16 << 10, Demand: 1}}
 }
 
-func sites() []site {
+func deployments() []deployment {
 	small := []kind{
 		{"l40s", 8, 60 * time.Microsecond, 16, 16, 1 << 30, 100 * time.Microsecond},
 		{"a10", 12, 110 * time.Microsecond, 8, 10, 500 << 20, 200 * time.Microsecond},
@@ -63,72 +63,72 @@
 			Name: spec.ModelName(fmt.Sprint("m", i)), Version: "1", Depth: 40 + 10*i, Width: 8 << 10, Demand: d,
 		})
 	}
-	return []site{
+	return []deployment{
 		{"association", place.Throughput, small, medium},
 		{"coral", place.Recovery, small, medium},
 		{"scarce-throughput", place.Throughput, scarce, medium},
 		{"scarce-recovery", place.Recovery, scarce, medium},
-		{"sixty", place.Throughput, five(1), one()},
-		{"sixhundred", place.Throughput, five(10), one()},
-		{"sixhundred-5models", place.Throughput, five(10), several},
+		{"sixty", place.Throughput, fiveKinds(1), singleModel()},
+		{"sixhundred", place.Throughput, fiveKinds(10), singleModel()},
+		{"sixhundred-5models", place.Throughput, fiveKinds(10), several},
 	}
 }
 
-func (s site) engines() []*world.Engine {
+func (s deployment) engines() []*world.Engine {
 	var out []*world.Engine
 	for _, k := range s.kinds {
 		for i := range k.count {
 			out = append(out, &world.Engine{
-				ID: spec.UpstreamID(fmt.Sprintf("%s-%03d", k.name, i)), Kind: k.name, Layer: k.layer,
-				Slots: k.slots, Memory: k.memory, Bandwidth: k.link, Hop: k.hop,
+				ID: spec.UpstreamID(fmt.Sprintf("%s-%03d", k.name, i)), Kind: k.name, LayerTime: k.layer,
+				Slots: k.slots, LayerCapacity: k.memory, Bandwidth: k.link, ReportedHopTime: k.hop,
 			})
 		}
 	}
 	return out
 }
 
-func load(engines []*world.Engine, holds [][]world.Hold) {
+func setLoaded(engines []*world.Engine, holds [][]world.LoadedRange) {
 	for i, e := range engines {
-		e.Holds = holds[i]
+		e.Loaded = holds[i]
 	}
 }
 
 // BenchmarkPlan plans from nothing and gives the rate over the bound, that of
 // the even split, and the time.
 func BenchmarkPlan(b *testing.B) {
-	for _, s := range sites() {
+	for _, s := range deployments() {
 		b.Run(s.name, func(b *testing.B) {
 			engines := s.engines()
 			var r place.Result
 			for b.Loop() {
 				r = place.Plan(s.goal, engines, s.models)
 			}
-			load(engines, place.Even(engines, s.models))
-			even := place.Value(engines, s.models)
+			setLoaded(engines, place.EvenSplit(engines, s.models))
+			even := place.Evaluate(engines, s.models)
 			b.ReportMetric(r.Rate, "tokens/s")
 			b.ReportMetric(r.Rate/r.Bound, "of-bound")
 			b.ReportMetric(even.Rate/even.Bound, "even-of-bound")
-			b.ReportMetric(float64(r.Loads), "layers-loaded")
+			b.ReportMetric(float64(r.LoadedLayers), "layers-loaded")
 		})
 	}
 }
 
-// change is something that calls for another plan.
-type change struct {
+// disruption is something that calls for another plan.
+type disruption struct {
 	name  string
 	apply func(s *sim, second int)
-	// even starts from the even split.
-	even bool
+	// startsEven starts from the even split.
+	startsEven bool
 }
 
-func changes() []change {
-	return []change{
+func disruptions() []disruption {
+	return []disruption{
 		{name: "weakest", apply: func(s *sim, second int) {
 			if second == 0 {
 				s.kill(len(s.engines) - 1)
 			}
 		}},
-		{name: "even", apply: func(*sim, int) {}, even: true},
+		{name: "even", apply: func(*sim, int) {}, startsEven: true},
 		{name: "death", apply: func(s *sim, second int) {
 			if second == 0 {
 				s.kill(0)
@@ -141,12 +141,12 @@
 			}
 		}},
 		{name: "link", apply: func(s *sim, _ int) {
-			s.w.Apply(world.HopTimed{Engine: s.engines[0].row.ID, P50: 100 * time.Millisecond, P99: time.Second, Count: 100})
+			s.w.Apply(world.HopMeasured{Engine: s.engines[0].row.ID, P50: 100 * time.Millisecond, P99: time.Second, Count: 100})
 		}},
 		{name: "join", apply: func(s *sim, second int) {
 			if second == 0 {
 				row := s.engines[0].row
-				row.ID, row.Holds = "joined", nil
+				row.ID, row.Loaded = "joined", nil
 				s.engines = append(s.engines, &simEngine{row: row, loaded: true})
 			}
 		}},
@@ -158,52 +158,52 @@
 // rate over the bound in the half minute after, that when all moves are done,
 // what they cost, and the longest run of the planner.
 func BenchmarkReplan(b *testing.B) {
-	for _, st := range sites() {
-		planned := place.Plan(st.goal, st.engines(), st.models).Holds
-		for _, c := range changes() {
+	for _, st := range deployments() {
+		planned := place.Plan(st.goal, st.engines(), st.models).Placement
+		for _, c := range disruptions() {
 			b.Run(st.name+"/"+c.name, func(b *testing.B) {
 				var s *sim
 				var least float64
 				var after place.Result
 				for b.Loop() {
 					engines := st.engines()
-					load(engines, planned)
+					setLoaded(engines, planned)
 					s = newSim(st.goal, float64(len(engines)), engines)
 					s.planner.Models = st.models
-					if c.even {
-						load(engines, place.Even(engines, st.models))
+					if c.startsEven {
+						setLoaded(engines, place.EvenSplit(engines, st.models))
 						for i, e := range s.engines {
-							e.row.Holds = engines[i].Holds
+							e.row.Loaded = engines[i].Loaded
 						}
 					} else {
 						s.run(20 * time.Second)
 					}
-					s.moves, s.loads, s.longest = 0, 0, 0
+					s.moves, s.loadedLayers, s.longestRun = 0, 0, 0
 					began := s.now
 					least = 1
 					for second := range 180 {
 						c.apply(s, second)
-						if second < 30 && second > 0 || second == 0 && !c.even {
-							now := s.value(st.models)
+						if second < 30 && second > 0 || second == 0 && !c.startsEven {
+							now := s.evaluate(st.models)
 							least = min(least, now.Rate/now.Bound)
 						}
 						s.run(time.Second)
 					}
-					after = s.value(st.models)
-					s.last -= began
+					after = s.evaluate(st.models)
+					s.lastReadyAt -= began
 				}
 				if c.name == "death" {
 					engines := st.engines()
-					load(engines, place.Even(engines, st.models))
-					even := place.Value(engines[1:], st.models)
+					setLoaded(engines, place.EvenSplit(engines, st.models))
+					even := place.Evaluate(engines[1:], st.models)
 					b.ReportMetric(even.Rate/even.Bound, "even-of-bound")
 				}
 				b.ReportMetric(least, "least-of-bound")
 				b.ReportMetric(after.Rate/after.Bound, "after-of-bound")
 				b.ReportMetric(float64(s.moves), "moves")
-				b.ReportMetric(float64(s.loads), "layers-loaded")
-				b.ReportMetric(max(0, s.last.Seconds()), "done-s")
-				b.ReportMetric(float64(s.longest.Microseconds())/1000, "longest-run-ms")
+				b.ReportMetric(float64(s.loadedLayers), "layers-loaded")
+				b.ReportMetric(max(0, s.lastReadyAt.Seconds()), "done-s")
+				b.ReportMetric(float64(s.longestRun.Microseconds())/1000, "longest-run-ms")
 			})
 		}
 	}
--- a/internal/route/place/bound.go
+++ b/internal/route/place/bound.go
@@ -1,18 +1,18 @@
 package place
 
-// bound is a rate that no placement can pass. At rate r a layer of model m is
+// rateBound is a rate that no placement can pass. At rate r a layer of model m is
 // run demand*r times a second, by whoever holds it: a unit with room for n
 // layers so runs at most n times the largest such number, never more than its
 // link brings, and never more than its own speed. What all units run so must
 // be what all layers need.
-func (p *problem) bound() float64 {
-	if p.top < 0 {
-		p.top = p.limit()
+func (p *problem) rateBound() float64 {
+	if p.cachedBound < 0 {
+		p.cachedBound = p.computeRateBound()
 	}
-	return p.top
+	return p.cachedBound
 }
 
-func (p *problem) limit() float64 {
+func (p *problem) computeRateBound() float64 {
 	work := 0.0
 	for _, m := range p.models {
 		work += m.Demand * float64(m.Depth)
@@ -28,7 +28,7 @@
 	low := 0.0
 	for range 100 {
 		mid := (low + high) / 2
-		if p.most(mid) >= mid*work {
+		if p.maxWork(mid) >= mid*work {
 			low = mid
 		} else {
 			high = mid
@@ -37,25 +37,25 @@
 	return high
 }
 
-// most is what all units can run at the rate.
-func (p *problem) most(rate float64) float64 {
+// maxWork is what all units can run at the rate.
+func (p *problem) maxWork(rate float64) float64 {
 	sum := 0.0
 	for _, u := range p.units {
-		sum += min(u.rate, p.runs(u, rate))
+		sum += min(u.rate, p.unitMaxWork(u, rate))
 	}
 	return sum
 }
 
-// runs is what the unit's memory lets it run: the layers with the most to do
+// unitMaxWork is what the unit's memory lets it run: the layers with the most to do
 // first.
-func (p *problem) runs(u unit, rate float64) float64 {
+func (p *problem) unitMaxWork(u unit, rate float64) float64 {
 	left := u.memory
 	sum := 0.0
 	used := make([]bool, len(p.models))
 	for left > 0 {
 		best, top := -1, 0.0
 		for m := range p.models {
-			if d := min(rate*p.models[m].Demand, p.pass(u, m)); !used[m] && d > top {
+			if d := min(rate*p.models[m].Demand, p.linkRate(u, m)); !used[m] && d > top {
 				best, top = m, d
 			}
 		}
--- a/internal/route/place/catalog.go
+++ b/internal/route/place/catalog.go
@@ -8,38 +8,38 @@
 
 // catalog is the models to serve, kept when no engine holds them any more.
 type catalog struct {
-	list   []Model
-	smooth []float64
-	wanted bool
+	tracked        []Model
+	smoothedDemand []float64
+	configured     bool
 }
 
 const (
-	// smoothing is the weight of a new demand against the old.
-	smoothing = 0.02
-	// leastPart is the part of all demand that a model counts with at least,
+	// demandSmoothing is the weight of a new demand against the old.
+	demandSmoothing = 0.02
+	// minDemandShare is the part of all demand that a model counts with at least,
 	// since one that nobody can ask for shows no demand.
-	leastPart = 0.05
+	minDemandShare = 0.05
 	// demandSteps is how finely a shift of demand is noticed.
 	demandSteps = 10
 )
 
-func (c *catalog) learn(w *world.World, wanted []Model) {
-	c.wanted = wanted != nil
+func (c *catalog) update(w *world.RoutingState, wanted []Model) {
+	c.configured = wanted != nil
 	for _, m := range wanted {
-		c.add(w, m)
+		c.upsert(w, m)
 	}
 	if wanted != nil {
 		return
 	}
-	for _, name := range w.Engines().Index().Names() {
-		if v := widest(w.Engines().Index().Versions(name)); v != nil {
-			c.add(w, Model{Name: name, Version: v.Version(), Depth: v.Depth(), Width: width(v)})
+	for _, name := range w.Engines().Index().ModelNames() {
+		if v := largestVersion(w.Engines().Index().Versions(name)); v != nil {
+			c.upsert(w, Model{Name: name, Version: v.Version(), Depth: v.Depth(), Width: hiddenWidth(v)})
 		}
 	}
 }
 
-// widest is the version that can serve most.
-func widest(versions []*world.Model) *world.Model {
+// largestVersion is the version that can serve most.
+func largestVersion(versions []*world.Model) *world.Model {
 	var best *world.Model
 	for _, v := range versions {
 		if best == nil || v.Capacity() >= best.Capacity() {
@@ -49,7 +49,7 @@
 	return best
 }
 
-func width(m *world.Model) int {
+func hiddenWidth(m *world.Model) int {
 	for _, g := range m.Groups() {
 		if g.Width() > 0 {
 			return g.Width()
@@ -58,33 +58,33 @@
 	return 0
 }
 
-func (c *catalog) add(w *world.World, m Model) {
-	i := slices.IndexFunc(c.list, func(o Model) bool { return o.Name == m.Name })
+func (c *catalog) upsert(w *world.RoutingState, m Model) {
+	i := slices.IndexFunc(c.tracked, func(o Model) bool { return o.Name == m.Name })
 	if i < 0 {
-		i = len(c.list)
-		c.list = append(c.list, m)
-		c.smooth = append(c.smooth, 0)
+		i = len(c.tracked)
+		c.tracked = append(c.tracked, m)
+		c.smoothedDemand = append(c.smoothedDemand, 0)
 	}
 	used := 0.0
 	for _, v := range w.Engines().Index().Versions(m.Name) {
-		used += v.Used()
+		used += v.UsedRate()
 	}
-	c.smooth[i] += smoothing * (used - c.smooth[i])
-	c.list[i] = m
+	c.smoothedDemand[i] += demandSmoothing * (used - c.smoothedDemand[i])
+	c.tracked[i] = m
 }
 
-// models are the catalog with demands that add up to one.
-func (c *catalog) models() []Model {
-	out := slices.Clone(c.list)
+// normalizedModels are the catalog with demands that add up to one.
+func (c *catalog) normalizedModels() []Model {
+	out := slices.Clone(c.tracked)
 	sum := 0.0
-	for _, d := range c.smooth {
+	for _, d := range c.smoothedDemand {
 		sum += d
 	}
 	total := 0.0
 	for i := range out {
-		out[i].Demand = max(c.smooth[i], leastPart*sum)
+		out[i].Demand = max(c.smoothedDemand[i], minDemandShare*sum)
 		if sum == 0 {
-			out[i].Demand = orOne(c.list[i].Demand)
+			out[i].Demand = demandOrOne(c.tracked[i].Demand)
 		}
 		total += out[i].Demand
 	}
@@ -94,18 +94,18 @@
 	return out
 }
 
-// orOne is the demand that was given, if any.
-func orOne(d float64) float64 {
+// demandOrOne is the demand that was given, if any.
+func demandOrOne(d float64) float64 {
 	if d <= 0 {
 		return 1
 	}
 	return d
 }
 
-// coarse is the demands as whole steps, so that only a real shift shows.
-func (c *catalog) coarse() []int {
+// quantizedDemands is the demands as whole steps, so that only a real shift shows.
+func (c *catalog) quantizedDemands() []int {
 	var out []int
-	for _, m := range c.models() {
+	for _, m := range c.normalizedModels() {
 		out = append(out, int(m.Demand*demandSteps+0.5))
 	}
 	return out
--- a/internal/route/place/enum.go
+++ b/internal/route/place/enum.go
@@ -15,8 +15,8 @@
 	Recovery // recovery
 )
 
-// holders is how many engines must hold each layer.
-func (g Goal) holders() int {
+// minHolders is how many engines must hold each layer.
+func (g Goal) minHolders() int {
 	if g == Recovery {
 		return 2
 	}
--- a/internal/route/place/guard.go
+++ b/internal/route/place/guard.go
@@ -5,83 +5,83 @@
 	"fulmarwick/internal/route/world"
 )
 
-// version names a version of a model.
-type version struct {
+// modelVersion names a version of a model.
+type modelVersion struct {
 	model   spec.ModelName
 	version string
 }
 
-// guard knows how many engines serve each layer now. What counts is what an
+// coverage knows how many engines serve each layer now. What counts is what an
 // engine reports and was not ordered to drop: an order alone serves nobody,
 // and one under way may drop its ranges at any moment.
-type guard struct {
-	need   int
-	held   map[spec.UpstreamID][]world.Hold
-	counts map[version][]int
-	wanted map[version]bool
-	models map[spec.ModelName]version
+type coverage struct {
+	minHolders     int
+	serving        map[spec.UpstreamID][]world.LoadedRange
+	holderCounts   map[modelVersion][]int
+	wanted         map[modelVersion]bool
+	wantedVersions map[spec.ModelName]modelVersion
 }
 
-func newGuard(goal Goal, engines []*world.Engine, models []Model, under map[spec.UpstreamID]*sent) *guard {
-	g := &guard{
-		need: goal.holders(), held: map[spec.UpstreamID][]world.Hold{},
-		counts: map[version][]int{}, wanted: map[version]bool{}, models: map[spec.ModelName]version{},
+func newCoverage(goal Goal, engines []*world.Engine, models []Model, under map[spec.UpstreamID]*pendingOrder) *coverage {
+	g := &coverage{
+		minHolders: goal.minHolders(), serving: map[spec.UpstreamID][]world.LoadedRange{},
+		holderCounts: map[modelVersion][]int{}, wanted: map[modelVersion]bool{}, wantedVersions: map[spec.ModelName]modelVersion{},
 	}
 	for _, m := range models {
-		v := version{m.Name, m.Version}
+		v := modelVersion{m.Name, m.Version}
 		g.wanted[v] = true
-		g.models[m.Name] = v
-		g.counts[v] = make([]int, m.Depth)
+		g.wantedVersions[m.Name] = v
+		g.holderCounts[v] = make([]int, m.Depth)
 	}
 	for _, e := range engines {
-		g.add(e.Holds, 0)
-		serving := e.Holds
+		g.addRanges(e.Loaded, 0)
+		serving := e.Loaded
 		if s := under[e.ID]; s != nil {
-			serving = both(e.Holds, s.holds)
+			serving = intersect(e.Loaded, s.ranges)
 		}
-		g.held[e.ID] = serving
-		g.add(serving, 1)
+		g.serving[e.ID] = serving
+		g.addRanges(serving, 1)
 	}
 	return g
 }
 
-func (g *guard) add(holds []world.Hold, n int) {
+func (g *coverage) addRanges(holds []world.LoadedRange, n int) {
 	for _, h := range holds {
-		v := version{h.Model, h.Version}
-		if len(g.counts[v]) < h.Depth {
-			g.counts[v] = append(g.counts[v], make([]int, h.Depth-len(g.counts[v]))...)
+		v := modelVersion{h.Model, h.Version}
+		if len(g.holderCounts[v]) < h.Depth {
+			g.holderCounts[v] = append(g.holderCounts[v], make([]int, h.Depth-len(g.holderCounts[v]))...)
 		}
 		for at := h.Layers.From(); at < h.Layers.To(); at++ {
-			g.counts[v][at] += n
+			g.holderCounts[v][at] += n
 		}
 	}
 }
 
 // allows reports whether the move leaves every layer that it drops with
 // enough other holders. Where there are too few anyway, one must remain.
-func (g *guard) allows(mv move) bool {
-	held := g.held[mv.engine]
-	kept := both(held, mv.holds)
-	g.add(held, -1)
-	g.add(kept, 1)
+func (g *coverage) allows(mv move) bool {
+	held := g.serving[mv.engine]
+	kept := intersect(held, mv.ranges)
+	g.addRanges(held, -1)
+	g.addRanges(kept, 1)
 	ok := true
 	for _, h := range held {
 		for at := h.Layers.From(); at < h.Layers.To() && ok; at++ {
-			ok = holds(kept, h, at) || g.enough(version{h.Model, h.Version}, at)
+			ok = holdsLayer(kept, h, at) || g.canLoseHolder(modelVersion{h.Model, h.Version}, at)
 		}
 	}
-	g.add(kept, -1)
-	g.add(held, 1)
+	g.addRanges(kept, -1)
+	g.addRanges(held, 1)
 	return ok
 }
 
-// spares reports whether some other engine serves each layer that an order
+// droppedLayersServed reports whether some other engine serves each layer that an order
 // under way drops.
-func (g *guard) spares(reported, ordered []world.Hold) bool {
+func (g *coverage) droppedLayersServed(reported, ordered []world.LoadedRange) bool {
 	for _, h := range reported {
 		for at := h.Layers.From(); at < h.Layers.To(); at++ {
-			v := version{h.Model, h.Version}
-			if !holds(ordered, h, at) && g.counts[v][at] == 0 && !g.succeeded(v) {
+			v := modelVersion{h.Model, h.Version}
+			if !holdsLayer(ordered, h, at) && g.holderCounts[v][at] == 0 && !g.isSuperseded(v) {
 				return false
 			}
 		}
@@ -89,36 +89,36 @@
 	return true
 }
 
-// succeeded reports whether another version is wanted and whole.
-func (g *guard) succeeded(v version) bool {
-	next, ok := g.models[v.model]
-	return ok && next != v && g.whole(next)
+// isSuperseded reports whether another version is wanted and whole.
+func (g *coverage) isSuperseded(v modelVersion) bool {
+	next, ok := g.wantedVersions[v.model]
+	return ok && next != v && g.isComplete(next)
 }
 
-// enough reports whether a layer that loses a holder has enough left. The
+// canLoseHolder reports whether a layer that loses a holder has enough left. The
 // layers of a version that is no longer wanted need none once the wanted one
 // has all of its own.
-func (g *guard) enough(v version, at int) bool {
-	left := g.counts[v][at]
+func (g *coverage) canLoseHolder(v modelVersion, at int) bool {
+	left := g.holderCounts[v][at]
 	if g.wanted[v] {
-		return left >= g.need || left >= 1 && g.scarce(v)
+		return left >= g.minHolders || left >= 1 && g.lacksHolders(v)
 	}
-	return left >= 1 || g.succeeded(v)
+	return left >= 1 || g.isSuperseded(v)
 }
 
-// scarce reports whether some layer of the version lacks holders already:
+// lacksHolders reports whether some layer of the version lacks holders already:
 // insisting on all of them everywhere would then stop every repair.
-func (g *guard) scarce(v version) bool {
-	for _, n := range g.counts[v] {
-		if n < g.need {
+func (g *coverage) lacksHolders(v modelVersion) bool {
+	for _, n := range g.holderCounts[v] {
+		if n < g.minHolders {
 			return true
 		}
 	}
 	return false
 }
 
-func (g *guard) whole(v version) bool {
-	for _, n := range g.counts[v] {
+func (g *coverage) isComplete(v modelVersion) bool {
+	for _, n := range g.holderCounts[v] {
 		if n == 0 {
 			return false
 		}
@@ -126,14 +126,14 @@
 	return true
 }
 
-func (g *guard) take(mv move) {
-	kept := both(g.held[mv.engine], mv.holds)
-	g.add(g.held[mv.engine], -1)
-	g.add(kept, 1)
-	g.held[mv.engine] = kept
+func (g *coverage) applyMove(mv move) {
+	kept := intersect(g.serving[mv.engine], mv.ranges)
+	g.addRanges(g.serving[mv.engine], -1)
+	g.addRanges(kept, 1)
+	g.serving[mv.engine] = kept
 }
 
-func holds(list []world.Hold, h world.Hold, at int) bool {
+func holdsLayer(list []world.LoadedRange, h world.LoadedRange, at int) bool {
 	for _, o := range list {
 		if o.Model == h.Model && o.Version == h.Version && o.Layers.Has(at) {
 			return true
@@ -142,9 +142,9 @@
 	return false
 }
 
-// both is what is in a and in b.
-func both(a, b []world.Hold) []world.Hold {
-	var out []world.Hold
+// intersect is what is in a and in b.
+func intersect(a, b []world.LoadedRange) []world.LoadedRange {
+	var out []world.LoadedRange
 	for _, x := range a {
 		for _, y := range b {
 			if x.Model != y.Model || x.Version != y.Version {
--- a/internal/route/place/moves.go
+++ b/internal/route/place/moves.go
@@ -9,50 +9,50 @@
 )
 
 const (
-	// loadingPart is the part of the engines that may load at once.
-	loadingPart = 10
-	// storeAhead is how much work the weight store may have waiting: an engine
+	// loadingDivisor is the part of the engines that may load at once.
+	loadingDivisor = 10
+	// maxStoreBacklog is how much work the weight store may have waiting: an engine
 	// that waits for it has unloaded already.
-	storeAhead = time.Second
-	// overdue is how long past its expected time an order may be.
-	overdue = 30 * time.Second
-	// maxOrders is how often one engine is given an order that it does not
+	maxStoreBacklog = time.Second
+	// overdueGrace is how long past its expected time an order may be.
+	overdueGrace = 30 * time.Second
+	// maxOrderAttempts is how often one engine is given an order that it does not
 	// follow, and refusedFor how long it is then left alone.
-	maxOrders  = 3
-	refusedFor = 5 * time.Minute
+	maxOrderAttempts = 3
+	refusalCooldown  = 5 * time.Minute
 )
 
 // move has an engine hold other ranges.
 type move struct {
-	engine spec.UpstreamID
-	holds  []world.Hold
-	loads  int
+	engine       spec.UpstreamID
+	ranges       []world.LoadedRange
+	layersToLoad int
 }
 
-// sent is a move that was ordered and that the engine does not report yet.
-type sent struct {
+// pendingOrder is a move that was ordered and that the engine does not report yet.
+type pendingOrder struct {
 	move
-	due    time.Duration
-	orders int
+	deadline time.Duration
+	attempts int
 }
 
-// moves carries out a plan: most gain first, no faster than the weight store,
+// rollout carries out a plan: most gain first, no faster than the weight store,
 // and no layer without a holder in between.
-type moves struct {
-	queue []move
-	sent  map[spec.UpstreamID]*sent
-	// free is when the weight store has given all that was ordered.
-	free  time.Duration
-	tried map[spec.UpstreamID]time.Duration
+type rollout struct {
+	queue   []move
+	pending map[spec.UpstreamID]*pendingOrder
+	// storeFreeAt is when the weight store has given all that was ordered.
+	storeFreeAt  time.Duration
+	refusedUntil map[spec.UpstreamID]time.Duration
 }
 
-func (m *moves) idle() bool { return len(m.queue) == 0 && len(m.sent) == 0 }
+func (m *rollout) isIdle() bool { return len(m.queue) == 0 && len(m.pending) == 0 }
 
-func (m *moves) loading() int { return len(m.sent) }
+func (m *rollout) loadingCount() int { return len(m.pending) }
 
-func (m *moves) stuck(now time.Duration) int {
+func (m *rollout) stuckCount(now time.Duration) int {
 	n := 0
-	for _, until := range m.tried {
+	for _, until := range m.refusedUntil {
 		if now < until {
 			n++
 		}
@@ -60,60 +60,62 @@
 	return n
 }
 
-// refused reports whether the engine did not follow its last orders.
-func (m *moves) refused(now time.Duration, id spec.UpstreamID) bool { return now < m.tried[id] }
+// isRefusing reports whether the engine did not follow its last orders.
+func (m *rollout) isRefusing(now time.Duration, id spec.UpstreamID) bool {
+	return now < m.refusedUntil[id]
+}
 
-// settle takes off what engines report as done, and those that are gone.
-func (m *moves) settle(now time.Duration, engines []*world.Engine) {
+// removeCompleted takes off what engines report as done, and those that are gone.
+func (m *rollout) removeCompleted(now time.Duration, engines []*world.Engine) {
 	here := map[spec.UpstreamID]*world.Engine{}
 	for _, e := range engines {
 		here[e.ID] = e
 	}
-	for id, s := range m.sent {
+	for id, s := range m.pending {
 		e := here[id]
 		switch {
-		case e == nil || sameHolds(e.Holds, s.holds):
-			delete(m.sent, id)
-		case now >= s.due:
-			m.late(now, s)
+		case e == nil || sameRanges(e.Loaded, s.ranges):
+			delete(m.pending, id)
+		case now >= s.deadline:
+			m.handleOverdue(now, s)
 		}
 	}
 	m.queue = slices.DeleteFunc(m.queue, func(mv move) bool { return here[mv.engine] == nil })
 }
 
-// late has an overdue order given again, or leaves the engine alone.
-func (m *moves) late(now time.Duration, s *sent) {
-	if s.orders < maxOrders {
-		s.due = 0
+// handleOverdue has an overdue order given again, or leaves the engine alone.
+func (m *rollout) handleOverdue(now time.Duration, s *pendingOrder) {
+	if s.attempts < maxOrderAttempts {
+		s.deadline = 0
 		return
 	}
-	delete(m.sent, s.engine)
-	if m.tried == nil {
-		m.tried = map[spec.UpstreamID]time.Duration{}
+	delete(m.pending, s.engine)
+	if m.refusedUntil == nil {
+		m.refusedUntil = map[spec.UpstreamID]time.Duration{}
 	}
-	m.tried[s.engine] = now + refusedFor
+	m.refusedUntil[s.engine] = now + refusalCooldown
 }
 
-// withdraw takes back orders that were not followed yet and that would now
+// cancelUnsafe takes back orders that were not followed yet and that would now
 // leave a layer without a holder, since another engine died meanwhile: the
 // engine is told to keep what it reports.
-func (m *moves) withdraw(w *world.World, goal Goal, engines []*world.Engine, models []Model) {
+func (m *rollout) cancelUnsafe(w *world.RoutingState, goal Goal, engines []*world.Engine, models []Model) {
 	for _, e := range engines {
-		s := m.sent[e.ID]
-		if s == nil || newGuard(goal, engines, models, m.sent).spares(e.Holds, s.holds) {
+		s := m.pending[e.ID]
+		if s == nil || newCoverage(goal, engines, models, m.pending).droppedLayersServed(e.Loaded, s.ranges) {
 			continue
 		}
-		delete(m.sent, e.ID)
-		w.Emit(world.Place{Engine: e.ID, Holds: e.Holds})
+		delete(m.pending, e.ID)
+		w.Emit(world.LoadLayers{Engine: e.ID, Ranges: e.Loaded})
 	}
 }
 
-func sameHolds(a, b []world.Hold) bool {
+func sameRanges(a, b []world.LoadedRange) bool {
 	if len(a) != len(b) {
 		return false
 	}
 	for _, h := range a {
-		if !slices.ContainsFunc(b, func(o world.Hold) bool {
+		if !slices.ContainsFunc(b, func(o world.LoadedRange) bool {
 			return o.Model == h.Model && o.Version == h.Version && o.Layers == h.Layers
 		}) {
 			return false
@@ -122,60 +124,60 @@
 	return true
 }
 
-// emit orders the next moves that may go now.
-func (m *moves) emit(w *world.World, goal Goal, engines []*world.Engine, models []Model, rate float64) {
-	m.repeat(w, rate)
+// dispatch orders the next moves that may go now.
+func (m *rollout) dispatch(w *world.RoutingState, goal Goal, engines []*world.Engine, models []Model, rate float64) {
+	m.resendOverdue(w, rate)
 	if len(m.queue) == 0 {
 		return
 	}
-	g := newGuard(goal, engines, models, m.sent)
+	g := newCoverage(goal, engines, models, m.pending)
 	var rest []move
 	for _, mv := range m.queue {
-		if !m.room(w.Now(), len(engines), rate) || !g.allows(mv) {
+		if !m.canLoadMore(w.Now(), len(engines), rate) || !g.allows(mv) {
 			rest = append(rest, mv)
 			continue
 		}
-		m.order(w, mv, rate, 1)
-		g.take(mv)
+		m.sendOrder(w, mv, rate, 1)
+		g.applyMove(mv)
 	}
 	m.queue = rest
 }
 
-// repeat gives overdue orders again; an order states the desired end, so that
+// resendOverdue gives overdue orders again; an order states the desired end, so that
 // is safe.
-func (m *moves) repeat(w *world.World, rate float64) {
-	var late []*sent
-	for _, s := range m.sent {
-		if s.due == 0 {
+func (m *rollout) resendOverdue(w *world.RoutingState, rate float64) {
+	var late []*pendingOrder
+	for _, s := range m.pending {
+		if s.deadline == 0 {
 			late = append(late, s)
 		}
 	}
-	slices.SortFunc(late, func(a, b *sent) int {
+	slices.SortFunc(late, func(a, b *pendingOrder) int {
 		if a.engine < b.engine {
 			return -1
 		}
 		return 1
 	})
 	for _, s := range late {
-		m.order(w, s.move, rate, s.orders+1)
+		m.sendOrder(w, s.move, rate, s.attempts+1)
 	}
 }
 
-func (m *moves) room(now time.Duration, engines int, rate float64) bool {
-	if len(m.sent) >= max(1, engines/loadingPart) {
+func (m *rollout) canLoadMore(now time.Duration, engines int, rate float64) bool {
+	if len(m.pending) >= max(1, engines/loadingDivisor) {
 		return false
 	}
-	return rate <= 0 || m.free <= now+storeAhead
+	return rate <= 0 || m.storeFreeAt <= now+maxStoreBacklog
 }
 
-func (m *moves) order(w *world.World, mv move, rate float64, orders int) {
-	if m.sent == nil {
-		m.sent = map[spec.UpstreamID]*sent{}
+func (m *rollout) sendOrder(w *world.RoutingState, mv move, rate float64, orders int) {
+	if m.pending == nil {
+		m.pending = map[spec.UpstreamID]*pendingOrder{}
 	}
-	m.free = max(m.free, w.Now())
+	m.storeFreeAt = max(m.storeFreeAt, w.Now())
 	if rate > 0 {
-		m.free += time.Duration(float64(mv.loads) / rate * float64(time.Second))
+		m.storeFreeAt += time.Duration(float64(mv.layersToLoad) / rate * float64(time.Second))
 	}
-	m.sent[mv.engine] = &sent{move: mv, due: m.free + overdue, orders: orders}
-	w.Emit(world.Place{Engine: mv.engine, Holds: mv.holds})
+	m.pending[mv.engine] = &pendingOrder{move: mv, deadline: m.storeFreeAt + overdueGrace, attempts: orders}
+	w.Emit(world.LoadLayers{Engine: mv.engine, Ranges: mv.ranges})
 }
--- a/internal/route/place/naive.go
+++ b/internal/route/place/naive.go
@@ -2,11 +2,11 @@
 
 import "fulmarwick/internal/route/world"
 
-// Even is the naive placement: each model is cut into the fewest equal parts
+// EvenSplit is the naive placement: each model is cut into the fewest equal parts
 // that fit the smallest engine, and the engines take the parts in turn by
 // their order, whatever their speed or link. It is the baseline of the
 // measurements.
-func Even(engines []*world.Engine, models []Model) [][]world.Hold {
+func EvenSplit(engines []*world.Engine, models []Model) [][]world.LoadedRange {
 	p := newProblem(Throughput, engines, models)
 	room := 0
 	for _, u := range p.units {
@@ -21,9 +21,9 @@
 			parts = append(parts, span{model: m, from: i * model.Depth / n, to: (i + 1) * model.Depth / n})
 		}
 	}
-	out := make([][]world.Hold, len(engines))
+	out := make([][]world.LoadedRange, len(engines))
 	for i := range engines {
-		out[i] = p.holds([]span{parts[i%len(parts)]})
+		out[i] = p.toLoadedRanges([]span{parts[i%len(parts)]})
 	}
 	return out
 }
--- a/internal/route/place/place_test.go
+++ b/internal/route/place/place_test.go
@@ -30,18 +30,18 @@
 	var out []*world.Engine
 	for i := range rapid.IntRange(1, most).Draw(t, "engines") {
 		out = append(out, &world.Engine{
-			ID:        spec.UpstreamID(fmt.Sprintf("e%02d", i)),
-			Layer:     time.Duration(rapid.IntRange(1, 100).Draw(t, "layer")) * time.Microsecond,
-			Slots:     rapid.IntRange(1, 16).Draw(t, "slots"),
-			Memory:    rapid.IntRange(1, 30).Draw(t, "memory"),
-			Bandwidth: rapid.SampledFrom([]int64{0, 1 << 20, 100 << 20}).Draw(t, "link"),
+			ID:            spec.UpstreamID(fmt.Sprintf("e%02d", i)),
+			LayerTime:     time.Duration(rapid.IntRange(1, 100).Draw(t, "layer")) * time.Microsecond,
+			Slots:         rapid.IntRange(1, 16).Draw(t, "slots"),
+			LayerCapacity: rapid.IntRange(1, 30).Draw(t, "memory"),
+			Bandwidth:     rapid.SampledFrom([]int64{0, 1 << 20, 100 << 20}).Draw(t, "link"),
 		})
 	}
 	return out
 }
 
-// covered is how many holders the layer with the fewest has.
-func covered(m place.Model, holds [][]world.Hold) int {
+// minHolders is how many holders the layer with the fewest has.
+func minHolders(m place.Model, holds [][]world.LoadedRange) int {
 	least := -1
 	for at := range m.Depth {
 		n := 0
@@ -62,7 +62,7 @@
 // Whenever the engines' memory can hold all layers, the plan does; it never
 // gives an engine more than fits, nor one layer twice, and its rate is no
 // higher than the bound.
-func TestPlanHoldsAllAndFits(t *testing.T) {
+func TestPlanCoversLayersWithinMemory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		models := drawModels(t)
 		engines := drawEngines(t, 12)
@@ -70,12 +70,12 @@
 		r := place.Plan(goal, engines, models)
 		room, depth := 0, 0
 		for i, e := range engines {
-			room += e.Memory
-			if got := layers(r.Holds[i]); got > e.Memory {
-				t.Errorf("got %d layers on %s, want at most %d", got, e.ID, e.Memory)
+			room += e.LayerCapacity
+			if got := layerCount(r.Placement[i]); got > e.LayerCapacity {
+				t.Errorf("got %d layers on %s, want at most %d", got, e.ID, e.LayerCapacity)
 			}
-			for k, a := range r.Holds[i] {
-				for _, b := range r.Holds[i][:k] {
+			for k, a := range r.Placement[i] {
+				for _, b := range r.Placement[i][:k] {
 					if a.Model == b.Model && a.Layers.From() < b.Layers.To() && b.Layers.From() < a.Layers.To() {
 						t.Errorf("got overlapping ranges %v and %v on %s", a, b, e.ID)
 					}
@@ -86,7 +86,7 @@
 			depth += m.Depth
 		}
 		for _, m := range models {
-			if got := covered(m, r.Holds); room >= depth && got < 1 {
+			if got := minHolders(m, r.Placement); room >= depth && got < 1 {
 				t.Errorf("got a layer of %s without holder, want none: %d of room for %d layers", m.Name, room, depth)
 			}
 		}
@@ -98,7 +98,7 @@
 
 // The shares are a flow: no engine runs more than its speed, and each layer of
 // each model gets its part of the rate.
-func TestSharesAddUp(t *testing.T) {
+func TestSharesFormValidFlow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		models := drawModels(t)
 		engines := drawEngines(t, 12)
@@ -134,15 +134,15 @@
 // The rate against a computation by hand: layer 1 has the slow engine only.
 func TestRateOfKnownPlacement(t *testing.T) {
 	models := []place.Model{{Name: "m", Version: "1", Depth: 2, Demand: 1}}
-	hold := func(from, to int) []world.Hold {
-		return []world.Hold{{Model: "m", Version: "1", Depth: 2, Layers: spec.NewLayers(from, to)}}
+	hold := func(from, to int) []world.LoadedRange {
+		return []world.LoadedRange{{Model: "m", Version: "1", Depth: 2, Layers: spec.NewLayers(from, to)}}
 	}
 	engines := []*world.Engine{
-		{ID: "a", Layer: time.Millisecond, Slots: 3, Memory: 1, Holds: hold(0, 1)},
-		{ID: "b", Layer: time.Millisecond, Slots: 1, Memory: 2, Holds: hold(0, 2)},
-		{ID: "c", Layer: time.Millisecond, Slots: 2, Memory: 1, Holds: hold(0, 1)},
+		{ID: "a", LayerTime: time.Millisecond, Slots: 3, LayerCapacity: 1, Loaded: hold(0, 1)},
+		{ID: "b", LayerTime: time.Millisecond, Slots: 1, LayerCapacity: 2, Loaded: hold(0, 2)},
+		{ID: "c", LayerTime: time.Millisecond, Slots: 2, LayerCapacity: 1, Loaded: hold(0, 1)},
 	}
-	r := place.Value(engines, models)
+	r := place.Evaluate(engines, models)
 	if r.Rate < 999 || r.Rate > 1001 {
 		t.Errorf("got %g tokens a second, want 1000", r.Rate)
 	}
@@ -154,11 +154,11 @@
 // A caller's chain stays whole while the placement changes: engines die, come
 // back empty and ignore orders while weights load. No order may leave a layer
 // without a holder that had one; only a death may.
-func TestMovesNeverUnserve(t *testing.T) {
+func TestMovesKeepEveryLayerServed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		models := drawModels(t)
 		engines := drawEngines(t, 10)
-		load(engines, place.Even(engines, models))
+		setLoaded(engines, place.EvenSplit(engines, models))
 		goal := rapid.SampledFrom([]place.Goal{place.Throughput, place.Recovery}).Draw(t, "goal")
 		s := newSim(goal, 20, engines)
 		s.planner.Models = models
@@ -167,19 +167,19 @@
 			switch rapid.SampledFrom([]string{"die", "back", "deaf", "version"}).Draw(t, "what") {
 			case "die":
 				e.dead = true
-				s.w.Apply(world.EngineDown{Engine: e.row.ID})
+				s.w.Apply(world.EngineDead{Engine: e.row.ID})
 			case "back":
-				e.dead, e.row.Holds, e.loaded = false, nil, true
+				e.dead, e.row.Loaded, e.loaded = false, nil, true
 			case "deaf":
-				e.deaf = !e.deaf
+				e.ignoresOrders = !e.ignoresOrders
 			case "version":
 				s.planner.Models = append([]place.Model(nil), s.planner.Models...)
 				s.planner.Models[0].Version += "x"
-				s.wanted[models[0].Name] = s.planner.Models[0].Version
+				s.wantedVersions[models[0].Name] = s.planner.Models[0].Version
 			}
 			s.run(time.Duration(rapid.IntRange(1, 40).Draw(t, "seconds")) * time.Second)
-			if s.lost != "" {
-				t.Fatalf("got layer %s without a holder by an order, want one", s.lost)
+			if s.lostLayer != "" {
+				t.Fatalf("got layer %s without a holder by an order, want one", s.lostLayer)
 			}
 		}
 	})
@@ -187,17 +187,17 @@
 
 // The same world gives the same orders.
 func TestPlannerIsDeterministic(t *testing.T) {
-	run := func() []world.Hold {
-		st := sites()[0]
+	run := func() []world.LoadedRange {
+		st := deployments()[0]
 		engines := st.engines()
-		load(engines, place.Even(engines, st.models))
+		setLoaded(engines, place.EvenSplit(engines, st.models))
 		s := newSim(st.goal, 20, engines)
 		s.run(40 * time.Second)
 		s.kill(3)
 		s.run(40 * time.Second)
-		var out []world.Hold
+		var out []world.LoadedRange
 		for _, e := range s.engines {
-			out = append(out, e.row.Holds...)
+			out = append(out, e.row.Loaded...)
 		}
 		return out
 	}
@@ -213,14 +213,14 @@
 // has a second holder already, and the planner finds a third for those that
 // lost one.
 func TestRecoveryKeepsTwoHolders(t *testing.T) {
-	st := sites()[1]
+	st := deployments()[1]
 	engines := st.engines()
-	load(engines, place.Plan(st.goal, engines, st.models).Holds)
+	setLoaded(engines, place.Plan(st.goal, engines, st.models).Placement)
 	s := newSim(st.goal, 20, engines)
 	s.run(20 * time.Second)
 	for i := range s.engines {
 		s.kill(i)
-		if got := s.value(st.models).Rate; got <= 0 {
+		if got := s.evaluate(st.models).Rate; got <= 0 {
 			t.Fatalf("got no whole chain after the death of %s, want one", s.engines[i].row.ID)
 		}
 		s.engines[i].dead = false
@@ -228,7 +228,7 @@
 	}
 	s.kill(0)
 	s.run(2 * time.Minute)
-	if got := s.planner.Status().Missing; got != 0 {
+	if got := s.planner.Status().MissingHolders; got != 0 {
 		t.Errorf("got %d holders missing two minutes after a death, want 0", got)
 	}
 }
@@ -236,14 +236,14 @@
 // Callers wait in long queues: the death of a fast engine left one layer to a
 // slow one. So much is lost that the planner does not wait for things to
 // settle, although no layer is without a holder.
-func TestLargeLossIsNotWaitedOut(t *testing.T) {
-	st := sites()[3]
+func TestLargeLossSkipsSettleTime(t *testing.T) {
+	st := deployments()[3]
 	engines := st.engines()
-	load(engines, place.Plan(st.goal, engines, st.models).Holds)
+	setLoaded(engines, place.Plan(st.goal, engines, st.models).Placement)
 	s := newSim(st.goal, 20, engines)
 	s.run(20 * time.Second)
 	s.kill(0)
-	if got := s.value(st.models); got.Rate == 0 || got.Rate > 0.3*got.Bound {
+	if got := s.evaluate(st.models); got.Rate == 0 || got.Rate > 0.3*got.Bound {
 		t.Fatalf("got rate %g of %g after the death, want some, and little", got.Rate, got.Bound)
 	}
 	s.run(5 * time.Second)
@@ -255,10 +255,10 @@
 // The operator sees no weights load back and forth. An engine that dies and
 // returns every few seconds, with its weights, takes no layer's last holder
 // away; nothing is worth a load.
-func TestFlappingEngineLoadsNothing(t *testing.T) {
-	for _, st := range sites()[:4] {
+func TestFlappingEngineTriggersNoLoads(t *testing.T) {
+	for _, st := range deployments()[:4] {
 		engines := st.engines()
-		load(engines, place.Plan(st.goal, engines, st.models).Holds)
+		setLoaded(engines, place.Plan(st.goal, engines, st.models).Placement)
 		s := newSim(st.goal, 20, engines)
 		s.run(20 * time.Second)
 		last := len(engines) - 1
@@ -276,12 +276,12 @@
 
 // Callers see most of the speed while a plan is carried out, although nobody
 // said how fast the weight store is: a tenth of the engines loads at once.
-func TestFewEnginesLoadAtOnce(t *testing.T) {
-	st := sites()[3]
+func TestConcurrentLoadsAreLimited(t *testing.T) {
+	st := deployments()[3]
 	engines := st.engines()
-	load(engines, place.Even(engines, st.models))
+	setLoaded(engines, place.EvenSplit(engines, st.models))
 	s := newSim(st.goal, 1, engines)
-	s.planner.Rate = 0
+	s.planner.LoadRate = 0
 	most := 0
 	for range 120 {
 		s.run(time.Second)
@@ -294,10 +294,10 @@
 
 // The instance lost the duty in the midst of a plan: it must order nothing
 // more, for the next holder orders now.
-func TestWithoutDutyNothingIsOrdered(t *testing.T) {
-	st := sites()[0]
+func TestNoOrdersWithoutDuty(t *testing.T) {
+	st := deployments()[0]
 	engines := st.engines()
-	load(engines, place.Even(engines, st.models))
+	setLoaded(engines, place.EvenSplit(engines, st.models))
 	s := newSim(st.goal, 1, engines)
 	s.run(20 * time.Second)
 	if s.moves == 0 {
@@ -313,21 +313,21 @@
 
 // A new version is wanted while callers use the old one. The old one stays
 // whole until all layers of the new one are served, and then goes.
-func TestVersionChangeServesThroughout(t *testing.T) {
-	st := sites()[0]
+func TestVersionChangeKeepsServing(t *testing.T) {
+	st := deployments()[0]
 	engines := st.engines()
-	load(engines, place.Plan(st.goal, engines, st.models).Holds)
+	setLoaded(engines, place.Plan(st.goal, engines, st.models).Placement)
 	s := newSim(st.goal, 20, engines)
 	s.run(5 * time.Second)
 	next := st.models[0]
 	next.Version = "2"
 	s.planner.Models = []place.Model{next}
-	s.wanted[next.Name] = "2"
+	s.wantedVersions[next.Name] = "2"
 	s.run(3 * time.Minute)
-	if s.lost != "" {
-		t.Errorf("got layer %s without a holder, want one", s.lost)
+	if s.lostLayer != "" {
+		t.Errorf("got layer %s without a holder, want one", s.lostLayer)
 	}
-	if got := s.value([]place.Model{next}); got.Rate < 0.95*got.Bound {
+	if got := s.evaluate([]place.Model{next}); got.Rate < 0.95*got.Bound {
 		t.Errorf("got rate %g of the new version, want near the bound %g", got.Rate, got.Bound)
 	}
 }
--- a/internal/route/place/planner.go
+++ b/internal/route/place/planner.go
@@ -10,57 +10,57 @@
 
 // Defaults of the exported fields.
 const (
-	defaultGain   = 0.05
-	defaultEvery  = time.Second
-	defaultSettle = 10 * time.Second
-	defaultRest   = time.Minute
+	defaultMinGain        = 0.05
+	defaultReviewInterval = time.Second
+	defaultSettleTime     = 10 * time.Second
+	defaultPlanCooldown   = time.Minute
 
-	// lookAfter is when an early look is taken at what a change cost, and hurry
+	// earlyCheckDelay is when an early look is taken at what a change cost, and hurry
 	// how many times the rate a plan must give to be carried out then.
-	lookAfter = 2 * time.Second
-	hurry     = 1.5
+	earlyCheckDelay   = 2 * time.Second
+	earlyPlanMinRatio = 1.5
 
 	// A plan for stepUnits engines pauses once for stepPause after each step;
 	// one for fewer does as many more steps in a run.
-	stepUnits = 120
-	stepPause = 20 * time.Millisecond
+	unitsPerStep = 120
+	stepPause    = 20 * time.Millisecond
 )
 
 // Planner keeps the placement near the best and emits world.Place while this
 // instance has the duty. Set the exported fields before the first Run.
 type Planner struct {
 	Goal Goal
-	// Rate of the weight store in layers a second; zero is unknown: then a
+	// LoadRate of the weight store in layers a second; zero is unknown: then a
 	// tenth of the engines may load at once.
-	Rate float64
+	LoadRate float64
 	// DataCentre limits the plan to engines of one data centre; "" is all.
 	DataCentre spec.DataCentre
 	// Models are the versions wanted; nil keeps, for each model that engines
 	// report, the version that can serve most.
 	Models []Model
-	// Gain is the least relative gain for which engines are changed that lack
+	// MinGain is the least relative gain for which engines are changed that lack
 	// nothing; zero is 0.05.
-	Gain float64
-	// Every is the time between two reviews (zero is 1 s), Settle how long the
+	MinGain float64
+	// ReviewInterval is the time between two reviews (zero is 1 s), Settle how long the
 	// engines must have stood unchanged before a plan (10 s) unless layers
 	// have no holder, and Rest the time between two plans for gain only (60 s).
-	Every  time.Duration
-	Settle time.Duration
-	Rest   time.Duration
+	ReviewInterval time.Duration
+	SettleTime     time.Duration
+	PlanCooldown   time.Duration
 
-	next    time.Duration
-	step    time.Duration
-	seen    uint64
-	since   time.Duration
-	planned time.Duration
-	due     bool
-	looked  bool
-	job     *job
-	ids     []spec.UpstreamID
-	catalog catalog
-	moves   moves
-	status  Status
-	shares  []Share
+	nextReview   time.Duration
+	nextStep     time.Duration
+	lastDigest   uint64
+	changedAt    time.Duration
+	plannedAt    time.Duration
+	planDue      bool
+	earlyChecked bool
+	job          *job
+	engineIDs    []spec.UpstreamID
+	catalog      catalog
+	rollout      rollout
+	status       Status
+	shares       []Share
 }
 
 // Status is what operators see of the placement.
@@ -68,9 +68,9 @@
 	// Rate and Bound are multiples of the demand; for one model, tokens a
 	// second. Target is the rate when all moves are done.
 	Rate, Bound, Target float64
-	// Missing is how many holders the layers lack; a layer without any counts
+	// MissingHolders is how many holders the layers lack; a layer without any counts
 	// a thousand.
-	Missing int
+	MissingHolders int
 	// Waiting and Loading are engines yet to be ordered and ordered; Stuck are
 	// those whose orders were not followed.
 	Waiting, Loading, Stuck int
@@ -86,78 +86,78 @@
 
 // Run reviews the placement now and then. A tick does a bounded piece of a
 // plan, so that planning for many engines holds up no request.
-func (p *Planner) Run(w *world.World) {
-	if !w.Duties().Place {
-		p.drop()
+func (p *Planner) Run(w *world.RoutingState) {
+	if !w.Duties().PlansPlacement {
+		p.reset()
 		return
 	}
 	if p.job != nil {
-		p.work(w)
+		p.continueJob(w)
 		return
 	}
-	if w.Now() < p.next {
+	if w.Now() < p.nextReview {
 		return
 	}
-	p.next = w.Now() + orElse(p.Every, defaultEvery)
+	p.nextReview = w.Now() + defaultIfZero(p.ReviewInterval, defaultReviewInterval)
 	p.review(w)
 }
 
-// work does a few steps of the plan under way for a small site, one for a
+// continueJob does a few steps of the plan under way for a small site, one for a
 // large one. Steps for many engines take some milliseconds and are spread out,
 // unless layers have no holder.
-func (p *Planner) work(w *world.World) {
-	if w.Now() < p.step {
+func (p *Planner) continueJob(w *world.RoutingState) {
+	if w.Now() < p.nextStep {
 		return
 	}
-	if p.job.lack < noHolder {
-		p.step = w.Now() + time.Duration(len(p.ids)/stepUnits)*stepPause
+	if p.job.currentMissing < noHolderPenalty {
+		p.nextStep = w.Now() + time.Duration(len(p.engineIDs)/unitsPerStep)*stepPause
 	}
-	for range max(1, stepUnits/max(1, len(p.ids))) {
+	for range max(1, unitsPerStep/max(1, len(p.engineIDs))) {
 		p.job.step()
 		if p.job.done {
-			p.adopt(w)
+			p.applyResult(w)
 			return
 		}
 	}
 }
 
-// drop forgets all plans: whoever has the duty now makes its own, from what
+// reset forgets all plans: whoever has the duty now makes its own, from what
 // engines report.
-func (p *Planner) drop() {
-	p.job, p.moves, p.seen, p.due = nil, moves{}, 0, false
+func (p *Planner) reset() {
+	p.job, p.rollout, p.lastDigest, p.planDue = nil, rollout{}, 0, false
 }
 
-func orElse(d, other time.Duration) time.Duration {
+func defaultIfZero(d, other time.Duration) time.Duration {
 	if d == 0 {
 		return other
 	}
 	return d
 }
 
-func (p *Planner) review(w *world.World) {
-	engines := p.engines(w)
-	p.catalog.learn(w, p.Models)
-	models := p.catalog.models()
-	p.moves.settle(w.Now(), engines)
-	p.moves.withdraw(w, p.Goal, engines, models)
-	prob := p.problem(w.Now(), engines, models)
-	now := p.layout(prob, engines)
-	lack := prob.missing(now)
-	p.status.Missing, p.status.Waiting = lack, len(p.moves.queue)
-	p.status.Loading, p.status.Stuck = p.moves.loading(), p.moves.stuck(w.Now())
-	p.watch(w.Now(), prob, now)
+func (p *Planner) review(w *world.RoutingState) {
+	engines := p.plannableEngines(w)
+	p.catalog.update(w, p.Models)
+	models := p.catalog.normalizedModels()
+	p.rollout.removeCompleted(w.Now(), engines)
+	p.rollout.cancelUnsafe(w, p.Goal, engines, models)
+	prob := p.buildProblem(w.Now(), engines, models)
+	now := p.expectedLayout(prob, engines)
+	lack := prob.missingHolders(now)
+	p.status.MissingHolders, p.status.Waiting = lack, len(p.rollout.queue)
+	p.status.Loading, p.status.Stuck = p.rollout.loadingCount(), p.rollout.stuckCount(w.Now())
+	p.detectChanges(w.Now(), prob, now)
 	switch {
 	case len(engines) == 0 || len(models) == 0:
-	case p.wanted(w.Now(), lack):
-		p.start(prob, now, engines)
+	case p.shouldPlan(w.Now(), lack):
+		p.startJob(prob, now, engines)
 	default:
-		p.moves.emit(w, p.Goal, engines, models, p.Rate)
+		p.rollout.dispatch(w, p.Goal, engines, models, p.LoadRate)
 	}
 }
 
-// engines are those that can be planned with, in order of ID. A leaving
+// plannableEngines are those that can be planned with, in order of ID. A leaving
 // engine gets nothing more and a dead one holds nothing.
-func (p *Planner) engines(w *world.World) []*world.Engine {
+func (p *Planner) plannableEngines(w *world.RoutingState) []*world.Engine {
 	var out []*world.Engine
 	for _, e := range w.Engines().Rows() {
 		if e.State() == world.StateServing && (p.DataCentre == "" || e.DataCentre == p.DataCentre) {
@@ -167,98 +167,98 @@
 	return out
 }
 
-func (p *Planner) problem(now time.Duration, engines []*world.Engine, models []Model) *problem {
+func (p *Planner) buildProblem(now time.Duration, engines []*world.Engine, models []Model) *problem {
 	prob := newProblem(p.Goal, engines, models)
 	for i, e := range engines {
-		prob.units[i].fixed = p.moves.refused(now, e.ID)
+		prob.units[i].fixed = p.rollout.isRefusing(now, e.ID)
 	}
 	return prob
 }
 
-// layout is what the engines hold when the orders under way are followed.
-func (p *Planner) layout(prob *problem, engines []*world.Engine) layout {
-	out := prob.current(engines)
+// expectedLayout is what the engines hold when the orders under way are followed.
+func (p *Planner) expectedLayout(prob *problem, engines []*world.Engine) layout {
+	out := prob.currentLayout(engines)
 	for i, e := range engines {
-		if o := p.moves.sent[e.ID]; o != nil {
-			out[i] = prob.spans(o.holds)
+		if o := p.rollout.pending[e.ID]; o != nil {
+			out[i] = prob.toSpans(o.ranges)
 		}
 	}
 	return out
 }
 
-// watch notices when the engines, what they hold, or the demands changed.
-func (p *Planner) watch(now time.Duration, prob *problem, l layout) {
-	if sum := prob.digest(l, p.catalog.coarse()); sum != p.seen {
-		p.seen, p.since, p.due, p.looked = sum, now, true, false
+// detectChanges notices when the engines, what they hold, or the demands changed.
+func (p *Planner) detectChanges(now time.Duration, prob *problem, l layout) {
+	if sum := prob.digest(l, p.catalog.quantizedDemands()); sum != p.lastDigest {
+		p.lastDigest, p.changedAt, p.planDue, p.earlyChecked = sum, now, true, false
 	}
 }
 
-// wanted reports whether a plan is due: at once if layers have no holder, else
+// shouldPlan reports whether a plan is due: at once if layers have no holder, else
 // when things settled, and for mere gain only when the last plan is done and
 // some time ago. Without these waits an engine that comes and goes would have
 // weights loaded back and forth. Before that, one early look tells whether so
 // much was lost that waiting costs more.
-func (p *Planner) wanted(now time.Duration, lack int) bool {
-	rested := p.planned == 0 || now >= p.planned+orElse(p.Rest, defaultRest)
+func (p *Planner) shouldPlan(now time.Duration, lack int) bool {
+	rested := p.plannedAt == 0 || now >= p.plannedAt+defaultIfZero(p.PlanCooldown, defaultPlanCooldown)
 	switch {
-	case !p.due:
+	case !p.planDue:
 		return false
-	case lack >= noHolder:
+	case lack >= noHolderPenalty:
 		return true
-	case p.settled(now):
-		return lack > 0 || rested && p.moves.idle()
-	case p.looked || now < p.since+lookAfter:
+	case p.isSettled(now):
+		return lack > 0 || rested && p.rollout.isIdle()
+	case p.earlyChecked || now < p.changedAt+earlyCheckDelay:
 		return false
 	}
-	p.looked = true
+	p.earlyChecked = true
 	return true
 }
 
-func (p *Planner) settled(now time.Duration) bool {
-	return now >= p.since+orElse(p.Settle, defaultSettle)
+func (p *Planner) isSettled(now time.Duration) bool {
+	return now >= p.changedAt+defaultIfZero(p.SettleTime, defaultSettleTime)
 }
 
-func (p *Planner) start(prob *problem, l layout, engines []*world.Engine) {
-	p.due = false
+func (p *Planner) startJob(prob *problem, l layout, engines []*world.Engine) {
+	p.planDue = false
 	// What is left of an older plan was meant for engines that changed.
-	p.moves.queue = nil
+	p.rollout.queue = nil
 	p.job = newJob(prob, l)
-	p.ids = p.ids[:0]
+	p.engineIDs = p.engineIDs[:0]
 	for _, e := range engines {
-		p.ids = append(p.ids, e.ID)
+		p.engineIDs = append(p.engineIDs, e.ID)
 	}
 }
 
-// adopt takes the layout found if it is worth its loads.
-func (p *Planner) adopt(w *world.World) {
+// applyResult takes the layout found if it is worth its loads.
+func (p *Planner) applyResult(w *world.RoutingState) {
 	j := p.job
 	p.job = nil
-	p.status.Rate, p.status.Bound, p.status.Target = j.value.rate, j.p.bound(), j.value.rate
-	p.shares = j.p.shares(j.value)
-	if !p.settled(w.Now()) && j.lack < noHolder && j.best.rate < hurry*j.value.rate {
-		p.due = true
+	p.status.Rate, p.status.Bound, p.status.Target = j.currentValue.rate, j.problem.rateBound(), j.currentValue.rate
+	p.shares = j.problem.shares(j.currentValue)
+	if !p.isSettled(w.Now()) && j.currentMissing < noHolderPenalty && j.targetValue.rate < earlyPlanMinRatio*j.currentValue.rate {
+		p.planDue = true
 		return
 	}
-	gain := p.Gain
+	gain := p.MinGain
 	if gain == 0 {
-		gain = defaultGain
+		gain = defaultMinGain
 	}
-	order := j.order
-	if j.left >= j.lack && j.best.rate < j.value.rate*(1+gain) {
+	order := j.changeOrder
+	if j.targetMissing >= j.currentMissing && j.targetValue.rate < j.currentValue.rate*(1+gain) {
 		// Engines that hold nothing are given something all the same: that
 		// takes nothing away, and idle hardware costs as much as busy.
-		order = slices.DeleteFunc(order, func(u int) bool { return len(j.now[u]) > 0 })
+		order = slices.DeleteFunc(order, func(u int) bool { return len(j.current[u]) > 0 })
 	} else {
-		p.status.Target = j.best.rate
+		p.status.Target = j.targetValue.rate
 	}
 	if len(order) == 0 {
 		return
 	}
-	p.planned = w.Now()
+	p.plannedAt = w.Now()
 	for _, u := range order {
-		p.moves.queue = append(p.moves.queue, move{
-			engine: p.ids[u], holds: j.p.holds(j.target[u]), loads: loads(j.now[u], j.target[u]),
+		p.rollout.queue = append(p.rollout.queue, move{
+			engine: p.engineIDs[u], ranges: j.problem.toLoadedRanges(j.target[u]), layersToLoad: layersToLoad(j.current[u], j.target[u]),
 		})
 	}
-	p.next = w.Now()
+	p.nextReview = w.Now()
 }
--- a/internal/route/place/problem.go
+++ b/internal/route/place/problem.go
@@ -22,22 +22,22 @@
 	Demand float64
 }
 
-// slowPart is the part of its speed that an engine behind a degraded link
+// degradedRateFactor is the part of its speed that an engine behind a degraded link
 // counts with: routing avoids it, yet it is better than nothing.
-const slowPart = 0.05
+const degradedRateFactor = 0.05
 
-// gridParts is into how many parts a model is cut at most: ranges begin and
+// maxGridParts is into how many parts a model is cut at most: ranges begin and
 // end at multiples of a part, which keeps the boundaries few for routing.
-const gridParts = 24
+const maxGridParts = 24
 
 // unit is an engine as planning sees it.
 type unit struct {
 	id spec.UpstreamID
 	// rate is in layer-tokens a second, link in bytes a second (zero is
 	// unbounded), memory in layers.
-	rate   float64
-	link   float64
-	memory int
+	rate          float64
+	linkBandwidth float64
+	memory        int
 	// fixed units keep what they hold.
 	fixed bool
 }
@@ -63,69 +63,69 @@
 
 // problem is the engines and models to plan for.
 type problem struct {
-	units  []unit
-	models []Model
-	grid   []int
-	need   int
-	// top is the bound once it is known; negative before.
-	top float64
+	units      []unit
+	models     []Model
+	gridStep   []int
+	minHolders int
+	// cachedBound is the bound once it is known; negative before.
+	cachedBound float64
 }
 
 func newProblem(goal Goal, engines []*world.Engine, models []Model) *problem {
-	p := &problem{models: models, need: goal.holders(), top: -1}
+	p := &problem{models: models, minHolders: goal.minHolders(), cachedBound: -1}
 	room, layers := 0, 0
 	for _, e := range engines {
-		p.units = append(p.units, unitOf(e))
+		p.units = append(p.units, newUnit(e))
 		room += p.units[len(p.units)-1].memory
 	}
 	for _, m := range models {
 		layers += m.Depth
 	}
 	for _, m := range models {
-		grid := max(1, m.Depth/gridParts)
-		if room < 2*p.need*layers {
+		grid := max(1, m.Depth/maxGridParts)
+		if room < 2*p.minHolders*layers {
 			// What a grid leaves unused could be needed to hold all layers.
 			grid = 1
 		}
-		p.grid = append(p.grid, grid)
+		p.gridStep = append(p.gridStep, grid)
 	}
 	return p
 }
 
-func unitOf(e *world.Engine) unit {
-	u := unit{id: e.ID, rate: float64(e.Capacity()), link: float64(e.Bandwidth), memory: e.Memory}
-	if e.Slow() {
-		u.rate *= slowPart
+func newUnit(e *world.Engine) unit {
+	u := unit{id: e.ID, rate: float64(e.Capacity()), linkBandwidth: float64(e.Bandwidth), memory: e.LayerCapacity}
+	if e.HasSlowLink() {
+		u.rate *= degradedRateFactor
 	}
 	if u.memory == 0 {
 		// An engine that does not tell its memory can hold what it holds.
-		for _, h := range e.Holds {
+		for _, h := range e.Loaded {
 			u.memory += h.Layers.Len()
 		}
 	}
 	return u
 }
 
-// current is what the engines hold of the models.
-func (p *problem) current(engines []*world.Engine) layout {
+// currentLayout is what the engines hold of the models.
+func (p *problem) currentLayout(engines []*world.Engine) layout {
 	out := make(layout, len(engines))
 	for i, e := range engines {
-		out[i] = p.spans(e.Holds)
+		out[i] = p.toSpans(e.Loaded)
 	}
 	return out
 }
 
-func (p *problem) spans(holds []world.Hold) []span {
+func (p *problem) toSpans(holds []world.LoadedRange) []span {
 	var out []span
 	for _, h := range holds {
-		if m := p.model(h); m >= 0 {
+		if m := p.modelIndex(h); m >= 0 {
 			out = append(out, span{model: m, from: h.Layers.From(), to: h.Layers.To()})
 		}
 	}
-	return sorted(out)
+	return sortSpans(out)
 }
 
-func (p *problem) model(h world.Hold) int {
+func (p *problem) modelIndex(h world.LoadedRange) int {
 	for i, m := range p.models {
 		if m.Name == h.Model && m.Version == h.Version && m.Depth == h.Depth {
 			return i
@@ -134,7 +134,7 @@
 	return -1
 }
 
-func sorted(spans []span) []span {
+func sortSpans(spans []span) []span {
 	slices.SortFunc(spans, func(a, b span) int {
 		if a.model != b.model {
 			return a.model - b.model
@@ -144,12 +144,12 @@
 	return spans
 }
 
-// holds turns spans into what an engine is ordered to hold.
-func (p *problem) holds(spans []span) []world.Hold {
-	out := make([]world.Hold, 0, len(spans))
+// toLoadedRanges turns spans into what an engine is ordered to hold.
+func (p *problem) toLoadedRanges(spans []span) []world.LoadedRange {
+	out := make([]world.LoadedRange, 0, len(spans))
 	for _, s := range spans {
 		m := p.models[s.model]
-		out = append(out, world.Hold{
+		out = append(out, world.LoadedRange{
 			Model: m.Name, Version: m.Version, Depth: m.Depth,
 			Layers: spec.NewLayers(s.from, s.to), Width: m.Width,
 		})
@@ -157,27 +157,27 @@
 	return out
 }
 
-// pass is the most tokens a second of the model that the unit's link carries:
+// linkRate is the most tokens a second of the model that the unit's link carries:
 // each brings one hidden value.
-func (p *problem) pass(u unit, model int) float64 {
+func (p *problem) linkRate(u unit, model int) float64 {
 	w := float64(p.models[model].Width)
-	if u.link <= 0 || w <= 0 {
+	if u.linkBandwidth <= 0 || w <= 0 {
 		return unbounded
 	}
-	return u.link / w
+	return u.linkBandwidth / w
 }
 
-// loads is how many layers the unit must load to go from one set to another.
-func loads(from, to []span) int {
+// layersToLoad is how many layers the unit must load to go from one set to another.
+func layersToLoad(from, to []span) int {
 	n := 0
 	for _, t := range to {
-		n += t.len() - common(from, t)
+		n += t.len() - overlapLen(from, t)
 	}
 	return n
 }
 
-// common is how many layers of s are in spans, which do not overlap.
-func common(spans []span, s span) int {
+// overlapLen is how many layers of s are in spans, which do not overlap.
+func overlapLen(spans []span, s span) int {
 	n := 0
 	for _, o := range spans {
 		if o.model == s.model {
@@ -187,8 +187,8 @@
 	return n
 }
 
-// counts is how many units hold each layer of each model.
-func (p *problem) counts(l layout) [][]int {
+// holderCounts is how many units hold each layer of each model.
+func (p *problem) holderCounts(l layout) [][]int {
 	out := make([][]int, len(p.models))
 	for i, m := range p.models {
 		out[i] = make([]int, m.Depth)
@@ -203,18 +203,18 @@
 	return out
 }
 
-// noHolder is what a layer without any holder counts among those missing.
-const noHolder = 1000
+// noHolderPenalty is what a layer without any holder counts among those missing.
+const noHolderPenalty = 1000
 
-// missing is how many holders the layers of wanted models lack in all. A
+// missingHolders is how many holders the layers of wanted models lack in all. A
 // layer that nobody holds counts far more than one that lacks its second.
-func (p *problem) missing(l layout) int {
+func (p *problem) missingHolders(l layout) int {
 	n := 0
-	for _, layers := range p.counts(l) {
+	for _, layers := range p.holderCounts(l) {
 		for _, c := range layers {
-			n += max(0, p.need-c)
+			n += max(0, p.minHolders-c)
 			if c == 0 {
-				n += noHolder
+				n += noHolderPenalty
 			}
 		}
 	}
