--- a/internal/route/place/search.go
+++ b/internal/route/place/search.go
@@ -1,115 +1,115 @@
 package place
 
 const (
-	// tries is how many changes are weighed for one step of the search.
-	tries = 12
-	// minStep is the least relative gain for which one engine is changed.
-	minStep = 0.004
-	// nearBound ends the search: the rest is not worth a load.
-	nearBound = 0.985
-	// maxSteps bounds the changes of one search.
-	maxSteps = 400
+	// maxCandidates is how many changes are weighed for one step of the search.
+	maxCandidates = 12
+	// minStepGain is the least relative gain for which one engine is changed.
+	minStepGain = 0.004
+	// sufficientBoundShare ends the search: the rest is not worth a load.
+	sufficientBoundShare = 0.985
+	// maxSearchSteps bounds the changes of one search.
+	maxSearchSteps = 400
 )
 
 // search improves a layout one unit at a time. Each step weighs one change, so
 // that a tick's work is bounded.
 type search struct {
-	p      *problem
-	solver solver
-	now    layout
-	value  value
-	lack   int
-	limit  float64
-	steps  int
-	begun  bool
-	done   bool
-	cands  []change
-	best   change
-	better value
-	found  bool
-	// order is the units in the order in which they were changed.
-	order []int
+	problem    *problem
+	solver     solver
+	layout     layout
+	value      evaluation
+	missing    int
+	rateBound  float64
+	steps      int
+	started    bool
+	done       bool
+	remaining  []change
+	bestChange change
+	bestValue  evaluation
+	hasBest    bool
+	// changeOrder is the units in the order in which they were changed.
+	changeOrder []int
 }
 
 // change gives a unit another set of spans.
 type change struct {
-	unit  int
-	spans []span
-	score float64
-	lack  int
+	unit    int
+	spans   []span
+	score   float64
+	missing int
 }
 
 func newSearch(p *problem, from layout) *search {
-	return &search{p: p, solver: solver{p: p}, now: from.clone(), limit: p.bound()}
+	return &search{problem: p, solver: solver{problem: p}, layout: from.clone(), rateBound: p.rateBound()}
 }
 
 // step does one solve at most.
 func (s *search) step() {
 	switch {
-	case !s.begun:
-		s.begun = true
-		s.lack = s.p.missing(s.now)
-		s.value = s.solver.solve(s.now)
-		s.look()
-	case len(s.cands) > 0:
-		s.weigh(s.cands[0])
-		s.cands = s.cands[1:]
-		if len(s.cands) == 0 {
-			s.settle()
+	case !s.started:
+		s.started = true
+		s.missing = s.problem.missingHolders(s.layout)
+		s.value = s.solver.solve(s.layout)
+		s.findCandidates()
+	case len(s.remaining) > 0:
+		s.evaluate(s.remaining[0])
+		s.remaining = s.remaining[1:]
+		if len(s.remaining) == 0 {
+			s.applyBest()
 		}
 	default:
 		s.done = true
 	}
 }
 
-// look finds changes worth weighing; none ends the search.
-func (s *search) look() {
-	s.found = false
-	s.cands = nil
-	enough := s.value.rate >= nearBound*s.limit
-	if s.steps < maxSteps && (s.lack > 0 || !enough) {
-		s.cands = s.candidates()
+// findCandidates finds changes worth weighing; none ends the search.
+func (s *search) findCandidates() {
+	s.hasBest = false
+	s.remaining = nil
+	enough := s.value.rate >= sufficientBoundShare*s.rateBound
+	if s.steps < maxSearchSteps && (s.missing > 0 || !enough) {
+		s.remaining = s.candidates()
 	}
-	s.done = len(s.cands) == 0
+	s.done = len(s.remaining) == 0
 }
 
-func (s *search) weigh(c change) {
-	old := s.now[c.unit]
-	s.now[c.unit] = c.spans
-	v := s.solver.solve(s.now)
-	s.now[c.unit] = old
-	if !s.found || s.beats(c, v) {
-		s.best, s.better, s.found = c, v, true
+func (s *search) evaluate(c change) {
+	old := s.layout[c.unit]
+	s.layout[c.unit] = c.spans
+	v := s.solver.solve(s.layout)
+	s.layout[c.unit] = old
+	if !s.hasBest || s.isBetter(c, v) {
+		s.bestChange, s.bestValue, s.hasBest = c, v, true
 	}
 }
 
-// beats compares by missing holders, then by the gain for each load.
-func (s *search) beats(c change, v value) bool {
-	if c.lack != s.best.lack {
-		return c.lack < s.best.lack
+// isBetter compares by missing holders, then by the gain for each load.
+func (s *search) isBetter(c change, v evaluation) bool {
+	if c.missing != s.bestChange.missing {
+		return c.missing < s.bestChange.missing
 	}
-	return s.gain(c, v) > s.gain(s.best, s.better)
+	return s.gainPerLoad(c, v) > s.gainPerLoad(s.bestChange, s.bestValue)
 }
 
-func (s *search) gain(c change, v value) float64 {
+func (s *search) gainPerLoad(c change, v evaluation) float64 {
 	g := v.rate - s.value.rate
 	if g <= 0 {
 		return g
 	}
 	// A small change that gains a little less is preferred to a large one.
-	return g / (4 + float64(loads(s.now[c.unit], c.spans)))
+	return g / (4 + float64(layersToLoad(s.layout[c.unit], c.spans)))
 }
 
-func (s *search) settle() {
-	repaired := s.best.lack < s.lack
-	gained := s.best.lack == s.lack && s.better.rate > s.value.rate*(1+minStep)
+func (s *search) applyBest() {
+	repaired := s.bestChange.missing < s.missing
+	gained := s.bestChange.missing == s.missing && s.bestValue.rate > s.value.rate*(1+minStepGain)
 	if !repaired && !gained {
 		s.done = true
 		return
 	}
-	s.now[s.best.unit] = s.best.spans
-	s.value, s.lack = s.better, s.best.lack
-	s.order = append(s.order, s.best.unit)
+	s.layout[s.bestChange.unit] = s.bestChange.spans
+	s.value, s.missing = s.bestValue, s.bestChange.missing
+	s.changeOrder = append(s.changeOrder, s.bestChange.unit)
 	s.steps++
-	s.look()
+	s.findCandidates()
 }
--- a/internal/route/place/sim_test.go
+++ b/internal/route/place/sim_test.go
@@ -15,80 +15,80 @@
 // sim is engines that follow orders in virtual time: what an order does not
 // name goes at once, the rest comes from a store of a given rate.
 type sim struct {
-	w       world.World
-	planner place.Planner
-	now     time.Duration
-	rate    float64
-	free    time.Duration
-	engines []*simEngine
-	moves   int
-	loads   int
-	last    time.Duration
-	// longest is the most time that one run of the planner took.
-	longest time.Duration
-	// lost names a layer that an order left without a holder; must not be.
-	lost string
-	// wanted is the version in force; other versions may go once it is whole.
-	wanted map[spec.ModelName]string
+	w            world.RoutingState
+	planner      place.Planner
+	now          time.Duration
+	loadRate     float64
+	storeFreeAt  time.Duration
+	engines      []*simEngine
+	moves        int
+	loadedLayers int
+	lastReadyAt  time.Duration
+	// longestRun is the most time that one run of the planner took.
+	longestRun time.Duration
+	// lostLayer names a layer that an order left without a holder; must not be.
+	lostLayer string
+	// wantedVersions is the version in force; other versions may go once it is whole.
+	wantedVersions map[spec.ModelName]string
 }
 
 type simEngine struct {
-	row    world.Engine
-	want   []world.Hold
-	ready  time.Duration
-	dead   bool
-	deaf   bool
-	loaded bool
+	row           world.Engine
+	ordered       []world.LoadedRange
+	readyAt       time.Duration
+	dead          bool
+	ignoresOrders bool
+	loaded        bool
 }
 
 func newSim(goal place.Goal, rate float64, rows []*world.Engine) *sim {
-	s := &sim{planner: place.Planner{Goal: goal, Rate: rate}, rate: rate, wanted: map[spec.ModelName]string{}}
+	s := &sim{planner: place.Planner{Goal: goal, LoadRate: rate}, loadRate: rate, wantedVersions: map[spec.ModelName]string{}}
 	for _, r := range rows {
 		s.engines = append(s.engines, &simEngine{row: *r, loaded: true})
 	}
-	s.w.Apply(world.Duties{Place: true})
+	s.w.Apply(world.Duties{PlansPlacement: true})
 	return s
 }
 
 // run ticks for a while and reports every engine's state each second.
 func (s *sim) run(d time.Duration) {
 	for end := s.now + d; s.now < end; s.now += tick {
-		s.w.Begin(s.now)
+		s.w.BeginTick(s.now)
 		for _, e := range s.engines {
-			s.load(e)
+			s.finishLoad(e)
 			if s.now%time.Second == 0 && !e.dead {
 				e.row.Seq++
-				s.w.Apply(world.EngineSeen{Engine: e.row})
+				s.w.Apply(world.EngineReport{Engine: e.row})
 			}
 		}
 		began := time.Now()
 		s.planner.Run(&s.w)
-		s.longest = max(s.longest, time.Since(began))
+		s.longestRun = max(s.longestRun, time.Since(began))
 		for _, c := range s.w.Commands() {
-			if p, ok := c.(world.Place); ok {
-				s.order(p)
+			if p, ok := c.(world.LoadLayers); ok {
+				s.applyOrder(p)
 			}
 		}
 	}
 }
 
-func (s *sim) load(e *simEngine) {
-	if !e.loaded && !e.dead && s.now >= e.ready {
-		e.row.Holds = e.want
+func (s *sim) finishLoad(e *simEngine) {
+	if !e.loaded && !e.dead && s.now >= e.readyAt {
+		e.row.Loaded = e.ordered
 		e.loaded = true
 	}
 }
 
-func (s *sim) order(p world.Place) {
+func (s *sim) applyOrder(p world.LoadLayers) {
 	for _, e := range s.engines {
-		if e.row.ID != p.Engine || e.dead || e.deaf {
+		if e.row.ID != p.Engine || e.dead || e.ignoresOrders {
 			continue
 		}
-		before := s.holders()
-		missing := layers(p.Holds)
-		var kept []world.Hold
-		for _, want := range p.Holds {
-			for _, have := range e.row.Holds {
+		before := s.holderCounts()
+		missing := layerCount(p.Ranges)
+		var kept []world.LoadedRange
+		for _, want := range p.Ranges {
+			for _, have := range e.row.Loaded {
 				if want.Model != have.Model || want.Version != have.Version {
 					continue
 				}
@@ -100,23 +100,23 @@
 				}
 			}
 		}
-		e.row.Holds, e.want, e.loaded = kept, p.Holds, false
-		s.free = max(s.free, s.now)
-		s.free += time.Duration(float64(missing) / s.rate * float64(time.Second))
-		e.ready = s.free
+		e.row.Loaded, e.ordered, e.loaded = kept, p.Ranges, false
+		s.storeFreeAt = max(s.storeFreeAt, s.now)
+		s.storeFreeAt += time.Duration(float64(missing) / s.loadRate * float64(time.Second))
+		e.readyAt = s.storeFreeAt
 		s.moves++
-		s.last = e.ready
-		s.loads += missing
-		s.compare(before)
+		s.lastReadyAt = e.readyAt
+		s.loadedLayers += missing
+		s.recordLostLayers(before)
 	}
 }
 
-// compare notes layers that an order left without a holder.
-func (s *sim) compare(before map[string]int) {
-	after := s.holders()
+// recordLostLayers notes layers that an order left without a holder.
+func (s *sim) recordLostLayers(before map[string]int) {
+	after := s.holderCounts()
 	for _, key := range sortedKeys(before) {
-		if after[key] == 0 && !s.replaced(key, after) {
-			s.lost = fmt.Sprintf("%s at %v", key, s.now)
+		if after[key] == 0 && !s.isSuperseded(key, after) {
+			s.lostLayer = fmt.Sprintf("%s at %v", key, s.now)
 		}
 	}
 }
@@ -130,15 +130,15 @@
 	return out
 }
 
-// replaced reports whether the layer is of an old version whose successor is
+// isSuperseded reports whether the layer is of an old version whose successor is
 // whole.
-func (s *sim) replaced(key string, after map[string]int) bool {
+func (s *sim) isSuperseded(key string, after map[string]int) bool {
 	var model, version string
 	var layer, depth int
 	if _, err := fmt.Sscanf(key, "%s %s %d %d", &model, &version, &layer, &depth); err != nil {
 		return false
 	}
-	next := s.wanted[spec.ModelName(model)]
+	next := s.wantedVersions[spec.ModelName(model)]
 	if next == "" || next == version {
 		return false
 	}
@@ -150,13 +150,13 @@
 	return true
 }
 
-func (s *sim) holders() map[string]int {
+func (s *sim) holderCounts() map[string]int {
 	out := map[string]int{}
 	for _, e := range s.engines {
 		if e.dead {
 			continue
 		}
-		for _, h := range e.row.Holds {
+		for _, h := range e.row.Loaded {
 			for at := h.Layers.From(); at < h.Layers.To(); at++ {
 				out[fmt.Sprintf("%s %s %d %d", h.Model, h.Version, at, h.Depth)]++
 			}
@@ -167,21 +167,21 @@
 
 func (s *sim) kill(i int) {
 	s.engines[i].dead = true
-	s.w.Apply(world.EngineDown{Engine: s.engines[i].row.ID})
+	s.w.Apply(world.EngineDead{Engine: s.engines[i].row.ID})
 }
 
-// value is what the living engines are worth as the world sees them.
-func (s *sim) value(models []place.Model) place.Result {
+// evaluate is what the living engines are worth as the world sees them.
+func (s *sim) evaluate(models []place.Model) place.Result {
 	var rows []*world.Engine
 	for _, e := range s.w.Engines().Rows() {
 		if e.State() == world.StateServing {
 			rows = append(rows, e)
 		}
 	}
-	return place.Value(rows, models)
+	return place.Evaluate(rows, models)
 }
 
-func layers(holds []world.Hold) int {
+func layerCount(holds []world.LoadedRange) int {
 	n := 0
 	for _, h := range holds {
 		n += h.Layers.Len()
--- a/internal/route/place/value.go
+++ b/internal/route/place/value.go
@@ -7,41 +7,41 @@
 )
 
 const (
-	// closeEnough ends the search for the rate.
-	closeEnough = 1e-9
-	// maxCuts bounds it; each cut lowers the rate, and few are needed.
-	maxCuts = 60
+	// relativeTolerance ends the search for the rate.
+	relativeTolerance = 1e-9
+	// maxCutIterations bounds it; each cut lowers the rate, and few are needed.
+	maxCutIterations = 60
 )
 
-// value is what a layout is worth.
-type value struct {
+// evaluation is what a layout is worth.
+type evaluation struct {
 	// rate is the multiple of the demands that it can serve.
 	rate float64
-	// tight are the stretches that hold the rate back; idle says which units
+	// bottlenecks are the stretches that hold the rate back; idle says which units
 	// could do more.
-	tight []span
-	idle  []bool
+	bottlenecks []span
+	underused   []bool
 	// shares are what each unit runs of each stretch at that rate, in
 	// layer-tokens a second.
-	shares []share
+	shares []unitShare
 }
 
-type share struct {
+type unitShare struct {
 	unit int
 	span
-	amount float64
+	work float64
 }
 
 // solver finds rates; it keeps its buffers.
 type solver struct {
-	p         *problem
+	problem   *problem
 	net       network
-	stretches []span
-	inner     []inner
+	segments  []span
+	unitEdges []unitEdge
 }
 
-// inner is the edge from a unit to a stretch that it holds.
-type inner struct {
+// unitEdge is the edge from a unit to a stretch that it holds.
+type unitEdge struct {
 	unit int
 	span
 	edge int
@@ -50,17 +50,17 @@
 // solve finds the highest rate at which every stretch gets what it needs. It
 // starts above it; each minimum cut that is too small names stretches and all
 // that can serve them, hence a lower rate, until the flow fits.
-func (s *solver) solve(l layout) value {
-	s.cut(l)
-	out := value{rate: s.p.bound(), idle: make([]bool, len(s.p.units))}
-	for range maxCuts {
-		need := s.build(l, out.rate)
-		got := s.net.run(0, 1)
-		if got >= need*(1-closeEnough) || need == 0 {
+func (s *solver) solve(l layout) evaluation {
+	s.splitSegments(l)
+	out := evaluation{rate: s.problem.rateBound(), underused: make([]bool, len(s.problem.units))}
+	for range maxCutIterations {
+		need := s.buildNetwork(l, out.rate)
+		got := s.net.maxFlow(0, 1)
+		if got >= need*(1-relativeTolerance) || need == 0 {
 			break
 		}
-		rate := s.lower(&out)
-		if rate >= out.rate*(1-closeEnough) {
+		rate := s.rateFromCut(&out)
+		if rate >= out.rate*(1-relativeTolerance) {
 			break
 		}
 		out.rate = rate
@@ -68,15 +68,15 @@
 			break
 		}
 	}
-	out.shares = s.flows()
+	out.shares = s.readShares()
 	return out
 }
 
-// cut sets the stretches of the layout: between two neighbours the holders
+// splitSegments sets the stretches of the layout: between two neighbours the holders
 // are the same.
-func (s *solver) cut(l layout) {
-	s.stretches = s.stretches[:0]
-	for m, model := range s.p.models {
+func (s *solver) splitSegments(l layout) {
+	s.segments = s.segments[:0]
+	for m, model := range s.problem.models {
 		bounds := []int{0, model.Depth}
 		for _, spans := range l {
 			for _, sp := range spans {
@@ -88,74 +88,74 @@
 		slices.Sort(bounds)
 		bounds = slices.Compact(bounds)
 		for i := 0; i+1 < len(bounds); i++ {
-			s.stretches = append(s.stretches, span{model: m, from: bounds[i], to: bounds[i+1]})
+			s.segments = append(s.segments, span{model: m, from: bounds[i], to: bounds[i+1]})
 		}
 	}
 }
 
-// build makes the network: 0 is the source, 1 the sink, then the units, then
+// buildNetwork makes the network: 0 is the source, 1 the sink, then the units, then
 // the stretches. It returns what the stretches need at the rate.
-func (s *solver) build(l layout, rate float64) float64 {
-	first := 2 + len(s.p.units)
-	s.net.reset(first + len(s.stretches))
+func (s *solver) buildNetwork(l layout, rate float64) float64 {
+	first := 2 + len(s.problem.units)
+	s.net.reset(first + len(s.segments))
 	need, total := 0.0, 0.0
-	for i, st := range s.stretches {
-		n := rate * s.p.models[st.model].Demand * float64(st.len())
-		s.net.edge(first+i, 1, n)
+	for i, st := range s.segments {
+		n := rate * s.problem.models[st.model].Demand * float64(st.len())
+		s.net.addEdge(first+i, 1, n)
 		need += n
 	}
-	s.inner = s.inner[:0]
+	s.unitEdges = s.unitEdges[:0]
 	for u, spans := range l {
-		unit := s.p.units[u]
-		s.net.edge(0, 2+u, unit.rate)
+		unit := s.problem.units[u]
+		s.net.addEdge(0, 2+u, unit.rate)
 		total += unit.rate
 		for _, sp := range spans {
-			s.join(u, sp, first)
+			s.connectUnit(u, sp, first)
 		}
 	}
-	s.net.eps = closeEnough * min(need, total) / float64(1+len(s.stretches))
+	s.net.eps = relativeTolerance * min(need, total) / float64(1+len(s.segments))
 	return need
 }
 
-func (s *solver) join(u int, sp span, first int) {
-	pass := s.p.pass(s.p.units[u], sp.model)
-	at, _ := slices.BinarySearchFunc(s.stretches, sp, func(st, sp span) int {
+func (s *solver) connectUnit(u int, sp span, first int) {
+	pass := s.problem.linkRate(s.problem.units[u], sp.model)
+	at, _ := slices.BinarySearchFunc(s.segments, sp, func(st, sp span) int {
 		if st.model != sp.model {
 			return st.model - sp.model
 		}
 		return st.from - sp.from
 	})
-	for ; at < len(s.stretches) && s.stretches[at].model == sp.model && s.stretches[at].to <= sp.to; at++ {
-		st := s.stretches[at]
+	for ; at < len(s.segments) && s.segments[at].model == sp.model && s.segments[at].to <= sp.to; at++ {
+		st := s.segments[at]
 		capacity := unbounded
 		if pass < unbounded {
 			capacity = pass * float64(st.len())
 		}
-		edge := s.net.edge(2+u, first+at, capacity)
-		s.inner = append(s.inner, inner{unit: u, span: st, edge: edge})
+		edge := s.net.addEdge(2+u, first+at, capacity)
+		s.unitEdges = append(s.unitEdges, unitEdge{unit: u, span: st, edge: edge})
 	}
 }
 
-// lower reads the minimum cut and returns the rate that it allows.
-func (s *solver) lower(out *value) float64 {
-	first := 2 + len(s.p.units)
+// rateFromCut reads the minimum cut and returns the rate that it allows.
+func (s *solver) rateFromCut(out *evaluation) float64 {
+	first := 2 + len(s.problem.units)
 	room, per := 0.0, 0.0
-	out.tight = out.tight[:0]
-	for i, st := range s.stretches {
+	out.bottlenecks = out.bottlenecks[:0]
+	for i, st := range s.segments {
 		if s.net.level[first+i] < 0 {
-			per += s.p.models[st.model].Demand * float64(st.len())
-			out.tight = append(out.tight, st)
+			per += s.problem.models[st.model].Demand * float64(st.len())
+			out.bottlenecks = append(out.bottlenecks, st)
 		}
 	}
-	for u, unit := range s.p.units {
-		out.idle[u] = s.net.level[2+u] >= 0
-		if !out.idle[u] {
+	for u, unit := range s.problem.units {
+		out.underused[u] = s.net.level[2+u] >= 0
+		if !out.underused[u] {
 			room += unit.rate
 			continue
 		}
-		for e := s.net.head[2+u]; e >= 0; e = s.net.next[e] {
-			if e%2 == 0 && s.net.level[s.net.to[e]] < 0 {
-				room += s.net.left[e] + s.net.left[e^1]
+		for e := s.net.firstEdge[2+u]; e >= 0; e = s.net.nextEdge[e] {
+			if e%2 == 0 && s.net.level[s.net.edgeTarget[e]] < 0 {
+				room += s.net.residual[e] + s.net.residual[e^1]
 			}
 		}
 	}
@@ -165,12 +165,12 @@
 	return room / per
 }
 
-// flows reads what each unit runs.
-func (s *solver) flows() []share {
-	var out []share
-	for _, in := range s.inner {
-		if f := s.net.left[in.edge^1]; f > s.net.eps {
-			out = append(out, share{unit: in.unit, span: in.span, amount: f})
+// readShares reads what each unit runs.
+func (s *solver) readShares() []unitShare {
+	var out []unitShare
+	for _, in := range s.unitEdges {
+		if f := s.net.residual[in.edge^1]; f > s.net.eps {
+			out = append(out, unitShare{unit: in.unit, span: in.span, work: f})
 		}
 	}
 	return out
@@ -186,13 +186,13 @@
 	Rate float64
 }
 
-func (p *problem) shares(v value) []Share {
+func (p *problem) shares(v evaluation) []Share {
 	out := make([]Share, 0, len(v.shares))
 	for _, s := range v.shares {
 		m := p.models[s.model]
 		out = append(out, Share{
 			Engine: p.units[s.unit].id, Model: m.Name, Version: m.Version,
-			Layers: spec.NewLayers(s.from, s.to), Rate: s.amount / float64(s.len()),
+			Layers: spec.NewLayers(s.from, s.to), Rate: s.work / float64(s.len()),
 		})
 	}
 	return out
--- a/internal/route/poison/poison.go
+++ b/internal/route/poison/poison.go
@@ -17,23 +17,23 @@
 )
 
 const (
-	// guilty is how many engines a request may kill.
-	guilty = 2
-	// Expiry is how long a fingerprint is remembered.
-	Expiry = 10 * time.Minute
-	// heardHold is how long a request waits here while another instance has
+	// culpritCrashes is how many engines a request may kill.
+	culpritCrashes = 2
+	// SuspectTTL is how long a fingerprint is remembered.
+	SuspectTTL = 10 * time.Minute
+	// peerProbationWait is how long a request waits here while another instance has
 	// the same one on probation.
-	heardHold = 2 * time.Second
-	// spread is how long a suspect that made no token waits before it runs
+	peerProbationWait = 2 * time.Second
+	// noProgressDelay is how long a suspect that made no token waits before it runs
 	// again: its second run may end in milliseconds, and its caller could send
 	// it to an instance that has not heard of the first death.
-	spread = 400 * time.Millisecond
-	// clearAfter ends a probation of which no progress is told, and clearTimes
+	noProgressDelay = 400 * time.Millisecond
+	// minProbation ends a probation of which no progress is told, and clearTimes
 	// the same as a multiple of the predicted time.
-	clearAfter = 2 * time.Second
-	clearTimes = 6
-	// most bounds the fingerprints remembered.
-	most = 4096
+	minProbation    = 2 * time.Second
+	probationFactor = 6
+	// maxSuspects bounds the fingerprints remembered.
+	maxSuspects = 4096
 )
 
 // Verdict says what may be done with a request.
@@ -43,185 +43,185 @@
 
 // The verdicts.
 const (
-	VerdictFree   Verdict = iota // free
-	VerdictSolo                  // solo
-	VerdictWait                  // wait
-	VerdictGuilty                // guilty
+	VerdictAllow   Verdict = iota // free
+	VerdictIsolate                // solo
+	VerdictWait                   // wait
+	VerdictCulprit                // guilty
 )
 
-// Book remembers suspects and who is on probation where.
-type Book struct {
-	prints map[uint64]*suspect
-	order  []uint64
-	solo   map[spec.UpstreamID]*world.Request
-	trials []*trial
+// Tracker remembers suspects and who is on probation where.
+type Tracker struct {
+	suspects          map[uint64]*suspect
+	insertionOrder    []uint64
+	probationByEngine map[spec.UpstreamID]*world.Request
+	probations        []*probation
 }
 
 // suspect is a fingerprint that ran on an engine that died.
 type suspect struct {
-	engines []spec.UpstreamID
-	crashes int
-	at      time.Duration
-	// heard is when another instance told of it; runs is set while a request
+	engines   []spec.UpstreamID
+	crashes   int
+	lastCrash time.Duration
+	// reportedAt is when another instance told of it; runs is set while a request
 	// with it is on probation here.
-	heard time.Duration
-	told  bool
-	runs  *world.Request
+	reportedAt time.Duration
+	reported   bool
+	running    *world.Request
 }
 
-// trial is a request on probation.
-type trial struct {
-	r       *world.Request
+// probation is a request on probation.
+type probation struct {
+	request *world.Request
 	engines []spec.UpstreamID
 	attempt uint32
 	until   time.Duration
 }
 
-// Crashed counts the death of engine against the request, once per engine, and
+// RecordCrash counts the death of engine against the request, once per engine, and
 // warns the other instances. Only a stage that was new in the attempt counts:
 // a stage that was kept had run all of the request before and lived.
-func (b *Book) Crashed(w *world.World, r *world.Request, engine spec.UpstreamID) {
-	p := r.Arrived().Print
+func (b *Tracker) RecordCrash(w *world.RoutingState, r *world.Request, engine spec.UpstreamID) {
+	p := r.Arrival().Fingerprint
 	if p == 0 {
 		return
 	}
-	s := b.get(w.Now(), p)
-	s.at = w.Now()
-	if !s.add(engine) {
+	s := b.ensureSuspect(w.Now(), p)
+	s.lastCrash = w.Now()
+	if !s.addEngine(engine) {
 		return
 	}
-	w.Emit(world.Warn{Print: p, Crashes: s.crashes, Engine: engine})
+	w.Emit(world.ReportSuspect{Fingerprint: p, Crashes: s.crashes, Engine: engine})
 }
 
-func (s *suspect) add(engine spec.UpstreamID) bool {
+func (s *suspect) addEngine(engine spec.UpstreamID) bool {
 	for _, e := range s.engines {
 		if e == engine {
 			return false
 		}
 	}
-	if len(s.engines) < guilty {
+	if len(s.engines) < culpritCrashes {
 		s.engines = append(s.engines, engine)
 	}
 	s.crashes = max(s.crashes, len(s.engines))
 	return true
 }
 
-// Heard takes what another instance found. No crashes means that the request
+// ApplyPeerReport takes what another instance found. No crashes means that the request
 // was cleared there.
-func (b *Book) Heard(now time.Duration, ev world.Suspected) {
+func (b *Tracker) ApplyPeerReport(now time.Duration, ev world.SuspectReported) {
 	if ev.Crashes <= 0 {
-		if s := b.prints[ev.Print]; s != nil && s.crashes < guilty && s.runs == nil {
-			b.forget(ev.Print)
+		if s := b.suspects[ev.Fingerprint]; s != nil && s.crashes < culpritCrashes && s.running == nil {
+			b.evict(ev.Fingerprint)
 		}
 		return
 	}
-	s := b.get(now, ev.Print)
-	s.at = now
+	s := b.ensureSuspect(now, ev.Fingerprint)
+	s.lastCrash = now
 	if ev.Engine != "" {
-		s.add(ev.Engine)
+		s.addEngine(ev.Engine)
 	}
-	s.crashes = max(s.crashes, min(ev.Crashes, guilty))
-	s.heard = now
-	s.told = true
+	s.crashes = max(s.crashes, min(ev.Crashes, culpritCrashes))
+	s.reportedAt = now
+	s.reported = true
 }
 
-// Judge says what may be done with a request that is about to start.
-func (b *Book) Judge(now time.Duration, r *world.Request) Verdict {
-	s := b.prints[r.Arrived().Print]
+// Evaluate says what may be done with a request that is about to start.
+func (b *Tracker) Evaluate(now time.Duration, r *world.Request) Verdict {
+	s := b.suspects[r.Arrival().Fingerprint]
 	switch {
-	case s == nil || now-s.at > Expiry || s.crashes == 0:
-		return VerdictFree
-	case s.crashes >= guilty:
-		return VerdictGuilty
-	case b.early(now, s, r):
+	case s == nil || now-s.lastCrash > SuspectTTL || s.crashes == 0:
+		return VerdictAllow
+	case s.crashes >= culpritCrashes:
+		return VerdictCulprit
+	case b.mustWait(now, s, r):
 		return VerdictWait
 	}
-	return VerdictSolo
+	return VerdictIsolate
 }
 
-// early reports whether the suspect must wait before it runs again.
-func (b *Book) early(now time.Duration, s *suspect, r *world.Request) bool {
-	if s.runs != nil && s.runs != r && !s.runs.Gone() {
+// mustWait reports whether the suspect must wait before it runs again.
+func (b *Tracker) mustWait(now time.Duration, s *suspect, r *world.Request) bool {
+	if s.running != nil && s.running != r && !s.running.Ended() {
 		return true
 	}
 	if r.Attempt() > 0 {
-		return now-s.at < Hold(r)
+		return now-s.lastCrash < RestartDelay(r)
 	}
 	// Another instance may have it on probation now: two at once could kill
 	// two more engines before either hears of the other.
-	return s.told && now-s.heard < heardHold
+	return s.reported && now-s.reportedAt < peerProbationWait
 }
 
-// Hold is how long a suspect that runs here waits after the death.
-func Hold(r *world.Request) time.Duration {
-	if r.Tokens() > r.From() {
+// RestartDelay is how long a suspect that runs here waits after the death.
+func RestartDelay(r *world.Request) time.Duration {
+	if r.Tokens() > r.TokensAtStart() {
 		return 0
 	}
-	return spread
+	return noProgressDelay
 }
 
-// Solo reports whether engine has no other suspect on probation.
-func (b *Book) Solo(engine spec.UpstreamID, r *world.Request) bool {
-	on := b.solo[engine]
-	return on == nil || on == r || on.Gone()
+// HasNoOtherSuspect reports whether engine has no other suspect on probation.
+func (b *Tracker) HasNoOtherSuspect(engine spec.UpstreamID, r *world.Request) bool {
+	on := b.probationByEngine[engine]
+	return on == nil || on == r || on.Ended()
 }
 
-// Try puts a suspect that starts now on probation on the stages that are new
+// StartProbation puts a suspect that starts now on probation on the stages that are new
 // to it.
-func (b *Book) Try(now time.Duration, r *world.Request, fresh []spec.UpstreamID) {
-	b.end(r)
-	if b.solo == nil {
-		b.solo = map[spec.UpstreamID]*world.Request{}
+func (b *Tracker) StartProbation(now time.Duration, r *world.Request, fresh []spec.UpstreamID) {
+	b.endProbation(r)
+	if b.probationByEngine == nil {
+		b.probationByEngine = map[spec.UpstreamID]*world.Request{}
 	}
-	wait := max(clearAfter, clearTimes*r.Plan().First)
-	b.trials = append(b.trials, &trial{r: r, engines: fresh, attempt: r.Attempt(), until: now + wait})
+	wait := max(minProbation, probationFactor*r.Plan().FirstTokenTime)
+	b.probations = append(b.probations, &probation{request: r, engines: fresh, attempt: r.Attempt(), until: now + wait})
 	for _, e := range fresh {
-		b.solo[e] = r
+		b.probationByEngine[e] = r
 	}
-	if s := b.prints[r.Arrived().Print]; s != nil {
-		s.runs = r
+	if s := b.suspects[r.Arrival().Fingerprint]; s != nil {
+		s.running = r
 	}
 }
 
-// Lost ends the probation of a request that lost a stage.
-func (b *Book) Lost(r *world.Request) { b.end(r) }
+// HandleStageLoss ends the probation of a request that lost a stage.
+func (b *Tracker) HandleStageLoss(r *world.Request) { b.endProbation(r) }
 
-func (b *Book) get(now time.Duration, print uint64) *suspect {
-	if s := b.prints[print]; s != nil {
+func (b *Tracker) ensureSuspect(now time.Duration, print uint64) *suspect {
+	if s := b.suspects[print]; s != nil {
 		return s
 	}
-	if b.prints == nil {
-		b.prints = map[uint64]*suspect{}
+	if b.suspects == nil {
+		b.suspects = map[uint64]*suspect{}
 	}
-	if len(b.order) >= most {
-		b.forget(b.order[0])
+	if len(b.insertionOrder) >= maxSuspects {
+		b.evict(b.insertionOrder[0])
 	}
-	s := &suspect{at: now}
-	b.prints[print] = s
-	b.order = append(b.order, print)
+	s := &suspect{lastCrash: now}
+	b.suspects[print] = s
+	b.insertionOrder = append(b.insertionOrder, print)
 	return s
 }
 
-func (b *Book) forget(print uint64) {
-	delete(b.prints, print)
-	for i, p := range b.order {
+func (b *Tracker) evict(print uint64) {
+	delete(b.suspects, print)
+	for i, p := range b.insertionOrder {
 		if p == print {
-			b.order = append(b.order[:i], b.order[i+1:]...)
+			b.insertionOrder = append(b.insertionOrder[:i], b.insertionOrder[i+1:]...)
 			return
 		}
 	}
 }
 
-// expire drops the oldest fingerprints once their time is over.
-func (b *Book) expire(now time.Duration) {
-	for len(b.order) > 0 {
-		s := b.prints[b.order[0]]
-		if now-s.at <= Expiry {
+// evictExpired drops the oldest fingerprints once their time is over.
+func (b *Tracker) evictExpired(now time.Duration) {
+	for len(b.insertionOrder) > 0 {
+		s := b.suspects[b.insertionOrder[0]]
+		if now-s.lastCrash <= SuspectTTL {
 			return
 		}
-		b.forget(b.order[0])
+		b.evict(b.insertionOrder[0])
 	}
 }
 
 // Len is how many fingerprints are remembered.
-func (b *Book) Len() int { return len(b.order) }
+func (b *Tracker) Len() int { return len(b.insertionOrder) }
--- a/internal/route/poison/poison_test.go
+++ b/internal/route/poison/poison_test.go
@@ -10,15 +10,15 @@
 )
 
 func TestFingerprintsAreBoundedAndExpire(t *testing.T) {
-	b := &poison.Book{}
+	b := &poison.Tracker{}
 	for i := range 6000 {
-		b.Heard(time.Second, world.Suspected{Print: uint64(i + 1), Crashes: 2, Engine: "e"})
+		b.ApplyPeerReport(time.Second, world.SuspectReported{Fingerprint: uint64(i + 1), Crashes: 2, Engine: "e"})
 	}
 	if got, want := b.Len(), 4096; got != want {
 		t.Errorf("fingerprints: got %d, want %d", got, want)
 	}
-	w := &world.World{}
-	w.Begin(2*time.Second + poison.Expiry)
+	w := &world.RoutingState{}
+	w.BeginTick(2*time.Second + poison.SuspectTTL)
 	b.Run(w)
 	if got := b.Len(); got != 0 {
 		t.Errorf("after expiry: got %d, want 0", got)
@@ -28,30 +28,30 @@
 // Instances hear of deaths in any order and of some twice. The same engine
 // counts once, two engines condemn, and a clearance by one instance does not
 // absolve what killed two.
-func TestHeardDeathsCountPerEngine(t *testing.T) {
-	w := &world.World{}
-	w.Begin(time.Minute)
-	w.Apply(world.Arrived{Request: "r", Print: 7})
-	r := w.Requests().Due()[0]
-	b := &poison.Book{}
+func TestReportedCrashesCountPerEngine(t *testing.T) {
+	w := &world.RoutingState{}
+	w.BeginTick(time.Minute)
+	w.Apply(world.RequestArrived{Request: "r", Fingerprint: 7})
+	r := w.Requests().TakeDue()[0]
+	b := &poison.Tracker{}
 	heard := func(crashes int, engine spec.UpstreamID) poison.Verdict {
-		b.Heard(0, world.Suspected{Print: 7, Crashes: crashes, Engine: engine})
-		return b.Judge(w.Now(), r)
+		b.ApplyPeerReport(0, world.SuspectReported{Fingerprint: 7, Crashes: crashes, Engine: engine})
+		return b.Evaluate(w.Now(), r)
 	}
-	if got := heard(1, "e"); got != poison.VerdictSolo {
+	if got := heard(1, "e"); got != poison.VerdictIsolate {
 		t.Errorf("one death: got %v, want solo", got)
 	}
-	if got := heard(1, "e"); got != poison.VerdictSolo {
+	if got := heard(1, "e"); got != poison.VerdictIsolate {
 		t.Errorf("the same death again: got %v, want solo", got)
 	}
-	if got := heard(0, "e"); got != poison.VerdictFree {
+	if got := heard(0, "e"); got != poison.VerdictAllow {
 		t.Errorf("cleared: got %v, want free", got)
 	}
 	heard(1, "e")
-	if got := heard(1, "f"); got != poison.VerdictGuilty {
+	if got := heard(1, "f"); got != poison.VerdictCulprit {
 		t.Errorf("two engines: got %v, want guilty", got)
 	}
-	if got := heard(0, "e"); got != poison.VerdictGuilty {
+	if got := heard(0, "e"); got != poison.VerdictCulprit {
 		t.Errorf("cleared by one after two deaths: got %v, want guilty still", got)
 	}
 }
--- a/internal/route/poison/trial.go
+++ b/internal/route/poison/trial.go
@@ -3,42 +3,42 @@
 import "fulmarwick/internal/route/world"
 
 // Run clears the suspects that got past the point where they were.
-func (b *Book) Run(w *world.World) {
+func (b *Tracker) Run(w *world.RoutingState) {
 	now := w.Now()
-	for _, t := range append([]*trial(nil), b.trials...) {
+	for _, t := range append([]*probation(nil), b.probations...) {
 		switch {
-		case t.r.Gone() && !t.r.Done():
-			b.end(t.r)
-		case t.r.Gone() || t.r.Tokens() > t.r.From() || now >= t.until:
-			b.end(t.r)
-			b.clear(w, t.r.Arrived().Print)
+		case t.request.Ended() && !t.request.Completed():
+			b.endProbation(t.request)
+		case t.request.Ended() || t.request.Tokens() > t.request.TokensAtStart() || now >= t.until:
+			b.endProbation(t.request)
+			b.clearSuspect(w, t.request.Arrival().Fingerprint)
 		}
 	}
-	b.expire(now)
+	b.evictExpired(now)
 }
 
-func (b *Book) clear(w *world.World, print uint64) {
-	if s := b.prints[print]; s != nil && s.crashes < guilty {
-		b.forget(print)
-		w.Emit(world.Warn{Print: print})
+func (b *Tracker) clearSuspect(w *world.RoutingState, print uint64) {
+	if s := b.suspects[print]; s != nil && s.crashes < culpritCrashes {
+		b.evict(print)
+		w.Emit(world.ReportSuspect{Fingerprint: print})
 	}
 }
 
-func (b *Book) end(r *world.Request) {
-	keep := b.trials[:0]
-	for _, t := range b.trials {
-		if t.r != r {
+func (b *Tracker) endProbation(r *world.Request) {
+	keep := b.probations[:0]
+	for _, t := range b.probations {
+		if t.request != r {
 			keep = append(keep, t)
 			continue
 		}
 		for _, e := range t.engines {
-			if b.solo[e] == r {
-				delete(b.solo, e)
+			if b.probationByEngine[e] == r {
+				delete(b.probationByEngine, e)
 			}
 		}
 	}
-	b.trials = keep
-	if s := b.prints[r.Arrived().Print]; s != nil && s.runs == r {
-		s.runs = nil
+	b.probations = keep
+	if s := b.suspects[r.Arrival().Fingerprint]; s != nil && s.running == r {
+		s.running = nil
 	}
 }
--- a/internal/route/poison/verdict_string.go
+++ b/internal/route/poison/verdict_string.go
@@ -8,10 +8,10 @@
 	// An "invalid array index" compiler error signifies that the constant values have changed.
 	// Re-run the stringer command to generate them again.
 	var x [1]struct{}
-	_ = x[VerdictFree-0]
-	_ = x[VerdictSolo-1]
+	_ = x[VerdictAllow-0]
+	_ = x[VerdictIsolate-1]
 	_ = x[VerdictWait-2]
-	_ = x[VerdictGuilty-3]
+	_ = x[VerdictCulprit-3]
 }
 
 const _Verdict_name = "freesolowaitguilty"
--- a/internal/route/retry/patience.go
+++ b/internal/route/retry/patience.go
@@ -9,52 +9,52 @@
 )
 
 const (
-	stepLeast    = 500 * time.Millisecond
-	gapLeast     = 250 * time.Millisecond
-	gapTimes     = 2
-	stepMost     = 10 * time.Second
-	prefillLeast = time.Second
-	prefillMost  = 60 * time.Second
-	// times is the patience over the quantile of what was seen, unseen the
+	defaultMinStepTimeout = 500 * time.Millisecond
+	minStepTimeoutWithGap = 250 * time.Millisecond
+	gapFactor             = 2
+	maxStepTimeout        = 10 * time.Second
+	minPrefillTimeout     = time.Second
+	maxPrefillTimeout     = 60 * time.Second
+	// observedFactor is the patience over the quantile of what was seen, unseen the
 	// same over the prediction while too little was seen.
-	times    = 3
-	unseen   = 8
-	quantile = 99
+	observedFactor  = 3
+	predictedFactor = 8
+	ratioPercentile = 99
 )
 
-// Patience learns per class how much longer than predicted steps take, and
+// TimeoutEstimator learns per class how much longer than predicted steps take, and
 // from it how long the wire should wait for one. It is kept as a ratio, so that
 // what is learnt on slow engines does not make callers on fast ones wait.
-type Patience struct {
-	classes map[spec.ClassName]*seen
+type TimeoutEstimator struct {
+	classes map[spec.ClassName]*classRatios
 }
 
-type seen struct {
+type classRatios struct {
 	step, prefill hist.Ratios
 }
 
-// Saw notes an answer that ran on one chain to its end.
-func (p *Patience) Saw(r *world.Request, ev world.Finished) {
+// Observe notes an answer that ran on one chain to its end.
+func (p *TimeoutEstimator) Observe(r *world.Request, ev world.RequestFinished) {
 	plan := r.Plan()
-	if plan.Token <= 0 || plan.First <= 0 || ev.Gap <= 0 {
+	if plan.TokenTime <= 0 || plan.FirstTokenTime <= 0 || ev.LongestGap <= 0 {
 		return
 	}
 	if p.classes == nil {
-		p.classes = map[spec.ClassName]*seen{}
+		p.classes = map[spec.ClassName]*classRatios{}
 	}
-	class := r.Arrived().Class
+	class := r.Arrival().Class
 	s := p.classes[class]
 	if s == nil {
-		s = &seen{}
+		s = &classRatios{}
 		p.classes[class] = s
 	}
-	s.step.Add(float64(ev.Gap) / float64(plan.Token))
-	s.prefill.Add(float64(ev.First-(r.Started()-r.At())) / float64(plan.First))
+	s.step.Add(float64(ev.LongestGap) / float64(plan.TokenTime))
+	s.prefill.Add(float64(ev.FirstToken-(r.StartedAt()-r.ArrivedAt())) / float64(plan.FirstTokenTime))
 }
 
-// Keep drops what was learnt for classes that are no longer in force.
-func (p *Patience) Keep(classes []spec.Class) {
-	kept := map[spec.ClassName]*seen{}
+// RetainClasses drops what was learnt for classes that are no longer in force.
+func (p *TimeoutEstimator) RetainClasses(classes []spec.Class) {
+	kept := map[spec.ClassName]*classRatios{}
 	for _, c := range classes {
 		if s := p.classes[c.Name()]; s != nil {
 			kept[c.Name()] = s
@@ -63,41 +63,41 @@
 	p.classes = kept
 }
 
-// least is the shortest patience for a step: longer than the stall of a busy
+// minStepTimeout is the shortest patience for a step: longer than the stall of a busy
 // host, but not so long that a class with a tight gap keeps a stage behind a
 // degraded link that breaks its target with each token.
-func least(target spec.Target) time.Duration {
+func minStepTimeout(target spec.Target) time.Duration {
 	if target.Gap() <= 0 {
-		return stepLeast
+		return defaultMinStepTimeout
 	}
-	return min(max(gapLeast, gapTimes*target.Gap()), stepLeast)
+	return min(max(minStepTimeoutWithGap, gapFactor*target.Gap()), defaultMinStepTimeout)
 }
 
-// Times is how long to wait for the steps of a request that starts by plan.
+// Timeouts is how long to wait for the steps of a request that starts by plan.
 // Each timeout that the request met doubles it: where a step is slow and not
 // lost, trying again just as soon would only repeat the work.
-func (p *Patience) Times(r *world.Request, plan world.Plan) Times {
-	step, prefill := float64(unseen), float64(unseen)
-	if s := p.classes[r.Arrived().Class]; s != nil {
-		step, prefill = limit(&s.step), limit(&s.prefill)
+func (p *TimeoutEstimator) Timeouts(r *world.Request, plan world.Plan) Timeouts {
+	step, prefill := float64(predictedFactor), float64(predictedFactor)
+	if s := p.classes[r.Arrival().Class]; s != nil {
+		step, prefill = timeoutFactor(&s.step), timeoutFactor(&s.prefill)
 	}
-	out := Times{
-		Step:    max(least(r.Class().Target()), time.Duration(step*float64(plan.Step))),
-		Prefill: max(prefillLeast, time.Duration(prefill*float64(plan.Prefill))),
+	out := Timeouts{
+		Step:    max(minStepTimeout(r.Class().Target()), time.Duration(step*float64(plan.MaxStepTime))),
+		Prefill: max(minPrefillTimeout, time.Duration(prefill*float64(plan.MaxPrefillTime))),
 	}
-	if r.Cause() == world.CauseTimeout && r.Attempt() > 0 {
-		shift := min(len(r.Lost()), 5)
+	if r.LossCause() == world.CauseTimeout && r.Attempt() > 0 {
+		shift := min(len(r.FailedEngines()), 5)
 		out.Step <<= shift
 		out.Prefill <<= shift
 	}
-	out.Step = min(out.Step, stepMost)
-	out.Prefill = min(out.Prefill, prefillMost)
+	out.Step = min(out.Step, maxStepTimeout)
+	out.Prefill = min(out.Prefill, maxPrefillTimeout)
 	return out
 }
 
-func limit(r *hist.Ratios) float64 {
-	if ratio, ok := r.Percentile(quantile); ok {
-		return times * max(1, ratio)
+func timeoutFactor(r *hist.Ratios) float64 {
+	if ratio, ok := r.Percentile(ratioPercentile); ok {
+		return observedFactor * max(1, ratio)
 	}
-	return unseen
+	return predictedFactor
 }
--- a/internal/route/retry/retry.go
+++ b/internal/route/retry/retry.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	// attemptsMost bounds the chains tried for one request.
-	attemptsMost = 8
-	// earn is the part of a retry that each first start earns its class;
+	// maxAttempts bounds the chains tried for one request.
+	maxAttempts = 8
+	// retriesPerRequest is the part of a retry that each first start earns its class;
 	// bankMost is the most that a class may save up.
-	earn     = 0.1
-	bankMost = 20
+	retriesPerRequest = 0.1
+	maxBalance        = 20
 )
 
 // Budget limits retries per class. A loss by death, leaving or lost state
@@ -28,53 +28,53 @@
 // already; those draw on a bank that first starts fill by a tenth each, so
 // that retries never add more than a tenth to the load.
 type Budget struct {
-	banks map[spec.ClassName]float64
+	balances map[spec.ClassName]float64
 }
 
-// Began notes a first start of the class.
-func (b *Budget) Began(class spec.ClassName) {
-	b.banks[class] = min(b.bank(class)+earn, bankMost)
+// RecordRequest notes a first start of the class.
+func (b *Budget) RecordRequest(class spec.ClassName) {
+	b.balances[class] = min(b.balance(class)+retriesPerRequest, maxBalance)
 }
 
-// Allow reports whether the request, which lost a stage, may start again.
-func (b *Budget) Allow(r *world.Request) bool {
-	if r.Attempt() >= attemptsMost {
+// AllowRetry reports whether the request, which lost a stage, may start again.
+func (b *Budget) AllowRetry(r *world.Request) bool {
+	if r.Attempt() >= maxAttempts {
 		return false
 	}
-	if r.Died() || r.Cause() == world.CauseState || r.Cause() == world.CauseLeaving {
+	if r.EngineDied() || r.LossCause() == world.CauseStateLost || r.LossCause() == world.CauseLeaving {
 		return true
 	}
-	class := r.Arrived().Class
-	if b.bank(class) < 1 {
+	class := r.Arrival().Class
+	if b.balance(class) < 1 {
 		return false
 	}
-	b.banks[class]--
+	b.balances[class]--
 	return true
 }
 
-// Keep drops the banks of classes that are no longer in force.
-func (b *Budget) Keep(classes []spec.Class) {
+// RetainClasses drops the banks of classes that are no longer in force.
+func (b *Budget) RetainClasses(classes []spec.Class) {
 	kept := map[spec.ClassName]float64{}
 	for _, c := range classes {
-		if have, ok := b.banks[c.Name()]; ok {
+		if have, ok := b.balances[c.Name()]; ok {
 			kept[c.Name()] = have
 		}
 	}
-	b.banks = kept
+	b.balances = kept
 }
 
-func (b *Budget) bank(class spec.ClassName) float64 {
-	if b.banks == nil {
-		b.banks = map[spec.ClassName]float64{}
+func (b *Budget) balance(class spec.ClassName) float64 {
+	if b.balances == nil {
+		b.balances = map[spec.ClassName]float64{}
 	}
-	if _, ok := b.banks[class]; !ok {
-		b.banks[class] = bankMost
+	if _, ok := b.balances[class]; !ok {
+		b.balances[class] = maxBalance
 	}
-	return b.banks[class]
+	return b.balances[class]
 }
 
-// Times is how long the wire waits for a step.
-type Times struct {
+// Timeouts is how long the wire waits for a step.
+type Timeouts struct {
 	// Step is for one token, Prefill for the first step of a new stage.
 	Step    time.Duration
 	Prefill time.Duration
--- a/internal/route/world/apply.go
+++ b/internal/route/world/apply.go
@@ -5,67 +5,67 @@
 )
 
 // Apply takes an event into the tables.
-func (w *World) Apply(ev Event) {
+func (w *RoutingState) Apply(ev Event) {
 	switch ev := ev.(type) {
-	case Arrived:
-		w.arrived(ev)
-	case Progress:
-		w.progress(ev)
+	case RequestArrived:
+		w.addRequest(ev)
+	case RequestProgress:
+		w.applyProgress(ev)
 	case StageLost:
-		w.stageLost(ev)
-	case Finished:
-		w.finished(ev)
-	case Canceled:
-		w.ended(ev.Request)
-	case ConfigSet:
-		w.configSet(ev)
+		w.applyStageLost(ev)
+	case RequestFinished:
+		w.applyFinished(ev)
+	case RequestCanceled:
+		w.cancelRequest(ev.Request)
+	case ConfigChanged:
+		w.applyConfig(ev)
 	default:
 		w.applyEngine(ev)
 	}
 }
 
-func (w *World) applyEngine(ev Event) {
+func (w *RoutingState) applyEngine(ev Event) {
 	switch ev := ev.(type) {
-	case EngineSeen:
-		w.engineSeen(ev)
-	case EngineDown:
-		w.engines.mark(w.now, ev.Engine, StateDown)
+	case EngineReport:
+		w.applyEngineReport(ev)
+	case EngineDead:
+		w.engines.setState(w.now, ev.Engine, StateDead)
 	case EngineLeaving:
-		w.engines.mark(w.now, ev.Engine, StateLeaving)
-	case EngineGone:
-		w.engineGone(ev.Engine)
-	case HopTimed:
+		w.engines.setState(w.now, ev.Engine, StateLeaving)
+	case EngineRemoved:
+		w.removeEngine(ev.Engine)
+	case HopMeasured:
 		if e := w.engines.Get(ev.Engine); e != nil {
-			e.timed(ev)
+			e.applyHopTimes(ev)
 		}
-	case PeersSet:
-		w.peersSet(ev)
+	case PeersChanged:
+		w.applyPeers(ev)
 	case PeerLoad:
-		w.peerLoad(ev)
-	case PeerGone:
-		w.peerGone(ev.Peer)
-	case CentreSum:
-		w.centreSum(ev)
+		w.applyPeerLoad(ev)
+	case PeerRemoved:
+		w.removePeer(ev.Peer)
+	case CentreCapacity:
+		w.applyCentreCapacity(ev)
 	case Duties:
 		w.duties = ev
 	}
 }
 
-func (w *World) arrived(ev Arrived) {
+func (w *RoutingState) addRequest(ev RequestArrived) {
 	if w.requests.Get(ev.Request) != nil {
 		return
 	}
 	class := w.classes[ev.Class]
-	w.requests.add(&Request{arrived: ev, class: class, at: w.now})
+	w.requests.add(&Request{arrival: ev, class: class, arrivedAt: w.now})
 }
 
-func (w *World) progress(ev Progress) {
+func (w *RoutingState) applyProgress(ev RequestProgress) {
 	if r := w.requests.Get(ev.Request); r != nil {
 		r.tokens = max(r.tokens, ev.Tokens)
 	}
 }
 
-func (w *World) stageLost(ev StageLost) {
+func (w *RoutingState) applyStageLost(ev StageLost) {
 	r := w.requests.Get(ev.Request)
 	// A report of an older attempt is about a chain that was left already.
 	if r == nil || r.attempt != ev.Attempt {
@@ -74,61 +74,61 @@
 	e := w.engines.Get(ev.Engine)
 	// A second loss of the same attempt says more about the engine, but the
 	// request has its decision open already; two would start it twice.
-	if r.asking {
+	if r.awaitsRestart {
 		if e != nil {
-			w.failed(e, ev.Cause)
+			w.recordEngineFailure(e, ev.Cause)
 		}
 		return
 	}
-	r.asking = true
+	r.awaitsRestart = true
 	r.tokens = max(r.tokens, ev.Tokens)
-	r.cause = ev.Cause
-	r.died = ev.Cause == CauseBroken || (e != nil && e.state == StateDown)
+	r.lossCause = ev.Cause
+	r.engineDied = ev.Cause == CauseBroken || (e != nil && e.state == StateDead)
 	// An engine that lost only this request's state can rebuild it.
-	if ev.Cause != CauseState {
-		r.lost = append(r.lost, ev.Engine)
+	if ev.Cause != CauseStateLost {
+		r.failedEngines = append(r.failedEngines, ev.Engine)
 	}
 	if e != nil {
-		w.failed(e, ev.Cause)
+		w.recordEngineFailure(e, ev.Cause)
 	}
-	w.requests.wait(r)
+	w.requests.addDue(r)
 }
 
-func (w *World) failed(e *Engine, cause Cause) {
+func (w *RoutingState) recordEngineFailure(e *Engine, cause Cause) {
 	switch cause {
 	case CauseBroken:
-		w.engines.mark(w.now, e.ID, StateDown)
+		w.engines.setState(w.now, e.ID, StateDead)
 	case CauseTimeout, CauseRefused, CauseLeaving:
 		// Leaving is also what a full engine answers, so it is not marked for
 		// good: its report or the list confirm it while it is shunned.
-		e.Shun(w.now)
-	case CauseState:
+		e.StartCooldown(w.now)
+	case CauseStateLost:
 	}
 }
 
-func (w *World) finished(ev Finished) {
+func (w *RoutingState) applyFinished(ev RequestFinished) {
 	r := w.requests.Get(ev.Request)
 	if r == nil {
 		return
 	}
-	r.done = ev.OK
+	r.completed = ev.OK
 	if ev.OK {
 		for _, s := range r.plan.Chain {
 			if e := w.engines.Get(s.Engine()); e != nil {
-				e.Proved()
+				e.ResetFailures()
 			}
 		}
 	}
-	w.forget(r)
+	w.removeRequest(r)
 }
 
-func (w *World) ended(id spec.RequestID) {
+func (w *RoutingState) cancelRequest(id spec.RequestID) {
 	if r := w.requests.Get(id); r != nil {
-		w.forget(r)
+		w.removeRequest(r)
 	}
 }
 
-func (w *World) configSet(ev ConfigSet) {
+func (w *RoutingState) applyConfig(ev ConfigChanged) {
 	// A lower version comes from a stale read or an old peer; taking it
 	// would revert an accepted configuration.
 	if ev.Version < w.version {
--- a/internal/route/world/cause_string.go
+++ b/internal/route/world/cause_string.go
@@ -12,7 +12,7 @@
 	_ = x[CauseTimeout-1]
 	_ = x[CauseRefused-2]
 	_ = x[CauseLeaving-3]
-	_ = x[CauseState-4]
+	_ = x[CauseStateLost-4]
 }
 
 const _Cause_name = "brokentimeoutrefusedleavingstate"
--- a/internal/route/world/command.go
+++ b/internal/route/world/command.go
@@ -17,34 +17,34 @@
 	Attempt uint32
 	Chain   spec.Chain
 	Depth   int
-	// Prio is the engine priority; a lower number runs first.
-	Prio int
-	// Patience is how long a step for one token may take before its stage
+	// Priority is the engine priority; a lower number runs first.
+	Priority int
+	// StepTimeout is how long a step for one token may take before its stage
 	// counts as lost, Prefill the same for the first step of a new stage.
 	// Zero leaves it to the wire.
-	Patience time.Duration
-	Prefill  time.Duration
+	StepTimeout    time.Duration
+	PrefillTimeout time.Duration
 }
 
 // Refuse ends a request with its final answer. Nothing runs for it after.
 type Refuse struct {
 	Request spec.RequestID
 	Reason  Reason
-	// After is when the caller should try again; zero if that cannot help.
-	After time.Duration
+	// RetryAfter is when the caller should try again; zero if that cannot help.
+	RetryAfter time.Duration
 	// Ran reports whether any engine ran part of the request.
 	Ran bool
 }
 
-// Place asks for an engine to hold just these ranges in the end.
-type Place struct {
+// LoadLayers asks for an engine to hold just these ranges in the end.
+type LoadLayers struct {
 	Engine spec.UpstreamID
-	Holds  []Hold
+	Ranges []LoadedRange
 }
 
-// Warn tells the other instances about a poison suspect.
-type Warn struct {
-	Print uint64
+// ReportSuspect tells the other instances about a poison suspect.
+type ReportSuspect struct {
+	Fingerprint uint64
 	// Crashes is how many engines died while running it, as known here.
 	Crashes int
 	// Engine is the last that died, so that two instances which saw the same
@@ -60,33 +60,33 @@
 	To      spec.InstanceID
 }
 
-// OwnLoad tells the other instances what this one has in flight on an engine.
-type OwnLoad struct {
+// LocalLoad tells the other instances what this one has in flight on an engine.
+type LocalLoad struct {
 	Engine spec.UpstreamID
 	// Active counts requests; Tokens is what they draw, in layer-tokens a
 	// second.
-	Active int
-	Tokens int
+	Active         int
+	LayerTokenRate int
 }
 
-// OwnRate tells the other instances this one's use by a heavy team, in tokens
+// LocalTeamUsage tells the other instances this one's use by a heavy team, in tokens
 // a second.
-type OwnRate struct {
+type LocalTeamUsage struct {
 	Team spec.TeamID
 	Rate float64
 }
 
-// OwnSum tells the other data centres what this one can still take of a model.
-type OwnSum struct {
-	Model spec.ModelName
-	Free  float64
+// LocalCapacity tells the other data centres what this one can still take of a model.
+type LocalCapacity struct {
+	Model    spec.ModelName
+	FreeRate float64
 }
 
-func (Start) command()   {}
-func (Refuse) command()  {}
-func (Place) command()   {}
-func (Warn) command()    {}
-func (Forward) command() {}
-func (OwnLoad) command() {}
-func (OwnRate) command() {}
-func (OwnSum) command()  {}
+func (Start) command()          {}
+func (Refuse) command()         {}
+func (LoadLayers) command()     {}
+func (ReportSuspect) command()  {}
+func (Forward) command()        {}
+func (LocalLoad) command()      {}
+func (LocalTeamUsage) command() {}
+func (LocalCapacity) command()  {}
--- a/internal/route/world/engine.go
+++ b/internal/route/world/engine.go
@@ -6,8 +6,8 @@
 	"fulmarwick/internal/base/spec"
 )
 
-// Hold is a layer range of one version of a model that an engine has loaded.
-type Hold struct {
+// LoadedRange is a layer range of one version of a model that an engine has loaded.
+type LoadedRange struct {
 	Model   spec.ModelName
 	Version string
 	Depth   int
@@ -22,19 +22,19 @@
 	ID         spec.UpstreamID
 	DataCentre spec.DataCentre
 	Kind       string
-	Holds      []Hold
-	// Layer is the time for one token through one layer.
-	Layer time.Duration
+	Loaded     []LoadedRange
+	// LayerTime is the time for one token through one layer.
+	LayerTime time.Duration
 	// Slots is how many requests the engine batches at once.
 	Slots int
-	// Memory is in layers, Cache and Cached in KV tokens.
-	Memory int
-	Cache  int
-	Cached int
-	Queued int
-	Active int
-	// Hop is the time of one hop to the engine.
-	Hop time.Duration
+	// LayerCapacity is in layers, Cache and Cached in KV tokens.
+	LayerCapacity int
+	KVCapacity    int
+	KVUsed        int
+	Queued        int
+	Active        int
+	// ReportedHopTime is the time of one hop to the engine.
+	ReportedHopTime time.Duration
 	// Bandwidth of the link to the engine is in bytes a second; zero is
 	// unbounded.
 	Bandwidth int64
@@ -44,64 +44,64 @@
 	Seq uint64
 
 	state State
-	// own is how many requests of this instance run on the engine.
-	own  int
-	load load
-	hop  hop
-	shun shun
-	// downAt is when the engine was last marked down.
-	downAt time.Duration
+	// localRequests is how many requests of this instance run on the engine.
+	localRequests int
+	load          load
+	hop           linkState
+	cooldown      cooldown
+	// deadAt is when the engine was last marked down.
+	deadAt time.Duration
 	groups []*Group
 }
 
 // State is how routing sees the engine.
 func (e *Engine) State() State { return e.state }
 
-// Own is how many requests of this instance use the engine.
-func (e *Engine) Own() int { return e.own }
+// LocalRequests is how many requests of this instance use the engine.
+func (e *Engine) LocalRequests() int { return e.localRequests }
 
 // Usable reports whether new work may go to the engine at now.
 func (e *Engine) Usable(now time.Duration) bool {
-	return e.state == StateServing && now >= e.shun.until
+	return e.state == StateServing && now >= e.cooldown.until
 }
 
-// Hold returns the engine's hold that covers layers of the model version.
-func (e *Engine) Hold(model spec.ModelName, version string, layers spec.Layers) (Hold, bool) {
-	for _, h := range e.Holds {
+// FindLoaded returns the engine's hold that covers layers of the model version.
+func (e *Engine) FindLoaded(model spec.ModelName, version string, layers spec.Layers) (LoadedRange, bool) {
+	for _, h := range e.Loaded {
 		if h.Model == model && h.Version == version && h.Layers.Covers(layers) {
 			return h, true
 		}
 	}
-	return Hold{}, false
+	return LoadedRange{}, false
 }
 
-// shun is how long new work avoids an engine that failed without dying.
-type shun struct {
-	until   time.Duration
-	strikes int
+// cooldown is how long new work avoids an engine that failed without dying.
+type cooldown struct {
+	until    time.Duration
+	failures int
 }
 
 const (
-	shunFirst = time.Second
-	shunMost  = 32 * time.Second
+	minCooldown = time.Second
+	maxCooldown = 32 * time.Second
 )
 
-// Shun keeps new work off the engine for a time that doubles with each strike
+// StartCooldown keeps new work off the engine for a time that doubles with each strike
 // in a row, so that an engine that fails now and then is tried less and less
 // and never in step with its recovery.
-func (e *Engine) Shun(now time.Duration) {
-	if now < e.shun.until {
+func (e *Engine) StartCooldown(now time.Duration) {
+	if now < e.cooldown.until {
 		return
 	}
-	wait := min(shunFirst<<min(e.shun.strikes, 10), shunMost)
-	e.shun.strikes++
-	e.shun.until = now + wait
+	wait := min(minCooldown<<min(e.cooldown.failures, 10), maxCooldown)
+	e.cooldown.failures++
+	e.cooldown.until = now + wait
 }
 
-// Proved forgets the strikes of an engine that finished work.
-func (e *Engine) Proved() { e.shun.strikes = 0 }
+// ResetFailures forgets the strikes of an engine that finished work.
+func (e *Engine) ResetFailures() { e.cooldown.failures = 0 }
 
-func sameHolds(a, b []Hold) bool {
+func sameRanges(a, b []LoadedRange) bool {
 	if len(a) != len(b) {
 		return false
 	}
--- a/internal/route/world/engines.go
+++ b/internal/route/world/engines.go
@@ -7,10 +7,10 @@
 	"fulmarwick/internal/base/spec"
 )
 
-// downHold is how long an engine that died stays out although reports of it
+// deadReportHold is how long an engine that died stays out although reports of it
 // arrive: they may have been under way when it died, and believing one would
 // send work to a dead engine until the next death notice.
-const downHold = time.Second
+const deadReportHold = time.Second
 
 // Engines is the table of engines in order of ID.
 type Engines struct {
@@ -28,18 +28,18 @@
 // Index finds the engines of a model.
 func (t *Engines) Index() *Index { return &t.index }
 
-func (t *Engines) see(now time.Duration, report Engine) {
+func (t *Engines) applyReport(now time.Duration, report Engine) {
 	e := t.byID[report.ID]
 	if e == nil {
 		e = &report
 		t.insert(e)
-		t.index.link(e)
-		e.sample()
+		t.index.addEngine(e)
+		e.updateUnexplained()
 		return
 	}
 	restarted := report.Incarnation != e.Incarnation
-	if e.state == StateDown {
-		if now < e.downAt+downHold {
+	if e.state == StateDead {
+		if now < e.deadAt+deadReportHold {
 			return
 		}
 		// Engines that tell no incarnation count their reports from one
@@ -53,24 +53,24 @@
 }
 
 func (t *Engines) update(e, report *Engine, restarted bool) {
-	moved := !sameHolds(e.Holds, report.Holds) || e.Layer != report.Layer || e.Slots != report.Slots
+	moved := !sameRanges(e.Loaded, report.Loaded) || e.LayerTime != report.LayerTime || e.Slots != report.Slots
 	state := e.state
 	// A leaving engine that still reports is leaving still: only a restart or
 	// its removal from the list ends that, else a late report of before the
 	// signal would bring new work back.
-	if restarted || state == StateDown {
+	if restarted || state == StateDead {
 		state = StateServing
 	}
 	if moved || state != e.state {
-		t.index.unlink(e)
+		t.index.removeEngine(e)
 	}
-	report.state, report.own, report.load = state, e.own, e.load
-	report.hop, report.shun, report.downAt, report.groups = e.hop, e.shun, e.downAt, e.groups
+	report.state, report.localRequests, report.load = state, e.localRequests, e.load
+	report.hop, report.cooldown, report.deadAt, report.groups = e.hop, e.cooldown, e.deadAt, e.groups
 	*e = *report
 	if moved || len(e.groups) == 0 {
-		t.index.link(e)
+		t.index.addEngine(e)
 	}
-	e.sample()
+	e.updateUnexplained()
 }
 
 func (t *Engines) insert(e *Engine) {
@@ -78,13 +78,13 @@
 		t.byID = map[spec.UpstreamID]*Engine{}
 	}
 	t.byID[e.ID] = e
-	at := t.place(e.ID)
+	at := t.position(e.ID)
 	t.rows = append(t.rows, nil)
 	copy(t.rows[at+1:], t.rows[at:])
 	t.rows[at] = e
 }
 
-func (t *Engines) place(id spec.UpstreamID) int {
+func (t *Engines) position(id spec.UpstreamID) int {
 	return sort.Search(len(t.rows), func(i int) bool { return t.rows[i].ID >= id })
 }
 
@@ -93,23 +93,23 @@
 	if e == nil {
 		return
 	}
-	t.index.unlink(e)
+	t.index.removeEngine(e)
 	delete(t.byID, id)
-	at := t.place(id)
+	at := t.position(id)
 	t.rows = append(t.rows[:at], t.rows[at+1:]...)
 }
 
-func (t *Engines) mark(now time.Duration, id spec.UpstreamID, s State) {
+func (t *Engines) setState(now time.Duration, id spec.UpstreamID, s State) {
 	e := t.byID[id]
 	if e == nil {
 		return
 	}
-	if s == StateDown {
-		e.downAt = now
+	if s == StateDead {
+		e.deadAt = now
 	}
-	if e.state == s || (e.state == StateLeaving && s == StateDown) {
+	if e.state == s || (e.state == StateLeaving && s == StateDead) {
 		return
 	}
 	e.state = s
-	t.index.unlink(e)
+	t.index.removeEngine(e)
 }
--- a/internal/route/world/enum.go
+++ b/internal/route/world/enum.go
@@ -9,11 +9,11 @@
 
 // The causes.
 const (
-	CauseBroken  Cause = iota // broken
-	CauseTimeout              // timeout
-	CauseRefused              // refused
-	CauseLeaving              // leaving
-	CauseState                // state
+	CauseBroken    Cause = iota // broken
+	CauseTimeout                // timeout
+	CauseRefused                // refused
+	CauseLeaving                // leaving
+	CauseStateLost              // state
 )
 
 // Reason says why a request was refused.
@@ -21,14 +21,14 @@
 
 // The reasons; their strings are the stable codes that callers see.
 const (
-	ReasonNone     Reason = iota // none
-	ReasonOverload               // overload
-	ReasonTeam                   // team-limit
-	ReasonNoEngine               // no-engine
-	ReasonPoison                 // poison
-	ReasonRetries                // retries
-	ReasonClass                  // unknown-class
-	ReasonReady                  // not-ready
+	ReasonNone             Reason = iota // none
+	ReasonOverload                       // overload
+	ReasonTeamLimit                      // team-limit
+	ReasonNoEngine                       // no-engine
+	ReasonPoison                         // poison
+	ReasonRetriesExhausted               // retries
+	ReasonUnknownClass                   // unknown-class
+	ReasonNotReady                       // not-ready
 )
 
 // State is the state of an engine as routing sees it.
@@ -38,5 +38,5 @@
 const (
 	StateServing State = iota // serving
 	StateLeaving              // leaving
-	StateDown                 // down
+	StateDead                 // down
 )
--- a/internal/route/world/event.go
+++ b/internal/route/world/event.go
@@ -9,28 +9,28 @@
 // Event is something that happened outside and that the logic must know.
 type Event interface{ event() }
 
-// Arrived tells that a caller asks for model work.
-type Arrived struct {
+// RequestArrived tells that a caller asks for model work.
+type RequestArrived struct {
 	Request spec.RequestID
 	Team    spec.TeamID
 	Class   spec.ClassName
 	Model   spec.ModelName
-	// Prompt and Limit are tokens: the estimated prompt and the most to make.
-	Prompt int
-	Limit  int
-	// Blocks are chained hashes of the prompt's blocks, first block first.
-	Blocks []uint64
-	// Print identifies the same request when its caller sends it again.
-	Print uint64
-	// Done is how many tokens the caller already has, after a resume.
-	Done int
+	// PromptTokens and Limit are tokens: the estimated prompt and the most to make.
+	PromptTokens int
+	MaxTokens    int
+	// BlockHashes are chained hashes of the prompt's blocks, first block first.
+	BlockHashes []uint64
+	// Fingerprint identifies the same request when its caller sends it again.
+	Fingerprint uint64
+	// ReceivedTokens is how many tokens the caller already has, after a resume.
+	ReceivedTokens int
 	// Hops is how often another instance forwarded the request: 0 or 1.
 	Hops int
 }
 
-// Progress tells how many tokens a request has made. It is sent now and then,
+// RequestProgress tells how many tokens a request has made. It is sent now and then,
 // never once per token.
-type Progress struct {
+type RequestProgress struct {
 	Request spec.RequestID
 	Tokens  int
 }
@@ -46,29 +46,29 @@
 	Tokens int
 }
 
-// Finished tells that a request ended, for whatever reason.
-type Finished struct {
+// RequestFinished tells that a request ended, for whatever reason.
+type RequestFinished struct {
 	Request spec.RequestID
 	Tokens  int
-	// First and Gap are the first-token time and the longest gap; zero if none.
-	First time.Duration
-	Gap   time.Duration
-	Whole time.Duration
-	OK    bool
+	// FirstToken and Gap are the first-token time and the longest gap; zero if none.
+	FirstToken time.Duration
+	LongestGap time.Duration
+	TotalTime  time.Duration
+	OK         bool
 }
 
-// Canceled tells that the caller went away.
-type Canceled struct {
+// RequestCanceled tells that the caller went away.
+type RequestCanceled struct {
 	Request spec.RequestID
 }
 
-// EngineSeen carries an engine's report.
-type EngineSeen struct {
+// EngineReport carries an engine's report.
+type EngineReport struct {
 	Engine Engine
 }
 
-// EngineDown tells that an engine does not answer, or died with its state.
-type EngineDown struct {
+// EngineDead tells that an engine does not answer, or died with its state.
+type EngineDead struct {
 	Engine spec.UpstreamID
 }
 
@@ -77,64 +77,64 @@
 	Engine spec.UpstreamID
 }
 
-// EngineGone tells that an engine was removed from the platform's list.
-type EngineGone struct {
+// EngineRemoved tells that an engine was removed from the platform's list.
+type EngineRemoved struct {
 	Engine spec.UpstreamID
 }
 
-// HopTimed reports how long hops to an engine took since the last report,
+// HopMeasured reports how long hops to an engine took since the last report,
 // without the engine's own time.
-type HopTimed struct {
+type HopMeasured struct {
 	Engine spec.UpstreamID
 	P50    time.Duration
 	P99    time.Duration
 	Count  int
 }
 
-// ConfigSet replaces the classes and teams in force.
-type ConfigSet struct {
+// ConfigChanged replaces the classes and teams in force.
+type ConfigChanged struct {
 	Version uint64
 	Classes []spec.Class
 	Teams   []spec.Team
 }
 
-// PeersSet tells which other instances of the data centre live.
-type PeersSet struct {
+// PeersChanged tells which other instances of the data centre live.
+type PeersChanged struct {
 	Peers []spec.InstanceID
 }
 
 // PeerLoad tells what another instance has in flight on an engine, as its
 // OwnLoad gave it.
 type PeerLoad struct {
-	Peer   spec.InstanceID
-	Engine spec.UpstreamID
-	Active int
-	Tokens int
+	Peer           spec.InstanceID
+	Engine         spec.UpstreamID
+	Active         int
+	LayerTokenRate int
 }
 
-// PeerGone forgets all that another instance reported.
-type PeerGone struct {
+// PeerRemoved forgets all that another instance reported.
+type PeerRemoved struct {
 	Peer spec.InstanceID
 }
 
-// Suspected carries a poison fingerprint that another instance reported.
-type Suspected struct {
-	Print uint64
+// SuspectReported carries a poison fingerprint that another instance reported.
+type SuspectReported struct {
+	Fingerprint uint64
 	// Crashes is how many engines died while running it, fleet-wide.
 	Crashes int
 	// Engine is the last that died; "" if not known.
 	Engine spec.UpstreamID
 }
 
-// TeamUsed tells the fleet-wide use of a heavy team, in tokens a second.
-type TeamUsed struct {
+// TeamUsage tells the fleet-wide use of a heavy team, in tokens a second.
+type TeamUsage struct {
 	Team spec.TeamID
 	Rate float64
 }
 
-// CacheSeen carries cache events of an engine. A Seq that does not follow the
+// CacheReport carries cache events of an engine. A Seq that does not follow the
 // last one shows a gap.
-type CacheSeen struct {
+type CacheReport struct {
 	Engine  spec.UpstreamID
 	Seq     uint64
 	Added   []uint64
@@ -143,38 +143,38 @@
 	Reset bool
 }
 
-// CentreSum tells what another data centre can still take of a model.
-type CentreSum struct {
+// CentreCapacity tells what another data centre can still take of a model.
+type CentreCapacity struct {
 	DataCentre spec.DataCentre
 	Model      spec.ModelName
 	// Instance is one there that takes forwarded requests.
 	Instance spec.InstanceID
-	// Free is in tokens a second; zero or less means nothing.
-	Free float64
+	// FreeRate is in tokens a second; zero or less means nothing.
+	FreeRate float64
 }
 
 // Duties tells which duties this instance holds under a lease.
 type Duties struct {
-	// Place is the planning of the placement in the data centre.
-	Place bool
-}
-
-func (Arrived) event()       {}
-func (Progress) event()      {}
-func (StageLost) event()     {}
-func (Finished) event()      {}
-func (Canceled) event()      {}
-func (EngineSeen) event()    {}
-func (EngineDown) event()    {}
-func (EngineLeaving) event() {}
-func (EngineGone) event()    {}
-func (HopTimed) event()      {}
-func (ConfigSet) event()     {}
-func (PeersSet) event()      {}
-func (PeerLoad) event()      {}
-func (PeerGone) event()      {}
-func (Suspected) event()     {}
-func (TeamUsed) event()      {}
-func (CacheSeen) event()     {}
-func (CentreSum) event()     {}
-func (Duties) event()        {}
+	// PlansPlacement is the planning of the placement in the data centre.
+	PlansPlacement bool
+}
+
+func (RequestArrived) event()  {}
+func (RequestProgress) event() {}
+func (StageLost) event()       {}
+func (RequestFinished) event() {}
+func (RequestCanceled) event() {}
+func (EngineReport) event()    {}
+func (EngineDead) event()      {}
+func (EngineLeaving) event()   {}
+func (EngineRemoved) event()   {}
+func (HopMeasured) event()     {}
+func (ConfigChanged) event()   {}
+func (PeersChanged) event()    {}
+func (PeerLoad) event()        {}
+func (PeerRemoved) event()     {}
+func (SuspectReported) event() {}
+func (TeamUsage) event()       {}
+func (CacheReport) event()     {}
+func (CentreCapacity) event()  {}
+func (Duties) event()          {}
--- a/internal/route/world/group.go
+++ b/internal/route/world/group.go
@@ -16,8 +16,8 @@
 // Engines are the group's engines in order of ID.
 func (g *Group) Engines() []*Engine { return g.engines }
 
-// Has reports whether the engine is in the group.
-func (g *Group) Has(e *Engine) bool {
+// Contains reports whether the engine is in the group.
+func (g *Group) Contains(e *Engine) bool {
 	for _, o := range e.groups {
 		if o == g {
 			return true
@@ -26,26 +26,26 @@
 	return false
 }
 
-// Freed are engines of the group on which work ended lately; some may be nil.
-func (g *Group) Freed() []*Engine { return g.freed[:] }
+// RecentlyFreed are engines of the group on which work ended lately; some may be nil.
+func (g *Group) RecentlyFreed() []*Engine { return g.recentlyFreed[:] }
 
 // Sample draws an engine with a probability in proportion to its capacity, so
 // that a slow engine among fast ones is not drawn more than it can take.
 func (g *Group) Sample(r *rand.Rand) *Engine {
-	if g.stale {
-		g.sum()
+	if g.cumulativeStale {
+		g.updateCumulative()
 	}
-	at := r.Int64N(g.cum[len(g.cum)-1])
-	i := sort.Search(len(g.cum), func(i int) bool { return g.cum[i] > at })
+	at := r.Int64N(g.cumulative[len(g.cumulative)-1])
+	i := sort.Search(len(g.cumulative), func(i int) bool { return g.cumulative[i] > at })
 	return g.engines[i]
 }
 
-func (g *Group) sum() {
-	g.stale = false
-	g.cum = g.cum[:0]
+func (g *Group) updateCumulative() {
+	g.cumulativeStale = false
+	g.cumulative = g.cumulative[:0]
 	var total int64
 	for _, e := range g.engines {
 		total += e.Capacity()
-		g.cum = append(g.cum, total)
+		g.cumulative = append(g.cumulative, total)
 	}
 }
--- a/internal/route/world/hop.go
+++ b/internal/route/world/hop.go
@@ -2,76 +2,76 @@
 
 import "time"
 
-// hop follows the link to an engine. A link is left when it was bad in
+// linkState follows the link to an engine. A link is left when it was bad in
 // several reports in a row and taken back only after more good ones, with a
 // band between the two limits in which nothing changes; without the band a
 // link that sits near one limit would move all its work at each report.
-type hop struct {
-	base  time.Duration
-	timed time.Duration
-	slow  bool
-	bad   int
-	good  int
+type linkState struct {
+	baseline    time.Duration
+	smoothed    time.Duration
+	slow        bool
+	badReports  int
+	goodReports int
 }
 
 const (
-	hopFloor  = 200 * time.Microsecond
-	slowTimes = 4
-	slowPlus  = 2 * time.Millisecond
-	fairTimes = 2
-	fairPlus  = time.Millisecond
-	slowAfter = 2
-	fairAfter = 5
+	minBaseline           = 200 * time.Microsecond
+	slowFactor            = 4
+	slowMargin            = 2 * time.Millisecond
+	recoveredFactor       = 2
+	recoveredMargin       = time.Millisecond
+	slowAfterReports      = 2
+	recoveredAfterReports = 5
 )
 
 // HopTime is the time of one hop to the engine as measured, else as reported.
 func (e *Engine) HopTime() time.Duration {
-	if e.hop.timed > 0 {
-		return e.hop.timed
+	if e.hop.smoothed > 0 {
+		return e.hop.smoothed
 	}
-	return e.Hop
+	return e.ReportedHopTime
 }
 
-// Slow reports whether the link to the engine is degraded.
-func (e *Engine) Slow() bool { return e.hop.slow }
+// HasSlowLink reports whether the link to the engine is degraded.
+func (e *Engine) HasSlowLink() bool { return e.hop.slow }
 
-func (e *Engine) timed(ev HopTimed) {
+func (e *Engine) applyHopTimes(ev HopMeasured) {
 	if ev.Count <= 0 || ev.P50 <= 0 {
 		return
 	}
 	h := &e.hop
-	if h.timed == 0 {
-		h.timed = ev.P50
-		h.base = max(ev.P50, hopFloor)
+	if h.smoothed == 0 {
+		h.smoothed = ev.P50
+		h.baseline = max(ev.P50, minBaseline)
 	}
 	// Up at once and down slowly: a link that got worse costs each token.
-	if ev.P50 > h.timed {
-		h.timed = (h.timed + ev.P50) / 2
+	if ev.P50 > h.smoothed {
+		h.smoothed = (h.smoothed + ev.P50) / 2
 	} else {
-		h.timed = (3*h.timed + ev.P50) / 4
+		h.smoothed = (3*h.smoothed + ev.P50) / 4
 	}
-	if e.Hop > 0 {
-		h.base = max(e.Hop, hopFloor)
+	if e.ReportedHopTime > 0 {
+		h.baseline = max(e.ReportedHopTime, minBaseline)
 	}
-	h.base = max(min(h.base, ev.P50), hopFloor)
-	h.judge(ev.P50)
+	h.baseline = max(min(h.baseline, ev.P50), minBaseline)
+	h.classify(ev.P50)
 }
 
-func (h *hop) judge(p50 time.Duration) {
+func (h *linkState) classify(p50 time.Duration) {
 	switch {
-	case p50 > slowTimes*h.base+slowPlus:
-		h.bad++
-		h.good = 0
-	case p50 < fairTimes*h.base+fairPlus:
-		h.good++
-		h.bad = 0
+	case p50 > slowFactor*h.baseline+slowMargin:
+		h.badReports++
+		h.goodReports = 0
+	case p50 < recoveredFactor*h.baseline+recoveredMargin:
+		h.goodReports++
+		h.badReports = 0
 	default:
-		h.bad, h.good = 0, 0
+		h.badReports, h.goodReports = 0, 0
 	}
-	if h.bad >= slowAfter {
+	if h.badReports >= slowAfterReports {
 		h.slow = true
 	}
-	if h.good >= fairAfter {
+	if h.goodReports >= recoveredAfterReports {
 		h.slow = false
 	}
 }
--- a/internal/route/world/index.go
+++ b/internal/route/world/index.go
@@ -10,8 +10,8 @@
 // changes only when an engine's holds, speed or state do, so that choosing
 // among thousands of engines never reads them all.
 type Index struct {
-	models map[spec.ModelName][]*Model
-	names  []spec.ModelName
+	models     map[spec.ModelName][]*Model
+	modelNames []spec.ModelName
 }
 
 // Model is one version of a model as serving engines hold it.
@@ -25,25 +25,25 @@
 
 // Group is the serving engines that hold just the same layers of a model.
 type Group struct {
-	model   *Model
-	layers  spec.Layers
-	width   int
-	engines []*Engine
-	cum     []int64
-	stale   bool
-	cap     int64
-	draw    int64
-	freed   [freedLen]*Engine
-	next    int
+	model           *Model
+	layers          spec.Layers
+	width           int
+	engines         []*Engine
+	cumulative      []int64
+	cumulativeStale bool
+	capacity        int64
+	demand          int64
+	recentlyFreed   [maxRecentlyFreed]*Engine
+	nextFreed       int
 }
 
-const freedLen = 4
+const maxRecentlyFreed = 4
 
 // Versions are the versions of the model that engines hold, in order.
 func (x *Index) Versions(name spec.ModelName) []*Model { return x.models[name] }
 
-// Names are the models that engines ever held, in order of appearance.
-func (x *Index) Names() []spec.ModelName { return x.names }
+// ModelNames are the models that engines ever held, in order of appearance.
+func (x *Index) ModelNames() []spec.ModelName { return x.modelNames }
 
 // Name is the model's name.
 func (m *Model) Name() spec.ModelName { return m.name }
@@ -63,25 +63,27 @@
 
 // Capacity estimates how many tokens a second the engines can make: for each
 // stretch between bounds what the groups over it could give, and the least.
-func (m *Model) Capacity() float64 { return m.least(func(g *Group) int64 { return g.cap }) }
+func (m *Model) Capacity() float64 {
+	return m.minOverLayers(func(g *Group) int64 { return g.capacity })
+}
 
-// Used estimates how many tokens a second the engines make now. An engine
+// UsedRate estimates how many tokens a second the engines make now. An engine
 // that holds several models counts its whole draw for each.
-func (m *Model) Used() float64 {
+func (m *Model) UsedRate() float64 {
 	sum := int64(0)
 	for _, g := range m.groups {
-		sum += g.draw
+		sum += g.demand
 	}
 	return float64(max(0, sum)) / float64(max(1, m.depth))
 }
 
-// Free estimates how many more tokens a second the engines can make when they
+// FreeRate estimates how many more tokens a second the engines can make when they
 // are used up to the part limit of their capacity.
-func (m *Model) Free(limit float64) float64 {
-	return m.least(func(g *Group) int64 { return int64(limit*float64(g.cap)) - g.draw })
+func (m *Model) FreeRate(limit float64) float64 {
+	return m.minOverLayers(func(g *Group) int64 { return int64(limit*float64(g.capacity)) - g.demand })
 }
 
-func (m *Model) least(of func(*Group) int64) float64 {
+func (m *Model) minOverLayers(of func(*Group) int64) float64 {
 	best := -1.0
 	for i := 0; i+1 < len(m.bounds); i++ {
 		at := m.bounds[i]
@@ -101,37 +103,37 @@
 	return best
 }
 
-func (x *Index) link(e *Engine) {
+func (x *Index) addEngine(e *Engine) {
 	if e.state != StateServing {
 		return
 	}
-	for _, h := range e.Holds {
+	for _, h := range e.Loaded {
 		if h.Layers.Len() == 0 {
 			continue
 		}
-		g := x.model(h).group(h)
-		g.add(e)
+		g := x.ensureModel(h).ensureGroup(h)
+		g.addEngine(e)
 		e.groups = append(e.groups, g)
 	}
 }
 
-func (x *Index) unlink(e *Engine) {
+func (x *Index) removeEngine(e *Engine) {
 	for _, g := range e.groups {
-		g.drop(e)
+		g.removeEngine(e)
 		if len(g.engines) == 0 {
-			x.prune(g)
+			x.removeGroup(g)
 		}
 	}
 	e.groups = nil
 }
 
-func (x *Index) model(h Hold) *Model {
+func (x *Index) ensureModel(h LoadedRange) *Model {
 	if x.models == nil {
 		x.models = map[spec.ModelName][]*Model{}
 	}
 	all, seen := x.models[h.Model]
 	if !seen {
-		x.names = append(x.names, h.Model)
+		x.modelNames = append(x.modelNames, h.Model)
 	}
 	at := sort.Search(len(all), func(i int) bool { return all[i].version >= h.Version })
 	if at < len(all) && all[at].version == h.Version {
@@ -145,7 +147,7 @@
 	return m
 }
 
-func (x *Index) prune(g *Group) {
+func (x *Index) removeGroup(g *Group) {
 	m := g.model
 	for i, o := range m.groups {
 		if o == g {
@@ -153,7 +155,7 @@
 			break
 		}
 	}
-	m.bound()
+	m.updateBounds()
 	if len(m.groups) > 0 {
 		return
 	}
@@ -166,7 +168,7 @@
 	}
 }
 
-func (m *Model) group(h Hold) *Group {
+func (m *Model) ensureGroup(h LoadedRange) *Group {
 	at := sort.Search(len(m.groups), func(i int) bool {
 		l := m.groups[i].layers
 		return l.From() > h.Layers.From() || (l.From() == h.Layers.From() && l.To() >= h.Layers.To())
@@ -178,11 +180,11 @@
 	m.groups = append(m.groups, nil)
 	copy(m.groups[at+1:], m.groups[at:])
 	m.groups[at] = g
-	m.bound()
+	m.updateBounds()
 	return g
 }
 
-func (m *Model) bound() {
+func (m *Model) updateBounds() {
 	seen := map[int]bool{}
 	m.bounds = m.bounds[:0]
 	for _, g := range m.groups {
@@ -196,39 +198,39 @@
 	sort.Ints(m.bounds)
 }
 
-func (g *Group) add(e *Engine) {
+func (g *Group) addEngine(e *Engine) {
 	at := sort.Search(len(g.engines), func(i int) bool { return g.engines[i].ID >= e.ID })
 	g.engines = append(g.engines, nil)
 	copy(g.engines[at+1:], g.engines[at:])
 	g.engines[at] = e
-	g.cap += e.Capacity()
-	g.draw += e.Draw()
-	g.stale = true
+	g.capacity += e.Capacity()
+	g.demand += e.Demand()
+	g.cumulativeStale = true
 }
 
-func (g *Group) drop(e *Engine) {
+func (g *Group) removeEngine(e *Engine) {
 	for i, o := range g.engines {
 		if o == e {
 			g.engines = append(g.engines[:i], g.engines[i+1:]...)
-			g.cap -= e.Capacity()
-			g.draw -= e.Draw()
+			g.capacity -= e.Capacity()
+			g.demand -= e.Demand()
 			break
 		}
 	}
-	for i, o := range g.freed {
+	for i, o := range g.recentlyFreed {
 		if o == e {
-			g.freed[i] = nil
+			g.recentlyFreed[i] = nil
 		}
 	}
-	g.stale = true
+	g.cumulativeStale = true
 }
 
-func (g *Group) free(e *Engine) {
-	for _, o := range g.freed {
+func (g *Group) recordFreed(e *Engine) {
+	for _, o := range g.recentlyFreed {
 		if o == e {
 			return
 		}
 	}
-	g.freed[g.next] = e
-	g.next = (g.next + 1) % freedLen
+	g.recentlyFreed[g.nextFreed] = e
+	g.nextFreed = (g.nextFreed + 1) % maxRecentlyFreed
 }
--- a/internal/route/world/peer.go
+++ b/internal/route/world/peer.go
@@ -10,28 +10,28 @@
 type peers struct {
 	loads map[spec.InstanceID]map[spec.UpstreamID]peerLoad
 	ids   []spec.InstanceID
-	// told is set once a PeersSet named the peers.
-	told bool
+	// listed is set once a PeersSet named the peers.
+	listed bool
 }
 
 // peerLoad is what one peer has on one engine.
 type peerLoad struct {
-	draw   int64
+	demand int64
 	active int
 }
 
 // Peers are the other instances of the data centre: those of the last
 // PeersSet, or without one those that told their load, in order of hearing.
-func (w *World) Peers() []spec.InstanceID { return w.peers.ids }
+func (w *RoutingState) Peers() []spec.InstanceID { return w.peers.ids }
 
-func (w *World) peersSet(ev PeersSet) {
-	w.peers.told = true
+func (w *RoutingState) applyPeers(ev PeersChanged) {
+	w.peers.listed = true
 	w.peers.ids = append([]spec.InstanceID(nil), ev.Peers...)
 }
 
-// peerLoad takes what a peer has in flight. The load of an engine that is not
+// applyPeerLoad takes what a peer has in flight. The load of an engine that is not
 // known yet is kept for its first report.
-func (w *World) peerLoad(ev PeerLoad) {
+func (w *RoutingState) applyPeerLoad(ev PeerLoad) {
 	p := &w.peers
 	if p.loads == nil {
 		p.loads = map[spec.InstanceID]map[spec.UpstreamID]peerLoad{}
@@ -40,13 +40,13 @@
 	if loads == nil {
 		loads = map[spec.UpstreamID]peerLoad{}
 		p.loads[ev.Peer] = loads
-		if !p.told {
+		if !p.listed {
 			p.ids = append(p.ids, ev.Peer)
 		}
 	}
-	now := peerLoad{draw: int64(max(0, ev.Tokens)), active: max(0, ev.Active)}
+	now := peerLoad{demand: int64(max(0, ev.LayerTokenRate)), active: max(0, ev.Active)}
 	if e := w.engines.Get(ev.Engine); e != nil {
-		e.addPeer(now, loads[ev.Engine])
+		e.replacePeerLoad(now, loads[ev.Engine])
 	}
 	if now == (peerLoad{}) {
 		delete(loads, ev.Engine)
@@ -55,11 +55,11 @@
 	loads[ev.Engine] = now
 }
 
-// engineSeen takes a report. A new engine starts with what peers told of it
+// applyEngineReport takes a report. A new engine starts with what peers told of it
 // before.
-func (w *World) engineSeen(ev EngineSeen) {
+func (w *RoutingState) applyEngineReport(ev EngineReport) {
 	known := w.engines.Get(ev.Engine.ID) != nil
-	w.engines.see(w.now, ev.Engine)
+	w.engines.applyReport(w.now, ev.Engine)
 	if known {
 		return
 	}
@@ -67,17 +67,17 @@
 	// The sums are of integers, so the order of the map does not show.
 	for _, loads := range w.peers.loads {
 		if l, ok := loads[e.ID]; ok {
-			e.addPeer(l, peerLoad{})
+			e.replacePeerLoad(l, peerLoad{})
 		}
 	}
 }
 
-// peerGone forgets a peer. The sums are of integers, so the order of the map
+// removePeer forgets a peer. The sums are of integers, so the order of the map
 // does not show.
-func (w *World) peerGone(id spec.InstanceID) {
+func (w *RoutingState) removePeer(id spec.InstanceID) {
 	for engine, d := range w.peers.loads[id] {
 		if e := w.engines.Get(engine); e != nil {
-			e.addPeer(peerLoad{}, d)
+			e.replacePeerLoad(peerLoad{}, d)
 		}
 	}
 	delete(w.peers.loads, id)
@@ -87,61 +87,63 @@
 			break
 		}
 	}
-	w.centreGone(id)
+	w.removeCentreInstance(id)
 }
 
-// engineGone forgets an engine and what peers told of it.
-func (w *World) engineGone(id spec.UpstreamID) {
+// removeEngine forgets an engine and what peers told of it.
+func (w *RoutingState) removeEngine(id spec.UpstreamID) {
 	w.engines.remove(id)
 	for _, loads := range w.peers.loads {
 		delete(loads, id)
 	}
 }
 
-// Centre is what one instance of another data centre can still take.
-type Centre struct {
-	told  CentreSum
-	at    time.Duration
-	given float64
+// RemoteCentre is what one instance of another data centre can still take.
+type RemoteCentre struct {
+	report     CentreCapacity
+	reportedAt time.Duration
+	reserved   float64
 }
 
 // Instance is who takes forwarded requests there.
-func (c *Centre) Instance() spec.InstanceID { return c.told.Instance }
+func (c *RemoteCentre) Instance() spec.InstanceID { return c.report.Instance }
 
-// Free is what is left of it, in tokens a second, after what was forwarded.
-func (c *Centre) Free() float64 { return c.told.Free - c.given }
+// FreeRate is what is left of it, in tokens a second, after what was forwarded.
+func (c *RemoteCentre) FreeRate() float64 { return c.report.FreeRate - c.reserved }
 
-// Heard is when the sum came.
-func (c *Centre) Heard() time.Duration { return c.at }
+// ReportedAt is when the sum came.
+func (c *RemoteCentre) ReportedAt() time.Duration { return c.reportedAt }
 
-// Give notes that a request drawing rate tokens a second was forwarded.
-func (c *Centre) Give(rate float64) { c.given += rate }
+// Reserve notes that a request drawing rate tokens a second was forwarded.
+func (c *RemoteCentre) Reserve(rate float64) { c.reserved += rate }
 
-// Centres are the other data centres' sums for a model, in order of hearing.
-func (w *World) Centres(model spec.ModelName) []*Centre { return w.centres[model] }
+// RemoteCentres are the other data centres' sums for a model, in order of hearing.
+func (w *RoutingState) RemoteCentres(model spec.ModelName) []*RemoteCentre {
+	return w.remoteCentres[model]
+}
 
-func (w *World) centreSum(ev CentreSum) {
-	if w.centres == nil {
-		w.centres = map[spec.ModelName][]*Centre{}
+func (w *RoutingState) applyCentreCapacity(ev CentreCapacity) {
+	if w.remoteCentres == nil {
+		w.remoteCentres = map[spec.ModelName][]*RemoteCentre{}
 	}
-	all := w.centres[ev.Model]
+	all := w.remoteCentres[ev.Model]
 	for _, c := range all {
-		if c.told.DataCentre == ev.DataCentre && c.told.Instance == ev.Instance {
-			*c = Centre{told: ev, at: w.now}
+		if c.report.DataCentre == ev.DataCentre && c.report.Instance == ev.Instance {
+			*c = RemoteCentre{report: ev, reportedAt: w.now}
 			return
 		}
 	}
-	w.centres[ev.Model] = append(all, &Centre{told: ev, at: w.now})
+	w.remoteCentres[ev.Model] = append(all, &RemoteCentre{report: ev, reportedAt: w.now})
 }
 
-func (w *World) centreGone(id spec.InstanceID) {
-	for model, all := range w.centres {
+func (w *RoutingState) removeCentreInstance(id spec.InstanceID) {
+	for model, all := range w.remoteCentres {
 		keep := all[:0]
 		for _, c := range all {
-			if c.told.Instance != id {
+			if c.report.Instance != id {
 				keep = append(keep, c)
 			}
 		}
-		w.centres[model] = keep
+		w.remoteCentres[model] = keep
 	}
 }
--- a/internal/route/world/reason_string.go
+++ b/internal/route/world/reason_string.go
@@ -10,12 +10,12 @@
 	var x [1]struct{}
 	_ = x[ReasonNone-0]
 	_ = x[ReasonOverload-1]
-	_ = x[ReasonTeam-2]
+	_ = x[ReasonTeamLimit-2]
 	_ = x[ReasonNoEngine-3]
 	_ = x[ReasonPoison-4]
-	_ = x[ReasonRetries-5]
-	_ = x[ReasonClass-6]
-	_ = x[ReasonReady-7]
+	_ = x[ReasonRetriesExhausted-5]
+	_ = x[ReasonUnknownClass-6]
+	_ = x[ReasonNotReady-7]
 }
 
 const _Reason_name = "noneoverloadteam-limitno-enginepoisonretriesunknown-classnot-ready"
--- a/internal/route/world/request.go
+++ b/internal/route/world/request.go
@@ -8,34 +8,34 @@
 
 // Request is a row of the request table.
 type Request struct {
-	arrived Arrived
-	class   spec.Class
-	at      time.Duration
-	tokens  int
-	attempt uint32
-	plan    Plan
-	// started is when the last Start was given, and from how many tokens.
-	started time.Duration
-	from    int
-	// asking is set from a loss to the next start.
-	asking bool
+	arrival   RequestArrived
+	class     spec.Class
+	arrivedAt time.Duration
+	tokens    int
+	attempt   uint32
+	plan      Plan
+	// startedAt is when the last Start was given, and from how many tokens.
+	startedAt     time.Duration
+	tokensAtStart int
+	// awaitsRestart is set from a loss to the next start.
+	awaitsRestart bool
 	// due is set while the request waits for a decision.
-	due  bool
-	gone bool
-	// done is set when the request ended with its whole answer.
-	done bool
-	// lost are the engines that failed under this request, last the last.
-	lost  []spec.UpstreamID
-	cause Cause
-	died  bool
+	due   bool
+	ended bool
+	// completed is set when the request ended with its whole answer.
+	completed bool
+	// failedEngines are the engines that failed under this request, last the last.
+	failedEngines []spec.UpstreamID
+	lossCause     Cause
+	engineDied    bool
 	// charges is what the request added to the draw of engines.
 	charges []charge
 }
 
 type charge struct {
-	engine *Engine
-	draw   int64
-	kv     int64
+	engine   *Engine
+	demand   int64
+	kvTokens int64
 }
 
 // Plan is a chosen chain with what was predicted for it.
@@ -43,32 +43,32 @@
 	Chain   spec.Chain
 	Depth   int
 	Version string
-	// Draws is per stage what the request takes of its engine, in
+	// StageDemands is per stage what the request takes of its engine, in
 	// layer-tokens a second.
-	Draws []int64
+	StageDemands []int64
 	// First, Token and Whole are the predicted times from the start to the
 	// next token, of each later token, and to the end.
-	First time.Duration
-	Token time.Duration
-	Whole time.Duration
-	// Step and Prefill are the longest predicted step of one stage, for a
+	FirstTokenTime time.Duration
+	TokenTime      time.Duration
+	TotalTime      time.Duration
+	// MaxStepTime and Prefill are the longest predicted step of one stage, for a
 	// token and for a stage without state.
-	Step    time.Duration
-	Prefill time.Duration
-	// Fresh are the engines of stages that the request did not have before.
-	Fresh []spec.UpstreamID
-	// Hit is the part of the prompt's work that cached prefixes save.
-	Hit float64
+	MaxStepTime    time.Duration
+	MaxPrefillTime time.Duration
+	// NewEngines are the engines of stages that the request did not have before.
+	NewEngines []spec.UpstreamID
+	// CacheHitShare is the part of the prompt's work that cached prefixes save.
+	CacheHitShare float64
 }
 
-// Arrived is the event with which the request came.
-func (r *Request) Arrived() Arrived { return r.arrived }
+// Arrival is the event with which the request came.
+func (r *Request) Arrival() RequestArrived { return r.arrival }
 
 // Class is the class of the request.
 func (r *Request) Class() spec.Class { return r.class }
 
-// At is when the request came, on the clock of Tick.
-func (r *Request) At() time.Duration { return r.at }
+// ArrivedAt is when the request came, on the clock of Tick.
+func (r *Request) ArrivedAt() time.Duration { return r.arrivedAt }
 
 // Tokens is how many tokens the request was last known to have made.
 func (r *Request) Tokens() int { return r.tokens }
@@ -79,40 +79,40 @@
 // Plan is what the last Start ran.
 func (r *Request) Plan() Plan { return r.plan }
 
-// KV is how many KV tokens the request may come to take on an engine.
-func (r *Request) KV() int { return r.arrived.Prompt + r.arrived.Limit }
+// MaxKVTokens is how many KV tokens the request may come to take on an engine.
+func (r *Request) MaxKVTokens() int { return r.arrival.PromptTokens + r.arrival.MaxTokens }
 
 // Chain is the chain of the last Start.
 func (r *Request) Chain() spec.Chain { return r.plan.Chain }
 
-// Started is when the last Start was given.
-func (r *Request) Started() time.Duration { return r.started }
+// StartedAt is when the last Start was given.
+func (r *Request) StartedAt() time.Duration { return r.startedAt }
 
-// From is how many tokens the request had made at the last Start.
-func (r *Request) From() int { return r.from }
+// TokensAtStart is how many tokens the request had made at the last Start.
+func (r *Request) TokensAtStart() int { return r.tokensAtStart }
 
-// Lost are the engines that failed under this request.
-func (r *Request) Lost() []spec.UpstreamID { return r.lost }
+// FailedEngines are the engines that failed under this request.
+func (r *Request) FailedEngines() []spec.UpstreamID { return r.failedEngines }
 
-// Cause is how the last engine was lost.
-func (r *Request) Cause() Cause { return r.cause }
+// LossCause is how the last engine was lost.
+func (r *Request) LossCause() Cause { return r.lossCause }
 
-// Died reports whether the last lost engine died, rather than failed only
+// EngineDied reports whether the last lost engine died, rather than failed only
 // this request.
-func (r *Request) Died() bool { return r.died }
+func (r *Request) EngineDied() bool { return r.engineDied }
 
-// Gone reports whether the request ended; a system that kept it must drop it.
-func (r *Request) Gone() bool { return r.gone }
+// Ended reports whether the request ended; a system that kept it must drop it.
+func (r *Request) Ended() bool { return r.ended }
 
-// Done reports whether the request ended with its whole answer.
-func (r *Request) Done() bool { return r.done }
+// Completed reports whether the request ended with its whole answer.
+func (r *Request) Completed() bool { return r.completed }
 
-// Asking reports whether the request lost a stage and was not started since.
-func (r *Request) Asking() bool { return r.asking }
+// AwaitsRestart reports whether the request lost a stage and was not started since.
+func (r *Request) AwaitsRestart() bool { return r.awaitsRestart }
 
 // Avoids reports whether the engine failed under this request.
 func (r *Request) Avoids(id spec.UpstreamID) bool {
-	for _, l := range r.lost {
+	for _, l := range r.failedEngines {
 		if l == id {
 			return true
 		}
@@ -132,14 +132,14 @@
 // Len is how many requests are in progress.
 func (t *Requests) Len() int { return len(t.index) }
 
-// Due takes the requests that wait for a decision, oldest first. Whoever
+// TakeDue takes the requests that wait for a decision, oldest first. Whoever
 // takes them must settle each or keep it.
-func (t *Requests) Due() []*Request {
+func (t *Requests) TakeDue() []*Request {
 	due := t.due
 	t.due = nil
 	live := due[:0]
 	for _, r := range due {
-		if r.due && !r.gone {
+		if r.due && !r.ended {
 			r.due = false
 			live = append(live, r)
 		}
@@ -151,11 +151,11 @@
 	if t.index == nil {
 		t.index = map[spec.RequestID]*Request{}
 	}
-	t.index[r.arrived.Request] = r
-	t.wait(r)
+	t.index[r.arrival.Request] = r
+	t.addDue(r)
 }
 
-func (t *Requests) wait(r *Request) {
+func (t *Requests) addDue(r *Request) {
 	if r.due {
 		return
 	}
@@ -163,5 +163,5 @@
 	t.due = append(t.due, r)
 }
 
-// Again puts a request back among those due, for the next tick.
-func (t *Requests) Again(r *Request) { t.wait(r) }
+// Requeue puts a request back among those due, for the next tick.
+func (t *Requests) Requeue(r *Request) { t.addDue(r) }
--- a/internal/route/world/state_string.go
+++ b/internal/route/world/state_string.go
@@ -10,7 +10,7 @@
 	var x [1]struct{}
 	_ = x[StateServing-0]
 	_ = x[StateLeaving-1]
-	_ = x[StateDown-2]
+	_ = x[StateDead-2]
 }
 
 const _State_name = "servingleavingdown"
--- a/internal/route/world/world.go
+++ b/internal/route/world/world.go
@@ -6,152 +6,152 @@
 	"fulmarwick/internal/base/spec"
 )
 
-// World is all that the routing logic of one instance knows.
-type World struct {
-	now      time.Duration
-	engines  Engines
-	requests Requests
-	peers    peers
-	centres  map[spec.ModelName][]*Centre
-	classes  map[spec.ClassName]spec.Class
-	teams    map[spec.TeamID]spec.Team
-	version  uint64
-	duties   Duties
-	paces    map[spec.ModelName]int64
-	touched  []*Engine
-	out      []Command
+// RoutingState is all that the routing logic of one instance knows.
+type RoutingState struct {
+	now            time.Duration
+	engines        Engines
+	requests       Requests
+	peers          peers
+	remoteCentres  map[spec.ModelName][]*RemoteCentre
+	classes        map[spec.ClassName]spec.Class
+	teams          map[spec.TeamID]spec.Team
+	version        uint64
+	duties         Duties
+	tokenRates     map[spec.ModelName]int64
+	changedEngines []*Engine
+	commands       []Command
 }
 
 // Now is the time of the running tick, on a clock that only goes forward.
-func (w *World) Now() time.Duration { return w.now }
+func (w *RoutingState) Now() time.Duration { return w.now }
 
 // Engines is the table of engines.
-func (w *World) Engines() *Engines { return &w.engines }
+func (w *RoutingState) Engines() *Engines { return &w.engines }
 
 // Requests is the table of requests.
-func (w *World) Requests() *Requests { return &w.requests }
+func (w *RoutingState) Requests() *Requests { return &w.requests }
 
 // Class returns the class in force under name.
-func (w *World) Class(name spec.ClassName) (spec.Class, bool) {
+func (w *RoutingState) Class(name spec.ClassName) (spec.Class, bool) {
 	c, ok := w.classes[name]
 	return c, ok
 }
 
 // Team returns the team in force under id.
-func (w *World) Team(id spec.TeamID) (spec.Team, bool) {
+func (w *RoutingState) Team(id spec.TeamID) (spec.Team, bool) {
 	t, ok := w.teams[id]
 	return t, ok
 }
 
 // Version is the configuration version in force.
-func (w *World) Version() uint64 { return w.version }
+func (w *RoutingState) Version() uint64 { return w.version }
 
 // Duties are those that this instance holds under a lease.
-func (w *World) Duties() Duties { return w.duties }
+func (w *RoutingState) Duties() Duties { return w.duties }
 
-// Begin starts a tick at now.
-func (w *World) Begin(now time.Duration) {
+// BeginTick starts a tick at now.
+func (w *RoutingState) BeginTick(now time.Duration) {
 	w.now = now
-	w.out = nil
+	w.commands = nil
 }
 
 // Commands returns what the systems asked for in this tick.
-func (w *World) Commands() []Command { return w.out }
+func (w *RoutingState) Commands() []Command { return w.commands }
 
 // Emit adds a command that concerns no request.
-func (w *World) Emit(c Command) { w.out = append(w.out, c) }
+func (w *RoutingState) Emit(c Command) { w.commands = append(w.commands, c) }
 
-// Touched takes the engines whose own load changed since the last call; an
+// TakeChangedEngines takes the engines whose own load changed since the last call; an
 // engine may come twice.
-func (w *World) Touched() []*Engine {
-	t := w.touched
-	w.touched = nil
+func (w *RoutingState) TakeChangedEngines() []*Engine {
+	t := w.changedEngines
+	w.changedEngines = nil
 	return t
 }
 
 // Start settles a request by running it by plan under a new attempt. The
 // times say how long the wire waits before a stage counts as lost.
-func (w *World) Start(r *Request, plan Plan, prio int, patience, prefill time.Duration) {
-	w.release(r)
+func (w *RoutingState) Start(r *Request, plan Plan, prio int, patience, prefill time.Duration) {
+	w.releaseEngines(r)
 	r.attempt++
-	r.asking = false
+	r.awaitsRestart = false
 	r.plan = plan
-	r.started = w.now
-	r.from = r.tokens
-	w.charge(r)
+	r.startedAt = w.now
+	r.tokensAtStart = r.tokens
+	w.chargeEngines(r)
 	w.Emit(Start{
-		Request: r.arrived.Request, Attempt: r.attempt, Chain: plan.Chain, Depth: plan.Depth,
-		Prio: prio, Patience: patience, Prefill: prefill,
+		Request: r.arrival.Request, Attempt: r.attempt, Chain: plan.Chain, Depth: plan.Depth,
+		Priority: prio, StepTimeout: patience, PrefillTimeout: prefill,
 	})
 }
 
 // Refuse settles a request by its final refusal and forgets it.
-func (w *World) Refuse(r *Request, reason Reason, after time.Duration) {
-	w.Emit(Refuse{Request: r.arrived.Request, Reason: reason, After: after, Ran: r.attempt > 0})
-	w.forget(r)
+func (w *RoutingState) Refuse(r *Request, reason Reason, after time.Duration) {
+	w.Emit(Refuse{Request: r.arrival.Request, Reason: reason, RetryAfter: after, Ran: r.attempt > 0})
+	w.removeRequest(r)
 }
 
 // Forward settles a request by having the instance to run it.
-func (w *World) Forward(r *Request, to spec.InstanceID) {
-	w.Emit(Forward{Request: r.arrived.Request, To: to})
-	w.forget(r)
+func (w *RoutingState) Forward(r *Request, to spec.InstanceID) {
+	w.Emit(Forward{Request: r.arrival.Request, To: to})
+	w.removeRequest(r)
 }
 
-func (w *World) forget(r *Request) {
-	w.release(r)
-	r.gone = true
-	delete(w.requests.index, r.arrived.Request)
+func (w *RoutingState) removeRequest(r *Request) {
+	w.releaseEngines(r)
+	r.ended = true
+	delete(w.requests.index, r.arrival.Request)
 }
 
-func (w *World) charge(r *Request) {
+func (w *RoutingState) chargeEngines(r *Request) {
 	for i, s := range r.plan.Chain {
 		e := w.engines.Get(s.Engine())
 		if e == nil {
 			continue
 		}
 		draw := int64(0)
-		if i < len(r.plan.Draws) {
-			draw = r.plan.Draws[i]
+		if i < len(r.plan.StageDemands) {
+			draw = r.plan.StageDemands[i]
 		}
-		e.own++
-		kv := int64(r.KV())
-		e.addOwn(draw, kv)
-		r.charges = append(r.charges, charge{engine: e, draw: draw, kv: kv})
-		w.touched = append(w.touched, e)
+		e.localRequests++
+		kv := int64(r.MaxKVTokens())
+		e.addLocalLoad(draw, kv)
+		r.charges = append(r.charges, charge{engine: e, demand: draw, kvTokens: kv})
+		w.changedEngines = append(w.changedEngines, e)
 	}
-	w.paced(r.arrived.Model, r.plan.Token, 1)
+	w.adjustTokenRate(r.arrival.Model, r.plan.TokenTime, 1)
 }
 
-// release takes back what charge added, from the same rows: an engine that
+// releaseEngines takes back what charge added, from the same rows: an engine that
 // was removed and came back is another row and owes nothing.
-func (w *World) release(r *Request) {
+func (w *RoutingState) releaseEngines(r *Request) {
 	if len(r.charges) == 0 {
 		return
 	}
 	for _, c := range r.charges {
-		c.engine.own--
-		c.engine.addOwn(-c.draw, -c.kv)
+		c.engine.localRequests--
+		c.engine.addLocalLoad(-c.demand, -c.kvTokens)
 		for _, g := range c.engine.groups {
-			g.free(c.engine)
+			g.recordFreed(c.engine)
 		}
-		w.touched = append(w.touched, c.engine)
+		w.changedEngines = append(w.changedEngines, c.engine)
 	}
-	w.paced(r.arrived.Model, r.plan.Token, -1)
+	w.adjustTokenRate(r.arrival.Model, r.plan.TokenTime, -1)
 	r.charges = nil
 	r.plan = Plan{Version: r.plan.Version}
 }
 
-func (w *World) paced(model spec.ModelName, token time.Duration, sign int64) {
-	if w.paces == nil {
-		w.paces = map[spec.ModelName]int64{}
+func (w *RoutingState) adjustTokenRate(model spec.ModelName, token time.Duration, sign int64) {
+	if w.tokenRates == nil {
+		w.tokenRates = map[spec.ModelName]int64{}
 	}
-	w.paces[model] += sign * milli * int64(time.Second) / int64(max(token, time.Microsecond))
+	w.tokenRates[model] += sign * milliTokens * int64(time.Second) / int64(max(token, time.Microsecond))
 }
 
-const milli = 1000
+const milliTokens = 1000
 
-// Pace is how many tokens a second this instance's requests of the model make
+// TokenRate is how many tokens a second this instance's requests of the model make
 // as predicted.
-func (w *World) Pace(model spec.ModelName) float64 {
-	return float64(w.paces[model]) / milli
+func (w *RoutingState) TokenRate(model spec.ModelName) float64 {
+	return float64(w.tokenRates[model]) / milliTokens
 }
--- a/internal/state/config/book.go
+++ b/internal/state/config/book.go
@@ -14,19 +14,19 @@
 	"fulmarwick/internal/base/spec"
 )
 
-// Book gives the classes and teams in force. The zero value is empty.
-type Book struct {
-	now atomic.Pointer[Snapshot]
+// Active gives the classes and teams in force. The zero value is empty.
+type Active struct {
+	current atomic.Pointer[Snapshot]
 }
 
 // Snapshot is one version of the configuration. It never changes.
 type Snapshot struct {
-	version uint64
-	classes []spec.Class
-	teams   []spec.Team
-	byName  map[spec.ClassName]spec.Class
-	byModel map[spec.ModelName]spec.Class
-	byTeam  map[spec.TeamID]spec.Team
+	version        uint64
+	classes        []spec.Class
+	teams          []spec.Team
+	classByName    map[spec.ClassName]spec.Class
+	defaultByModel map[spec.ModelName]spec.Class
+	teamByID       map[spec.TeamID]spec.Team
 	// state is the rows that the snapshot was made of, if it was.
 	state *state
 }
@@ -35,18 +35,18 @@
 func NewSnapshot(version uint64, classes []spec.Class, teams []spec.Team) *Snapshot {
 	s := &Snapshot{
 		version: version, classes: classes, teams: teams,
-		byName:  make(map[spec.ClassName]spec.Class, len(classes)),
-		byModel: map[spec.ModelName]spec.Class{},
-		byTeam:  make(map[spec.TeamID]spec.Team, len(teams)),
+		classByName:    make(map[spec.ClassName]spec.Class, len(classes)),
+		defaultByModel: map[spec.ModelName]spec.Class{},
+		teamByID:       make(map[spec.TeamID]spec.Team, len(teams)),
 	}
 	for _, c := range classes {
-		s.byName[c.Name()] = c
-		if _, ok := s.byModel[c.Model()]; !ok && c.Kind() == spec.KindModel {
-			s.byModel[c.Model()] = c
+		s.classByName[c.Name()] = c
+		if _, ok := s.defaultByModel[c.Model()]; !ok && c.Kind() == spec.KindModel {
+			s.defaultByModel[c.Model()] = c
 		}
 	}
 	for _, t := range teams {
-		s.byTeam[t.ID()] = t
+		s.teamByID[t.ID()] = t
 	}
 	return s
 }
@@ -60,51 +60,51 @@
 // Teams are the teams.
 func (s *Snapshot) Teams() []spec.Team { return s.teams }
 
-// Take puts s in force unless a version at least as high is in force already,
+// SetIfNewer puts s in force unless a version at least as high is in force already,
 // and reports whether it did. A stale read or an old peer so never reverts an
 // accepted configuration.
-func (b *Book) Take(s *Snapshot) bool {
+func (b *Active) SetIfNewer(s *Snapshot) bool {
 	for {
-		old := b.now.Load()
+		old := b.current.Load()
 		if old != nil && old.version >= s.version {
 			return false
 		}
-		if b.now.CompareAndSwap(old, s) {
+		if b.current.CompareAndSwap(old, s) {
 			return true
 		}
 	}
 }
 
-// Now is the snapshot in force, or nil before the first.
-func (b *Book) Now() *Snapshot { return b.now.Load() }
+// Snapshot is the snapshot in force, or nil before the first.
+func (b *Active) Snapshot() *Snapshot { return b.current.Load() }
 
 // Class returns the class under name.
-func (b *Book) Class(name spec.ClassName) (spec.Class, bool) {
-	s := b.now.Load()
+func (b *Active) Class(name spec.ClassName) (spec.Class, bool) {
+	s := b.current.Load()
 	if s == nil {
 		return spec.Class{}, false
 	}
-	c, ok := s.byName[name]
+	c, ok := s.classByName[name]
 	return c, ok
 }
 
-// ClassOf returns the default class of a model.
-func (b *Book) ClassOf(model spec.ModelName) (spec.Class, bool) {
-	s := b.now.Load()
+// DefaultClass returns the default class of a model.
+func (b *Active) DefaultClass(model spec.ModelName) (spec.Class, bool) {
+	s := b.current.Load()
 	if s == nil {
 		return spec.Class{}, false
 	}
-	c, ok := s.byModel[model]
+	c, ok := s.defaultByModel[model]
 	return c, ok
 }
 
-// Team returns the team whose key is key.
-func (b *Book) Team(key string) (spec.Team, bool) {
-	s := b.now.Load()
+// TeamByKey returns the team whose key is key.
+func (b *Active) TeamByKey(key string) (spec.Team, bool) {
+	s := b.current.Load()
 	if s == nil {
 		return spec.Team{}, false
 	}
-	t, ok := s.byTeam[HashKey(key)]
+	t, ok := s.teamByID[HashKey(key)]
 	return t, ok
 }
 
--- a/internal/state/config/check.go
+++ b/internal/state/config/check.go
@@ -7,157 +7,157 @@
 	"fulmarwick/internal/base/spec"
 )
 
-// hashBytes is the length of a key's hash.
-const hashBytes = 32
+// keyHashBytes is the length of a key's hash.
+const keyHashBytes = 32
 
 // checker checks the items that would be in force after a change, and collects
 // every problem. Problems of items that the change leaves alone are reported
 // too when the change causes them, such as a class that names a removed team.
 type checker struct {
-	next     *state
+	proposed *state
 	files    map[string]string
 	problems []Problem
-	// alone is set when what is in force is not known, so that names which
+	// offline is set when what is in force is not known, so that names which
 	// the documents do not define may be.
-	alone bool
+	offline bool
 }
 
 // check reports the problems of next, in which changes were put.
-func check(next *state, changes []change, uses func(team string) (string, bool)) []Problem {
-	return (&checker{next: next}).run(changes, uses)
+func check(next *state, changes []sectionChange, uses func(team string) (string, bool)) []Problem {
+	return (&checker{proposed: next}).run(changes, uses)
 }
 
-func (c *checker) run(changes []change, uses func(team string) (string, bool)) []Problem {
+func (c *checker) run(changes []sectionChange, uses func(team string) (string, bool)) []Problem {
 	c.files = map[string]string{}
 	for _, ch := range changes {
 		c.files[ch.item.key()] = ch.file
-		if ch.item.Gone {
-			c.removal(&ch.item, uses)
+		if ch.item.Deleted {
+			c.checkRemoval(&ch.item, uses)
 		}
 	}
 	hashes := map[string]string{}
-	for _, i := range c.next.items() {
-		c.item(i)
+	for _, i := range c.proposed.items() {
+		c.checkItem(i)
 		if i.Sort != SortTeam {
 			continue
 		}
-		if other, ok := hashes[i.Hash]; ok {
-			c.problem(i, "has the key of team "+other)
+		if other, ok := hashes[i.KeyHash]; ok {
+			c.addProblem(i, "has the key of team "+other)
 		}
-		hashes[i.Hash] = i.Name
+		hashes[i.KeyHash] = i.Name
 	}
 	return c.problems
 }
 
-func (c *checker) removal(i *item, uses func(team string) (string, bool)) {
-	if _, ok := c.next.rows[i.key()]; !ok && !c.alone {
-		c.problem(i, fmt.Sprintf("unknown %s cannot be removed", i.Sort))
+func (c *checker) checkRemoval(i *item, uses func(team string) (string, bool)) {
+	if _, ok := c.proposed.rows[i.key()]; !ok && !c.offline {
+		c.addProblem(i, fmt.Sprintf("unknown %s cannot be removed", i.Sort))
 	}
 	if i.Sort != SortTeam || uses == nil {
 		return
 	}
 	if why, used := uses(i.Name); used {
-		c.problem(i, "team is in use: "+why)
+		c.addProblem(i, "team is in use: "+why)
 	}
 }
 
-func (c *checker) item(i *item) {
+func (c *checker) checkItem(i *item) {
 	switch i.Sort {
 	case SortClass:
-		c.class(i)
+		c.checkClass(i)
 	case SortTeam:
-		c.team(i)
+		c.checkTeam(i)
 	case SortModel:
-		c.model(i)
+		c.checkModel(i)
 	}
 }
 
-func (c *checker) class(i *item) {
-	c.upstream(i)
-	c.target(i)
+func (c *checker) checkClass(i *item) {
+	c.checkUpstream(i)
+	c.checkTarget(i)
 	for _, name := range i.Teams {
-		h, known := c.next.rows[rowKey(SortTeam, name)]
+		h, known := c.proposed.rows[rowKey(SortTeam, name)]
 		switch {
-		case !known && !c.alone:
-			c.problem(i, "names the unknown team "+name)
-		case known && h.item.Gone:
-			c.problem(i, "uses team "+name+", which is removed")
+		case !known && !c.offline:
+			c.addProblem(i, "names the unknown team "+name)
+		case known && h.item.Deleted:
+			c.addProblem(i, "uses team "+name+", which is removed")
 		}
 	}
 }
 
-func (c *checker) upstream(i *item) {
-	if !validOther(i.Model) || !validOther(i.Service) {
-		c.problem(i, "a model or service has up to 127 letters, digits and any of - . _ : /")
+func (c *checker) checkUpstream(i *item) {
+	if !validExternalName(i.Model) || !validExternalName(i.Service) {
+		c.addProblem(i, "a model or service has up to 127 letters, digits and any of - . _ : /")
 	}
 	if i.Kind == spec.KindPlain {
-		c.plain(i)
+		c.checkPlain(i)
 		return
 	}
 	if i.Model == "" {
-		c.problem(i, "model is missing")
+		c.addProblem(i, "model is missing")
 	}
 	if i.Service != "" {
-		c.problem(i, "a model class has no service")
+		c.addProblem(i, "a model class has no service")
 	}
 }
 
-func (c *checker) plain(i *item) {
+func (c *checker) checkPlain(i *item) {
 	if i.Service == "" {
-		c.problem(i, "service is missing")
+		c.addProblem(i, "service is missing")
 	}
 	if i.Model != "" {
-		c.problem(i, "a plain class has no model")
+		c.addProblem(i, "a plain class has no model")
 	}
-	if i.First > 0 || i.Gap > 0 {
-		c.problem(i, "a plain class has a target for the whole answer only")
+	if i.FirstEvent > 0 || i.Gap > 0 {
+		c.addProblem(i, "a plain class has a target for the whole answer only")
 	}
 }
 
-func (c *checker) target(i *item) {
+func (c *checker) checkTarget(i *item) {
 	switch {
-	case i.First == 0 && i.Gap == 0 && i.Whole == 0:
-		c.problem(i, "has no target; want one of first, gap and whole")
-	case i.Whole > 0 && i.Gap > i.Whole:
-		c.problem(i, fmt.Sprintf("impossible target: gap %s is longer than whole %s", i.Gap, i.Whole))
-	case i.Whole > 0 && i.First > i.Whole:
-		c.problem(i, fmt.Sprintf("impossible target: first %s is longer than whole %s", i.First, i.Whole))
+	case i.FirstEvent == 0 && i.Gap == 0 && i.TotalTime == 0:
+		c.addProblem(i, "has no target; want one of first, gap and whole")
+	case i.TotalTime > 0 && i.Gap > i.TotalTime:
+		c.addProblem(i, fmt.Sprintf("impossible target: gap %s is longer than whole %s", i.Gap, i.TotalTime))
+	case i.TotalTime > 0 && i.FirstEvent > i.TotalTime:
+		c.addProblem(i, fmt.Sprintf("impossible target: first %s is longer than whole %s", i.FirstEvent, i.TotalTime))
 	}
 	if i.Percent <= 0 || i.Percent > 100 {
-		c.problem(i, fmt.Sprintf("impossible target: percent is %g, want above 0 and at most 100", i.Percent))
+		c.addProblem(i, fmt.Sprintf("impossible target: percent is %g, want above 0 and at most 100", i.Percent))
 	}
 	if i.Reliability > 100 {
-		c.problem(i, fmt.Sprintf("impossible target: reliability is %g, want at most 100", i.Reliability))
+		c.addProblem(i, fmt.Sprintf("impossible target: reliability is %g, want at most 100", i.Reliability))
 	}
 }
 
-func (c *checker) team(i *item) {
-	if raw, err := hex.DecodeString(i.Hash); err != nil || len(raw) != hashBytes {
-		c.problem(i, "key-hash is the SHA-256 of the team's key in 64 hex digits")
+func (c *checker) checkTeam(i *item) {
+	if raw, err := hex.DecodeString(i.KeyHash); err != nil || len(raw) != keyHashBytes {
+		c.addProblem(i, "key-hash is the SHA-256 of the team's key in 64 hex digits")
 	}
 	if i.Share <= 0 {
-		c.problem(i, "share must be above 0")
+		c.addProblem(i, "share must be above 0")
 	}
 }
 
-func (c *checker) model(i *item) {
-	if i.Default == "" {
+func (c *checker) checkModel(i *item) {
+	if i.DefaultClass == "" {
 		return
 	}
-	class, ok := c.next.item(SortClass, i.Default)
+	class, ok := c.proposed.item(SortClass, i.DefaultClass)
 	switch {
-	case !ok && c.alone:
+	case !ok && c.offline:
 	case !ok:
-		c.problem(i, "default names the unknown class "+i.Default)
+		c.addProblem(i, "default names the unknown class "+i.DefaultClass)
 	case class.Kind != spec.KindModel || class.Model != i.Name:
-		c.problem(i, "default names class "+i.Default+", which is not of this model")
+		c.addProblem(i, "default names class "+i.DefaultClass+", which is not of this model")
 	}
 }
 
-func (c *checker) problem(i *item, reason string) {
+func (c *checker) addProblem(i *item, reason string) {
 	file, ok := c.files[i.key()]
 	if !ok {
 		file = "in force"
 	}
-	c.problems = append(c.problems, Problem{File: file, Section: i.section(), Reason: reason})
+	c.problems = append(c.problems, Problem{File: file, Section: i.sectionName(), Reason: reason})
 }
--- a/internal/state/config/config_test.go
+++ b/internal/state/config/config_test.go
@@ -15,36 +15,36 @@
 	"github.com/go-faster/errors"
 )
 
-const hash = "0123456789abcdef0123456789abcdef0123456789abcdef0123456789abcdef"
+const testKeyHash = "0123456789abcdef0123456789abcdef0123456789abcdef0123456789abcdef"
 
-func doc(text string) []config.Document {
+func document(text string) []config.Document {
 	return []config.Document{{File: "a.ini", Data: []byte(text)}}
 }
 
-func class(name, whole string) []config.Document {
-	return doc("[class " + name + "]\nkind = model\nmodel = levy\nwhole = " + whole + "\n")
+func classDocument(name, whole string) []config.Document {
+	return document("[class " + name + "]\nkind = model\nmodel = levy\nwhole = " + whole + "\n")
 }
 
-func apply(t *testing.T, table config.CommitTable, docs []config.Document) uint64 {
+func mustApply(t *testing.T, table config.CommitTable, docs []config.Document) uint64 {
 	t.Helper()
 	a := &config.Applier{Table: table}
-	v, err := a.Apply(t.Context(), config.Change{Documents: docs, Who: "siti"})
+	v, err := a.Apply(t.Context(), config.Change{Documents: docs, Author: "siti"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	return v
 }
 
-func whole(b *config.Book, name spec.ClassName) time.Duration {
+func totalTime(b *config.Active, name spec.ClassName) time.Duration {
 	c, _ := b.Class(name)
 	return c.Target().TotalTime()
 }
 
 // All problems of two documents come at once, each with its file, its section
 // and the reason, and nothing is changed.
-func TestRefusesWithAllProblems(t *testing.T) {
+func TestReportsAllProblems(t *testing.T) {
 	table := &infra.Table{}
-	apply(t, table, doc("[team depot]\nkey-hash="+hash+"\n[class ask]\nkind=model\nmodel=levy\nfirst=1s\nteams=depot\n"))
+	mustApply(t, table, document("[team depot]\nkey-hash="+testKeyHash+"\n[class ask]\nkind=model\nmodel=levy\nfirst=1s\nteams=depot\n"))
 	docs := []config.Document{
 		{File: "a.ini", Data: []byte(`stray = 1
 [class one]
@@ -61,7 +61,7 @@
 [team depot]
 remove = yes
 [team copy]
-key-hash = ` + hash + `
+key-hash = ` + testKeyHash + `
 [engine x]
 [class A B]
 kind = model
@@ -81,8 +81,8 @@
 remove = yes
 `)},
 	}
-	a := &config.Applier{Table: table, Uses: func(string) (string, bool) { return "3 requests in progress", true }}
-	_, err := a.Apply(t.Context(), config.Change{Documents: docs, Who: "siti"})
+	a := &config.Applier{Table: table, TeamInUse: func(string) (string, bool) { return "3 requests in progress", true }}
+	_, err := a.Apply(t.Context(), config.Change{Documents: docs, Author: "siti"})
 	var bad *config.InvalidError
 	if !errors.As(err, &bad) {
 		t.Fatalf("got %v, want an InvalidError", err)
@@ -108,8 +108,8 @@
 			t.Errorf("got no %q in:\n%v", want, err)
 		}
 	}
-	one := doc("[class one]\nkind=model\nmodel=levy\ngap=2s\nwhole=1s\npercent=101\nreliability=200")
-	_, err = a.Apply(t.Context(), config.Change{Documents: one, Who: "siti"})
+	one := document("[class one]\nkind=model\nmodel=levy\ngap=2s\nwhole=1s\npercent=101\nreliability=200")
+	_, err = a.Apply(t.Context(), config.Change{Documents: one, Author: "siti"})
 	for _, want := range []string{"gap 2s is longer than whole 1s", "percent is 101", "reliability is 200"} {
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("got %v, want %q", err, want)
@@ -122,10 +122,10 @@
 
 // What show prints is a document that apply takes, and applying it changes
 // nothing.
-func TestShowIsADocument(t *testing.T) {
+func TestSnapshotTextIsValidDocument(t *testing.T) {
 	table := &infra.Table{}
-	v := apply(t, table, doc(`[team depot]
-key-hash=`+hash+`
+	v := mustApply(t, table, document(`[team depot]
+key-hash=`+testKeyHash+`
 limit=50
 [class ask]
 kind=model
@@ -144,34 +144,34 @@
 default=ask
 `))
 	a := &config.Applier{Table: table}
-	s, err := a.Show(t.Context())
+	s, err := a.ReadSnapshot(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := apply(t, table, doc(s.Text())); got != v {
+	if got := mustApply(t, table, document(s.Text())); got != v {
 		t.Errorf("got version %d for the shown text, want %d", got, v)
 	}
-	if err := config.CheckAlone(doc(s.Text())); err != nil {
+	if err := config.CheckOffline(document(s.Text())); err != nil {
 		t.Errorf("got %v from CheckAlone, want nil", err)
 	}
 	copied, err := config.DecodeSnapshot(s.Encode())
 	if err != nil || copied.Text() != s.Text() {
 		t.Errorf("got %v %q, want the same text", err, copied.Text())
 	}
-	if !s.Asks("payments") || s.Limit(hash) != 50 || s.Reliability("ask") != 99.9 || s.Allows("ask", "other") || !s.Allows("pay", "other") {
+	if !s.SupportsOutcomes("payments") || s.TeamRateLimit(testKeyHash) != 50 || s.ClassReliability("ask") != 99.9 || s.Allows("ask", "other") || !s.Allows("pay", "other") {
 		t.Errorf("got other extras than the document has: %s", s.Text())
 	}
 }
 
-// meddler runs once before a commit, as another operator would.
-type meddler struct {
+// interferingTable runs once before a commit, as another operator would.
+type interferingTable struct {
 	*infra.Table
-	once func()
+	beforeCommit func()
 }
 
-func (m *meddler) Commit(ctx context.Context, w []store.Write) (uint64, error) {
-	if f := m.once; f != nil {
-		m.once = nil
+func (m *interferingTable) Commit(ctx context.Context, w []store.Write) (uint64, error) {
+	if f := m.beforeCommit; f != nil {
+		m.beforeCommit = nil
 		f()
 	}
 	return m.Table.Commit(ctx, w)
@@ -180,25 +180,25 @@
 // Two operators change targets at the same moment. Different classes: both
 // win. The same class: the later one is told who won, and nothing of it is in
 // force.
-func TestRacingOperators(t *testing.T) {
+func TestConcurrentOperators(t *testing.T) {
 	table := &infra.Table{}
-	race := &meddler{Table: table, once: func() { apply(t, table, class("one", "1s")) }}
-	if got := apply(t, race, class("two", "2s")); got != 2 {
+	race := &interferingTable{Table: table, beforeCommit: func() { mustApply(t, table, classDocument("one", "1s")) }}
+	if got := mustApply(t, race, classDocument("two", "2s")); got != 2 {
 		t.Errorf("got version %d behind a disjoint change, want 2", got)
 	}
-	race.once = func() { apply(t, table, class("one", "5s")) }
+	race.beforeCommit = func() { mustApply(t, table, classDocument("one", "5s")) }
 	a := &config.Applier{Table: race}
-	both := append(class("one", "9s"), class("three", "3s")...)
-	_, err := a.Apply(t.Context(), config.Change{Documents: both, Who: "ravi"})
+	both := append(classDocument("one", "9s"), classDocument("three", "3s")...)
+	_, err := a.Apply(t.Context(), config.Change{Documents: both, Author: "ravi"})
 	var lost *config.ConflictError
-	if !errors.As(err, &lost) || len(lost.Winners) != 1 || lost.Winners[0].Who != "siti" || lost.Winners[0].Version != 3 {
+	if !errors.As(err, &lost) || len(lost.Winners) != 1 || lost.Winners[0].Author != "siti" || lost.Winners[0].Version != 3 {
 		t.Fatalf("got %v, want a conflict won by siti with version 3", err)
 	}
-	_, err = a.Apply(t.Context(), config.Change{Documents: class("one", "9s"), Who: "ravi", Base: 2})
+	_, err = a.Apply(t.Context(), config.Change{Documents: classDocument("one", "9s"), Author: "ravi", BaseVersion: 2})
 	if !errors.As(err, &lost) {
 		t.Errorf("got %v for a change based on version 2, want a conflict", err)
 	}
-	s, err := a.Show(t.Context())
+	s, err := a.ReadSnapshot(t.Context())
 	if err != nil || s.Version() != 3 || len(s.Classes()) != 2 || s.Classes()[0].Target().TotalTime() != 5*time.Second {
 		t.Errorf("got %s, want version 3 with siti's target and no class three", s.Text())
 	}
@@ -206,7 +206,7 @@
 
 // Answers of the table are lost around a change. The operator is told the
 // truth: accepted once if the change is found, else to look in the history.
-func TestLostAnswers(t *testing.T) {
+func TestLostCommitResponses(t *testing.T) {
 	cases := []struct {
 		name   string
 		faults infra.Faults
@@ -219,9 +219,9 @@
 	for _, c := range cases {
 		synctest.Test(t, func(t *testing.T) {
 			table := &infra.Table{}
-			apply(t, table, class("one", "1s"))
+			mustApply(t, table, classDocument("one", "1s"))
 			table.Fault(c.faults)
-			if got := apply(t, table, class("one", "2s")); got != c.want {
+			if got := mustApply(t, table, classDocument("one", "2s")); got != c.want {
 				t.Errorf("%s: got version %d, want %d", c.name, got, c.want)
 			}
 			h, err := (&config.Applier{Table: table}).History(t.Context(), 10)
@@ -232,15 +232,15 @@
 	}
 	synctest.Test(t, func(t *testing.T) {
 		table := &infra.Table{}
-		race := &meddler{Table: table}
-		race.once = func() { table.Fault(infra.Faults{Drop: 100}) }
-		_, err := (&config.Applier{Table: race}).Apply(t.Context(), config.Change{Documents: class("one", "1s"), ID: "c1"})
-		var open *config.UnsureError
-		if !errors.As(err, &open) || open.Change != "c1" {
+		race := &interferingTable{Table: table}
+		race.beforeCommit = func() { table.Fault(infra.Faults{Drop: 100}) }
+		_, err := (&config.Applier{Table: race}).Apply(t.Context(), config.Change{Documents: classDocument("one", "1s"), ID: "c1"})
+		var open *config.OutcomeUnknownError
+		if !errors.As(err, &open) || open.ChangeID != "c1" {
 			t.Errorf("got %v, want an UnsureError that names the change", err)
 		}
 		table.Fault(infra.Faults{Down: true})
-		if _, err := (&config.Applier{Table: table}).Apply(t.Context(), config.Change{}); !errors.Is(err, config.ErrStore) {
+		if _, err := (&config.Applier{Table: table}).Apply(t.Context(), config.Change{}); !errors.Is(err, config.ErrStoreUnavailable) {
 			t.Errorf("got %v with the table down, want ErrStore", err)
 		}
 	})
@@ -249,55 +249,55 @@
 // Class one was tightened and accepted. Then an instance restarts, reads are
 // stale, an old peer offers its snapshot and the table goes out: on no
 // instance does the old target come back.
-func TestNeverReverts(t *testing.T) {
+func TestStaleReadNeverRevertsConfig(t *testing.T) {
 	table := &infra.Table{}
-	apply(t, table, class("one", "1s"))
-	old := &config.Follower{Table: table, Book: &config.Book{}}
-	round(t, old)
-	oldPeer := old.Book.Now().Encode()
-	apply(t, table, class("one", "2s"))
-	f := &config.Follower{Table: table, Book: &config.Book{}}
-	round(t, f)
+	mustApply(t, table, classDocument("one", "1s"))
+	old := &config.Follower{Table: table, Active: &config.Active{}}
+	mustPoll(t, old)
+	oldPeer := old.Active.Snapshot().Encode()
+	mustApply(t, table, classDocument("one", "2s"))
+	f := &config.Follower{Table: table, Active: &config.Active{}}
+	mustPoll(t, f)
 
 	table.Fault(infra.Faults{Stale: true})
-	round(t, f)
-	if err := f.TakePeer(oldPeer); err != nil {
+	mustPoll(t, f)
+	if err := f.ApplyPeerSnapshot(oldPeer); err != nil {
 		t.Errorf("got %v from an old peer, want it dropped in silence", err)
 	}
-	if got := whole(f.Book, "one"); got != 2*time.Second {
+	if got := totalTime(f.Active, "one"); got != 2*time.Second {
 		t.Errorf("got a target of %v after stale reads, want 2s", got)
 	}
 
 	// A restarted instance sees stale reads only: what it has heard of by
 	// gossip keeps it from being ready with the old version.
-	restarted := &config.Follower{Table: table, Book: &config.Book{}}
-	restarted.Hint(2)
-	_ = restarted.Round(t.Context())
+	restarted := &config.Follower{Table: table, Active: &config.Active{}}
+	restarted.NotifyVersion(2)
+	_ = restarted.Poll(t.Context())
 	if restarted.Ready() {
 		t.Errorf("got ready at version %d, want not before version 2", restarted.Version())
 	}
 	table.Fault(infra.Faults{})
-	round(t, restarted)
-	if got := whole(restarted.Book, "one"); got != 2*time.Second || !restarted.Ready() {
+	mustPoll(t, restarted)
+	if got := totalTime(restarted.Active, "one"); got != 2*time.Second || !restarted.Ready() {
 		t.Errorf("got %v, ready %v, want 2s and ready", got, restarted.Ready())
 	}
 }
 
-func round(t *testing.T, f *config.Follower) {
+func mustPoll(t *testing.T, f *config.Follower) {
 	t.Helper()
-	if err := f.Round(t.Context()); err != nil {
+	if err := f.Poll(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// mixer answers scans with one row as it was before its last change, as a
+// laggingTable answers scans with one row as it was before its last change, as a
 // replica does that lags for some rows only.
-type mixer struct {
+type laggingTable struct {
 	*infra.Table
 	stale store.Row
 }
 
-func (m *mixer) Scan(ctx context.Context, prefix string, since uint64, limit int) ([]store.Row, error) {
+func (m *laggingTable) Scan(ctx context.Context, prefix string, since uint64, limit int) ([]store.Row, error) {
 	rows, err := m.Table.Scan(ctx, prefix, since, limit)
 	for i := range rows {
 		if rows[i].Key() == m.stale.Key() {
@@ -309,63 +309,63 @@
 
 // A lagging replica shows the new head with an old row. Taking both would put
 // a mixture in force that no operator ever accepted; the digest shows it.
-func TestMixturesAreDropped(t *testing.T) {
+func TestInconsistentRowsAreRejected(t *testing.T) {
 	table := &infra.Table{}
-	apply(t, table, class("one", "1s"))
+	mustApply(t, table, classDocument("one", "1s"))
 	before, err := table.Get(t.Context(), "conf/class/one")
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &config.Follower{Table: table, Book: &config.Book{}}
-	round(t, f)
-	apply(t, table, append(class("one", "2s"), class("two", "2s")...))
-	f.Table = &mixer{Table: table, stale: before}
-	if err := f.Round(t.Context()); !errors.Is(err, config.ErrRow) {
+	f := &config.Follower{Table: table, Active: &config.Active{}}
+	mustPoll(t, f)
+	mustApply(t, table, append(classDocument("one", "2s"), classDocument("two", "2s")...))
+	f.Table = &laggingTable{Table: table, stale: before}
+	if err := f.Poll(t.Context()); !errors.Is(err, config.ErrBadRows) {
 		t.Errorf("got %v for a mixture, want ErrRow", err)
 	}
 	if got := f.Version(); got != 1 {
 		t.Errorf("got version %d, want 1 still", got)
 	}
 	f.Table = table
-	round(t, f)
-	if got := whole(f.Book, "one"); got != 2*time.Second || f.Version() != 2 {
+	mustPoll(t, f)
+	if got := totalTime(f.Active, "one"); got != 2*time.Second || f.Version() != 2 {
 		t.Errorf("got %v at version %d, want 2s at 2", got, f.Version())
 	}
 }
 
-// peers are the snapshots of other instances.
-type peers [][]byte
+// fixedPeers are the snapshots of other instances.
+type fixedPeers [][]byte
 
-func (p peers) Snapshots(context.Context) ([][]byte, error) { return p, nil }
+func (p fixedPeers) Snapshots(context.Context) ([][]byte, error) { return p, nil }
 
 // An instance joins while the table is out. It starts from the newest of its
 // peers; one that reaches no peer either is not ready. When the table returns
 // it reads only what changed since.
-func TestJoinsDuringOutage(t *testing.T) {
+func TestStartsFromPeersDuringOutage(t *testing.T) {
 	table := &infra.Table{}
-	first := &config.Follower{Table: table, Book: &config.Book{}}
-	var snaps peers
+	first := &config.Follower{Table: table, Active: &config.Active{}}
+	var snaps fixedPeers
 	for _, w := range []string{"1s", "2s", "3s"} {
-		apply(t, table, class("one", w))
-		round(t, first)
-		snaps = append(snaps, first.Book.Now().Encode())
+		mustApply(t, table, classDocument("one", w))
+		mustPoll(t, first)
+		snaps = append(snaps, first.Active.Snapshot().Encode())
 	}
 	snaps[1], snaps[2] = snaps[2], snaps[1]
 	table.Fault(infra.Faults{Down: true})
-	alone := &config.Follower{Table: table, Book: &config.Book{}}
-	if err := alone.Round(t.Context()); !errors.Is(err, config.ErrStore) || alone.Ready() {
+	alone := &config.Follower{Table: table, Active: &config.Active{}}
+	if err := alone.Poll(t.Context()); !errors.Is(err, config.ErrStoreUnavailable) || alone.Ready() {
 		t.Errorf("got %v and ready %v without table and peers, want ErrStore and not ready", err, alone.Ready())
 	}
 	seen := []uint64{}
-	joined := &config.Follower{Table: table, Book: &config.Book{}, Peers: snaps, OnChange: func(s *config.Snapshot) { seen = append(seen, s.Version()) }}
-	_ = joined.Round(t.Context())
+	joined := &config.Follower{Table: table, Active: &config.Active{}, Peers: snaps, OnChange: func(s *config.Snapshot) { seen = append(seen, s.Version()) }}
+	_ = joined.Poll(t.Context())
 	if joined.Version() != 3 || !joined.Ready() || len(seen) != 2 {
 		t.Errorf("got version %d, ready %v, changes %v; want 3 after 1", joined.Version(), joined.Ready(), seen)
 	}
 	table.Fault(infra.Faults{})
-	apply(t, table, class("two", "1s"))
+	mustApply(t, table, classDocument("two", "1s"))
 	readsBefore, _ := table.Counts()
-	round(t, joined)
+	mustPoll(t, joined)
 	readsAfter, _ := table.Counts()
 	if got := readsAfter - readsBefore; joined.Version() != 4 || got != 2 {
 		t.Errorf("got version %d with %d reads, want 4 with 2", joined.Version(), got)
@@ -374,18 +374,18 @@
 
 // A document of 1,200 teams is one commit, larger than a page of a scan: no
 // follower misses a row at the end of a page.
-func TestLargeChangeIsReadWhole(t *testing.T) {
+func TestLargeChangeIsReadCompletely(t *testing.T) {
 	table := &infra.Table{}
 	var b strings.Builder
 	for i := range 1200 {
 		name := strings.Repeat("x", 1+i%50) + string(rune('a'+i/50))
 		b.WriteString("[team " + name + "]\nkey-hash=" + hashOf(name) + "\n")
 	}
-	apply(t, table, class("one", "1s"))
-	apply(t, table, doc(b.String()))
-	f := &config.Follower{Table: table, Book: &config.Book{}}
-	round(t, f)
-	if got := len(f.Book.Now().Teams()); got != 1200 {
+	mustApply(t, table, classDocument("one", "1s"))
+	mustApply(t, table, document(b.String()))
+	f := &config.Follower{Table: table, Active: &config.Active{}}
+	mustPoll(t, f)
+	if got := len(f.Active.Snapshot().Teams()); got != 1200 {
 		t.Errorf("got %d teams, want 1200", got)
 	}
 }
@@ -397,10 +397,10 @@
 func FuzzDecodeSnapshot(f *testing.F) {
 	table := &infra.Table{}
 	a := &config.Applier{Table: table}
-	if _, err := a.Apply(f.Context(), config.Change{Documents: class("one", "1s")}); err != nil {
+	if _, err := a.Apply(f.Context(), config.Change{Documents: classDocument("one", "1s")}); err != nil {
 		f.Fatal(err)
 	}
-	s, err := a.Show(f.Context())
+	s, err := a.ReadSnapshot(f.Context())
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -418,18 +418,18 @@
 // again.
 func FuzzDocument(f *testing.F) {
 	f.Add("[class a]\nkind=model\nmodel=m\nfirst=1s\npercent=99.5\n")
-	f.Add("[team a]\nkey-hash=" + hash + "\nshare=2\n[class b]\nkind=plain\nservice=s\nwhole=1h\nteams=a\n")
+	f.Add("[team a]\nkey-hash=" + testKeyHash + "\nshare=2\n[class b]\nkind=plain\nservice=s\nwhole=1h\nteams=a\n")
 	f.Fuzz(func(t *testing.T, text string) {
 		a := &config.Applier{Table: &infra.Table{}}
-		v, err := a.Apply(context.Background(), config.Change{Documents: doc(text)})
+		v, err := a.Apply(context.Background(), config.Change{Documents: document(text)})
 		if err != nil || v == 0 {
 			return
 		}
-		s, err := a.Show(context.Background())
+		s, err := a.ReadSnapshot(context.Background())
 		if err != nil {
 			t.Fatal(err)
 		}
-		if again, err := a.Apply(context.Background(), config.Change{Documents: doc(s.Text())}); err != nil || again != v {
+		if again, err := a.Apply(context.Background(), config.Change{Documents: document(s.Text())}); err != nil || again != v {
 			t.Errorf("got %d %v for the shown text of %q, want version %d:\n%s", again, err, text, v, s.Text())
 		}
 	})
--- a/internal/state/config/errors.go
+++ b/internal/state/config/errors.go
@@ -12,12 +12,12 @@
 
 // Errors of this package.
 var (
-	// ErrRow means that bytes are not a row or snapshot of this package, or
+	// ErrBadRows means that bytes are not a row or snapshot of this package, or
 	// do not fit together.
-	ErrRow = errors.New("config: bad rows")
-	// ErrStore means that the table could not be read or written; a change
+	ErrBadRows = errors.New("config: bad rows")
+	// ErrStoreUnavailable means that the table could not be read or written; a change
 	// that ends so had no effect.
-	ErrStore = errors.New("config: table out of reach")
+	ErrStoreUnavailable = errors.New("config: table out of reach")
 )
 
 // Problem is one reason why documents were refused.
@@ -51,7 +51,7 @@
 type Winner struct {
 	Section string
 	Version uint64
-	Who     string
+	Author  string
 	At      time.Time
 }
 
@@ -66,20 +66,20 @@
 	var b strings.Builder
 	b.WriteString("config: changed by others meanwhile; look at what is in force and apply again")
 	for _, w := range e.Winners {
-		fmt.Fprintf(&b, "\n  [%s]: version %d by %s at %s", w.Section, w.Version, w.Who, w.At.UTC().Format(time.RFC3339))
+		fmt.Fprintf(&b, "\n  [%s]: version %d by %s at %s", w.Section, w.Version, w.Author, w.At.UTC().Format(time.RFC3339))
 	}
 	return b.String()
 }
 
-// UnsureError means that the table stopped answering during the change, which
+// OutcomeUnknownError means that the table stopped answering during the change, which
 // may have taken effect or do so yet. History tells, by the change's id.
-type UnsureError struct {
-	Change string
+type OutcomeUnknownError struct {
+	ChangeID string
 }
 
 // Error names the change.
-func (e *UnsureError) Error() string {
-	return "config: the table stopped answering; look in the history for change " + e.Change
+func (e *OutcomeUnknownError) Error() string {
+	return "config: the table stopped answering; look in the history for change " + e.ChangeID
 }
 
-func sortedKeys(m map[string]*held) []string { return slices.Sorted(maps.Keys(m)) }
+func sortedKeys(m map[string]*storedRow) []string { return slices.Sorted(maps.Keys(m)) }
--- a/internal/state/config/example_test.go
+++ b/internal/state/config/example_test.go
@@ -6,8 +6,8 @@
 	"fulmarwick/internal/state/config"
 )
 
-func ExampleCheckAlone() {
-	err := config.CheckAlone([]config.Document{{File: "classes.ini", Data: []byte(`
+func ExampleCheckOffline() {
+	err := config.CheckOffline([]config.Document{{File: "classes.ini", Data: []byte(`
 [class answer]
 kind = model
 model = levy-13b
--- a/internal/state/config/follow.go
+++ b/internal/state/config/follow.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	defaultEvery = 5 * time.Second
-	// retryAfter is the pause before a head that was heard of is looked for
+	defaultPollInterval = 5 * time.Second
+	// behindPollInterval is the pause before a head that was heard of is looked for
 	// again in a table that does not show it yet.
-	retryAfter = 500 * time.Millisecond
-	// hintSpread keeps a fleet that hears of a head at once from reading the
+	behindPollInterval = 500 * time.Millisecond
+	// maxHintJitter keeps a fleet that hears of a head at once from reading the
 	// table in the same moment.
-	hintSpread = 500 * time.Millisecond
-	pageRows   = 500
+	maxHintJitter = 500 * time.Millisecond
+	rowsPerPage   = 500
 )
 
 // Table is the part of the platform's table that followers read.
@@ -39,8 +39,8 @@
 // The version in force only rises: heads that are lower, mixtures of changes
 // and snapshots of old peers are dropped.
 type Follower struct {
-	Table Table
-	Book  *Book
+	Table  Table
+	Active *Active
 	// Peers is asked while the table is out and something is missing; nil asks
 	// nobody.
 	Peers Peers
@@ -48,32 +48,32 @@
 	OnChange func(*Snapshot)
 	// OnError is called with what Run meets; nil drops it.
 	OnError func(error)
-	// Every is the time between looks at the head; zero is 5 s.
-	Every time.Duration
+	// PollInterval is the time between looks at the head; zero is 5 s.
+	PollInterval time.Duration
 	// Jitter returns a factor around 1 for waits; nil is always 1.
 	Jitter func() float64
 	// Meters takes the metrics; nil makes a private set.
 	Meters *metrics.Set
 
-	once  sync.Once
-	wake  chan struct{}
-	round sync.Mutex
+	once   sync.Once
+	wake   chan struct{}
+	pollMu sync.Mutex
 
-	mu    sync.Mutex
-	state *state
-	hint  uint64
-	// order keeps OnChange in the order of versions.
-	order sync.Mutex
+	mu          sync.Mutex
+	state       *state
+	highestSeen uint64
+	// activateMu keeps OnChange in the order of versions.
+	activateMu sync.Mutex
 }
 
 // Run follows until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
-	f.once.Do(f.start)
+	f.once.Do(f.setDefaults)
 	for {
-		if err := f.Round(ctx); err != nil && f.OnError != nil {
+		if err := f.Poll(ctx); err != nil && f.OnError != nil {
 			f.OnError(err)
 		}
-		if !f.sleep(ctx, f.pause(), f.wake) {
+		if !f.sleep(ctx, f.pollDelay(), f.wake) {
 			return
 		}
 	}
@@ -90,17 +90,17 @@
 	case <-timer.C:
 		return true
 	case <-wake:
-		return f.sleep(ctx, time.Duration(float64(hintSpread)*f.Jitter()), nil)
+		return f.sleep(ctx, time.Duration(float64(maxHintJitter)*f.Jitter()), nil)
 	}
 }
 
-// Hint tells that version was seen in force somewhere. The table is looked at
+// NotifyVersion tells that version was seen in force somewhere. The table is looked at
 // soon, with jitter, since all instances hear of it at about the same time.
-func (f *Follower) Hint(version uint64) {
-	f.once.Do(f.start)
+func (f *Follower) NotifyVersion(version uint64) {
+	f.once.Do(f.setDefaults)
 	f.mu.Lock()
-	news := version > f.hint
-	f.hint = max(f.hint, version)
+	news := version > f.highestSeen
+	f.highestSeen = max(f.highestSeen, version)
 	f.mu.Unlock()
 	if !news || version <= f.Version() {
 		return
@@ -112,7 +112,7 @@
 }
 
 // Version is the version in force here; zero is none.
-func (f *Follower) Version() uint64 { return f.now().head.Version }
+func (f *Follower) Version() uint64 { return f.currentState().head.Version }
 
 // Ready reports whether a configuration is in force here that is as new as
 // any that this instance has heard of, by the table or by a peer. An instance
@@ -120,20 +120,20 @@
 func (f *Follower) Ready() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.state != nil && f.state.head.Version >= f.hint
+	return f.state != nil && f.state.head.Version >= f.highestSeen
 }
 
-// Round looks at the head once and takes what changed.
-func (f *Follower) Round(ctx context.Context) error {
-	f.once.Do(f.start)
-	f.round.Lock()
-	defer f.round.Unlock()
+// Poll looks at the head once and takes what changed.
+func (f *Follower) Poll(ctx context.Context) error {
+	f.once.Do(f.setDefaults)
+	f.pollMu.Lock()
+	defer f.pollMu.Unlock()
 	row, err := f.Table.Get(ctx, headKey)
-	if errors.Is(err, store.ErrMissing) {
+	if errors.Is(err, store.ErrNotFound) {
 		return nil
 	}
 	if err != nil {
-		return f.askPeers(ctx, errors.Wrap(ErrStore, err.Error()))
+		return f.fetchFromPeers(ctx, errors.Wrap(ErrStoreUnavailable, err.Error()))
 	}
 	h, err := decodeHead(row.Value())
 	if err != nil {
@@ -148,41 +148,41 @@
 // fetch reads the rows after the last known one and, if they do not fit
 // together, all of them.
 func (f *Follower) fetch(ctx context.Context) error {
-	next := f.now().clone()
-	if err := f.walk(ctx, next); err != nil {
+	next := f.currentState().clone()
+	if err := f.readRows(ctx, next); err != nil {
 		return err
 	}
-	if !next.whole() {
+	if !next.isConsistent() {
 		f.Meters.GetOrCreateCounter("fulmarwick_config_mixtures_total").Inc()
 		next = newState()
-		if err := f.walk(ctx, next); err != nil {
+		if err := f.readRows(ctx, next); err != nil {
 			return err
 		}
 	}
-	if !next.whole() {
-		return errors.Wrap(ErrRow, "the table's rows do not match its head")
+	if !next.isConsistent() {
+		return errors.Wrap(ErrBadRows, "the table's rows do not match its head")
 	}
-	f.take(next)
+	f.activate(next)
 	return nil
 }
 
-func (f *Follower) walk(ctx context.Context, into *state) error {
+func (f *Follower) readRows(ctx context.Context, into *state) error {
 	var bad error
-	err := store.Walk(ctx, f.Table, rowPrefix, into.since, pageRows, func(r store.Row) {
+	err := store.ScanAll(ctx, f.Table, rowPrefix, into.maxVersion, rowsPerPage, func(r store.Row) {
 		if err := into.put(r); err != nil {
 			bad = err
 		}
 	})
 	if err != nil {
-		return errors.Wrap(ErrStore, err.Error())
+		return errors.Wrap(ErrStoreUnavailable, err.Error())
 	}
 	return bad
 }
 
-// take puts a state in force unless one at least as high is.
-func (f *Follower) take(next *state) {
-	f.order.Lock()
-	defer f.order.Unlock()
+// activate puts a state in force unless one at least as high is.
+func (f *Follower) activate(next *state) {
+	f.activateMu.Lock()
+	defer f.activateMu.Unlock()
 	if f.Version() >= next.head.Version {
 		return
 	}
@@ -190,12 +190,12 @@
 	f.state = next
 	f.mu.Unlock()
 	s := next.snapshot()
-	if f.Book.Take(s) && f.OnChange != nil {
+	if f.Active.SetIfNewer(s) && f.OnChange != nil {
 		f.OnChange(s)
 	}
 }
 
-func (f *Follower) now() *state {
+func (f *Follower) currentState() *state {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.state == nil {
@@ -204,29 +204,29 @@
 	return f.state
 }
 
-func (f *Follower) pause() time.Duration {
-	d := f.Every
-	if f.missing() {
-		d = min(d, retryAfter)
+func (f *Follower) pollDelay() time.Duration {
+	d := f.PollInterval
+	if f.isBehind() {
+		d = min(d, behindPollInterval)
 	}
 	return time.Duration(float64(d) * f.Jitter())
 }
 
-// missing reports whether a newer version is known to exist, or none is known.
-func (f *Follower) missing() bool {
+// isBehind reports whether a newer version is known to exist, or none is known.
+func (f *Follower) isBehind() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.state == nil || f.state.head.Version < f.hint
+	return f.state == nil || f.state.head.Version < f.highestSeen
 }
 
-func (f *Follower) start() {
+func (f *Follower) setDefaults() {
 	f.wake = make(chan struct{}, 1)
 	if f.Meters == nil {
 		f.Meters = metrics.NewSet()
 	}
 	f.Meters.GetOrCreateGauge("fulmarwick_config_version", func() float64 { return float64(f.Version()) })
-	if f.Every == 0 {
-		f.Every = defaultEvery
+	if f.PollInterval == 0 {
+		f.PollInterval = defaultPollInterval
 	}
 	if f.Jitter == nil {
 		f.Jitter = func() float64 { return 1 }
--- a/internal/state/config/history.go
+++ b/internal/state/config/history.go
@@ -13,61 +13,61 @@
 	"github.com/go-faster/errors"
 )
 
-// Entry is one accepted change in the history.
-type Entry struct {
+// HistoryEntry is one accepted change in the history.
+type HistoryEntry struct {
 	Version uint64 `cbor:"1,keyasint"`
 	ID      string `cbor:"2,keyasint"`
-	Who     string `cbor:"3,keyasint"`
+	Author  string `cbor:"3,keyasint"`
 	// At is Unix seconds by the clock of whoever applied.
 	At       int64    `cbor:"4,keyasint"`
 	Sections []string `cbor:"5,keyasint"`
 }
 
-func logKey(version uint64) string { return fmt.Sprintf("%s%016x", logPrefix, version) }
+func historyKey(version uint64) string { return fmt.Sprintf("%s%016x", historyPrefix, version) }
 
-func readEntry(ctx context.Context, t Table, version uint64) (Entry, error) {
-	var e Entry
-	row, err := t.Get(ctx, logKey(version))
+func readHistoryEntry(ctx context.Context, t Table, version uint64) (HistoryEntry, error) {
+	var e HistoryEntry
+	row, err := t.Get(ctx, historyKey(version))
 	if err != nil {
 		return e, err
 	}
 	if err := cbor.Unmarshal(row.Value(), &e); err != nil {
-		return e, errors.Wrap(ErrRow, err.Error())
+		return e, errors.Wrap(ErrBadRows, err.Error())
 	}
 	return e, nil
 }
 
 // History returns the last limit changes, newest first, at one read each.
-func (a *Applier) History(ctx context.Context, limit int) ([]Entry, error) {
+func (a *Applier) History(ctx context.Context, limit int) ([]HistoryEntry, error) {
 	row, err := a.Table.Get(ctx, headKey)
-	if errors.Is(err, store.ErrMissing) {
+	if errors.Is(err, store.ErrNotFound) {
 		return nil, nil
 	}
 	if err != nil {
-		return nil, errors.Wrap(ErrStore, err.Error())
+		return nil, errors.Wrap(ErrStoreUnavailable, err.Error())
 	}
 	h, err := decodeHead(row.Value())
 	if err != nil {
 		return nil, err
 	}
-	var out []Entry
+	var out []HistoryEntry
 	for v := h.Version; v > 0 && len(out) < limit; v-- {
-		e, err := readEntry(ctx, a.Table, v)
+		e, err := readHistoryEntry(ctx, a.Table, v)
 		if err != nil {
-			return out, errors.Wrap(ErrStore, err.Error())
+			return out, errors.Wrap(ErrStoreUnavailable, err.Error())
 		}
 		out = append(out, e)
 	}
 	return out, nil
 }
 
-// Show reads what the table has in force.
-func (a *Applier) Show(ctx context.Context) (*Snapshot, error) {
-	f := &Follower{Table: a.Table, Book: &Book{}}
-	if err := f.Round(ctx); err != nil {
+// ReadSnapshot reads what the table has in force.
+func (a *Applier) ReadSnapshot(ctx context.Context) (*Snapshot, error) {
+	f := &Follower{Table: a.Table, Active: &Active{}}
+	if err := f.Poll(ctx); err != nil {
 		return nil, err
 	}
-	return f.now().snapshot(), nil
+	return f.currentState().snapshot(), nil
 }
 
 // Text writes the snapshot as a document that Apply takes, with who made the
@@ -80,7 +80,7 @@
 	}
 	for _, i := range s.state.items() {
 		at := time.Unix(i.At, 0).UTC().Format(time.RFC3339)
-		fmt.Fprintf(&b, "\n# version %d by %s at %s\n[%s]\n", i.Version, i.Who, at, i.section())
+		fmt.Fprintf(&b, "\n# version %d by %s at %s\n[%s]\n", i.Version, i.Author, at, i.sectionName())
 		i.write(&b)
 	}
 	return b.String()
@@ -91,30 +91,30 @@
 	case SortClass:
 		i.writeClass(b)
 	case SortTeam:
-		line(b, "key-hash", i.Hash, i.Hash != "")
-		line(b, "share", i.Share, true)
-		line(b, "limit", i.Limit, i.Limit > 0)
+		writeKey(b, "key-hash", i.KeyHash, i.KeyHash != "")
+		writeKey(b, "share", i.Share, true)
+		writeKey(b, "limit", i.RateLimit, i.RateLimit > 0)
 	case SortService:
-		line(b, "outcomes", "yes", i.Asks)
+		writeKey(b, "outcomes", "yes", i.Outcomes)
 	case SortModel:
-		line(b, "default", i.Default, i.Default != "")
+		writeKey(b, "default", i.DefaultClass, i.DefaultClass != "")
 	}
 }
 
 func (i *item) writeClass(b *strings.Builder) {
-	line(b, "kind", i.Kind, true)
-	line(b, "model", i.Model, i.Kind == spec.KindModel)
-	line(b, "service", i.Service, i.Kind == spec.KindPlain)
-	line(b, "repeatable", "yes", i.Repeats)
-	line(b, "first", i.First, i.First > 0)
-	line(b, "gap", i.Gap, i.Gap > 0)
-	line(b, "whole", i.Whole, i.Whole > 0)
-	line(b, "percent", i.Percent, true)
-	line(b, "reliability", i.Reliability, i.Reliability > 0)
-	line(b, "teams", strings.Join(i.Teams, " "), len(i.Teams) > 0)
+	writeKey(b, "kind", i.Kind, true)
+	writeKey(b, "model", i.Model, i.Kind == spec.KindModel)
+	writeKey(b, "service", i.Service, i.Kind == spec.KindPlain)
+	writeKey(b, "repeatable", "yes", i.Repeatable)
+	writeKey(b, "first", i.FirstEvent, i.FirstEvent > 0)
+	writeKey(b, "gap", i.Gap, i.Gap > 0)
+	writeKey(b, "whole", i.TotalTime, i.TotalTime > 0)
+	writeKey(b, "percent", i.Percent, true)
+	writeKey(b, "reliability", i.Reliability, i.Reliability > 0)
+	writeKey(b, "teams", strings.Join(i.Teams, " "), len(i.Teams) > 0)
 }
 
-func line(b *strings.Builder, key string, value any, shown bool) {
+func writeKey(b *strings.Builder, key string, value any, shown bool) {
 	if shown {
 		fmt.Fprintf(b, "%s = %v\n", key, value)
 	}
--- a/internal/state/config/item.go
+++ b/internal/state/config/item.go
@@ -25,48 +25,48 @@
 
 // Keys of the rows. Changes are logged outside the prefix that followers read.
 const (
-	rowPrefix = "conf/"
-	headKey   = "conf/head"
-	logPrefix = "conflog/"
+	rowPrefix     = "conf/"
+	headKey       = "conf/head"
+	historyPrefix = "conflog/"
 )
 
 // item is one class, team, service or model, as a row holds it. Fields are
 // exported for the codec. A removed one stays as a row with Gone set, so that
 // those who read only what changed learn of it.
 type item struct {
-	Sort Sort   `cbor:"1,keyasint"`
-	Name string `cbor:"2,keyasint"`
-	Gone bool   `cbor:"3,keyasint,omitempty"`
+	Sort    Sort   `cbor:"1,keyasint"`
+	Name    string `cbor:"2,keyasint"`
+	Deleted bool   `cbor:"3,keyasint,omitempty"`
 
 	Kind        spec.Kind     `cbor:"4,keyasint,omitempty"`
 	Model       string        `cbor:"5,keyasint,omitempty"`
 	Service     string        `cbor:"6,keyasint,omitempty"`
-	Repeats     bool          `cbor:"7,keyasint,omitempty"`
-	First       time.Duration `cbor:"8,keyasint,omitempty"`
+	Repeatable  bool          `cbor:"7,keyasint,omitempty"`
+	FirstEvent  time.Duration `cbor:"8,keyasint,omitempty"`
 	Gap         time.Duration `cbor:"9,keyasint,omitempty"`
-	Whole       time.Duration `cbor:"10,keyasint,omitempty"`
+	TotalTime   time.Duration `cbor:"10,keyasint,omitempty"`
 	Percent     float64       `cbor:"11,keyasint,omitempty"`
 	Reliability float64       `cbor:"12,keyasint,omitempty"`
 	Teams       []string      `cbor:"13,keyasint,omitempty"`
 
-	Hash  string  `cbor:"14,keyasint,omitempty"`
-	Share float64 `cbor:"15,keyasint,omitempty"`
-	Limit float64 `cbor:"16,keyasint,omitempty"`
+	KeyHash   string  `cbor:"14,keyasint,omitempty"`
+	Share     float64 `cbor:"15,keyasint,omitempty"`
+	RateLimit float64 `cbor:"16,keyasint,omitempty"`
 
-	Asks    bool   `cbor:"17,keyasint,omitempty"`
-	Default string `cbor:"18,keyasint,omitempty"`
+	Outcomes     bool   `cbor:"17,keyasint,omitempty"`
+	DefaultClass string `cbor:"18,keyasint,omitempty"`
 
 	// Who made the change that wrote the row, which and when.
-	Version uint64 `cbor:"20,keyasint"`
-	Change  string `cbor:"21,keyasint"`
-	Who     string `cbor:"22,keyasint"`
-	At      int64  `cbor:"23,keyasint"`
+	Version  uint64 `cbor:"20,keyasint"`
+	ChangeID string `cbor:"21,keyasint"`
+	Author   string `cbor:"22,keyasint"`
+	At       int64  `cbor:"23,keyasint"`
 }
 
 // head is the row that every change writes too, so that changes have one order.
 type head struct {
-	Version uint64 `cbor:"1,keyasint"`
-	Change  string `cbor:"2,keyasint"`
+	Version  uint64 `cbor:"1,keyasint"`
+	ChangeID string `cbor:"2,keyasint"`
 	// Digest is over all other rows; see digestOf.
 	Digest uint64 `cbor:"3,keyasint"`
 }
@@ -75,24 +75,26 @@
 
 func (i *item) key() string { return rowKey(i.Sort, i.Name) }
 
-// same reports whether two items define the same, whoever wrote them.
-func (i *item) same(o *item) bool {
+// sameDefinition reports whether two items define the same, whoever wrote them.
+func (i *item) sameDefinition(o *item) bool {
 	c := *i
-	c.Version, c.Change, c.Who, c.At = o.Version, o.Change, o.Who, o.At
+	c.Version, c.ChangeID, c.Author, c.At = o.Version, o.ChangeID, o.Author, o.At
 	return string(encode(c)) == string(encode(*o))
 }
 
-func (i *item) target() spec.Target { return spec.NewTarget(i.First, i.Gap, i.Whole, i.Percent) }
+func (i *item) toTarget() spec.Target {
+	return spec.NewTarget(i.FirstEvent, i.Gap, i.TotalTime, i.Percent)
+}
 
-func (i *item) class() spec.Class {
+func (i *item) toClass() spec.Class {
 	if i.Kind == spec.KindPlain {
-		return spec.NewPlainClass(spec.ClassName(i.Name), spec.ServiceName(i.Service), i.Repeats, i.target())
+		return spec.NewPlainClass(spec.ClassName(i.Name), spec.ServiceName(i.Service), i.Repeatable, i.toTarget())
 	}
-	return spec.NewModelClass(spec.ClassName(i.Name), spec.ModelName(i.Model), i.target())
+	return spec.NewModelClass(spec.ClassName(i.Name), spec.ModelName(i.Model), i.toTarget())
 }
 
-func (i *item) team() spec.Team {
-	return spec.NewTeam(spec.TeamID(i.Hash), i.Name, i.Share).WithLimit(i.Limit)
+func (i *item) toTeam() spec.Team {
+	return spec.NewTeam(spec.TeamID(i.KeyHash), i.Name, i.Share).WithLimit(i.RateLimit)
 }
 
 func encode(v any) []byte {
@@ -107,7 +109,7 @@
 func decodeItem(data []byte) (item, error) {
 	var i item
 	if err := cbor.Unmarshal(data, &i); err != nil {
-		return i, errors.Wrap(ErrRow, err.Error())
+		return i, errors.Wrap(ErrBadRows, err.Error())
 	}
 	return i, nil
 }
@@ -115,14 +117,14 @@
 func decodeHead(data []byte) (head, error) {
 	var h head
 	if err := cbor.Unmarshal(data, &h); err != nil {
-		return h, errors.Wrap(ErrRow, err.Error())
+		return h, errors.Wrap(ErrBadRows, err.Error())
 	}
 	return h, nil
 }
 
-// digestOf is one row's part in the digest of all rows, which is the exclusive
+// rowDigest is one row's part in the digest of all rows, which is the exclusive
 // or of the parts.
-func digestOf(key string, value []byte) uint64 {
+func rowDigest(key string, value []byte) uint64 {
 	d := xxhash.New()
 	_, _ = d.WriteString(key)
 	_, _ = d.Write([]byte{0})
--- a/internal/state/config/parse.go
+++ b/internal/state/config/parse.go
@@ -15,8 +15,8 @@
 	Data []byte
 }
 
-// change is a parsed section: an item to put or, with Gone, to remove.
-type change struct {
+// sectionChange is a parsed section: an item to put or, with Gone, to remove.
+type sectionChange struct {
 	item item
 	file string
 }
@@ -24,158 +24,158 @@
 // parser reads sections and collects every problem.
 type parser struct {
 	file     string
-	changes  []change
+	changes  []sectionChange
 	problems []Problem
 }
 
 // parse reads all documents.
-func parse(docs []Document) ([]change, []Problem) {
+func parse(docs []Document) ([]sectionChange, []Problem) {
 	p := &parser{}
 	for _, d := range docs {
-		p.document(d)
+		p.parseDocument(d)
 	}
 	seen := map[string]string{}
 	for _, c := range p.changes {
 		if file, ok := seen[c.item.key()]; ok {
 			p.file = c.file
-			p.problem(c.item.section(), "defined twice, first in "+file)
+			p.addProblem(c.item.sectionName(), "defined twice, first in "+file)
 		}
 		seen[c.item.key()] = c.file
 	}
 	return p.changes, p.problems
 }
 
-func (p *parser) document(d Document) {
+func (p *parser) parseDocument(d Document) {
 	p.file = d.File
 	opts := ini.LoadOptions{AllowNonUniqueSections: true, AllowShadows: true, SkipUnrecognizableLines: false}
 	f, err := ini.LoadSources(opts, d.Data)
 	if err != nil {
-		p.problem("", err.Error())
+		p.addProblem("", err.Error())
 		return
 	}
 	for _, s := range f.Sections() {
-		p.section(s)
+		p.parseSection(s)
 	}
 }
 
-func (p *parser) section(s *ini.Section) {
+func (p *parser) parseSection(s *ini.Section) {
 	if s.Name() == ini.DefaultSection {
 		for _, k := range s.Keys() {
-			p.problem("", "key "+k.Name()+" stands before the first section")
+			p.addProblem("", "key "+k.Name()+" stands before the first section")
 		}
 		return
 	}
 	word, name, ok := strings.Cut(s.Name(), " ")
 	name = strings.TrimSpace(name)
-	sort, known := sorts[word]
+	sort, known := sortByWord[word]
 	switch {
 	case !known:
-		p.problem(s.Name(), "unknown section; want class, team, service or model and a name")
+		p.addProblem(s.Name(), "unknown section; want class, team, service or model and a name")
 		return
 	case !ok || !validName(name):
-		p.problem(s.Name(), "a name has 1 to 63 small letters, digits, dots and hyphens")
+		p.addProblem(s.Name(), "a name has 1 to 63 small letters, digits, dots and hyphens")
 		return
 	}
-	r := &reader{parser: p, section: s, used: map[string]bool{}}
-	i := item{Sort: sort, Name: name, Gone: r.yes("remove")}
-	if !i.Gone {
-		r.item(&i)
+	r := &sectionReader{parser: p, section: s, used: map[string]bool{}}
+	i := item{Sort: sort, Name: name, Deleted: r.boolValue("remove")}
+	if !i.Deleted {
+		r.readItem(&i)
 	}
-	r.unknown()
-	p.changes = append(p.changes, change{item: i, file: p.file})
+	r.reportUnknownKeys()
+	p.changes = append(p.changes, sectionChange{item: i, file: p.file})
 }
 
-var sorts = map[string]Sort{"class": SortClass, "team": SortTeam, "service": SortService, "model": SortModel}
+var sortByWord = map[string]Sort{"class": SortClass, "team": SortTeam, "service": SortService, "model": SortModel}
 
-func (p *parser) problem(section, reason string) {
+func (p *parser) addProblem(section, reason string) {
 	p.problems = append(p.problems, Problem{File: p.file, Section: section, Reason: reason})
 }
 
-// reader reads the keys of one section.
-type reader struct {
+// sectionReader reads the keys of one section.
+type sectionReader struct {
 	*parser
 	section *ini.Section
 	used    map[string]bool
 }
 
-func (r *reader) item(i *item) {
+func (r *sectionReader) readItem(i *item) {
 	switch i.Sort {
 	case SortClass:
-		r.class(i)
+		r.readClass(i)
 	case SortTeam:
-		i.Hash = strings.ToLower(r.text("key-hash"))
-		i.Share = r.number("share", 1)
-		i.Limit = r.number("limit", 0)
+		i.KeyHash = strings.ToLower(r.stringValue("key-hash"))
+		i.Share = r.numberValue("share", 1)
+		i.RateLimit = r.numberValue("limit", 0)
 	case SortService:
-		i.Asks = r.yes("outcomes")
+		i.Outcomes = r.boolValue("outcomes")
 	case SortModel:
-		i.Default = r.text("default")
+		i.DefaultClass = r.stringValue("default")
 	}
 }
 
-func (r *reader) class(i *item) {
-	switch kind := r.text("kind"); kind {
+func (r *sectionReader) readClass(i *item) {
+	switch kind := r.stringValue("kind"); kind {
 	case spec.KindModel.String():
 		i.Kind = spec.KindModel
 	case spec.KindPlain.String():
 		i.Kind = spec.KindPlain
 	default:
-		r.bad("kind", "is model or plain")
+		r.addKeyProblem("kind", "is model or plain")
 	}
-	i.Model = r.text("model")
-	i.Service = r.text("service")
-	i.Repeats = r.yes("repeatable")
-	i.First = r.duration("first")
-	i.Gap = r.duration("gap")
-	i.Whole = r.duration("whole")
-	i.Percent = r.number("percent", 95)
-	i.Reliability = r.number("reliability", 0)
-	i.Teams = strings.Fields(strings.ReplaceAll(r.text("teams"), ",", " "))
+	i.Model = r.stringValue("model")
+	i.Service = r.stringValue("service")
+	i.Repeatable = r.boolValue("repeatable")
+	i.FirstEvent = r.durationValue("first")
+	i.Gap = r.durationValue("gap")
+	i.TotalTime = r.durationValue("whole")
+	i.Percent = r.numberValue("percent", 95)
+	i.Reliability = r.numberValue("reliability", 0)
+	i.Teams = strings.Fields(strings.ReplaceAll(r.stringValue("teams"), ",", " "))
 }
 
-func (r *reader) text(key string) string {
+func (r *sectionReader) stringValue(key string) string {
 	r.used[key] = true
 	if !r.section.HasKey(key) {
 		return ""
 	}
 	k := r.section.Key(key)
 	if len(k.ValueWithShadows()) > 1 {
-		r.bad(key, "is given twice")
+		r.addKeyProblem(key, "is given twice")
 	}
 	return strings.TrimSpace(k.String())
 }
 
-func (r *reader) yes(key string) bool {
-	switch r.text(key) {
+func (r *sectionReader) boolValue(key string) bool {
+	switch r.stringValue(key) {
 	case "yes", "true":
 		return true
 	case "", "no", "false":
 		return false
 	}
-	r.bad(key, "is yes or no")
+	r.addKeyProblem(key, "is yes or no")
 	return false
 }
 
-func (r *reader) duration(key string) time.Duration {
-	text := r.text(key)
+func (r *sectionReader) durationValue(key string) time.Duration {
+	text := r.stringValue(key)
 	if text == "" {
 		return 0
 	}
 	d, err := time.ParseDuration(text)
 	if err != nil || d <= 0 {
-		r.bad(key, "is a time above zero such as 770ms")
+		r.addKeyProblem(key, "is a time above zero such as 770ms")
 		return 0
 	}
 	return d
 }
 
-func (r *reader) number(key string, otherwise float64) float64 {
-	if r.text(key) == "" {
+func (r *sectionReader) numberValue(key string, otherwise float64) float64 {
+	if r.stringValue(key) == "" {
 		return otherwise
 	}
 	v, err := r.section.Key(key).Float64()
 	if err != nil || v != v || v < 0 || v > maxNumber {
-		r.bad(key, "is a number from 0 to 1e12")
+		r.addKeyProblem(key, "is a number from 0 to 1e12")
 		return otherwise
 	}
 	return v
@@ -183,18 +183,20 @@
 
 const maxNumber = 1e12
 
-func (r *reader) bad(key, reason string) { r.problem(r.section.Name(), key+" "+reason) }
+func (r *sectionReader) addKeyProblem(key, reason string) {
+	r.addProblem(r.section.Name(), key+" "+reason)
+}
 
-// unknown reports keys that nobody read; a removal reads no other.
-func (r *reader) unknown() {
+// reportUnknownKeys reports keys that nobody read; a removal reads no other.
+func (r *sectionReader) reportUnknownKeys() {
 	for _, k := range r.section.Keys() {
 		if !r.used[k.Name()] {
-			r.bad(k.Name(), "is not a key of this section")
+			r.addKeyProblem(k.Name(), "is not a key of this section")
 		}
 	}
 }
 
-func (i *item) section() string { return i.Sort.String() + " " + i.Name }
+func (i *item) sectionName() string { return i.Sort.String() + " " + i.Name }
 
 func validName(name string) bool {
 	if name == "" || len(name) > 63 {
@@ -208,9 +210,9 @@
 	return true
 }
 
-// validOther reports whether a name that others gave can be written in a
+// validExternalName reports whether a name that others gave can be written in a
 // document as it is.
-func validOther(name string) bool {
+func validExternalName(name string) bool {
 	if len(name) > 127 {
 		return false
 	}
--- a/internal/state/config/size_test.go
+++ b/internal/state/config/size_test.go
@@ -12,7 +12,7 @@
 )
 
 // The example on the operators' page is accepted as it stands.
-func TestExampleOfThePage(t *testing.T) {
+func TestDocumentedExampleIsAccepted(t *testing.T) {
 	page, err := os.ReadFile("../../../docs/operate/config.md")
 	if err != nil {
 		t.Fatal(err)
@@ -24,15 +24,15 @@
 		}
 	}
 	table := &infra.Table{}
-	apply(t, table, doc(example.String()))
-	s, err := (&config.Applier{Table: table}).Show(t.Context())
+	mustApply(t, table, document(example.String()))
+	s, err := (&config.Applier{Table: table}).ReadSnapshot(t.Context())
 	if err != nil || len(s.Classes()) != 2 || len(s.Teams()) != 1 {
 		t.Errorf("got %d classes and %d teams %v, want 2 and 1", len(s.Classes()), len(s.Teams()), err)
 	}
 }
 
-// live is the memory in use, after a collection.
-func live() int64 {
+// heapBytes is the memory in use, after a collection.
+func heapBytes() int64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
@@ -55,25 +55,25 @@
 					b.Fatal(err)
 				}
 			}
-			put(doc(text.String()))
-			before := live()
-			f := &config.Follower{Table: table, Book: &config.Book{}}
-			if err := f.Round(b.Context()); err != nil {
+			put(document(text.String()))
+			before := heapBytes()
+			f := &config.Follower{Table: table, Active: &config.Active{}}
+			if err := f.Poll(b.Context()); err != nil {
 				b.Fatal(err)
 			}
-			held := live() - before
+			held := heapBytes() - before
 			share := 1
 			for b.Loop() {
 				b.StopTimer()
 				share++
-				put(doc(fmt.Sprintf("[team t1]\nkey-hash = %s\nshare = %d\n", config.HashKey("1"), share)))
+				put(document(fmt.Sprintf("[team t1]\nkey-hash = %s\nshare = %d\n", config.HashKey("1"), share)))
 				b.StartTimer()
-				if err := f.Round(b.Context()); err != nil {
+				if err := f.Poll(b.Context()); err != nil {
 					b.Fatal(err)
 				}
 			}
 			b.ReportMetric(float64(held), "bytes/follower")
-			b.ReportMetric(float64(len(f.Book.Now().Encode())), "bytes/snapshot")
+			b.ReportMetric(float64(len(f.Active.Snapshot().Encode())), "bytes/snapshot")
 		})
 	}
 }
--- a/internal/state/config/snapshot.go
+++ b/internal/state/config/snapshot.go
@@ -10,15 +10,15 @@
 	"github.com/go-faster/errors"
 )
 
-// maxSnapshot bounds an encoded snapshot in bytes; 37,000 teams take about 8 MB.
-const maxSnapshot = 64 << 20
+// maxSnapshotBytes bounds an encoded snapshot in bytes; 37,000 teams take about 8 MB.
+const maxSnapshotBytes = 64 << 20
 
 // wireSnapshot is a snapshot between instances. Versions are the table's, so
 // that who starts from a peer reads only later rows when the table returns.
 type wireSnapshot struct {
-	Head    []byte    `cbor:"1,keyasint"`
-	HeadRow uint64    `cbor:"2,keyasint"`
-	Rows    []wireRow `cbor:"3,keyasint"`
+	Head           []byte    `cbor:"1,keyasint"`
+	HeadRowVersion uint64    `cbor:"2,keyasint"`
+	Rows           []wireRow `cbor:"3,keyasint"`
 }
 
 type wireRow struct {
@@ -35,16 +35,16 @@
 	for _, i := range items {
 		switch i.Sort {
 		case SortClass:
-			classes = append(classes, i.class())
+			classes = append(classes, i.toClass())
 		case SortTeam:
-			teams = append(teams, i.team())
+			teams = append(teams, i.toTeam())
 		}
 	}
 	out := NewSnapshot(s.head.Version, classes, teams)
 	out.state = s
 	for _, i := range items {
-		if c, ok := out.byName[spec.ClassName(i.Default)]; ok && i.Sort == SortModel {
-			out.byModel[spec.ModelName(i.Name)] = c
+		if c, ok := out.classByName[spec.ClassName(i.DefaultClass)]; ok && i.Sort == SortModel {
+			out.defaultByModel[spec.ModelName(i.Name)] = c
 		}
 	}
 	return out
@@ -56,7 +56,7 @@
 	if s.state == nil {
 		return nil
 	}
-	w := wireSnapshot{Head: encode(s.state.head), HeadRow: s.state.headRow}
+	w := wireSnapshot{Head: encode(s.state.head), HeadRowVersion: s.state.headRowVersion}
 	for _, key := range sortedKeys(s.state.rows) {
 		h := s.state.rows[key]
 		w.Rows = append(w.Rows, wireRow{Key: key, Version: h.version, Value: h.value})
@@ -67,43 +67,43 @@
 // DecodeSnapshot reads what Encode wrote; ErrRow for anything else, also for
 // rows that are not all and only those of their version.
 func DecodeSnapshot(data []byte) (*Snapshot, error) {
-	if len(data) > maxSnapshot {
-		return nil, errors.Wrap(ErrRow, "snapshot is too large")
+	if len(data) > maxSnapshotBytes {
+		return nil, errors.Wrap(ErrBadRows, "snapshot is too large")
 	}
 	var w wireSnapshot
 	if err := cbor.Unmarshal(data, &w); err != nil {
-		return nil, errors.Wrap(ErrRow, err.Error())
+		return nil, errors.Wrap(ErrBadRows, err.Error())
 	}
 	s := newState()
 	for _, r := range w.Rows {
 		if r.Key == headKey {
-			return nil, errors.Wrap(ErrRow, "head among the rows")
+			return nil, errors.Wrap(ErrBadRows, "head among the rows")
 		}
 		if err := s.put(store.NewRow(r.Key, r.Version, r.Value)); err != nil {
 			return nil, err
 		}
 	}
-	if err := s.put(store.NewRow(headKey, w.HeadRow, w.Head)); err != nil {
+	if err := s.put(store.NewRow(headKey, w.HeadRowVersion, w.Head)); err != nil {
 		return nil, err
 	}
-	if s.head.Version == 0 || !s.whole() {
-		return nil, errors.Wrap(ErrRow, "rows do not match the head")
+	if s.head.Version == 0 || !s.isConsistent() {
+		return nil, errors.Wrap(ErrBadRows, "rows do not match the head")
 	}
 	return s.snapshot(), nil
 }
 
-// Asks reports whether the service can be asked for the outcome of a call.
-func (s *Snapshot) Asks(service spec.ServiceName) bool {
+// SupportsOutcomes reports whether the service can be asked for the outcome of a call.
+func (s *Snapshot) SupportsOutcomes(service spec.ServiceName) bool {
 	if s.state == nil {
 		return false
 	}
 	i, _ := s.state.item(SortService, string(service))
-	return i.Asks
+	return i.Outcomes
 }
 
-// Reliability is how many of 100 requests of the class must be answered at
+// ClassReliability is how many of 100 requests of the class must be answered at
 // all; zero if its operators set none.
-func (s *Snapshot) Reliability(class spec.ClassName) float64 {
+func (s *Snapshot) ClassReliability(class spec.ClassName) float64 {
 	if s.state == nil {
 		return 0
 	}
@@ -111,13 +111,13 @@
 	return i.Reliability
 }
 
-// Limit is the most that a team may use, in tokens a second; zero is no limit.
-func (s *Snapshot) Limit(team spec.TeamID) float64 {
+// TeamRateLimit is the most that a team may use, in tokens a second; zero is no limit.
+func (s *Snapshot) TeamRateLimit(team spec.TeamID) float64 {
 	if s.state == nil {
 		return 0
 	}
-	i, _ := s.state.item(SortTeam, s.byTeam[team].Name())
-	return i.Limit
+	i, _ := s.state.item(SortTeam, s.teamByID[team].Name())
+	return i.RateLimit
 }
 
 // Allows reports whether the team may use the class. A class that names no
@@ -127,5 +127,5 @@
 		return true
 	}
 	i, _ := s.state.item(SortClass, string(class))
-	return len(i.Teams) == 0 || slices.Contains(i.Teams, s.byTeam[team].Name())
+	return len(i.Teams) == 0 || slices.Contains(i.Teams, s.teamByID[team].Name())
 }
--- a/internal/state/config/spread_test.go
+++ b/internal/state/config/spread_test.go
@@ -15,26 +15,26 @@
 	"pgregory.net/rapid"
 )
 
-// fleet is n followers with the default pace.
-func fleet(ctx context.Context, table *infra.Table, n int) []*config.Follower {
+// startFollowers is n followers with the default pace.
+func startFollowers(ctx context.Context, table *infra.Table, n int) []*config.Follower {
 	var all []*config.Follower
 	for i := range n {
 		src := rand.New(rand.NewPCG(7, uint64(i)))
-		f := &config.Follower{Table: table, Book: &config.Book{}, Jitter: func() float64 { return 0.5 + src.Float64() }}
+		f := &config.Follower{Table: table, Active: &config.Active{}, Jitter: func() float64 { return 0.5 + src.Float64() }}
 		all = append(all, f)
 		go f.Run(ctx)
 	}
 	return all
 }
 
-// spread makes 20 changes and returns the longest time until all had one, the
+// measureRollout makes 20 changes and returns the longest time until all had one, the
 // reads a second while nothing changed, and the reads a change.
-func spread(t *testing.T, n int, gossip time.Duration) (slowest time.Duration, idle, each float64) {
+func measureRollout(t *testing.T, n int, gossip time.Duration) (slowest time.Duration, idle, each float64) {
 	table := &infra.Table{}
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	apply(t, table, class("one", "1s"))
-	all := fleet(ctx, table, n)
+	mustApply(t, table, classDocument("one", "1s"))
+	all := startFollowers(ctx, table, n)
 	time.Sleep(time.Minute)
 	before, _ := table.Counts()
 	time.Sleep(time.Minute)
@@ -42,12 +42,12 @@
 	idle = float64(after-before) / 60
 	var took time.Duration
 	for i := range 20 {
-		version := apply(t, table, class("one", fmt.Sprint(i+2, "s")))
+		version := mustApply(t, table, classDocument("one", fmt.Sprint(i+2, "s")))
 		start := time.Now()
 		if gossip > 0 {
 			time.AfterFunc(gossip, func() {
 				for _, f := range all {
-					f.Hint(version)
+					f.NotifyVersion(version)
 				}
 			})
 		}
@@ -68,11 +68,11 @@
 
 // An accepted change is in force on all instances within the 18 s that are
 // asked for: by polls alone, and sooner when its head is heard by gossip.
-func TestInForceEverywhere(t *testing.T) {
+func TestChangeReachesAllInstances(t *testing.T) {
 	for _, n := range []int{4, 40, 360} {
 		for _, gossip := range []time.Duration{0, 500 * time.Millisecond} {
 			synctest.Test(t, func(t *testing.T) {
-				slowest, idle, each := spread(t, n, gossip)
+				slowest, idle, each := measureRollout(t, n, gossip)
 				t.Logf("%d instances, gossip %v: in force after %v at most; %.1f reads/s at rest, %.0f reads a change",
 					n, gossip, slowest, idle, each)
 				limit := 8 * time.Second
@@ -91,29 +91,29 @@
 }
 
 // What a change costs the platform when it is applied.
-func TestCostOfAChange(t *testing.T) {
+func TestStoreCallsPerChange(t *testing.T) {
 	table := &infra.Table{}
-	apply(t, table, class("one", "1s"))
+	mustApply(t, table, classDocument("one", "1s"))
 	r0, w0 := table.Counts()
 	c0 := table.Commits()
-	apply(t, table, class("one", "2s"))
+	mustApply(t, table, classDocument("one", "2s"))
 	r1, w1 := table.Counts()
 	t.Logf("one class: %d reads, %d rows written in %d commit", r1-r0, w1-w0, table.Commits()-c0)
 	if r1-r0 != 2 || w1-w0 != 3 || table.Commits()-c0 != 1 {
 		t.Errorf("got %d reads, %d rows, %d commits; want 2, 3 and 1", r1-r0, w1-w0, table.Commits()-c0)
 	}
-	f := &config.Follower{Table: table, Book: &config.Book{}}
-	round(t, f)
-	apply(t, table, class("one", "3s"))
+	f := &config.Follower{Table: table, Active: &config.Active{}}
+	mustPoll(t, f)
+	mustApply(t, table, classDocument("one", "3s"))
 	r2, _ := table.Counts()
-	round(t, f)
+	mustPoll(t, f)
 	r3, _ := table.Counts()
-	a := &config.Applier{Table: table, From: f}
-	if v, err := a.Apply(t.Context(), config.Change{Documents: class("one", "4s")}); v != 4 || err != nil {
+	a := &config.Applier{Table: table, StartFrom: f}
+	if v, err := a.Apply(t.Context(), config.Change{Documents: classDocument("one", "4s")}); v != 4 || err != nil {
 		t.Errorf("got version %d %v from known rows, want 4", v, err)
 	}
 	r4, _ := table.Counts()
-	if v, err := a.Apply(t.Context(), config.Change{Documents: class("one", "5s")}); v != 5 || err != nil {
+	if v, err := a.Apply(t.Context(), config.Change{Documents: classDocument("one", "5s")}); v != 5 || err != nil {
 		t.Errorf("got version %d %v from old rows, want 5", v, err)
 	}
 	t.Logf("one class, from a follower's rows: %d reads", r4-r3)
@@ -132,7 +132,7 @@
 	id          string
 	version     uint64
 	err         error
-	from, to    time.Time
+	start, end  time.Time
 }
 
 // Operators change three classes at random moments, with lost, refused and
@@ -150,7 +150,7 @@
 			}
 		}
 		synctest.Test(t, func(t *testing.T) {
-			a, l := operators(t, script)
+			a, l := runOperators(t, script)
 			accepted, lost = accepted+a, lost+l
 		})
 	})
@@ -159,7 +159,7 @@
 	}
 }
 
-func operators(t *testing.T, script [8][4]int) (accepted, lost int) {
+func runOperators(t *testing.T, script [8][4]int) (accepted, lost int) {
 	table := &infra.Table{}
 	tries := make([]attempt, len(script))
 	done := make(chan struct{})
@@ -176,7 +176,7 @@
 				f.Late = 1
 			}
 			table.Fault(f)
-			tries[i] = operate(t, table, i, s[3]%3)
+			tries[i] = runOperator(t, table, i, s[3]%3)
 			done <- struct{}{}
 		}()
 	}
@@ -185,7 +185,7 @@
 	}
 	table.Fault(infra.Faults{})
 	table.Land()
-	verify(t, table, tries)
+	verifyHistory(t, table, tries)
 	for _, a := range tries {
 		var conflict *config.ConflictError
 		switch {
@@ -198,17 +198,17 @@
 	return accepted, lost
 }
 
-func operate(t *testing.T, table *infra.Table, i, which int) attempt {
-	a := attempt{name: fmt.Sprint("c", which), value: fmt.Sprint(i+1, "s"), id: fmt.Sprint("id", i), from: time.Now()}
+func runOperator(t *testing.T, table *infra.Table, i, which int) attempt {
+	a := attempt{name: fmt.Sprint("c", which), value: fmt.Sprint(i+1, "s"), id: fmt.Sprint("id", i), start: time.Now()}
 	op := &config.Applier{Table: table}
-	a.version, a.err = op.Apply(t.Context(), config.Change{Documents: class(a.name, a.value), Who: a.id, ID: a.id})
-	a.to = time.Now()
+	a.version, a.err = op.Apply(t.Context(), config.Change{Documents: classDocument(a.name, a.value), Author: a.id, ID: a.id})
+	a.end = time.Now()
 	return a
 }
 
-// verify holds what operators were told against the history and the naive
+// verifyHistory holds what operators were told against the history and the naive
 // sequential result.
-func verify(t *testing.T, table *infra.Table, tries []attempt) {
+func verifyHistory(t *testing.T, table *infra.Table, tries []attempt) {
 	t.Helper()
 	op := &config.Applier{Table: table}
 	history, err := op.History(t.Context(), 100)
@@ -231,9 +231,9 @@
 		}
 	}
 	for _, a := range tries {
-		told(t, a, byID, tries)
+		verifyResult(t, a, byID, tries)
 	}
-	s, err := op.Show(t.Context())
+	s, err := op.ReadSnapshot(t.Context())
 	if err != nil || s.Version() != uint64(len(history)) || len(s.Classes()) != len(naive) {
 		t.Fatalf("got version %d with %d classes %v, want %d with %d", s.Version(), len(s.Classes()), err, len(history), len(naive))
 	}
@@ -244,23 +244,23 @@
 	}
 }
 
-func told(t *testing.T, a attempt, byID map[string]uint64, tries []attempt) {
+func verifyResult(t *testing.T, a attempt, byID map[string]uint64, tries []attempt) {
 	t.Helper()
 	var conflict *config.ConflictError
-	var open *config.UnsureError
+	var open *config.OutcomeUnknownError
 	switch {
 	case a.err == nil:
 		if byID[a.id] != a.version {
 			t.Errorf("got version %d told for %s, want %d", a.version, a.id, byID[a.id])
 		}
 		for _, b := range tries {
-			if b.err == nil && b.to.Before(a.from) && b.version >= a.version {
+			if b.err == nil && b.end.Before(a.start) && b.version >= a.version {
 				t.Errorf("got version %d after version %d was accepted, want a higher one", a.version, b.version)
 			}
 		}
 	case errors.As(a.err, &conflict):
 		w := conflict.Winners[0]
-		if byID[a.id] != 0 || byID[w.Who] != w.Version {
+		if byID[a.id] != 0 || byID[w.Author] != w.Version {
 			t.Errorf("got a conflict for %s won by %v, want it not in the history and the winner there", a.id, w)
 		}
 	case errors.As(a.err, &open):
--- a/internal/state/config/state.go
+++ b/internal/state/config/state.go
@@ -6,8 +6,8 @@
 	"fulmarwick/internal/state/store"
 )
 
-// held is a row as this instance knows it.
-type held struct {
+// storedRow is a row as this instance knows it.
+type storedRow struct {
 	version uint64
 	value   []byte
 	item    item
@@ -15,16 +15,16 @@
 
 // state is all rows at one head. It never changes once it was taken.
 type state struct {
-	rows    map[string]*held
-	head    head
-	headRow uint64
-	// since is the highest version of a row.
-	since  uint64
-	digest uint64
-	last   *item
+	rows           map[string]*storedRow
+	head           head
+	headRowVersion uint64
+	// maxVersion is the highest version of a row.
+	maxVersion uint64
+	digest     uint64
+	lastItem   *item
 }
 
-func newState() *state { return &state{rows: map[string]*held{}} }
+func newState() *state { return &state{rows: map[string]*storedRow{}} }
 
 func (s *state) clone() *state {
 	c := *s
@@ -46,41 +46,41 @@
 		return err
 	}
 	if ok {
-		s.digest ^= digestOf(row.Key(), old.value)
+		s.digest ^= rowDigest(row.Key(), old.value)
 	}
-	if s.last != nil && s.last.Change == i.Change {
+	if s.lastItem != nil && s.lastItem.ChangeID == i.ChangeID {
 		// Rows of one change share its words; 37,000 copies take 3 MB.
-		i.Change, i.Who = s.last.Change, s.last.Who
+		i.ChangeID, i.Author = s.lastItem.ChangeID, s.lastItem.Author
 	}
-	s.digest ^= digestOf(row.Key(), row.Value())
-	h := &held{version: row.Version(), value: row.Value(), item: i}
-	s.rows[row.Key()], s.last = h, &h.item
-	s.since = max(s.since, row.Version())
+	s.digest ^= rowDigest(row.Key(), row.Value())
+	h := &storedRow{version: row.Version(), value: row.Value(), item: i}
+	s.rows[row.Key()], s.lastItem = h, &h.item
+	s.maxVersion = max(s.maxVersion, row.Version())
 	return nil
 }
 
 func (s *state) putHead(row store.Row) error {
-	if row.Version() <= s.headRow {
+	if row.Version() <= s.headRowVersion {
 		return nil
 	}
 	h, err := decodeHead(row.Value())
 	if err != nil {
 		return err
 	}
-	s.head, s.headRow = h, row.Version()
-	s.since = max(s.since, row.Version())
+	s.head, s.headRowVersion = h, row.Version()
+	s.maxVersion = max(s.maxVersion, row.Version())
 	return nil
 }
 
-// whole reports whether the rows are just those of the head. Stale reads can
+// isConsistent reports whether the rows are just those of the head. Stale reads can
 // mix rows of different changes; the digest shows it, and such a mixture is
 // never put in force.
-func (s *state) whole() bool { return s.digest == s.head.Digest }
+func (s *state) isConsistent() bool { return s.digest == s.head.Digest }
 
 // item returns the definition in force, if there is one.
 func (s *state) item(sort Sort, name string) (item, bool) {
 	h, ok := s.rows[rowKey(sort, name)]
-	if !ok || h.item.Gone {
+	if !ok || h.item.Deleted {
 		return item{}, false
 	}
 	return h.item, true
@@ -90,7 +90,7 @@
 func (s *state) items() []*item {
 	out := make([]*item, 0, len(s.rows))
 	for _, key := range sortedKeys(s.rows) {
-		if i := &s.rows[key].item; !i.Gone {
+		if i := &s.rows[key].item; !i.Deleted {
 			out = append(out, i)
 		}
 	}
--- a/internal/state/config/write.go
+++ b/internal/state/config/write.go
@@ -6,17 +6,17 @@
 	"fulmarwick/internal/state/store"
 )
 
-// conflict returns the changes of others that this one would undo.
-func (t *attempt) conflict() error {
+// checkConflict returns the changes of others that this one would undo.
+func (t *attempt) checkConflict() error {
 	var winners []Winner
-	st := t.follower.now()
+	st := t.follower.currentState()
 	for _, c := range t.changes {
 		h, ok := st.rows[c.item.key()]
-		if !ok || h.item.Version <= t.base || h.item.same(&c.item) {
+		if !ok || h.item.Version <= t.baseVersion || h.item.sameDefinition(&c.item) {
 			continue
 		}
 		winners = append(winners, Winner{
-			Section: c.item.section(), Version: h.item.Version, Who: h.item.Who, At: time.Unix(h.item.At, 0),
+			Section: c.item.sectionName(), Version: h.item.Version, Author: h.item.Author, At: time.Unix(h.item.At, 0),
 		})
 	}
 	if len(winners) > 0 {
@@ -25,26 +25,26 @@
 	return nil
 }
 
-// next is the state after the change and its problems.
-func (t *attempt) next() (*state, []Problem) {
-	next := t.follower.now().clone()
+// nextState is the state after the change and its problems.
+func (t *attempt) nextState() (*state, []Problem) {
+	next := t.follower.currentState().clone()
 	for _, c := range t.changes {
 		old, ok := next.rows[c.item.key()]
-		if c.item.Gone && (!ok || old.item.Gone) {
+		if c.item.Deleted && (!ok || old.item.Deleted) {
 			continue
 		}
-		h := &held{item: c.item}
+		h := &storedRow{item: c.item}
 		if ok {
 			h.version = old.version
 		}
 		next.rows[c.item.key()] = h
 	}
-	return next, check(next, t.changes, t.Uses)
+	return next, check(next, t.changes, t.TeamInUse)
 }
 
-// writes are the rows that differ, the head and the log entry.
-func (t *attempt) writes(next *state) ([]store.Write, uint64) {
-	now := t.follower.now()
+// buildWrites are the rows that differ, the head and the log entry.
+func (t *attempt) buildWrites(next *state) ([]store.Write, uint64) {
+	now := t.follower.currentState()
 	target := now.head.Version + 1
 	digest := now.digest
 	var writes []store.Write
@@ -53,25 +53,25 @@
 		key := c.item.key()
 		old, ok := now.rows[key]
 		i := next.rows[key].item
-		if ok && old.item.same(&i) {
+		if ok && old.item.sameDefinition(&i) {
 			continue
 		}
-		i.Version, i.Change, i.Who, i.At = target, t.entry.ID, t.entry.Who, t.entry.At
+		i.Version, i.ChangeID, i.Author, i.At = target, t.entry.ID, t.entry.Author, t.entry.At
 		value := encode(i)
 		version := uint64(0)
 		if ok {
-			digest ^= digestOf(key, old.value)
+			digest ^= rowDigest(key, old.value)
 			version = old.version
 		}
-		digest ^= digestOf(key, value)
+		digest ^= rowDigest(key, value)
 		writes = append(writes, store.Put(key, version, value))
-		t.entry.Sections = append(t.entry.Sections, i.section())
+		t.entry.Sections = append(t.entry.Sections, i.sectionName())
 	}
 	if len(writes) == 0 {
 		return nil, target
 	}
-	h := head{Version: target, Change: t.entry.ID, Digest: digest}
+	h := head{Version: target, ChangeID: t.entry.ID, Digest: digest}
 	return append(writes,
-		store.Put(headKey, now.headRow, encode(h)),
-		store.Put(logKey(target), 0, encode(t.entry))), target
+		store.Put(headKey, now.headRowVersion, encode(h)),
+		store.Put(historyKey(target), 0, encode(t.entry))), target
 }
--- a/internal/state/lease/lease.go
+++ b/internal/state/lease/lease.go
@@ -26,20 +26,20 @@
 
 // Errors of this package.
 var (
-	// ErrLapsed means that the lease is not held, or not for long enough.
-	ErrLapsed = errors.New("lease: not held")
-	// ErrStore means that the table could not be read or written.
-	ErrStore = errors.New("lease: table out of reach")
+	// ErrNotHeld means that the lease is not held, or not for long enough.
+	ErrNotHeld = errors.New("lease: not held")
+	// ErrStoreUnavailable means that the table could not be read or written.
+	ErrStoreUnavailable = errors.New("lease: table out of reach")
 )
 
 const (
-	defaultTime   = 15 * time.Second
-	defaultMargin = 4 * time.Second
-	// drift is the part of a lease time that a contender waits longer, for
+	defaultDuration = 15 * time.Second
+	defaultMargin   = 4 * time.Second
+	// driftDivisor is the part of a lease time that a contender waits longer, for
 	// clocks that run at rates up to 10% apart.
-	drift = 10
-	// renewals is how often a holder renews in a lease time.
-	renewals = 3
+	driftDivisor = 10
+	// renewalsPerLease is how often a holder renews in a lease time.
+	renewalsPerLease = 3
 )
 
 // Table is the part of the platform's table that leases need.
@@ -52,12 +52,12 @@
 // use. Step is called by one goroutine, the rest by any.
 type Lease struct {
 	Table Table
-	// Name names the duty; the row is "lease/" and the name.
-	Name string
+	// Duty names the duty; the row is "lease/" and the name.
+	Duty string
 	// Owner names this incarnation; a restarted process is another owner.
 	Owner string
-	// Time is the lease time, the same on all instances; zero is 15 s.
-	Time time.Duration
+	// Duration is the lease time, the same on all instances; zero is 15 s.
+	Duration time.Duration
 	// Margin is how much time must be left to begin an act, and an act ends
 	// within half of it; zero is 4 s.
 	Margin time.Duration
@@ -68,34 +68,34 @@
 	// Meters takes the metrics; nil takes none.
 	Meters *metrics.Set
 
-	mu   sync.Mutex
-	hold hold
-	seen sight
-	// away is when the table was last found out of reach.
-	away time.Time
+	mu       sync.Mutex
+	holding  holdState
+	observed observation
+	// storeFailedAt is when the table was last found out of reach.
+	storeFailedAt time.Time
 }
 
 // row is the row of a lease. Seq makes each renewal a change.
 type row struct {
-	Owner string `cbor:"1,keyasint"`
-	Fence uint64 `cbor:"2,keyasint"`
-	Seq   uint64 `cbor:"3,keyasint"`
-	Free  bool   `cbor:"4,keyasint,omitempty"`
+	Owner    string `cbor:"1,keyasint"`
+	Fence    uint64 `cbor:"2,keyasint"`
+	Seq      uint64 `cbor:"3,keyasint"`
+	Released bool   `cbor:"4,keyasint,omitempty"`
 }
 
-// hold is what the holder knows.
-type hold struct {
-	held    bool
-	row     row
-	version uint64
-	until   time.Time
-	since   time.Time
+// holdState is what the holder knows.
+type holdState struct {
+	held      bool
+	row       row
+	version   uint64
+	expiresAt time.Time
+	heldSince time.Time
 }
 
-// sight is the row that a contender waits on.
-type sight struct {
-	version uint64
-	at      time.Time
+// observation is the row that a contender waits on.
+type observation struct {
+	version   uint64
+	firstSeen time.Time
 }
 
 // Guard says whether this instance may act now. It returns the fencing number
@@ -108,50 +108,50 @@
 func (l *Lease) Guard(ctx context.Context) (context.Context, context.CancelFunc, uint64, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.hold.held || l.hold.until.Sub(l.now()) <= l.margin() {
-		return nil, nil, 0, ErrLapsed
+	if !l.holding.held || l.holding.expiresAt.Sub(l.now()) <= l.margin() {
+		return nil, nil, 0, ErrNotHeld
 	}
 	ctx, cancel := context.WithTimeout(ctx, l.margin()/2)
-	return ctx, cancel, l.hold.row.Fence, nil
+	return ctx, cancel, l.holding.row.Fence, nil
 }
 
 // Held reports whether the lease is held with time left to act.
 func (l *Lease) Held() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.hold.held && l.hold.until.Sub(l.now()) > l.margin()
+	return l.holding.held && l.holding.expiresAt.Sub(l.now()) > l.margin()
 }
 
-// Last is the number of the lease while it is held with time left to act, and after
+// LastFence is the number of the lease while it is held with time left to act, and after
 // that for as long as all that is known is that the table is out of reach: another
 // instance may hold the lease by then. Acts under it must be such that their
 // receivers take only one of two.
-func (l *Lease) Last() (fence uint64, ok bool) {
+func (l *Lease) LastFence() (fence uint64, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
-	inTime, isAway := l.hold.until.Sub(now) > l.margin(), now.Sub(l.away) < 2*l.time()/renewals
-	return l.hold.row.Fence, l.hold.held && (inTime || isAway)
+	inTime, isAway := l.holding.expiresAt.Sub(now) > l.margin(), now.Sub(l.storeFailedAt) < 2*l.duration()/renewalsPerLease
+	return l.holding.row.Fence, l.holding.held && (inTime || isAway)
 }
 
-// Since is how long the lease is held; zero if it is not.
-func (l *Lease) Since() time.Duration {
+// HeldFor is how long the lease is held; zero if it is not.
+func (l *Lease) HeldFor() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.hold.held {
+	if !l.holding.held {
 		return 0
 	}
-	return l.now().Sub(l.hold.since)
+	return l.now().Sub(l.holding.heldSince)
 }
 
 // Fence is the fencing number of the lease while it is held; zero if not.
 func (l *Lease) Fence() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.hold.held {
+	if !l.holding.held {
 		return 0
 	}
-	return l.hold.row.Fence
+	return l.holding.row.Fence
 }
 
 // Run contends for the lease and keeps it until ctx ends, then releases it.
@@ -159,12 +159,12 @@
 // read for each contender.
 func (l *Lease) Run(ctx context.Context) {
 	if l.Meters != nil {
-		name := fmt.Sprintf(`fulmarwick_lease_number{duty=%q}`, l.Name)
+		name := fmt.Sprintf(`fulmarwick_lease_number{duty=%q}`, l.Duty)
 		l.Meters.GetOrCreateGauge(name, func() float64 { return float64(l.Fence()) })
 	}
 	for {
-		_ = l.Step(ctx)
-		timer := time.NewTimer(l.pause())
+		_ = l.RenewOrAcquire(ctx)
+		timer := time.NewTimer(l.renewDelay())
 		select {
 		case <-ctx.Done():
 			timer.Stop()
@@ -175,8 +175,8 @@
 	}
 }
 
-func (l *Lease) pause() time.Duration {
-	d := float64(l.time() / renewals)
+func (l *Lease) renewDelay() time.Duration {
+	d := float64(l.duration() / renewalsPerLease)
 	if l.Jitter != nil {
 		d *= l.Jitter()
 	}
@@ -187,19 +187,19 @@
 // to lapse. From its start no act is allowed, whether the commit works or not.
 func (l *Lease) Release(ctx context.Context) {
 	l.mu.Lock()
-	h := l.hold
-	l.hold = hold{}
-	l.seen = sight{}
+	h := l.holding
+	l.holding = holdState{}
+	l.observed = observation{}
 	l.mu.Unlock()
 	if !h.held {
 		return
 	}
-	h.row.Free = true
+	h.row.Released = true
 	h.row.Seq++
 	_, _ = l.Table.Commit(ctx, []store.Write{store.Put(l.key(), h.version, encode(h.row))})
 }
 
-func (l *Lease) key() string { return "lease/" + l.Name }
+func (l *Lease) key() string { return "lease/" + l.Duty }
 
 func (l *Lease) now() time.Time {
 	if l.Now == nil {
@@ -208,11 +208,11 @@
 	return l.Now()
 }
 
-func (l *Lease) time() time.Duration {
-	if l.Time == 0 {
-		return defaultTime
+func (l *Lease) duration() time.Duration {
+	if l.Duration == 0 {
+		return defaultDuration
 	}
-	return l.Time
+	return l.Duration
 }
 
 func (l *Lease) margin() time.Duration {
