--- a/internal/state/lease/lease_test.go
+++ b/internal/state/lease/lease_test.go
@@ -19,13 +19,13 @@
 
 const second = time.Second
 
-func contender(table lease.Table, owner string) *lease.Lease {
-	return &lease.Lease{Table: table, Name: "place", Owner: owner, Time: 15 * second, Margin: 4 * second}
+func newLease(table lease.Table, owner string) *lease.Lease {
+	return &lease.Lease{Table: table, Duty: "place", Owner: owner, Duration: 15 * second, Margin: 4 * second}
 }
 
-func step(t *testing.T, l *lease.Lease) {
+func renewOrAcquire(t *testing.T, l *lease.Lease) {
 	t.Helper()
-	if err := l.Step(t.Context()); err != nil {
+	if err := l.RenewOrAcquire(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -34,14 +34,14 @@
 // after a whole lease time on its own clock, under a higher number. The paused
 // one wakes, believes that it still holds the lease, and is told no before its
 // first act.
-func TestPausedHolderIsStopped(t *testing.T) {
+func TestPausedHolderLosesLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := &infra.Table{}
-		a, b := contender(table, "a"), contender(table, "b")
-		step(t, a)
+		a, b := newLease(table, "a"), newLease(table, "b")
+		renewOrAcquire(t, a)
 		start := time.Now()
 		for !b.Held() {
-			step(t, b)
+			renewOrAcquire(t, b)
 			time.Sleep(second)
 			if a.Held() && b.Held() {
 				t.Fatal("got two holders, want at most one")
@@ -50,10 +50,10 @@
 		if got := time.Since(start); got < 16*second || got > 19*second {
 			t.Errorf("got the takeover after %v, want a lease time and a little", got)
 		}
-		if _, _, _, err := a.Guard(t.Context()); !errors.Is(err, lease.ErrLapsed) {
+		if _, _, _, err := a.Guard(t.Context()); !errors.Is(err, lease.ErrNotHeld) {
 			t.Errorf("got %v for the paused holder, want ErrLapsed", err)
 		}
-		step(t, a)
+		renewOrAcquire(t, a)
 		if a.Fence() != 0 || b.Fence() != 2 {
 			t.Errorf("got numbers %d and %d, want 0 and 2", a.Fence(), b.Fence())
 		}
@@ -62,7 +62,7 @@
 
 // Guards against a holder that was paused, or was followed by another, and acts on
 // under its number as if the table were only out of reach.
-func TestLastIsForOutagesOnly(t *testing.T) {
+func TestLastFenceOnlyDuringOutage(t *testing.T) {
 	tests := []struct {
 		name string
 		// lapse lets the lease of a lapse, which contends with b.
@@ -73,33 +73,33 @@
 			table.Fault(infra.Faults{Down: true})
 			for range 5 {
 				time.Sleep(4 * second)
-				_ = a.Step(t.Context())
+				_ = a.RenewOrAcquire(t.Context())
 			}
 		}, true},
 		{"paused", func(*infra.Table, *lease.Lease, *lease.Lease) { time.Sleep(20 * second) }, false},
 		{"out of reach, then paused", func(table *infra.Table, a, _ *lease.Lease) {
 			table.Fault(infra.Faults{Down: true})
-			_ = a.Step(t.Context())
+			_ = a.RenewOrAcquire(t.Context())
 			time.Sleep(20 * second)
 		}, false},
 		{"followed", func(table *infra.Table, a, b *lease.Lease) {
 			for !b.Held() {
-				_ = b.Step(t.Context())
+				_ = b.RenewOrAcquire(t.Context())
 				time.Sleep(second)
 			}
-			_ = a.Step(t.Context())
+			_ = a.RenewOrAcquire(t.Context())
 			table.Fault(infra.Faults{Down: true})
-			_ = a.Step(t.Context())
+			_ = a.RenewOrAcquire(t.Context())
 		}, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				table := &infra.Table{}
-				a, b := contender(table, "a"), contender(table, "b")
-				step(t, a)
+				a, b := newLease(table, "a"), newLease(table, "b")
+				renewOrAcquire(t, a)
 				test.lapse(table, a, b)
-				if fence, ok := a.Last(); ok != test.want || ok && fence != 1 {
+				if fence, ok := a.LastFence(); ok != test.want || ok && fence != 1 {
 					t.Errorf("got number %d, %t, want %t", fence, ok, test.want)
 				}
 			})
@@ -110,33 +110,33 @@
 // A renewal takes effect and its answer is lost, then the table is out for
 // longer than the lease. The holder acts only while its own time lasts; when
 // the table is back nobody has taken over, and it goes on under its number.
-func TestLostRenewalAndOutage(t *testing.T) {
+func TestHolderResumesAfterOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := &infra.Table{}
-		a, b := contender(table, "a"), contender(table, "b")
-		step(t, a)
+		a, b := newLease(table, "a"), newLease(table, "b")
+		renewOrAcquire(t, a)
 		time.Sleep(5 * second)
 		table.Fault(infra.Faults{Lose: 1})
-		step(t, a)
+		renewOrAcquire(t, a)
 		time.Sleep(7 * second)
 		if a.Held() {
 			t.Error("got held 12 s after the last sure renewal, want not with 3 s left")
 		}
-		step(t, b)
+		renewOrAcquire(t, b)
 		table.Fault(infra.Faults{Down: true})
 		for range 10 {
 			time.Sleep(3 * second)
-			if err := a.Step(t.Context()); !errors.Is(err, lease.ErrStore) {
+			if err := a.RenewOrAcquire(t.Context()); !errors.Is(err, lease.ErrStoreUnavailable) {
 				t.Errorf("got %v in the outage, want ErrStore", err)
 			}
-			_ = b.Step(t.Context())
+			_ = b.RenewOrAcquire(t.Context())
 			if a.Held() || b.Held() {
 				t.Error("got a holder in the outage, want none")
 			}
 		}
 		table.Fault(infra.Faults{})
-		step(t, a)
-		step(t, b)
+		renewOrAcquire(t, a)
+		renewOrAcquire(t, b)
 		if !a.Held() || b.Held() || a.Fence() != 1 {
 			t.Errorf("got %v %v with number %d, want the old holder under number 1", a.Held(), b.Held(), a.Fence())
 		}
@@ -145,18 +145,18 @@
 
 // An instance is stopped gracefully: the next one takes the duty at its next
 // step and need not wait for the lease to lapse.
-func TestReleaseHandsOverAtOnce(t *testing.T) {
+func TestReleaseHandsOverImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := &infra.Table{}
-		a, b := contender(table, "a"), contender(table, "b")
+		a, b := newLease(table, "a"), newLease(table, "b")
 		ctx, stop := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() { a.Run(ctx); close(done) }()
 		synctest.Wait()
-		step(t, b)
+		renewOrAcquire(t, b)
 		stop()
 		<-done
-		step(t, b)
+		renewOrAcquire(t, b)
 		if a.Held() || !b.Held() || b.Fence() != 2 {
 			t.Errorf("got %v %v with number %d, want the second under number 2", a.Held(), b.Held(), b.Fence())
 		}
@@ -165,10 +165,10 @@
 
 // An act gets a deadline well inside the margin, so that it ends before the
 // lease does.
-func TestActEndsWithinMargin(t *testing.T) {
+func TestGuardDeadlineWithinMargin(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a := contender(&infra.Table{}, "a")
-		step(t, a)
+		a := newLease(&infra.Table{}, "a")
+		renewOrAcquire(t, a)
 		time.Sleep(10 * second)
 		ctx, cancel, fence, err := a.Guard(t.Context())
 		if err != nil || fence != 1 {
@@ -184,14 +184,14 @@
 // Three instances step at any times, with refused calls, lost answers and
 // stale reads, and with pauses of any length. At no moment may two of them
 // begin an act, and the numbers under which acts begin never fall.
-func TestOneHolderAndRisingNumbers(t *testing.T) {
+func TestOneHolderAndRisingFences(t *testing.T) {
 	acts, most := 0, uint64(0)
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(0, 0)
 		table := &infra.Table{}
 		var all []*lease.Lease
 		for i := range 3 {
-			l := contender(table, fmt.Sprint("i", i))
+			l := newLease(table, fmt.Sprint("i", i))
 			l.Now = func() time.Time { return now }
 			all = append(all, l)
 		}
@@ -202,7 +202,7 @@
 				now = now.Add(20 * second)
 			}
 			table.Fault(faults(rapid.IntRange(0, 7).Draw(t, "fault")))
-			_ = all[rapid.IntRange(0, 2).Draw(t, "who")].Step(context.Background())
+			_ = all[rapid.IntRange(0, 2).Draw(t, "who")].RenewOrAcquire(context.Background())
 			holders := 0
 			for _, l := range all {
 				_, cancel, fence, err := l.Guard(context.Background())
@@ -248,7 +248,7 @@
 		var least, most time.Duration
 		for seed := range 50 {
 			synctest.Test(t, func(t *testing.T) {
-				took := takeover(t, uint64(seed), kill)
+				took := measureTakeover(t, uint64(seed), kill)
 				if least == 0 || took < least {
 					least = took
 				}
@@ -262,10 +262,10 @@
 	}
 }
 
-func takeover(t *testing.T, seed uint64, kill bool) time.Duration {
+func measureTakeover(t *testing.T, seed uint64, kill bool) time.Duration {
 	table := &infra.Table{}
-	killed := &mortal{Table: table}
-	first := contender(killed, "first")
+	killed := &killableTable{Table: table}
+	first := newLease(killed, "first")
 	first.Jitter = jitter(seed, 9)
 	ctx, stop := context.WithCancel(t.Context())
 	go first.Run(ctx)
@@ -273,13 +273,13 @@
 	others, end := context.WithCancel(t.Context())
 	var all []*lease.Lease
 	for i := range 3 {
-		l := contender(table, fmt.Sprint("l", i))
+		l := newLease(table, fmt.Sprint("l", i))
 		l.Jitter = jitter(seed, uint64(i))
 		all = append(all, l)
 		go l.Run(others)
 	}
 	time.Sleep(time.Duration(20000+200*seed) * time.Millisecond)
-	killed.dead.Store(kill)
+	killed.killed.Store(kill)
 	stop()
 	start := time.Now()
 	for !all[0].Held() && !all[1].Held() && !all[2].Held() {
@@ -296,15 +296,15 @@
 	return func() float64 { return 0.8 + 0.4*src.Float64() }
 }
 
-// mortal is the table as a process sees it that is killed: it releases nothing.
-type mortal struct {
+// killableTable is the table as a process sees it that is killed: it releases nothing.
+type killableTable struct {
 	*infra.Table
-	dead atomic.Bool
+	killed atomic.Bool
 }
 
-func (m *mortal) Commit(ctx context.Context, w []store.Write) (uint64, error) {
-	if m.dead.Load() {
-		return 0, store.ErrDown
+func (m *killableTable) Commit(ctx context.Context, w []store.Write) (uint64, error) {
+	if m.killed.Load() {
+		return 0, store.ErrUnavailable
 	}
 	return m.Table.Commit(ctx, w)
 }
--- a/internal/state/ledger/action.go
+++ b/internal/state/ledger/action.go
@@ -17,9 +17,9 @@
 	ActRead // read
 	// ActSend sends the call once; the result has the answer or the error.
 	ActSend // send
-	// ActAsk asks the upstream for the outcome of the call; the result has the
+	// ActQuery asks the upstream for the outcome of the call; the result has the
 	// answer, or any error if the upstream knows none.
-	ActAsk // ask
+	ActQuery // ask
 	// ActWait waits before the next read of a row that somebody else changes.
 	ActWait // wait
 	// ActRetry waits before the store is tried again in the background.
@@ -28,9 +28,9 @@
 
 // Action is one step that an attempt wants done.
 type Action struct {
-	kind  ActionKind
-	write store.Write
-	tries int
+	kind    ActionKind
+	write   store.Write
+	retries int
 }
 
 // Kind says what is to be done.
@@ -39,8 +39,8 @@
 // Write is what ActCommit commits.
 func (a Action) Write() store.Write { return a.write }
 
-// Tries is how often ActWait or ActRetry was asked for before.
-func (a Action) Tries() int { return a.tries }
+// Retries is how often ActWait or ActRetry was asked for before.
+func (a Action) Retries() int { return a.retries }
 
 // Result is how an action ended. Only the field that the action's kind names
 // is set; Err is from this package or from package store.
--- a/internal/state/ledger/actionkind_string.go
+++ b/internal/state/ledger/actionkind_string.go
@@ -12,7 +12,7 @@
 	_ = x[ActCommit-1]
 	_ = x[ActRead-2]
 	_ = x[ActSend-3]
-	_ = x[ActAsk-4]
+	_ = x[ActQuery-4]
 	_ = x[ActWait-5]
 	_ = x[ActRetry-6]
 }
--- a/internal/state/ledger/attempt.go
+++ b/internal/state/ledger/attempt.go
@@ -10,11 +10,11 @@
 type phase int
 
 const (
-	phaseEnd phase = iota
+	phaseFinished phase = iota
 	phaseBegin
-	phaseBack
+	phaseReadBack
 	phaseSend
-	phaseAsk
+	phaseQuery
 	phaseSettle
 	phaseSettleRead
 	phaseSettleWait
@@ -23,19 +23,19 @@
 	phaseClearWait
 	phaseRead
 	phaseWait
-	phaseMark
-	phaseAskOther
-	phaseStore
+	phaseMarkUnsure
+	phaseQueryOther
+	phaseStoreOutcome
 	phaseConfirm
 )
 
-// askEvery is after how many more polls of a running row the upstream is asked
+// pollsPerQuery is after how many more polls of a running row the upstream is asked
 // again.
-const askEvery = 3
+const pollsPerQuery = 3
 
-// maxLoops bounds how often an attempt starts over since reads and conditions
+// maxRestarts bounds how often an attempt starts over since reads and conditions
 // of the store contradict each other, as stale reads do.
-const maxLoops = 4
+const maxRestarts = 4
 
 // Attempt is the protocol of one call as a step machine: Next says what to do
 // and Take gets the result, until Next says ActEnd. It does no I/O and reads
@@ -49,81 +49,81 @@
 //     than unsure, or done if the upstream says so.
 //   - A new attempt takes the place of a notrun row only.
 type Attempt struct {
-	params Params
-	rec    record
-	phase  phase
-	// base is the version on which the first write was conditioned, version
+	params    Params
+	ownRecord record
+	phase     phase
+	// baseVersion is the version on which the first write was conditioned, version
 	// that of the row when it last held what this attempt knows.
-	base     uint64
-	version  uint64
-	seen     record
-	polls    int
-	inquired int
-	loops    int
-	tries    int
-	told     bool
-	outcome  Outcome
-	err      error
+	baseVersion   uint64
+	version       uint64
+	otherRecord   record
+	polls         int
+	queriedAtPoll int
+	restarts      int
+	retries       int
+	resolved      bool
+	outcome       Outcome
+	err           error
 }
 
 // NewAttempt returns an attempt to run the call of p.
 func NewAttempt(p Params) *Attempt {
-	rec := record{Sum: p.Call.sum(), Attempt: p.ID, State: StateRunning, Owner: p.Owner}
-	return &Attempt{params: p, rec: rec, phase: phaseBegin}
+	rec := record{BodyHash: p.Call.bodyHash(), Attempt: p.ID, State: StateRunning, Owner: p.Owner}
+	return &Attempt{params: p, ownRecord: rec, phase: phaseBegin}
 }
 
-// Told reports whether the caller can be answered, and with what. The attempt
+// Outcome reports whether the caller can be answered, and with what. The attempt
 // may have more to do after.
-func (a *Attempt) Told() (Outcome, bool, error) {
-	return a.outcome, a.told, a.err
+func (a *Attempt) Outcome() (Outcome, bool, error) {
+	return a.outcome, a.resolved, a.err
 }
 
-// Next is what the attempt wants done now.
-func (a *Attempt) Next() Action {
+// NextAction is what the attempt wants done now.
+func (a *Attempt) NextAction() Action {
 	switch a.phase {
 	case phaseBegin:
-		return a.commit(a.rec, a.base)
+		return a.commit(a.ownRecord, a.baseVersion)
 	case phaseClear, phaseSettle:
-		return a.commit(a.rec, a.version)
-	case phaseMark, phaseStore, phaseConfirm:
-		return a.nextOther()
-	case phaseBack, phaseSettleRead, phaseClearRead, phaseRead:
+		return a.commit(a.ownRecord, a.version)
+	case phaseMarkUnsure, phaseStoreOutcome, phaseConfirm:
+		return a.nextOtherAction()
+	case phaseReadBack, phaseSettleRead, phaseClearRead, phaseRead:
 		return Action{kind: ActRead}
 	case phaseSend:
 		return Action{kind: ActSend}
-	case phaseAsk, phaseAskOther:
-		return Action{kind: ActAsk}
+	case phaseQuery, phaseQueryOther:
+		return Action{kind: ActQuery}
 	case phaseWait:
-		return Action{kind: ActWait, tries: a.polls}
+		return Action{kind: ActWait, retries: a.polls}
 	case phaseSettleWait, phaseClearWait:
-		return Action{kind: ActRetry, tries: a.tries}
+		return Action{kind: ActRetry, retries: a.retries}
 	default:
 		return Action{kind: ActEnd}
 	}
 }
 
-// Take moves the attempt on with the result of its last action.
-func (a *Attempt) Take(r Result) {
+// ApplyResult moves the attempt on with the result of its last action.
+func (a *Attempt) ApplyResult(r Result) {
 	switch a.phase {
 	case phaseBegin:
-		a.begun(r)
-	case phaseBack:
-		a.readBack(r)
+		a.handleBegin(r)
+	case phaseReadBack:
+		a.handleReadBack(r)
 	case phaseSend:
-		a.sent(r)
-	case phaseAsk:
-		a.asked(r)
+		a.handleSend(r)
+	case phaseQuery:
+		a.handleQuery(r)
 	case phaseSettle, phaseSettleRead, phaseSettleWait:
-		a.takeSettle(r)
+		a.applySettle(r)
 	case phaseClear, phaseClearRead, phaseClearWait:
-		a.takeClear(r)
+		a.applyClear(r)
 	default:
-		a.takeOther(r)
+		a.applyOther(r)
 	}
 }
 
 func (a *Attempt) commit(r record, version uint64) Action {
-	return Action{kind: ActCommit, write: r.put(a.key(), version)}
+	return Action{kind: ActCommit, write: r.toWrite(a.key(), version)}
 }
 
 func (a *Attempt) key() string {
@@ -131,117 +131,117 @@
 	return rowKey(c.team, c.class, c.key)
 }
 
-// begun takes the result of the commit that must come before any send.
-func (a *Attempt) begun(r Result) {
+// handleBegin takes the result of the commit that must come before any send.
+func (a *Attempt) handleBegin(r Result) {
 	switch {
 	case r.Err == nil:
 		a.version = r.Version
 		a.phase = phaseSend
 	case errors.Is(r.Err, store.ErrConflict):
 		a.phase = phaseRead
-	case errors.Is(r.Err, store.ErrDown):
-		a.refuse(r.Err)
-		a.phase = phaseEnd
+	case errors.Is(r.Err, store.ErrUnavailable):
+		a.resolveNotSent(r.Err)
+		a.phase = phaseFinished
 	default:
-		a.phase = phaseBack
+		a.phase = phaseReadBack
 	}
 }
 
-// readBack settles a first commit whose answer was lost. The commit may have
+// handleReadBack settles a first commit whose answer was lost. The commit may have
 // taken effect, may have not, or may still be on its way, and a read may be
 // stale. The call is sent only if the row shows this very attempt at running;
 // if the row stays unknown the call is never sent, so that "not run" is true
 // whatever the commit does later.
-func (a *Attempt) readBack(r Result) {
+func (a *Attempt) handleReadBack(r Result) {
 	rec, err := decodeResult(r)
 	if err != nil {
-		a.giveUp(err)
+		a.abandon(err)
 		return
 	}
 	row := r.Row
 	switch {
-	case rec.Attempt == a.rec.Attempt && rec.State == StateRunning:
+	case rec.Attempt == a.ownRecord.Attempt && rec.State == StateRunning:
 		a.version = row.Version()
 		a.phase = phaseSend
-	case rec.Attempt == a.rec.Attempt:
+	case rec.Attempt == a.ownRecord.Attempt:
 		// Another instance took this process for dead and wrote unsure. Only
 		// this attempt knows that it has not sent.
 		a.version = row.Version()
-		a.rec = a.rec.with(StateNotRun, Answer{}, "the record was taken over before the call was sent")
-		a.tell(a.rec.outcome())
+		a.ownRecord = a.ownRecord.withState(StateNotRun, Answer{}, "the record was taken over before the call was sent")
+		a.resolve(a.ownRecord.outcome())
 		a.phase = phaseSettle
-	case row.Version() <= a.base:
-		a.giveUp(errors.New("ledger: stale read"))
+	case row.Version() <= a.baseVersion:
+		a.abandon(errors.New("ledger: stale read"))
 	default:
-		a.exists(rec, row.Version())
+		a.handleRecord(rec, row.Version())
 	}
 }
 
-// giveUp ends a call whose first commit stays unknown: never send, tell the
+// abandon ends a call whose first commit stays unknown: never send, tell the
 // truth now, and turn the row to notrun as soon as the store allows.
-func (a *Attempt) giveUp(cause error) {
-	a.refuse(cause)
-	a.rec = a.rec.with(StateNotRun, Answer{}, "the record could not be read back")
-	a.version = a.base
+func (a *Attempt) abandon(cause error) {
+	a.resolveNotSent(cause)
+	a.ownRecord = a.ownRecord.withState(StateNotRun, Answer{}, "the record could not be read back")
+	a.version = a.baseVersion
 	a.phase = phaseClear
 }
 
-// refuse tells that nothing was or will be sent. If an earlier call under the
+// resolveNotSent tells that nothing was or will be sent. If an earlier call under the
 // key is known, it may have run, and "not run" would mislead its caller.
-func (a *Attempt) refuse(cause error) {
-	if a.params.Begun {
-		a.tell(Outcome{state: StateUnsure, why: "an earlier call under the key was begun and the store is out"})
+func (a *Attempt) resolveNotSent(cause error) {
+	if a.params.SeenBefore {
+		a.resolve(Outcome{state: StateUnsure, reason: "an earlier call under the key was begun and the store is out"})
 		return
 	}
-	a.fail(errors.Wrap(ErrStore, cause.Error()))
+	a.resolveError(errors.Wrap(ErrStoreUnavailable, cause.Error()))
 }
 
-// sent takes the end of the only send.
-func (a *Attempt) sent(r Result) {
+// handleSend takes the end of the only send.
+func (a *Attempt) handleSend(r Result) {
 	a.phase = phaseSettle
 	switch {
 	case r.Err == nil:
-		a.rec = a.rec.with(StateDone, r.Answer, "")
+		a.ownRecord = a.ownRecord.withState(StateDone, r.Answer, "")
 	case errors.Is(r.Err, ErrNotSent):
-		a.rec = a.rec.with(StateNotRun, Answer{}, r.Err.Error())
+		a.ownRecord = a.ownRecord.withState(StateNotRun, Answer{}, r.Err.Error())
 	default:
-		a.rec = a.rec.with(StateUnsure, Answer{}, r.Err.Error())
-		if a.params.Asks {
-			a.phase = phaseAsk
+		a.ownRecord = a.ownRecord.withState(StateUnsure, Answer{}, r.Err.Error())
+		if a.params.SupportsOutcomes {
+			a.phase = phaseQuery
 		}
 	}
 }
 
-// asked takes the upstream's word on a call whose answer was lost. That it
+// handleQuery takes the upstream's word on a call whose answer was lost. That it
 // knows nothing proves nothing: the call may be on its way still.
-func (a *Attempt) asked(r Result) {
+func (a *Attempt) handleQuery(r Result) {
 	if r.Err == nil {
-		a.rec = a.rec.with(StateDone, r.Answer, "")
+		a.ownRecord = a.ownRecord.withState(StateDone, r.Answer, "")
 	}
 	a.phase = phaseSettle
 }
 
-func (a *Attempt) tell(o Outcome) {
-	if !a.told {
-		a.outcome, a.told = o, true
+func (a *Attempt) resolve(o Outcome) {
+	if !a.resolved {
+		a.outcome, a.resolved = o, true
 	}
 }
 
-func (a *Attempt) fail(err error) {
-	if !a.told {
-		a.err, a.told = err, true
+func (a *Attempt) resolveError(err error) {
+	if !a.resolved {
+		a.err, a.resolved = err, true
 	}
 }
 
-// end tells o and ends the attempt.
-func (a *Attempt) end(o Outcome) {
-	a.tell(o)
-	a.phase = phaseEnd
+// finish tells o and ends the attempt.
+func (a *Attempt) finish(o Outcome) {
+	a.resolve(o)
+	a.phase = phaseFinished
 }
 
 func decodeResult(r Result) (record, error) {
 	if r.Err != nil {
 		return record{}, r.Err
 	}
-	return decode(r.Row)
+	return decodeRecord(r.Row)
 }
--- a/internal/state/ledger/explore_test.go
+++ b/internal/state/ledger/explore_test.go
@@ -15,17 +15,17 @@
 // explore visits every state that m reaches in depth steps and returns their
 // number, the depth at which nothing new came, and the first fault.
 func explore(m model, depth int, mutate mutation) (states, reached int, fault string) {
-	seen := map[string]bool{m.print(): true}
+	seen := map[string]bool{m.fingerprint(): true}
 	front := []model{m}
 	for d := range depth {
 		var next []model
 		for i := range front {
-			for _, c := range front[i].choices() {
+			for _, c := range front[i].events() {
 				n := front[i].step(c, mutate)
-				if n.fault != "" {
-					return len(seen), d, n.fault
+				if n.violation != "" {
+					return len(seen), d, n.violation
 				}
-				if p := n.print(); !seen[p] {
+				if p := n.fingerprint(); !seen[p] {
 					seen[p] = true
 					next = append(next, n)
 				}
@@ -60,23 +60,23 @@
 
 // The same two callers, with as many faults as come: long random runs reach
 // what the exhaustive search is too shallow for.
-func TestLongRunsRunAtMostOnce(t *testing.T) {
+func TestLongRandomSequencesRunAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		for range 20 {
-			walk(t, newModel(rapid.IntRange(0, 12).Draw(t, "faults"), 3))
+			randomWalk(t, newModel(rapid.IntRange(0, 12).Draw(t, "faults"), 3))
 		}
 	})
 }
 
-func walk(t *rapid.T, m model) {
+func randomWalk(t *rapid.T, m model) {
 	for range 60 {
-		all := m.choices()
+		all := m.events()
 		if len(all) == 0 {
 			return
 		}
 		m = m.step(all[rapid.IntRange(0, len(all)-1).Draw(t, "choice")], nil)
-		if m.fault != "" {
-			t.Fatal(m.fault)
+		if m.violation != "" {
+			t.Fatal(m.violation)
 		}
 	}
 }
@@ -92,12 +92,12 @@
 	}{
 		{"sends after a read-back that failed", false, func(c *caller, k ledger.ActionKind, r ledger.Result) ledger.Result {
 			if k == ledger.ActRead && r.Err != nil {
-				return ledger.Result{Row: forge(store.NewRow("", 9, nil), c.last.Value(), ledger.StateNone)}
+				return ledger.Result{Row: rowWithState(store.NewRow("", 9, nil), c.lastWrite.Value(), ledger.StateNone)}
 			}
 			return r
 		}},
 		{"takes a lost commit for done", false, func(_ *caller, k ledger.ActionKind, r ledger.Result) ledger.Result {
-			if k == ledger.ActCommit && errors.Is(r.Err, store.ErrUnsure) {
+			if k == ledger.ActCommit && errors.Is(r.Err, store.ErrOutcomeUnknown) {
 				return ledger.Result{Version: 1}
 			}
 			return r
@@ -110,13 +110,13 @@
 		}},
 		{"takes the upstream's ignorance for not run", false, func(_ *caller, k ledger.ActionKind, r ledger.Result) ledger.Result {
 			if k == ledger.ActRead && r.Err == nil && stateOf(r.Row) == ledger.StateUnsure {
-				r.Row = forge(r.Row, r.Row.Value(), ledger.StateNotRun)
+				r.Row = rowWithState(r.Row, r.Row.Value(), ledger.StateNotRun)
 			}
 			return r
 		}},
 		{"turns the running row of another into not run", false, func(_ *caller, k ledger.ActionKind, r ledger.Result) ledger.Result {
 			if k == ledger.ActRead && r.Err == nil && stateOf(r.Row) == ledger.StateRunning {
-				r.Row = forge(r.Row, r.Row.Value(), ledger.StateNotRun)
+				r.Row = rowWithState(r.Row, r.Row.Value(), ledger.StateNotRun)
 			}
 			return r
 		}},
@@ -125,7 +125,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			m := newModel(2, 1)
-			m.blind = c.blind
+			m.ignoreConditions = c.blind
 			states, _, fault := explore(m, 40, c.mutate)
 			if fault == "" {
 				t.Errorf("got no fault in %d states, want one", states)
--- a/internal/state/ledger/flight.go
+++ b/internal/state/ledger/flight.go
@@ -8,100 +8,100 @@
 	"github.com/go-faster/errors"
 )
 
-// flight is a call that this process runs; duplicates here wait for its end
+// activeCall is a call that this process runs; duplicates here wait for its end
 // without reading the store.
-type flight struct {
-	call    Call
-	sum     uint64
-	told    chan struct{}
-	outcome Outcome
-	err     error
+type activeCall struct {
+	call     Call
+	bodyHash uint64
+	resolved chan struct{}
+	outcome  Outcome
+	err      error
 }
 
-// enter returns the flight of the call and whether the caller is its first.
-func (l *Ledger) enter(c Call) (*flight, bool) {
+// joinCall returns the flight of the call and whether the caller is its first.
+func (l *Ledger) joinCall(c Call) (*activeCall, bool) {
 	key := rowKey(c.team, c.class, c.key)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if f, ok := l.flights[key]; ok {
+	if f, ok := l.activeCalls[key]; ok {
 		return f, false
 	}
-	f := &flight{call: c, sum: c.sum(), told: make(chan struct{})}
-	l.flights[key] = f
+	f := &activeCall{call: c, bodyHash: c.bodyHash(), resolved: make(chan struct{})}
+	l.activeCalls[key] = f
 	return f, true
 }
 
-// run brings the attempt to its end in a goroutine of its own, so that a
+// startAttempt brings the attempt to its end in a goroutine of its own, so that a
 // caller who leaves cuts neither the send nor the record. Of the caller's ctx
 // only the values go on, among them the trace.
-func (l *Ledger) run(ctx context.Context, f *flight, a *Attempt) {
+func (l *Ledger) startAttempt(ctx context.Context, f *activeCall, a *Attempt) {
 	ctx = context.WithoutCancel(ctx)
-	l.running.Go(func() {
-		if l.full() {
-			f.err = errors.Wrap(ErrStore, "too many records to settle")
-			l.leave(f)
+	l.attempts.Go(func() {
+		if l.isBacklogFull() {
+			f.err = errors.Wrap(ErrStoreUnavailable, "too many records to settle")
+			l.removeCall(f)
 			return
 		}
 		told := false
 		for {
-			act := a.Next()
-			if !told && l.publish(f, a) {
+			act := a.NextAction()
+			if !told && l.publishOutcome(f, a) {
 				told = true
-				defer l.addLate(-1)
+				defer l.addUnsettled(-1)
 			}
 			if act.kind == ActEnd {
 				return
 			}
-			a.Take(l.perform(ctx, l.Table, f.call, act))
+			a.ApplyResult(l.perform(ctx, l.Table, f.call, act))
 		}
 	})
 }
 
-// publish lets the flight's callers go if the attempt has an answer.
-func (l *Ledger) publish(f *flight, a *Attempt) bool {
-	out, ok, err := a.Told()
+// publishOutcome lets the flight's callers go if the attempt has an answer.
+func (l *Ledger) publishOutcome(f *activeCall, a *Attempt) bool {
+	out, ok, err := a.Outcome()
 	if !ok {
 		return false
 	}
 	f.outcome, f.err = out, err
 	if err == nil && out.state != StateNotRun {
-		l.begun.add(rowKey(f.call.team, f.call.class, f.call.key))
+		l.begunKeys.add(rowKey(f.call.team, f.call.class, f.call.key))
 	}
-	l.addLate(1)
-	l.leave(f)
+	l.addUnsettled(1)
+	l.removeCall(f)
 	return true
 }
 
 // wait waits until the call has its answer; a duplicate does not wait for long
 // and gets false.
-func (f *flight) wait(ctx context.Context, first bool) (bool, error) {
+func (f *activeCall) wait(ctx context.Context, first bool) (bool, error) {
 	var bound <-chan time.Time
 	if !first {
-		timer := time.NewTimer(joinMost)
+		timer := time.NewTimer(maxJoinWait)
 		defer timer.Stop()
 		bound = timer.C
 	}
 	select {
-	case <-f.told:
+	case <-f.resolved:
 		return true, nil
 	case <-bound:
 		return false, nil
 	case <-ctx.Done():
-		return false, fmt.Errorf("%w: %w", ErrLeft, ctx.Err())
+		return false, fmt.Errorf("%w: %w", ErrCallerLeft, ctx.Err())
 	}
 }
 
-func (l *Ledger) leave(f *flight) {
+func (l *Ledger) removeCall(f *activeCall) {
 	l.mu.Lock()
-	delete(l.flights, rowKey(f.call.team, f.call.class, f.call.key))
+	delete(l.activeCalls, rowKey(f.call.team, f.call.class, f.call.key))
 	l.mu.Unlock()
-	close(f.told)
+	close(f.resolved)
 }
 
-func (l *Ledger) full() bool { return l.Late() >= l.Backlog }
+func (l *Ledger) isBacklogFull() bool { return l.Unsettled() >= l.Backlog }
 
-func (l *Ledger) addLate(n int) {
+func (l *Ledger) addUnsettled(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.late += n
+	l.unsettled += n
 }
--- a/internal/state/ledger/ledger.go
+++ b/internal/state/ledger/ledger.go
@@ -25,32 +25,32 @@
 var (
 	// ErrNotSent means that no byte of the call left, so it did not run.
 	ErrNotSent = errors.New("ledger: not sent")
-	// ErrBody means that the key was used with another body.
-	ErrBody = errors.New("ledger: key was used with another body")
-	// ErrStore means that the record could not be written or read back; a
+	// ErrBodyMismatch means that the key was used with another body.
+	ErrBodyMismatch = errors.New("ledger: key was used with another body")
+	// ErrStoreUnavailable means that the record could not be written or read back; a
 	// call that ends so was not sent and will not be.
-	ErrStore = errors.New("ledger: records out of reach")
-	// ErrUnread means that a look-up could not read the record. It tells
+	ErrStoreUnavailable = errors.New("ledger: records out of reach")
+	// ErrRecordUnreadable means that a look-up could not read the record. It tells
 	// nothing about the call.
-	ErrUnread = errors.New("ledger: record could not be read")
-	// ErrLeft means that the caller left. The call goes on without it.
-	ErrLeft = errors.New("ledger: caller left")
+	ErrRecordUnreadable = errors.New("ledger: record could not be read")
+	// ErrCallerLeft means that the caller left. The call goes on without it.
+	ErrCallerLeft = errors.New("ledger: caller left")
 )
 
 const (
-	defaultPolls = 12
-	// defaultAsk is about 0.6 s of polls: a call that takes longer is slow, or
+	defaultMaxPolls = 12
+	// defaultPollsBeforeQuery is about 0.6 s of polls: a call that takes longer is slow, or
 	// its instance is dead.
-	defaultAsk     = 5
-	defaultBacklog = 10000
-	pollFirst      = 20 * time.Millisecond
-	pollMost       = 2 * time.Second
-	retryFirst     = 100 * time.Millisecond
-	retryMost      = 30 * time.Second
-	askTimeout     = 5 * time.Second
-	// joinMost is how long a duplicate waits for a call that runs here, about
+	defaultPollsBeforeQuery = 5
+	defaultBacklog          = 10000
+	minPollDelay            = 20 * time.Millisecond
+	maxPollDelay            = 2 * time.Second
+	minRetryDelay           = 100 * time.Millisecond
+	maxRetryDelay           = 30 * time.Second
+	outcomeTimeout          = 5 * time.Second
+	// maxJoinWait is how long a duplicate waits for a call that runs here, about
 	// as long as the polls of one that runs elsewhere.
-	joinMost = 12 * time.Second
+	maxJoinWait = 12 * time.Second
 )
 
 // Table is the part of the platform's table that the ledger needs.
@@ -64,10 +64,10 @@
 	Send(ctx context.Context, c Call) (Answer, error)
 }
 
-// Asker asks an upstream for the outcome of a call by its key. Any error
+// OutcomeQuerier asks an upstream for the outcome of a call by its key. Any error
 // leaves the outcome open.
-type Asker interface {
-	Ask(ctx context.Context, c Call) (Answer, error)
+type OutcomeQuerier interface {
+	QueryOutcome(ctx context.Context, c Call) (Answer, error)
 }
 
 // Ledger runs calls at most once. Set the exported fields before use; Table
@@ -75,22 +75,22 @@
 type Ledger struct {
 	Table  Table
 	Sender Sender
-	// Looks is the table for look-ups, so that they can have a lower rank in
+	// LookupTable is the table for look-ups, so that they can have a lower rank in
 	// the budget: one that finds nothing costs a commit. Nil is Table.
-	Looks Table
-	// Asker is for services of which Asks is true; nil asks nobody.
-	Asker Asker
-	Asks  func(spec.ServiceName) bool
-	// Services names the service of a class, so that a look-up can ask it; nil
+	LookupTable Table
+	// Querier is for services of which Asks is true; nil asks nobody.
+	Querier          OutcomeQuerier
+	SupportsOutcomes func(spec.ServiceName) bool
+	// ServiceOf names the service of a class, so that a look-up can ask it; nil
 	// asks none at look-ups.
-	Services func(spec.ClassName) spec.ServiceName
-	// Repeats says which classes may run more than once. Their calls are sent
+	ServiceOf func(spec.ClassName) spec.ServiceName
+	// Repeatable says which classes may run more than once. Their calls are sent
 	// without a record; nil means none.
-	Repeats func(spec.ClassName) bool
+	Repeatable func(spec.ClassName) bool
 	// Owner names this incarnation of the process; empty makes a name up.
 	Owner string
-	// Gone reports evidence that another incarnation ended; nil knows none.
-	Gone func(owner string) bool
+	// HasExited reports evidence that another incarnation ended; nil knows none.
+	HasExited func(owner string) bool
 	// Jitter returns a factor around 1 for waits; nil is always 1.
 	Jitter func() float64
 	// Backlog bounds the records to settle or clear in the background; at the
@@ -99,34 +99,34 @@
 	// Meters takes the metrics; nil makes a private set.
 	Meters *metrics.Set
 
-	once    sync.Once
-	running sync.WaitGroup
-	mu      sync.Mutex
-	flights map[string]*flight
-	begun   recent
-	late    int
+	once        sync.Once
+	attempts    sync.WaitGroup
+	mu          sync.Mutex
+	activeCalls map[string]*activeCall
+	begunKeys   recentKeys
+	unsettled   int
 }
 
 // Do runs the call unless its record says that it was started before. It may
 // return ErrBody, ErrStore or ErrLeft; whatever the caller does, a call that
 // was begun is brought to its end.
 func (l *Ledger) Do(ctx context.Context, c Call) (Outcome, error) {
-	l.once.Do(l.start)
-	if l.Repeats != nil && l.Repeats(c.class) {
-		return l.plain(ctx, c)
+	l.once.Do(l.setDefaults)
+	if l.Repeatable != nil && l.Repeatable(c.class) {
+		return l.sendUnrecorded(ctx, c)
 	}
 	for {
-		f, first := l.enter(c)
+		f, first := l.joinCall(c)
 		if first {
-			l.run(ctx, f, NewAttempt(l.params(c)))
-		} else if f.sum != c.sum() {
-			return Outcome{}, ErrBody
+			l.startAttempt(ctx, f, NewAttempt(l.newParams(c)))
+		} else if f.bodyHash != c.bodyHash() {
+			return Outcome{}, ErrBodyMismatch
 		}
 		if told, err := f.wait(ctx, first); err != nil || !told {
 			return Outcome{state: StateRunning}, err
 		}
 		if first {
-			l.told(f.outcome.state, f.err)
+			l.countOutcome(f.outcome.state, f.err)
 		}
 		if first || f.err == nil && f.outcome.state != StateNotRun {
 			return f.outcome, f.err
@@ -134,25 +134,25 @@
 	}
 }
 
-// Look returns what is known of the call under key; StateNone means that
+// Lookup returns what is known of the call under key; StateNone means that
 // there is no record. Its error is ErrUnread.
-func (l *Ledger) Look(ctx context.Context, team spec.TeamID, class spec.ClassName, key string) (Outcome, error) {
-	l.once.Do(l.start)
+func (l *Ledger) Lookup(ctx context.Context, team spec.TeamID, class spec.ClassName, key string) (Outcome, error) {
+	l.once.Do(l.setDefaults)
 	var service spec.ServiceName
-	if l.Services != nil {
-		service = l.Services(class)
+	if l.ServiceOf != nil {
+		service = l.ServiceOf(class)
 	}
 	c := NewCall(team, class, service, key, "", nil)
-	p := l.params(c)
-	p.Polls = 0
-	a := NewLook(p)
+	p := l.newParams(c)
+	p.MaxPolls = 0
+	a := NewLookup(p)
 	for {
-		act := a.Next()
+		act := a.NextAction()
 		if act.kind == ActEnd {
-			out, _, err := a.Told()
+			out, _, err := a.Outcome()
 			return out, err
 		}
-		a.Take(l.perform(ctx, l.Looks, c, act))
+		a.ApplyResult(l.perform(ctx, l.LookupTable, c, act))
 	}
 }
 
@@ -162,7 +162,7 @@
 func (l *Ledger) Wait(ctx context.Context) error {
 	done := make(chan struct{})
 	go func() {
-		l.running.Wait()
+		l.attempts.Wait()
 		close(done)
 	}()
 	select {
@@ -173,22 +173,22 @@
 	}
 }
 
-// Late is how many records wait in the background to be settled or cleared.
-func (l *Ledger) Late() int {
+// Unsettled is how many records wait in the background to be settled or cleared.
+func (l *Ledger) Unsettled() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.late
+	return l.unsettled
 }
 
-func (l *Ledger) start() {
+func (l *Ledger) setDefaults() {
 	if l.Owner == "" {
 		l.Owner = uuid.NewString()
 	}
-	if l.Looks == nil {
-		l.Looks = l.Table
+	if l.LookupTable == nil {
+		l.LookupTable = l.Table
 	}
-	if l.Gone == nil {
-		l.Gone = func(string) bool { return false }
+	if l.HasExited == nil {
+		l.HasExited = func(string) bool { return false }
 	}
 	if l.Jitter == nil {
 		l.Jitter = func() float64 { return 1 }
@@ -196,28 +196,28 @@
 	if l.Backlog == 0 {
 		l.Backlog = defaultBacklog
 	}
-	l.flights = map[string]*flight{}
-	l.gauges()
+	l.activeCalls = map[string]*activeCall{}
+	l.registerMetrics()
 }
 
-func (l *Ledger) params(c Call) Params {
+func (l *Ledger) newParams(c Call) Params {
 	return Params{
-		Call: c, ID: uuid.NewString(), Owner: l.Owner, Gone: l.Gone, Polls: defaultPolls, AskAfter: defaultAsk,
-		Begun: l.begun.has(rowKey(c.team, c.class, c.key)),
-		Asks:  l.Asker != nil && l.Asks != nil && l.Asks(c.service),
+		Call: c, ID: uuid.NewString(), Owner: l.Owner, HasExited: l.HasExited, MaxPolls: defaultMaxPolls, PollsBeforeQuery: defaultPollsBeforeQuery,
+		SeenBefore:       l.begunKeys.has(rowKey(c.team, c.class, c.key)),
+		SupportsOutcomes: l.Querier != nil && l.SupportsOutcomes != nil && l.SupportsOutcomes(c.service),
 	}
 }
 
-// plain sends a call that may be repeated, without a record.
-func (l *Ledger) plain(ctx context.Context, c Call) (Outcome, error) {
+// sendUnrecorded sends a call that may be repeated, without a record.
+func (l *Ledger) sendUnrecorded(ctx context.Context, c Call) (Outcome, error) {
 	answer, err := l.Sender.Send(ctx, c)
 	switch {
 	case err == nil:
 		return Outcome{state: StateDone, answer: answer}, nil
 	case errors.Is(err, ErrNotSent):
-		return Outcome{state: StateNotRun, why: err.Error()}, nil
+		return Outcome{state: StateNotRun, reason: err.Error()}, nil
 	default:
-		return Outcome{state: StateUnsure, why: err.Error()}, nil
+		return Outcome{state: StateUnsure, reason: err.Error()}, nil
 	}
 }
 
@@ -231,20 +231,20 @@
 		r.Row, r.Err = t.Get(ctx, rowKey(c.team, c.class, c.key))
 	case ActSend:
 		r.Answer, r.Err = l.Sender.Send(ctx, c)
-	case ActAsk:
-		ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	case ActQuery:
+		ctx, cancel := context.WithTimeout(ctx, outcomeTimeout)
 		defer cancel()
-		r.Answer, r.Err = l.Asker.Ask(ctx, c)
+		r.Answer, r.Err = l.Querier.QueryOutcome(ctx, c)
 	case ActWait:
-		l.pause(pollFirst, pollMost, act.tries)
+		l.backOff(minPollDelay, maxPollDelay, act.retries)
 	case ActRetry:
-		l.pause(retryFirst, retryMost, act.tries)
+		l.backOff(minRetryDelay, maxRetryDelay, act.retries)
 	}
 	return r
 }
 
-// pause waits twice as long with each try, up to most.
-func (l *Ledger) pause(first, most time.Duration, tries int) {
+// backOff waits twice as long with each try, up to most.
+func (l *Ledger) backOff(first, most time.Duration, tries int) {
 	d := most
 	if tries < 16 {
 		d = min(most, first<<max(0, tries-1))
--- a/internal/state/ledger/ledger_test.go
+++ b/internal/state/ledger/ledger_test.go
@@ -14,21 +14,21 @@
 	"github.com/go-faster/errors"
 )
 
-// service is a plain service in memory.
-type service struct {
+// fakeService is a plain service in memory.
+type fakeService struct {
 	mu    sync.Mutex
 	runs  int
 	delay time.Duration
-	// before is called with each send before it runs.
-	before func()
+	// beforeRun is called with each send before it runs.
+	beforeRun func()
 	// errs are given instead of the answers, first to last; errCut after
 	// running, ErrNotSent without.
 	errs []error
 }
 
-func (s *service) Send(context.Context, ledger.Call) (ledger.Answer, error) {
-	if s.before != nil {
-		s.before()
+func (s *fakeService) Send(context.Context, ledger.Call) (ledger.Answer, error) {
+	if s.beforeRun != nil {
+		s.beforeRun()
 	}
 	time.Sleep(s.delay)
 	s.mu.Lock()
@@ -43,38 +43,38 @@
 	return ledger.NewAnswer(200, "text/plain", []byte("receipt")), err
 }
 
-func (s *service) Ask(context.Context, ledger.Call) (ledger.Answer, error) {
+func (s *fakeService) QueryOutcome(context.Context, ledger.Call) (ledger.Answer, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.runs == 0 {
-		return ledger.Answer{}, errCut
+		return ledger.Answer{}, errConnectionCut
 	}
 	return ledger.NewAnswer(200, "text/plain", []byte("receipt")), nil
 }
 
-func payment(body string) ledger.Call {
+func paymentCall(body string) ledger.Call {
 	return ledger.NewCall("team", "payment", "payments", "k1", "text/plain", []byte(body))
 }
 
-func do(t *testing.T, l *ledger.Ledger, body string) ledger.State {
+func mustDo(t *testing.T, l *ledger.Ledger, body string) ledger.State {
 	t.Helper()
-	out, err := l.Do(t.Context(), payment(body))
+	out, err := l.Do(t.Context(), paymentCall(body))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return out.State()
 }
 
-func look(t *testing.T, l *ledger.Ledger) ledger.State {
+func mustLookup(t *testing.T, l *ledger.Ledger) ledger.State {
 	t.Helper()
-	out, err := l.Look(t.Context(), "team", "payment", "k1")
+	out, err := l.Lookup(t.Context(), "team", "payment", "k1")
 	if err != nil {
 		t.Fatal(err)
 	}
 	return out.State()
 }
 
-func want(t *testing.T, what string, got, want any) {
+func checkEqual(t *testing.T, what string, got, want any) {
 	t.Helper()
 	if got != want {
 		t.Errorf("got %v for %s, want %v", got, what, want)
@@ -84,14 +84,14 @@
 // A clerk sends a payment, loses patience and sends it again, to the same and
 // to another instance, while the first is running for 3 s. All three see the
 // one receipt: the first sends, the others wait for what it stores.
-func TestDuplicatesGetTheOneAnswer(t *testing.T) {
+func TestDuplicatesGetSameAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		table, svc := &infra.Table{}, &service{delay: 3 * time.Second}
+		table, svc := &infra.Table{}, &fakeService{delay: 3 * time.Second}
 		a, b := &ledger.Ledger{Table: table, Sender: svc}, &ledger.Ledger{Table: table, Sender: svc}
 		var all sync.WaitGroup
 		for _, l := range []*ledger.Ledger{a, a, b} {
 			all.Go(func() {
-				out, err := l.Do(t.Context(), payment("1"))
+				out, err := l.Do(t.Context(), paymentCall("1"))
 				if err != nil || string(out.Answer().Body()) != "receipt" {
 					t.Errorf("got %v %q %v, want the receipt", out.State(), out.Answer().Body(), err)
 				}
@@ -99,23 +99,23 @@
 			synctest.Wait()
 		}
 		all.Wait()
-		want(t, "runs", svc.runs, 1)
-		_, err := b.Do(t.Context(), payment("2"))
-		want(t, "another body", errors.Is(err, ledger.ErrBody), true)
+		checkEqual(t, "runs", svc.runs, 1)
+		_, err := b.Do(t.Context(), paymentCall("2"))
+		checkEqual(t, "another body", errors.Is(err, ledger.ErrBodyMismatch), true)
 	})
 }
 
 // A service hangs for an hour. The duplicates at the same and at another
 // instance are told running after their bound, not held back for the hour.
-func TestDuplicateOfLongCallIsToldRunning(t *testing.T) {
+func TestDuplicateOfLongCallGetsRunning(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		table, svc := &infra.Table{}, &service{delay: time.Hour}
+		table, svc := &infra.Table{}, &fakeService{delay: time.Hour}
 		a, b := &ledger.Ledger{Table: table, Sender: svc}, &ledger.Ledger{Table: table, Sender: svc}
-		go func() { _, _ = a.Do(t.Context(), payment("1")) }()
+		go func() { _, _ = a.Do(t.Context(), paymentCall("1")) }()
 		synctest.Wait()
 		for _, l := range []*ledger.Ledger{a, b} {
 			start := time.Now()
-			want(t, "the duplicate", do(t, l, "1"), ledger.StateRunning)
+			checkEqual(t, "the duplicate", mustDo(t, l, "1"), ledger.StateRunning)
 			if got := time.Since(start); got > 20*time.Second {
 				t.Errorf("got the answer after %v, want within 20s", got)
 			}
@@ -123,25 +123,25 @@
 		if err := a.Wait(t.Context()); err != nil {
 			t.Fatal(err)
 		}
-		want(t, "the look-up after", look(t, b), ledger.StateDone)
+		checkEqual(t, "the look-up after", mustLookup(t, b), ledger.StateDone)
 	})
 }
 
 // The caller's connection breaks while its payment runs, and the instance is
 // told to stop. The send is not cut, and Wait returns once it is on record.
-func TestCallerLeavesAndInstanceStops(t *testing.T) {
+func TestCallCompletesAfterCallerLeaves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		table, svc := &infra.Table{}, &service{delay: 5 * time.Second}
+		table, svc := &infra.Table{}, &fakeService{delay: 5 * time.Second}
 		l := &ledger.Ledger{Table: table, Sender: svc}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		_, err := l.Do(ctx, payment("1"))
-		want(t, "the caller that left", errors.Is(err, ledger.ErrLeft) && errors.Is(err, context.DeadlineExceeded), true)
+		_, err := l.Do(ctx, paymentCall("1"))
+		checkEqual(t, "the caller that left", errors.Is(err, ledger.ErrCallerLeft) && errors.Is(err, context.DeadlineExceeded), true)
 		if err := l.Wait(t.Context()); err != nil {
 			t.Fatal(err)
 		}
-		want(t, "the record", look(t, l), ledger.StateDone)
-		want(t, "runs", svc.runs, 1)
+		checkEqual(t, "the record", mustLookup(t, l), ledger.StateDone)
+		checkEqual(t, "runs", svc.runs, 1)
 	})
 }
 
@@ -168,20 +168,20 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				table := &infra.Table{}
-				svc := &service{before: func() { table.Fault(c.during) }}
+				svc := &fakeService{beforeRun: func() { table.Fault(c.during) }}
 				l := &ledger.Ledger{Table: table, Sender: svc}
 				table.Fault(c.before)
-				out, err := l.Do(t.Context(), payment("1"))
-				want(t, "the caller", out.State(), c.told)
-				want(t, "refused", errors.Is(err, ledger.ErrStore), c.told == ledger.StateNone)
+				out, err := l.Do(t.Context(), paymentCall("1"))
+				checkEqual(t, "the caller", out.State(), c.told)
+				checkEqual(t, "refused", errors.Is(err, ledger.ErrStoreUnavailable), c.told == ledger.StateNone)
 				time.Sleep(time.Minute)
 				table.Fault(infra.Faults{})
 				if err := l.Wait(t.Context()); err != nil {
 					t.Fatal(err)
 				}
-				want(t, "the record", look(t, l), c.after)
-				want(t, "runs", svc.runs, c.runs)
-				want(t, "late records", l.Late(), 0)
+				checkEqual(t, "the record", mustLookup(t, l), c.after)
+				checkEqual(t, "runs", svc.runs, c.runs)
+				checkEqual(t, "late records", l.Unsettled(), 0)
 			})
 		})
 	}
@@ -190,32 +190,32 @@
 // The service refuses the connection: the caller is told not run and may send
 // the same key again, which then runs. A later outage of the store makes a
 // third send unsure and not "not run", since this instance saw the key begun.
-func TestNotRunMayRunAgain(t *testing.T) {
+func TestNotRunCallCanBeRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		table, svc := &infra.Table{}, &service{errs: []error{ledger.ErrNotSent}}
+		table, svc := &infra.Table{}, &fakeService{errs: []error{ledger.ErrNotSent}}
 		l := &ledger.Ledger{Table: table, Sender: svc}
-		want(t, "the refused send", do(t, l, "1"), ledger.StateNotRun)
-		want(t, "the record", look(t, l), ledger.StateNotRun)
-		want(t, "the second send", do(t, l, "1"), ledger.StateDone)
+		checkEqual(t, "the refused send", mustDo(t, l, "1"), ledger.StateNotRun)
+		checkEqual(t, "the record", mustLookup(t, l), ledger.StateNotRun)
+		checkEqual(t, "the second send", mustDo(t, l, "1"), ledger.StateDone)
 		table.Fault(infra.Faults{Down: true})
-		want(t, "the third, store down", do(t, l, "1"), ledger.StateUnsure)
-		_, err := l.Look(t.Context(), "team", "payment", "k1")
-		want(t, "a look-up, store down", errors.Is(err, ledger.ErrUnread), true)
-		want(t, "runs", svc.runs, 1)
+		checkEqual(t, "the third, store down", mustDo(t, l, "1"), ledger.StateUnsure)
+		_, err := l.Lookup(t.Context(), "team", "payment", "k1")
+		checkEqual(t, "a look-up, store down", errors.Is(err, ledger.ErrRecordUnreadable), true)
+		checkEqual(t, "runs", svc.runs, 1)
 	})
 }
 
 // Stale reads show the row as it was before the payment ran. A look-up that
 // believed them would tell the clerk "not run" of a payment that ran.
-func TestStaleLookNeverSaysNotRun(t *testing.T) {
+func TestStaleLookupNeverReportsNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		table, svc := &infra.Table{}, &service{errs: []error{ledger.ErrNotSent}}
+		table, svc := &infra.Table{}, &fakeService{errs: []error{ledger.ErrNotSent}}
 		l := &ledger.Ledger{Table: table, Sender: svc}
-		do(t, l, "1")
-		do(t, l, "1")
+		mustDo(t, l, "1")
+		mustDo(t, l, "1")
 		for _, f := range []infra.Faults{{Stale: true}} {
 			table.Fault(f)
-			out, err := l.Look(t.Context(), "team", "payment", "k1")
+			out, err := l.Lookup(t.Context(), "team", "payment", "k1")
 			if err == nil && (out.State() == ledger.StateNotRun || out.State() == ledger.StateNone) {
 				t.Errorf("got %v, want an error or a later state", out.State())
 			}
@@ -230,20 +230,20 @@
 func TestDeadInstanceLeavesUnsure(t *testing.T) {
 	for _, asks := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			table, svc := &infra.Table{}, &service{delay: time.Hour}
+			table, svc := &infra.Table{}, &fakeService{delay: time.Hour}
 			a := &ledger.Ledger{Table: table, Sender: svc, Owner: "a/1"}
 			gone := false
 			b := &ledger.Ledger{
-				Table: table, Sender: svc, Owner: "b/1", Asker: svc,
-				Asks:     func(s spec.ServiceName) bool { return asks && s == "payments" },
-				Services: func(spec.ClassName) spec.ServiceName { return "payments" },
-				Gone:     func(owner string) bool { return gone && owner == "a/1" },
+				Table: table, Sender: svc, Owner: "b/1", Querier: svc,
+				SupportsOutcomes: func(s spec.ServiceName) bool { return asks && s == "payments" },
+				ServiceOf:        func(spec.ClassName) spec.ServiceName { return "payments" },
+				HasExited:        func(owner string) bool { return gone && owner == "a/1" },
 			}
-			go func() { _, _ = a.Do(t.Context(), payment("1")) }()
+			go func() { _, _ = a.Do(t.Context(), paymentCall("1")) }()
 			synctest.Wait()
-			want(t, "before the evidence", look(t, b), ledger.StateRunning)
+			checkEqual(t, "before the evidence", mustLookup(t, b), ledger.StateRunning)
 			gone = true
-			want(t, "after the evidence", look(t, b), ledger.StateUnsure)
+			checkEqual(t, "after the evidence", mustLookup(t, b), ledger.StateUnsure)
 			svc.mu.Lock()
 			svc.runs++
 			svc.mu.Unlock()
@@ -251,12 +251,12 @@
 			if asks {
 				state = ledger.StateDone
 			}
-			want(t, "the outcome after it ran", look(t, b), state)
-			want(t, "a repeat after it ran", do(t, b, "1"), state)
+			checkEqual(t, "the outcome after it ran", mustLookup(t, b), state)
+			checkEqual(t, "a repeat after it ran", mustDo(t, b, "1"), state)
 			if err := a.Wait(t.Context()); err != nil {
 				t.Fatal(err)
 			}
-			want(t, "after the paused one woke", look(t, b), ledger.StateDone)
+			checkEqual(t, "after the paused one woke", mustLookup(t, b), ledger.StateDone)
 		})
 	}
 }
@@ -266,15 +266,15 @@
 func TestLostAnswer(t *testing.T) {
 	for _, asks := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			svc := &service{errs: []error{errCut}}
-			l := &ledger.Ledger{Table: &infra.Table{}, Sender: svc, Asker: svc, Asks: func(spec.ServiceName) bool { return asks }}
+			svc := &fakeService{errs: []error{errConnectionCut}}
+			l := &ledger.Ledger{Table: &infra.Table{}, Sender: svc, Querier: svc, SupportsOutcomes: func(spec.ServiceName) bool { return asks }}
 			state := ledger.StateUnsure
 			if asks {
 				state = ledger.StateDone
 			}
-			want(t, "the caller", do(t, l, "1"), state)
-			want(t, "the second send", do(t, l, "1"), state)
-			want(t, "runs", svc.runs, 1)
+			checkEqual(t, "the caller", mustDo(t, l, "1"), state)
+			checkEqual(t, "the second send", mustDo(t, l, "1"), state)
+			checkEqual(t, "runs", svc.runs, 1)
 		})
 	}
 }
@@ -282,10 +282,10 @@
 // Old records go, young, running and unsure ones stay. The first trimmer dies
 // after five days and its next counts on from its marks; a third one that
 // believes it holds the duty too makes no time count twice.
-func TestTrim(t *testing.T) {
+func TestTrimKeepsYoungAndUnsettled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := &infra.Table{}
-		svc := &service{errs: []error{nil, ledger.ErrNotSent, errCut}}
+		svc := &fakeService{errs: []error{nil, ledger.ErrNotSent, errConnectionCut}}
 		l := &ledger.Ledger{Table: table, Sender: svc}
 		call := func(key string) {
 			if _, err := l.Do(t.Context(), ledger.NewCall("team", "payment", "payments", key, "", nil)); err != nil {
@@ -311,36 +311,36 @@
 		call("done")
 		call("notrun")
 		call("unsure")
-		want(t, "records gone in 5 days", days(5, first), 0)
+		checkEqual(t, "records gone in 5 days", days(5, first), 0)
 		time.Sleep(24 * time.Hour)
-		want(t, "records gone in 1 more day, a day without a trimmer later", days(1, second, third), 0)
+		checkEqual(t, "records gone in 1 more day, a day without a trimmer later", days(1, second, third), 0)
 		call("young")
-		want(t, "records gone in 2 more days", days(2, second), 2)
-		want(t, "records gone in 2 days after that", days(2, second), 0)
+		checkEqual(t, "records gone in 2 more days", days(2, second), 2)
+		checkEqual(t, "records gone in 2 days after that", days(2, second), 0)
 	})
 }
 
 // Somebody asks for keys that do not exist as fast as he can, and the part of
 // the budget that look-ups have is spent. Payments do not notice.
-func TestLookUpsHaveATableOfTheirOwn(t *testing.T) {
+func TestLookupsUseSeparateTable(t *testing.T) {
 	spent := &infra.Table{}
 	spent.Fault(infra.Faults{Down: true})
-	l := &ledger.Ledger{Table: &infra.Table{}, Looks: spent, Sender: &service{}}
-	want(t, "the payment", do(t, l, "1"), ledger.StateDone)
-	_, err := l.Look(t.Context(), "team", "payment", "k1")
-	want(t, "the look-up", errors.Is(err, ledger.ErrUnread), true)
+	l := &ledger.Ledger{Table: &infra.Table{}, LookupTable: spent, Sender: &fakeService{}}
+	checkEqual(t, "the payment", mustDo(t, l, "1"), ledger.StateDone)
+	_, err := l.Lookup(t.Context(), "team", "payment", "k1")
+	checkEqual(t, "the look-up", errors.Is(err, ledger.ErrRecordUnreadable), true)
 }
 
 // While the store is out for long, the records that wait to be settled stay
 // bounded: new calls are refused before sending.
 func TestBacklogIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		table, svc := &infra.Table{}, &service{}
+		table, svc := &infra.Table{}, &fakeService{}
 		l := &ledger.Ledger{Table: table, Sender: svc, Backlog: 1}
-		svc.before = func() { table.Fault(infra.Faults{Down: true}) }
-		want(t, "the call that is cut off", do(t, l, "1"), ledger.StateDone)
+		svc.beforeRun = func() { table.Fault(infra.Faults{Down: true}) }
+		checkEqual(t, "the call that is cut off", mustDo(t, l, "1"), ledger.StateDone)
 		_, err := l.Do(t.Context(), ledger.NewCall("team", "payment", "payments", "k2", "", nil))
-		want(t, "a call at the bound", errors.Is(err, ledger.ErrStore), true)
+		checkEqual(t, "a call at the bound", errors.Is(err, ledger.ErrStoreUnavailable), true)
 		table.Fault(infra.Faults{})
 		if err := l.Wait(t.Context()); err != nil {
 			t.Fatal(err)
@@ -352,20 +352,20 @@
 // again to another instance, which has no evidence of the death yet. It asks
 // the service within a second or so and tells done, where waiting for the
 // evidence would keep the clerk at the counter.
-func TestRepeatOfDeadInstancesCallIsSettledByTheService(t *testing.T) {
+func TestRetryOfDeadInstanceCallQueriesService(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		table, svc := &infra.Table{}, &service{delay: time.Hour}
+		table, svc := &infra.Table{}, &fakeService{delay: time.Hour}
 		a := &ledger.Ledger{Table: table, Sender: svc, Owner: "a/1"}
 		b := &ledger.Ledger{
-			Table: table, Sender: svc, Owner: "b/1", Asker: svc, Asks: func(spec.ServiceName) bool { return true },
+			Table: table, Sender: svc, Owner: "b/1", Querier: svc, SupportsOutcomes: func(spec.ServiceName) bool { return true },
 		}
-		go func() { _, _ = a.Do(t.Context(), payment("1")) }()
+		go func() { _, _ = a.Do(t.Context(), paymentCall("1")) }()
 		synctest.Wait()
 		svc.mu.Lock()
 		svc.runs++
 		svc.mu.Unlock()
 		began := time.Now()
-		want(t, "a repeat without evidence", do(t, b, "1"), ledger.StateDone)
+		checkEqual(t, "a repeat without evidence", mustDo(t, b, "1"), ledger.StateDone)
 		if got := time.Since(began); got > 2*time.Second {
 			t.Errorf("got done after %v, want within 2s", got)
 		}
--- a/internal/state/ledger/meters.go
+++ b/internal/state/ledger/meters.go
@@ -6,8 +6,8 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// told counts what a caller was told.
-func (l *Ledger) told(state State, err error) {
+// countOutcome counts what a caller was told.
+func (l *Ledger) countOutcome(state State, err error) {
 	word := state.String()
 	if err != nil {
 		word = "refused"
@@ -15,10 +15,10 @@
 	l.Meters.GetOrCreateCounter(fmt.Sprintf(`fulmarwick_calls_told_total{state=%q}`, word)).Inc()
 }
 
-// gauges are the records that wait to be settled or cleared.
-func (l *Ledger) gauges() {
+// registerMetrics are the records that wait to be settled or cleared.
+func (l *Ledger) registerMetrics() {
 	if l.Meters == nil {
 		l.Meters = metrics.NewSet()
 	}
-	l.Meters.GetOrCreateGauge("fulmarwick_records_late", func() float64 { return float64(l.Late()) })
+	l.Meters.GetOrCreateGauge("fulmarwick_records_late", func() float64 { return float64(l.Unsettled()) })
 }
--- a/internal/state/ledger/model_test.go
+++ b/internal/state/ledger/model_test.go
@@ -11,251 +11,251 @@
 	"github.com/go-faster/errors"
 )
 
-const attempts = 6
+const maxModelAttempts = 6
 
-var errCut = errors.New("connection cut")
+var errConnectionCut = errors.New("connection cut")
 
-// evidence is what the attempts of the model hear about each other's owner. The
+// ownerExited is what the attempts of the model hear about each other's owner. The
 // model is driven by one goroutine.
-var evidence bool
+var ownerExited bool
 
 // caller is one caller at one instance; it asks again after "not run".
 type caller struct {
-	attempt ledger.Attempt
-	id      int
-	again   int
-	alive   bool
-	last    store.Write
+	attempt     ledger.Attempt
+	id          int
+	retriesLeft int
+	alive       bool
+	lastWrite   store.Write
 }
 
 // model is two callers of one key at two instances, one row and one service.
 // It is a value: a step works on a copy.
 type model struct {
-	callers  [2]caller
-	row, old store.Row
-	version  uint64
-	late     []store.Write
-	lateRuns []int
-	runs     [attempts]int
-	denied   [attempts]bool
-	next     int
-	faults   int
-	blind    bool
-	fault    string
+	callers          [2]caller
+	row, previousRow store.Row
+	version          uint64
+	delayedCommits   []store.Write
+	delayedRuns      []int
+	runs             [maxModelAttempts]int
+	toldNotRun       [maxModelAttempts]bool
+	nextAttempt      int
+	faultsLeft       int
+	ignoreConditions bool
+	violation        string
 }
 
-// choice is one thing that may happen next.
-type choice struct {
-	who, what int
-	gone      bool
+// event is one thing that may happen next.
+type event struct {
+	index, kind int
+	ownerExited bool
 }
 
 // The things that may happen to an action, and the steps of the environment.
 const (
-	good = iota
-	down
-	lostBefore
-	lostAfter
-	landsLater
-	stale
-	crash
-	land
-	landRun
+	succeeds = iota
+	unavailable
+	lostBeforeEffect
+	lostAfterEffect
+	takesEffectLater
+	staleRead
+	callerCrash
+	delayedCommit
+	delayedRun
 )
 
 func newModel(faults, again int) model {
-	m := model{faults: faults}
+	m := model{faultsLeft: faults}
 	for i := range m.callers {
-		m.callers[i].again = again
-		m.begin(i)
+		m.callers[i].retriesLeft = again
+		m.startAttempt(i)
 	}
 	return m
 }
 
-func (m *model) begin(i int) {
+func (m *model) startAttempt(i int) {
 	c := &m.callers[i]
-	c.id, c.alive = m.next, true
-	m.next++
+	c.id, c.alive = m.nextAttempt, true
+	m.nextAttempt++
 	c.attempt = *ledger.NewAttempt(ledger.Params{
 		Call: ledger.NewCall("t", "payment", "payments", "k", "", []byte("1")),
 		ID:   fmt.Sprint("a", c.id), Owner: fmt.Sprint("i", i),
-		Gone:  func(string) bool { return evidence },
-		Polls: 1, AskAfter: 1, Asks: true,
+		HasExited: func(string) bool { return ownerExited },
+		MaxPolls:  1, PollsBeforeQuery: 1, SupportsOutcomes: true,
 	})
 }
 
-// choices are all things that may happen in this state.
-func (m *model) choices() []choice {
-	var out []choice
+// events are all things that may happen in this state.
+func (m *model) events() []event {
+	var out []event
 	for i := range m.callers {
 		c := &m.callers[i]
 		if !c.alive {
 			continue
 		}
-		out = append(out, m.choicesOf(i, c.attempt.Next().Kind())...)
+		out = append(out, m.eventsOf(i, c.attempt.NextAction().Kind())...)
 	}
-	for i := range m.late {
-		out = append(out, choice{who: i, what: land})
+	for i := range m.delayedCommits {
+		out = append(out, event{index: i, kind: delayedCommit})
 	}
-	for i := range m.lateRuns {
-		out = append(out, choice{who: i, what: landRun})
+	for i := range m.delayedRuns {
+		out = append(out, event{index: i, kind: delayedRun})
 	}
 	return out
 }
 
-func (m *model) choicesOf(i int, kind ledger.ActionKind) []choice {
-	var out []choice
+func (m *model) eventsOf(i int, kind ledger.ActionKind) []event {
+	var out []event
 	add := func(whats ...int) {
 		for _, w := range whats {
-			out = append(out, choice{who: i, what: w})
+			out = append(out, event{index: i, kind: w})
 		}
 	}
 	if kind == ledger.ActEnd {
-		if m.callers[i].again > 0 && m.denied[m.callers[i].id] && m.next < attempts {
-			add(good)
+		if m.callers[i].retriesLeft > 0 && m.toldNotRun[m.callers[i].id] && m.nextAttempt < maxModelAttempts {
+			add(succeeds)
 		}
 		return out
 	}
-	add(good)
+	add(succeeds)
 	if kind == ledger.ActRead && !m.callers[1-i].alive {
-		out = append(out, choice{who: i, what: good, gone: true})
+		out = append(out, event{index: i, kind: succeeds, ownerExited: true})
 	}
-	if m.faults == 0 {
+	if m.faultsLeft == 0 {
 		return out
 	}
 	switch kind {
 	case ledger.ActCommit:
-		add(down, lostBefore, lostAfter, landsLater)
+		add(unavailable, lostBeforeEffect, lostAfterEffect, takesEffectLater)
 	case ledger.ActRead:
-		add(down, stale)
-		out = append(out, choice{who: i, what: good, gone: true})
+		add(unavailable, staleRead)
+		out = append(out, event{index: i, kind: succeeds, ownerExited: true})
 	case ledger.ActSend:
-		add(down, lostBefore, lostAfter, landsLater)
-	case ledger.ActAsk:
-		add(down)
+		add(unavailable, lostBeforeEffect, lostAfterEffect, takesEffectLater)
+	case ledger.ActQuery:
+		add(unavailable)
 	}
-	add(crash)
+	add(callerCrash)
 	return out
 }
 
 // step returns the state after c; mutate may falsify what the attempt sees.
-func (m model) step(c choice, mutate func(*caller, ledger.ActionKind, ledger.Result) ledger.Result) model {
-	m.late = append([]store.Write(nil), m.late...)
-	m.lateRuns = append([]int(nil), m.lateRuns...)
-	switch c.what {
-	case land:
-		_, _ = m.apply(m.late[c.who])
-		m.late = append(m.late[:c.who], m.late[c.who+1:]...)
+func (m model) step(c event, mutate func(*caller, ledger.ActionKind, ledger.Result) ledger.Result) model {
+	m.delayedCommits = append([]store.Write(nil), m.delayedCommits...)
+	m.delayedRuns = append([]int(nil), m.delayedRuns...)
+	switch c.kind {
+	case delayedCommit:
+		_, _ = m.apply(m.delayedCommits[c.index])
+		m.delayedCommits = append(m.delayedCommits[:c.index], m.delayedCommits[c.index+1:]...)
 		return m
-	case landRun:
-		m.run(m.lateRuns[c.who])
-		m.lateRuns = append(m.lateRuns[:c.who], m.lateRuns[c.who+1:]...)
+	case delayedRun:
+		m.run(m.delayedRuns[c.index])
+		m.delayedRuns = append(m.delayedRuns[:c.index], m.delayedRuns[c.index+1:]...)
 		return m
-	case crash:
-		m.callers[c.who].alive = false
+	case callerCrash:
+		m.callers[c.index].alive = false
 	}
-	if c.what != good || c.gone && m.callers[1-c.who].alive {
-		m.faults--
+	if c.kind != succeeds || c.ownerExited && m.callers[1-c.index].alive {
+		m.faultsLeft--
 	}
-	if c.what != crash {
-		m.act(c, mutate)
+	if c.kind != callerCrash {
+		m.performAction(c, mutate)
 	}
 	return m
 }
 
-func (m *model) act(c choice, mutate func(*caller, ledger.ActionKind, ledger.Result) ledger.Result) {
-	who := &m.callers[c.who]
-	action := who.attempt.Next()
+func (m *model) performAction(c event, mutate func(*caller, ledger.ActionKind, ledger.Result) ledger.Result) {
+	who := &m.callers[c.index]
+	action := who.attempt.NextAction()
 	if action.Kind() == ledger.ActEnd {
-		who.again--
-		m.begin(c.who)
+		who.retriesLeft--
+		m.startAttempt(c.index)
 		return
 	}
 	var r ledger.Result
 	switch action.Kind() {
 	case ledger.ActCommit:
-		who.last = action.Write()
-		r.Version, r.Err = m.commit(action.Write(), c.what)
+		who.lastWrite = action.Write()
+		r.Version, r.Err = m.commit(action.Write(), c.kind)
 	case ledger.ActRead:
-		r.Row, r.Err = m.read(c.what)
+		r.Row, r.Err = m.read(c.kind)
 	case ledger.ActSend:
-		r.Answer, r.Err = m.send(who.id, c.what)
-	case ledger.ActAsk:
-		r.Answer, r.Err = m.ask(c.what)
+		r.Answer, r.Err = m.send(who.id, c.kind)
+	case ledger.ActQuery:
+		r.Answer, r.Err = m.queryOutcome(c.kind)
 	}
 	if mutate != nil {
 		r = mutate(who, action.Kind(), r)
 	}
-	evidence = c.gone
-	who.attempt.Take(r)
+	ownerExited = c.ownerExited
+	who.attempt.ApplyResult(r)
 	m.check(who)
 }
 
 func (m *model) commit(w store.Write, what int) (uint64, error) {
 	switch what {
-	case down:
-		return 0, store.ErrDown
-	case lostBefore:
-		return 0, store.ErrUnsure
-	case landsLater:
-		m.late = append(m.late, w)
-		return 0, store.ErrUnsure
+	case unavailable:
+		return 0, store.ErrUnavailable
+	case lostBeforeEffect:
+		return 0, store.ErrOutcomeUnknown
+	case takesEffectLater:
+		m.delayedCommits = append(m.delayedCommits, w)
+		return 0, store.ErrOutcomeUnknown
 	}
 	v, err := m.apply(w)
-	if what == lostAfter {
-		return 0, store.ErrUnsure
+	if what == lostAfterEffect {
+		return 0, store.ErrOutcomeUnknown
 	}
 	return v, err
 }
 
 func (m *model) apply(w store.Write) (uint64, error) {
-	if m.row.Version() != w.If() && !m.blind {
+	if m.row.Version() != w.IfVersion() && !m.ignoreConditions {
 		return 0, store.ErrConflict
 	}
 	m.version++
-	m.old = m.row
+	m.previousRow = m.row
 	m.row = store.NewRow(w.Key(), m.version, w.Value())
 	return m.version, nil
 }
 
 func (m *model) read(what int) (store.Row, error) {
 	row := m.row
-	if what == stale {
-		row = m.old
+	if what == staleRead {
+		row = m.previousRow
 	}
 	switch {
-	case what == down:
-		return row, store.ErrDown
+	case what == unavailable:
+		return row, store.ErrUnavailable
 	case row.Version() == 0:
-		return row, store.ErrMissing
+		return row, store.ErrNotFound
 	}
 	return row, nil
 }
 
 func (m *model) send(id, what int) (ledger.Answer, error) {
 	switch what {
-	case down:
+	case unavailable:
 		return ledger.Answer{}, ledger.ErrNotSent
-	case lostBefore:
-		return ledger.Answer{}, errCut
-	case landsLater:
-		m.lateRuns = append(m.lateRuns, id)
-		return ledger.Answer{}, errCut
+	case lostBeforeEffect:
+		return ledger.Answer{}, errConnectionCut
+	case takesEffectLater:
+		m.delayedRuns = append(m.delayedRuns, id)
+		return ledger.Answer{}, errConnectionCut
 	}
 	m.run(id)
-	if what == lostAfter {
-		return ledger.Answer{}, errCut
+	if what == lostAfterEffect {
+		return ledger.Answer{}, errConnectionCut
 	}
 	return answerOf(id), nil
 }
 
-func (m *model) ask(what int) (ledger.Answer, error) {
+func (m *model) queryOutcome(what int) (ledger.Answer, error) {
 	for id, n := range m.runs {
-		if n > 0 && what == good {
+		if n > 0 && what == succeeds {
 			return answerOf(id), nil
 		}
 	}
-	return ledger.Answer{}, errCut
+	return ledger.Answer{}, errConnectionCut
 }
 
 func answerOf(id int) ledger.Answer {
@@ -269,22 +269,22 @@
 		total += n
 	}
 	if total > 1 {
-		m.fault = fmt.Sprintf("got %v runs by attempt, want one in all", m.runs)
+		m.violation = fmt.Sprintf("got %v runs by attempt, want one in all", m.runs)
 	}
-	if m.denied[id] {
-		m.fault = fmt.Sprintf("got a run of a%d after its caller was told it did not run", id)
+	if m.toldNotRun[id] {
+		m.violation = fmt.Sprintf("got a run of a%d after its caller was told it did not run", id)
 	}
 }
 
 // check holds what the caller was told against what ran.
 func (m *model) check(c *caller) {
-	out, told, err := c.attempt.Told()
+	out, told, err := c.attempt.Outcome()
 	switch {
 	case !told:
 	case err != nil, out.State() == ledger.StateNotRun:
-		m.denied[c.id] = true
+		m.toldNotRun[c.id] = true
 		if m.runs[c.id] > 0 {
-			m.fault = fmt.Sprintf("got notrun for a%d that ran", c.id)
+			m.violation = fmt.Sprintf("got notrun for a%d that ran", c.id)
 		}
 	case out.State() == ledger.StateDone:
 		ran := -1
@@ -294,35 +294,35 @@
 			}
 		}
 		if got, want := string(out.Answer().Body()), fmt.Sprintf("ran a%d", ran); got != want {
-			m.fault = fmt.Sprintf("got done with %q, want %q", got, want)
+			m.violation = fmt.Sprintf("got done with %q, want %q", got, want)
 		}
 	}
 }
 
-func (m *model) print() string {
+func (m *model) fingerprint() string {
 	to := make([]byte, 0, 512)
 	number := func(n int) { to = append(strconv.AppendInt(to, int64(n), 10), ' ') }
 	number(int(m.row.Version()))
-	number(int(m.old.Version()))
-	number(m.faults)
-	number(m.next)
-	to = append(append(append(to, m.row.Value()...), '|'), m.old.Value()...)
-	for i := range attempts {
+	number(int(m.previousRow.Version()))
+	number(m.faultsLeft)
+	number(m.nextAttempt)
+	to = append(append(append(to, m.row.Value()...), '|'), m.previousRow.Value()...)
+	for i := range maxModelAttempts {
 		number(m.runs[i])
-		to = strconv.AppendBool(to, m.denied[i])
+		to = strconv.AppendBool(to, m.toldNotRun[i])
 	}
-	for _, id := range m.lateRuns {
+	for _, id := range m.delayedRuns {
 		number(id)
 	}
 	for i := range m.callers {
 		c := &m.callers[i]
 		to = strconv.AppendBool(append(to, '|'), c.alive)
 		number(c.id)
-		number(c.again)
-		to = c.attempt.Print(to)
+		number(c.retriesLeft)
+		to = c.attempt.AppendFingerprint(to)
 	}
-	for _, w := range m.late {
-		number(int(w.If()))
+	for _, w := range m.delayedCommits {
+		number(int(w.IfVersion()))
 		to = append(to, w.Value()...)
 	}
 	return string(to)
@@ -339,9 +339,9 @@
 	return fields.State
 }
 
-// forge returns the row that the caller's last write would have made, with
+// rowWithState returns the row that the caller's last write would have made, with
 // the state replaced unless it is StateNone.
-func forge(row store.Row, value []byte, state ledger.State) store.Row {
+func rowWithState(row store.Row, value []byte, state ledger.State) store.Row {
 	if state != ledger.StateNone {
 		var fields map[int]any
 		if err := cbor.Unmarshal(value, &fields); err != nil {
--- a/internal/state/ledger/other.go
+++ b/internal/state/ledger/other.go
@@ -6,214 +6,214 @@
 	"github.com/go-faster/errors"
 )
 
-// NewLook returns an attempt that only finds out what is known of a call. The
+// NewLookup returns an attempt that only finds out what is known of a call. The
 // body of the call does not count.
-func NewLook(p Params) *Attempt {
+func NewLookup(p Params) *Attempt {
 	return &Attempt{params: p, phase: phaseRead}
 }
 
-// looks reports whether the attempt only looks: its record names no attempt.
-func (a *Attempt) looks() bool { return a.rec.Attempt == "" }
+// isLookup reports whether the attempt only looks: its record names no attempt.
+func (a *Attempt) isLookup() bool { return a.ownRecord.Attempt == "" }
 
-func (a *Attempt) nextOther() Action {
-	if a.phase == phaseConfirm && a.seen.State == StateNone {
+func (a *Attempt) nextOtherAction() Action {
+	if a.phase == phaseConfirm && a.otherRecord.State == StateNone {
 		// Removing a row that must not exist changes nothing: it checks.
 		return Action{kind: ActCommit, write: store.Remove(a.key(), 0)}
 	}
-	return a.commit(a.seen, a.version)
+	return a.commit(a.otherRecord, a.version)
 }
 
-// takeOther handles the row of another attempt, or of an earlier one.
-func (a *Attempt) takeOther(r Result) {
+// applyOther handles the row of another attempt, or of an earlier one.
+func (a *Attempt) applyOther(r Result) {
 	switch a.phase {
 	case phaseRead:
-		a.read(r)
+		a.handleRead(r)
 	case phaseWait:
 		a.phase = phaseRead
-	case phaseMark:
-		a.marked(r)
-	case phaseAskOther:
-		a.askedOther(r)
-	case phaseStore:
-		a.stored(r)
+	case phaseMarkUnsure:
+		a.handleMark(r)
+	case phaseQueryOther:
+		a.handleQueryOther(r)
+	case phaseStoreOutcome:
+		a.handleStore(r)
 	case phaseConfirm:
-		a.confirmed(r)
+		a.handleConfirm(r)
 	}
 }
 
-func (a *Attempt) read(r Result) {
+func (a *Attempt) handleRead(r Result) {
 	rec, err := decodeResult(r)
 	switch {
 	case err == nil:
-		a.exists(rec, r.Row.Version())
-	case errors.Is(err, store.ErrMissing):
-		a.missing()
+		a.handleRecord(rec, r.Row.Version())
+	case errors.Is(err, store.ErrNotFound):
+		a.handleMissing()
 	default:
-		a.unread(err)
+		a.resolveUnreadable(err)
 	}
 }
 
-// exists goes on from a row that another attempt wrote.
-func (a *Attempt) exists(rec record, version uint64) {
-	a.seen, a.version = rec, version
-	if !a.looks() && rec.Sum != a.rec.Sum {
-		a.fail(ErrBody)
-		a.phase = phaseEnd
+// handleRecord goes on from a row that another attempt wrote.
+func (a *Attempt) handleRecord(rec record, version uint64) {
+	a.otherRecord, a.version = rec, version
+	if !a.isLookup() && rec.BodyHash != a.ownRecord.BodyHash {
+		a.resolveError(ErrBodyMismatch)
+		a.phase = phaseFinished
 		return
 	}
 	switch rec.State {
 	case StateDone:
-		a.end(rec.outcome())
+		a.finish(rec.outcome())
 	case StateNotRun:
-		a.notRun(version)
+		a.handleNotRun(version)
 	case StateUnsure:
-		a.unsure()
+		a.handleUnsure()
 	default:
-		a.running()
+		a.handleRunning()
 	}
 }
 
-// notRun starts over on a row whose attempt did not run. A look-up confirms
+// handleNotRun starts over on a row whose attempt did not run. A look-up confirms
 // the row by a commit instead, since a stale read would tell a caller "not
 // run" of a call that ran under a later attempt.
-func (a *Attempt) notRun(version uint64) {
-	if a.looks() {
+func (a *Attempt) handleNotRun(version uint64) {
+	if a.isLookup() {
 		a.phase = phaseConfirm
 		return
 	}
-	a.again(version)
+	a.restart(version)
 }
 
-func (a *Attempt) missing() {
-	if a.looks() {
-		a.seen = record{}
+func (a *Attempt) handleMissing() {
+	if a.isLookup() {
+		a.otherRecord = record{}
 		a.phase = phaseConfirm
 		return
 	}
-	a.again(0)
+	a.restart(0)
 }
 
-func (a *Attempt) again(base uint64) {
-	if !a.loop() {
+func (a *Attempt) restart(base uint64) {
+	if !a.countRestart() {
 		return
 	}
-	a.base = base
+	a.baseVersion = base
 	a.phase = phaseBegin
 }
 
-// loop counts one more start; it ends the attempt when there were too many.
-func (a *Attempt) loop() bool {
-	a.loops++
-	if a.loops > maxLoops {
-		a.unread(errors.New("ledger: reads are stale"))
+// countRestart counts one more start; it ends the attempt when there were too many.
+func (a *Attempt) countRestart() bool {
+	a.restarts++
+	if a.restarts > maxRestarts {
+		a.resolveUnreadable(errors.New("ledger: reads are stale"))
 		return false
 	}
 	return true
 }
 
-// unread ends an attempt that knows of a row and not what it says. The call
+// resolveUnreadable ends an attempt that knows of a row and not what it says. The call
 // under this key may have run before, so it is not told "not run".
-func (a *Attempt) unread(cause error) {
-	if a.looks() {
-		a.fail(errors.Wrap(ErrUnread, cause.Error()))
-		a.phase = phaseEnd
+func (a *Attempt) resolveUnreadable(cause error) {
+	if a.isLookup() {
+		a.resolveError(errors.Wrap(ErrRecordUnreadable, cause.Error()))
+		a.phase = phaseFinished
 		return
 	}
-	a.end(Outcome{state: StateUnsure, why: "the record exists and could not be read"})
+	a.finish(Outcome{state: StateUnsure, reason: "the record exists and could not be read"})
 }
 
-// running waits for the attempt that holds the row, or marks it unsure if its
+// handleRunning waits for the attempt that holds the row, or marks it unsure if its
 // process is known to be gone.
-func (a *Attempt) running() {
+func (a *Attempt) handleRunning() {
 	switch {
-	case a.params.Gone(a.seen.Owner):
-		a.seen = a.seen.with(StateUnsure, Answer{}, "the instance that sent the call is gone")
-		a.phase = phaseMark
-	case a.asks():
-		a.inquired = a.polls
-		a.phase = phaseAskOther
+	case a.params.HasExited(a.otherRecord.Owner):
+		a.otherRecord = a.otherRecord.withState(StateUnsure, Answer{}, "the instance that sent the call is gone")
+		a.phase = phaseMarkUnsure
+	case a.isQueryDue():
+		a.queriedAtPoll = a.polls
+		a.phase = phaseQueryOther
 	default:
-		a.await()
+		a.schedulePoll()
 	}
 }
 
-// asks reports whether it is time to ask the upstream about a call that runs
+// isQueryDue reports whether it is time to ask the upstream about a call that runs
 // elsewhere. If its instance died after the service answered, the row stays at
 // running, and its caller would else wait until the death is certain.
-func (a *Attempt) asks() bool {
-	after := a.params.AskAfter
-	due := after > 0 && a.polls >= after && (a.polls-after)%askEvery == 0
-	return a.params.Asks && due && a.inquired != a.polls
+func (a *Attempt) isQueryDue() bool {
+	after := a.params.PollsBeforeQuery
+	due := after > 0 && a.polls >= after && (a.polls-after)%pollsPerQuery == 0
+	return a.params.SupportsOutcomes && due && a.queriedAtPoll != a.polls
 }
 
-func (a *Attempt) await() {
-	if a.polls >= a.params.Polls {
-		a.end(Outcome{state: StateRunning})
+func (a *Attempt) schedulePoll() {
+	if a.polls >= a.params.MaxPolls {
+		a.finish(Outcome{state: StateRunning})
 		return
 	}
 	a.polls++
 	a.phase = phaseWait
 }
 
-func (a *Attempt) marked(r Result) {
+func (a *Attempt) handleMark(r Result) {
 	switch {
 	case r.Err == nil:
 		a.version = r.Version
-		a.unsure()
-	case errors.Is(r.Err, store.ErrConflict) && a.loop():
+		a.handleUnsure()
+	case errors.Is(r.Err, store.ErrConflict) && a.countRestart():
 		a.phase = phaseRead
-	case !a.told:
-		a.end(a.seen.outcome())
+	case !a.resolved:
+		a.finish(a.otherRecord.outcome())
 	}
 }
 
-func (a *Attempt) unsure() {
-	if !a.params.Asks {
-		a.end(a.seen.outcome())
+func (a *Attempt) handleUnsure() {
+	if !a.params.SupportsOutcomes {
+		a.finish(a.otherRecord.outcome())
 		return
 	}
-	a.phase = phaseAskOther
+	a.phase = phaseQueryOther
 }
 
-// askedOther stores what the upstream says of a call that is unsure, or that
+// handleQueryOther stores what the upstream says of a call that is unsure, or that
 // runs elsewhere. Silence
 // or ignorance of the upstream leaves it unsure: its sender may be paused
 // before the send, and "not run" would become false when it wakes.
-func (a *Attempt) askedOther(r Result) {
-	if r.Err != nil && a.seen.State == StateRunning {
-		a.await()
+func (a *Attempt) handleQueryOther(r Result) {
+	if r.Err != nil && a.otherRecord.State == StateRunning {
+		a.schedulePoll()
 		return
 	}
 	if r.Err != nil {
-		a.end(a.seen.outcome())
+		a.finish(a.otherRecord.outcome())
 		return
 	}
-	a.seen = a.seen.with(StateDone, r.Answer, "")
-	a.phase = phaseStore
+	a.otherRecord = a.otherRecord.withState(StateDone, r.Answer, "")
+	a.phase = phaseStoreOutcome
 }
 
 // stored tells done only if the row says so now, so that all callers get one
-// stored answer.
-func (a *Attempt) stored(r Result) {
+// handleStore answer.
+func (a *Attempt) handleStore(r Result) {
 	switch {
 	case r.Err == nil:
-		a.end(a.seen.outcome())
-	case errors.Is(r.Err, store.ErrConflict) && a.loop():
+		a.finish(a.otherRecord.outcome())
+	case errors.Is(r.Err, store.ErrConflict) && a.countRestart():
 		a.phase = phaseRead
-	case !a.told:
-		a.end(Outcome{state: StateUnsure, why: "the outcome could not be stored"})
+	case !a.resolved:
+		a.finish(Outcome{state: StateUnsure, reason: "the outcome could not be stored"})
 	}
 }
 
-func (a *Attempt) confirmed(r Result) {
+func (a *Attempt) handleConfirm(r Result) {
 	switch {
 	case r.Err == nil:
-		a.end(a.seen.outcome())
+		a.finish(a.otherRecord.outcome())
 	case errors.Is(r.Err, store.ErrConflict):
-		if a.loop() {
+		if a.countRestart() {
 			a.phase = phaseRead
 		}
 	default:
-		a.unread(r.Err)
+		a.resolveUnreadable(r.Err)
 	}
 }
--- a/internal/state/ledger/record.go
+++ b/internal/state/ledger/record.go
@@ -8,35 +8,35 @@
 	"github.com/go-faster/errors"
 )
 
-// prefix of the rows that hold records.
-const prefix = "call/"
+// rowPrefix of the rows that hold records.
+const rowPrefix = "call/"
 
 // record is the row of a call. Fields are exported for the codec.
 type record struct {
-	Sum     uint64 `cbor:"1,keyasint"`
-	Attempt string `cbor:"2,keyasint"`
-	State   State  `cbor:"3,keyasint"`
-	Status  int    `cbor:"4,keyasint,omitempty"`
-	Type    string `cbor:"5,keyasint,omitempty"`
-	Body    []byte `cbor:"6,keyasint,omitempty"`
+	BodyHash    uint64 `cbor:"1,keyasint"`
+	Attempt     string `cbor:"2,keyasint"`
+	State       State  `cbor:"3,keyasint"`
+	Status      int    `cbor:"4,keyasint,omitempty"`
+	ContentType string `cbor:"5,keyasint,omitempty"`
+	Body        []byte `cbor:"6,keyasint,omitempty"`
 	// Owner names the incarnation whose attempt it is.
-	Owner string `cbor:"7,keyasint,omitempty"`
-	Why   string `cbor:"8,keyasint,omitempty"`
+	Owner  string `cbor:"7,keyasint,omitempty"`
+	Reason string `cbor:"8,keyasint,omitempty"`
 }
 
 func (r record) outcome() Outcome {
-	return Outcome{state: r.State, answer: NewAnswer(r.Status, r.Type, r.Body), why: r.Why}
+	return Outcome{state: r.State, answer: NewAnswer(r.Status, r.ContentType, r.Body), reason: r.Reason}
 }
 
-// with returns the record at the end that answer and state describe.
-func (r record) with(state State, answer Answer, why string) record {
-	r.State, r.Why = state, why
-	r.Status, r.Type, r.Body = answer.status, answer.kind, answer.body
+// withState returns the record at the end that answer and state describe.
+func (r record) withState(state State, answer Answer, why string) record {
+	r.State, r.Reason = state, why
+	r.Status, r.ContentType, r.Body = answer.status, answer.contentType, answer.body
 	return r
 }
 
-// put is the write that stores r in the row that has version now.
-func (r record) put(key string, version uint64) store.Write {
+// toWrite is the write that stores r in the row that has version now.
+func (r record) toWrite(key string, version uint64) store.Write {
 	data, err := cbor.Marshal(r)
 	if err != nil {
 		// The record has no field that can fail to encode.
@@ -45,7 +45,7 @@
 	return store.Put(key, version, data)
 }
 
-func decode(row store.Row) (record, error) {
+func decodeRecord(row store.Row) (record, error) {
 	var r record
 	if err := cbor.Unmarshal(row.Value(), &r); err != nil {
 		return r, errors.Wrap(err, "ledger: decode")
@@ -54,5 +54,5 @@
 }
 
 func rowKey(team spec.TeamID, class spec.ClassName, key string) string {
-	return prefix + string(team) + "/" + string(class) + "/" + key
+	return rowPrefix + string(team) + "/" + string(class) + "/" + key
 }
--- a/internal/state/ledger/settle.go
+++ b/internal/state/ledger/settle.go
@@ -6,25 +6,25 @@
 	"github.com/go-faster/errors"
 )
 
-// takeSettle writes the end of a call after its send. The caller is told after
+// applySettle writes the end of a call after its send. The caller is told after
 // the first try, whether it worked or not: what the send showed is true
 // without the row, and the row at running is true but vague until a later try.
-func (a *Attempt) takeSettle(r Result) {
+func (a *Attempt) applySettle(r Result) {
 	switch a.phase {
 	case phaseSettle:
-		a.settled(r)
+		a.handleSettle(r)
 	case phaseSettleRead:
-		a.settleRead(r)
+		a.handleSettleRead(r)
 	default:
 		a.phase = phaseSettle
 	}
 }
 
-func (a *Attempt) settled(r Result) {
-	a.tell(a.rec.outcome())
+func (a *Attempt) handleSettle(r Result) {
+	a.resolve(a.ownRecord.outcome())
 	switch {
 	case r.Err == nil:
-		a.phase = phaseEnd
+		a.phase = phaseFinished
 	case errors.Is(r.Err, store.ErrConflict):
 		a.phase = phaseSettleRead
 	default:
@@ -32,41 +32,41 @@
 	}
 }
 
-// settleRead looks why the row has not the version that was expected: an
+// handleSettleRead looks why the row has not the version that was expected: an
 // earlier try took effect and lost its answer, or somebody took this process
 // for dead while it was paused.
-func (a *Attempt) settleRead(r Result) {
+func (a *Attempt) handleSettleRead(r Result) {
 	rec, err := decodeResult(r)
-	mine := err == nil && rec.Attempt == a.rec.Attempt
+	mine := err == nil && rec.Attempt == a.ownRecord.Attempt
 	switch {
 	case err != nil, r.Row.Version() <= a.version:
 		a.retry(phaseSettleWait)
-	case !mine, rec.State == StateDone, rec.State == a.rec.State:
-		a.phase = phaseEnd
+	case !mine, rec.State == StateDone, rec.State == a.ownRecord.State:
+		a.phase = phaseFinished
 	default:
 		a.version = r.Row.Version()
 		a.phase = phaseSettle
 	}
 }
 
-// takeClear turns the row of an attempt that never sends to notrun. If the
+// applyClear turns the row of an attempt that never sends to notrun. If the
 // first commit is still on its way, writing the row on the same condition
 // first makes it fail.
-func (a *Attempt) takeClear(r Result) {
+func (a *Attempt) applyClear(r Result) {
 	switch a.phase {
 	case phaseClear:
-		a.cleared(r)
+		a.handleClear(r)
 	case phaseClearRead:
-		a.clearRead(r)
+		a.handleClearRead(r)
 	default:
 		a.phase = phaseClear
 	}
 }
 
-func (a *Attempt) cleared(r Result) {
+func (a *Attempt) handleClear(r Result) {
 	switch {
 	case r.Err == nil:
-		a.phase = phaseEnd
+		a.phase = phaseFinished
 	case errors.Is(r.Err, store.ErrConflict):
 		a.phase = phaseClearRead
 	default:
@@ -74,13 +74,13 @@
 	}
 }
 
-func (a *Attempt) clearRead(r Result) {
+func (a *Attempt) handleClearRead(r Result) {
 	rec, err := decodeResult(r)
 	switch {
 	case err != nil, r.Row.Version() <= a.version:
 		a.retry(phaseClearWait)
-	case rec.Attempt != a.rec.Attempt, rec.State == StateNotRun:
-		a.phase = phaseEnd
+	case rec.Attempt != a.ownRecord.Attempt, rec.State == StateNotRun:
+		a.phase = phaseFinished
 	default:
 		a.version = r.Row.Version()
 		a.phase = phaseClear
@@ -88,6 +88,6 @@
 }
 
 func (a *Attempt) retry(p phase) {
-	a.tries++
+	a.retries++
 	a.phase = p
 }
--- a/internal/state/ledger/trim.go
+++ b/internal/state/ledger/trim.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	// DefaultKeep is how long a settled record protects its key by default.
-	DefaultKeep = 7 * 24 * time.Hour
-	// markEvery is the time between two marks. A new trimmer loses what its
+	// DefaultRetention is how long a settled record protects its key by default.
+	DefaultRetention = 7 * 24 * time.Hour
+	// checkpointInterval is the time between two marks. A new trimmer loses what its
 	// forerunner counted since the last one, which only keeps records longer.
-	markEvery = 10 * time.Minute
-	marksKey  = "trim/marks"
+	checkpointInterval = 10 * time.Minute
+	trimStateKey       = "trim/marks"
 )
 
 // TrimTable is the part of the platform's table that Trimmer needs.
@@ -35,30 +35,30 @@
 // counts is lost, and records stay longer.
 type Trimmer struct {
 	Table TrimTable
-	// Keep is the age from which done and notrun records go; zero is
+	// Retention is the age from which done and notrun records go; zero is
 	// DefaultKeep. Records at running or unsure never go.
-	Keep time.Duration
+	Retention time.Duration
 	// Now is the monotonic clock; nil is time.Now.
 	Now func() time.Time
 
-	marks   marks
-	version uint64
-	loaded  bool
-	last    time.Time
-	counted time.Duration
-	since   uint64
+	state      trimState
+	rowVersion uint64
+	loaded     bool
+	lastCount  time.Time
+	unsaved    time.Duration
+	scanFrom   uint64
 }
 
-// mark says that the table was at Version when the count was Count.
-type mark struct {
+// checkpoint says that the table was at Version when the count was Count.
+type checkpoint struct {
 	Version uint64        `cbor:"1,keyasint"`
-	Count   time.Duration `cbor:"2,keyasint"`
+	Elapsed time.Duration `cbor:"2,keyasint"`
 }
 
-// marks is the row of the trimmers. Count is the count when it was written.
-type marks struct {
-	Count time.Duration `cbor:"1,keyasint"`
-	List  []mark        `cbor:"2,keyasint"`
+// trimState is the row of the trimmers. Count is the count when it was written.
+type trimState struct {
+	Elapsed     time.Duration `cbor:"1,keyasint"`
+	Checkpoints []checkpoint  `cbor:"2,keyasint"`
 }
 
 // Trim looks at up to limit records, those first that changed longest ago, and
@@ -66,110 +66,110 @@
 // a write for each row if another instance changed one of them meanwhile, and a
 // write every ten minutes for the marks. It returns how many records went.
 func (t *Trimmer) Trim(ctx context.Context, limit int) (int, error) {
-	if err := t.count(ctx); err != nil {
+	if err := t.countTime(ctx); err != nil {
 		return 0, err
 	}
 	cutoff := t.cutoff()
 	if cutoff == 0 {
 		return 0, nil
 	}
-	rows, err := t.Table.Scan(ctx, prefix, t.since, limit)
+	rows, err := t.Table.Scan(ctx, rowPrefix, t.scanFrom, limit)
 	if err != nil {
-		return 0, errors.Wrap(ErrUnread, err.Error())
+		return 0, errors.Wrap(ErrRecordUnreadable, err.Error())
 	}
 	var old []store.Write
-	t.since = after(rows, limit)
+	t.scanFrom = nextPageStart(rows, limit)
 	for _, row := range rows {
 		switch {
 		case row.Version() > cutoff:
 			// All that follow are younger.
-			t.since = 0
-		case settled(row):
+			t.scanFrom = 0
+		case isSettled(row):
 			old = append(old, store.Remove(row.Key(), row.Version()))
 		}
 	}
-	return t.remove(ctx, old)
+	return t.removeRecords(ctx, old)
 }
 
-// count adds the time since the last call, and writes a mark when it is due. If
+// countTime adds the time since the last call, and writes a mark when it is due. If
 // another trimmer wrote one, its count stands and the own one is dropped, so
 // that no time counts twice.
-func (t *Trimmer) count(ctx context.Context) error {
+func (t *Trimmer) countTime(ctx context.Context) error {
 	now := t.now()
 	if !t.loaded {
-		if err := t.load(ctx); err != nil {
+		if err := t.loadState(ctx); err != nil {
 			return err
 		}
-		t.loaded, t.last, t.counted = true, now, 0
+		t.loaded, t.lastCount, t.unsaved = true, now, 0
 	}
-	t.counted += now.Sub(t.last)
-	t.last = now
-	if t.version != 0 && t.counted < markEvery {
+	t.unsaved += now.Sub(t.lastCount)
+	t.lastCount = now
+	if t.rowVersion != 0 && t.unsaved < checkpointInterval {
 		return nil
 	}
-	next := t.next()
+	next := t.nextState()
 	data, err := cbor.Marshal(next)
 	if err != nil {
 		return errors.Wrap(err, "ledger: encode")
 	}
-	version, err := t.Table.Commit(ctx, []store.Write{store.Put(marksKey, t.version, data)})
+	version, err := t.Table.Commit(ctx, []store.Write{store.Put(trimStateKey, t.rowVersion, data)})
 	if err != nil {
 		t.loaded = false
-		return errors.Wrap(ErrUnread, err.Error())
+		return errors.Wrap(ErrRecordUnreadable, err.Error())
 	}
-	t.marks, t.version, t.counted = next, version, 0
+	t.state, t.rowVersion, t.unsaved = next, version, 0
 	return nil
 }
 
-// next is the row with the count so far, and a mark for its last version. Of
+// nextState is the row with the count so far, and a mark for its last version. Of
 // the marks that are old enough the newest one is kept.
-func (t *Trimmer) next() marks {
-	next := marks{Count: t.marks.Count + t.counted}
-	list := t.marks.List
-	if t.version != 0 {
-		list = append(list, mark{Version: t.version, Count: t.marks.Count})
+func (t *Trimmer) nextState() trimState {
+	next := trimState{Elapsed: t.state.Elapsed + t.unsaved}
+	list := t.state.Checkpoints
+	if t.rowVersion != 0 {
+		list = append(list, checkpoint{Version: t.rowVersion, Elapsed: t.state.Elapsed})
 	}
 	for i, m := range list {
-		if i+1 < len(list) && next.Count-list[i+1].Count > t.keep() {
+		if i+1 < len(list) && next.Elapsed-list[i+1].Elapsed > t.retention() {
 			continue
 		}
-		next.List = append(next.List, m)
+		next.Checkpoints = append(next.Checkpoints, m)
 	}
 	return next
 }
 
-func (t *Trimmer) load(ctx context.Context) error {
-	row, err := t.Table.Get(ctx, marksKey)
-	t.marks, t.version = marks{}, 0
-	if errors.Is(err, store.ErrMissing) {
+func (t *Trimmer) loadState(ctx context.Context) error {
+	row, err := t.Table.Get(ctx, trimStateKey)
+	t.state, t.rowVersion = trimState{}, 0
+	if errors.Is(err, store.ErrNotFound) {
 		return nil
 	}
 	if err == nil {
-		err = cbor.Unmarshal(row.Value(), &t.marks)
+		err = cbor.Unmarshal(row.Value(), &t.state)
 	}
 	if err != nil {
-		return errors.Wrap(ErrUnread, err.Error())
+		return errors.Wrap(ErrRecordUnreadable, err.Error())
 	}
-	t.version = row.Version()
+	t.rowVersion = row.Version()
 	return nil
 }
 
 // cutoff is the version before which all that is settled is old.
 func (t *Trimmer) cutoff() uint64 {
 	var version uint64
-	for _, m := range t.marks.List {
-		if t.marks.Count+t.counted-m.Count > t.keep() {
+	for _, m := range t.state.Checkpoints {
+		if t.state.Elapsed+t.unsaved-m.Elapsed > t.retention() {
 			version = m.Version
 		}
 	}
 	return version
 }
 
-func (t *Trimmer) keep() time.Duration {
-	if t.Keep == 0 {
-		return DefaultKeep
+func (t *Trimmer) retention() time.Duration {
+	if t.Retention == 0 {
+		return DefaultRetention
 	}
-	return t.Keep
+	return t.Retention
 }
 
 func (t *Trimmer) now() time.Time {
@@ -179,14 +179,14 @@
 	return t.Now()
 }
 
-func settled(row store.Row) bool {
-	rec, err := decode(row)
+func isSettled(row store.Row) bool {
+	rec, err := decodeRecord(row)
 	return err == nil && (rec.State == StateDone || rec.State == StateNotRun)
 }
 
-// after is where the next page begins. Rows of one commit share a version, so
+// nextPageStart is where the next page begins. Rows of one commit share a version, so
 // a full page may end within a commit; its last version is read again.
-func after(rows []store.Row, limit int) uint64 {
+func nextPageStart(rows []store.Row, limit int) uint64 {
 	if len(rows) < limit || limit == 0 {
 		return 0
 	}
@@ -197,7 +197,7 @@
 	return last - 1
 }
 
-func (t *Trimmer) remove(ctx context.Context, old []store.Write) (int, error) {
+func (t *Trimmer) removeRecords(ctx context.Context, old []store.Write) (int, error) {
 	if len(old) == 0 {
 		return 0, nil
 	}
@@ -206,7 +206,7 @@
 		return len(old), nil
 	}
 	if !errors.Is(err, store.ErrConflict) {
-		return 0, errors.Wrap(ErrUnread, err.Error())
+		return 0, errors.Wrap(ErrRecordUnreadable, err.Error())
 	}
 	gone := 0
 	for _, w := range old {
--- a/internal/state/order/order.go
+++ b/internal/state/order/order.go
@@ -51,7 +51,7 @@
 // Lease says whether this instance may act, as lease.Lease does.
 type Lease interface {
 	Guard(ctx context.Context) (context.Context, context.CancelFunc, uint64, error)
-	Since() time.Duration
+	HeldFor() time.Duration
 }
 
 // Table is the part of the platform's table that orders need.
@@ -184,7 +184,7 @@
 func (o *Reconciler) loadRows(ctx context.Context) (map[spec.UpstreamID]*desiredRow, error) {
 	all := map[spec.UpstreamID]*desiredRow{}
 	var bad error
-	err := store.Walk(ctx, o.Table, o.prefix(), 0, pageRows, func(r store.Row) {
+	err := store.ScanAll(ctx, o.Table, o.prefix(), 0, pageRows, func(r store.Row) {
 		w := &desiredRow{version: r.Version()}
 		if err := cbor.Unmarshal(r.Value(), &w.state); err != nil {
 			bad = err
@@ -208,7 +208,7 @@
 	switch {
 	case err == nil:
 		return version, nil
-	case errors.Is(err, store.ErrDown):
+	case errors.Is(err, store.ErrUnavailable):
 		return 0, errors.Wrap(ErrStoreUnavailable, err.Error())
 	}
 	o.mu.Lock()
--- a/internal/state/order/order_test.go
+++ b/internal/state/order/order_test.go
@@ -70,7 +70,7 @@
 }
 
 func newPlanner(table *infra.Table, name string, engines map[spec.UpstreamID]*fakeEngine) *planner {
-	l := &lease.Lease{Table: table, Name: "place", Owner: name}
+	l := &lease.Lease{Table: table, Duty: "place", Owner: name}
 	f := &fakeSender{engines: engines}
 	return &planner{lease: l, sender: f, reconciler: &order.Reconciler{
 		Table: table, Sender: f, Lease: l, Duty: "klang", LayersPerSecond: 1e12,
@@ -108,7 +108,7 @@
 			break
 		}
 		time.Sleep(2 * second)
-		_ = p.lease.Step(context.Background())
+		_ = p.lease.RenewOrAcquire(context.Background())
 	}
 	return len(p.reconciler.Unsettled())
 }
@@ -121,7 +121,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		table, engines := &infra.Table{}, newEngines()
 		a, b := newPlanner(table, "a", engines), newPlanner(table, "b", engines)
-		mustSucceed(t, a.lease.Step(t.Context()))
+		mustSucceed(t, a.lease.RenewOrAcquire(t.Context()))
 		mustSucceed(t, a.reconciler.Adopt(t.Context()))
 		for id := range engines {
 			mustSucceed(t, a.reconciler.SetDesired(t.Context(), id, holdLayers("1", 0, 12), ""))
@@ -133,7 +133,7 @@
 			t.Fatalf("got %d orders %v, want 2 on their way", n, err)
 		}
 		for !b.lease.Held() {
-			mustSucceed(t, b.lease.Step(t.Context()))
+			mustSucceed(t, b.lease.RenewOrAcquire(t.Context()))
 			time.Sleep(second)
 		}
 		mustSucceed(t, b.reconciler.Adopt(t.Context()))
@@ -168,7 +168,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		table, engines := &infra.Table{}, newEngines()
 		a, b := newPlanner(table, "a", engines), newPlanner(table, "b", engines)
-		mustSucceed(t, a.lease.Step(t.Context()))
+		mustSucceed(t, a.lease.RenewOrAcquire(t.Context()))
 		mustSucceed(t, a.reconciler.Adopt(t.Context()))
 		for id := range engines {
 			mustSucceed(t, a.reconciler.SetDesired(t.Context(), id, holdLayers("1", 0, 12), "prefill"))
@@ -178,7 +178,7 @@
 			t.Fatalf("got %d orders %v, want one: the other engine waits out the margin", n, err)
 		}
 		for !b.lease.Held() {
-			mustSucceed(t, b.lease.Step(t.Context()))
+			mustSucceed(t, b.lease.RenewOrAcquire(t.Context()))
 			time.Sleep(second)
 		}
 		mustSucceed(t, b.reconciler.Adopt(t.Context()))
@@ -200,7 +200,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		table, engines := &infra.Table{}, newEngines()
 		p := newPlanner(table, "a", engines)
-		mustSucceed(t, p.lease.Step(t.Context()))
+		mustSucceed(t, p.lease.RenewOrAcquire(t.Context()))
 		mustSucceed(t, p.reconciler.Adopt(t.Context()))
 		table.Fault(infra.Faults{Drop: 1})
 		if err := p.reconciler.SetDesired(t.Context(), "checks", holdLayers("1", 0, 12), ""); !errors.Is(err, order.ErrStoreUnavailable) {
@@ -228,7 +228,7 @@
 		}
 		p := newPlanner(table, "a", engines)
 		p.reconciler.LayersPerSecond = 4
-		mustSucceed(t, p.lease.Step(t.Context()))
+		mustSucceed(t, p.lease.RenewOrAcquire(t.Context()))
 		mustSucceed(t, p.reconciler.Adopt(t.Context()))
 		for id := range engines {
 			mustSucceed(t, p.reconciler.SetDesired(t.Context(), id, holdLayers("1", 0, 24), ""))
@@ -243,7 +243,7 @@
 				t.Fatalf("got %d orders after %v, want at most %d", total, time.Since(start), most)
 			}
 			time.Sleep(second)
-			mustSucceed(t, p.lease.Step(t.Context()))
+			mustSucceed(t, p.lease.RenewOrAcquire(t.Context()))
 		}
 		if got := time.Since(start); got > 60*second {
 			t.Errorf("got all ordered after %v, want within 60s", got)
@@ -303,7 +303,7 @@
 	}
 	winner := all[0]
 	for !winner.lease.Held() {
-		_ = winner.lease.Step(t.Context())
+		_ = winner.lease.RenewOrAcquire(t.Context())
 		time.Sleep(second)
 	}
 	if err := winner.reconciler.Adopt(t.Context()); err != nil {
@@ -327,7 +327,7 @@
 
 // planOnce is what a planner does at each wake-up.
 func planOnce(ctx context.Context, p *planner, version string, s int) {
-	_ = p.lease.Step(ctx)
+	_ = p.lease.RenewOrAcquire(ctx)
 	if p.lease.Held() {
 		_ = p.reconciler.Adopt(ctx)
 	}
--- a/internal/state/order/round.go
+++ b/internal/state/order/round.go
@@ -99,7 +99,7 @@
 		return frame.Order{}, false
 	case !w.lastSent.IsZero() && now.Sub(w.lastSent) < o.retryDelay(w.tries):
 		return frame.Order{}, false
-	case !o.checksFence(id) && o.Lease.Since() < o.firstOrderDelay():
+	case !o.checksFence(id) && o.Lease.HeldFor() < o.firstOrderDelay():
 		return frame.Order{}, false
 	}
 	load := missingLayers(w.state.Holds, r.holds)
--- a/internal/state/store/batch.go
+++ b/internal/state/store/batch.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	defaultRows  = 64
-	defaultBytes = 1 << 20
+	defaultMaxRows  = 64
+	defaultMaxBytes = 1 << 20
 )
 
 // Batcher is a Table that joins commits of concurrent callers into few. Set
@@ -25,24 +25,24 @@
 // answer is lost, all of a batch are unsure.
 type Batcher struct {
 	Table Table
-	// Rows is the most rows of a joint commit; zero is 64.
-	Rows int
-	// Bytes is the most content of a joint commit; zero is 1 MiB. A larger
+	// MaxRows is the most rows of a joint commit; zero is 64.
+	MaxRows int
+	// MaxBytes is the most content of a joint commit; zero is 1 MiB. A larger
 	// commit goes alone.
-	Bytes int
+	MaxBytes int
 	// Meters takes the metrics; nil makes a private set.
 	Meters *metrics.Set
 
-	mu    sync.Mutex
-	queue []*entry
-	busy  bool
+	mu       sync.Mutex
+	queue    []*pendingCommit
+	flushing bool
 }
 
-// entry is one caller's commit.
-type entry struct {
+// pendingCommit is one caller's commit.
+type pendingCommit struct {
 	writes  []Write
 	done    chan struct{}
-	taken   bool
+	started bool
 	version uint64
 	err     error
 }
@@ -58,37 +58,37 @@
 // Commit is Table's. A caller who leaves before its commit left gets ErrDown,
 // one who leaves after it ErrUnsure.
 func (b *Batcher) Commit(ctx context.Context, writes []Write) (uint64, error) {
-	e := &entry{writes: writes, done: make(chan struct{})}
-	b.add(e)
+	e := &pendingCommit{writes: writes, done: make(chan struct{})}
+	b.enqueue(e)
 	select {
 	case <-e.done:
 		return e.version, e.err
 	case <-ctx.Done():
 		if b.withdraw(e) {
-			return 0, errors.Wrap(ErrDown, ctx.Err().Error())
+			return 0, errors.Wrap(ErrUnavailable, ctx.Err().Error())
 		}
-		return 0, errors.Wrap(ErrUnsure, ctx.Err().Error())
+		return 0, errors.Wrap(ErrOutcomeUnknown, ctx.Err().Error())
 	}
 }
 
-func (b *Batcher) add(e *entry) {
+func (b *Batcher) enqueue(e *pendingCommit) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.Meters == nil {
 		b.Meters = metrics.NewSet()
 	}
 	b.queue = append(b.queue, e)
-	if !b.busy {
-		b.busy = true
+	if !b.flushing {
+		b.flushing = true
 		go b.flush()
 	}
 }
 
 // withdraw takes an entry out of the queue, if it is in it still.
-func (b *Batcher) withdraw(e *entry) bool {
+func (b *Batcher) withdraw(e *pendingCommit) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if e.taken {
+	if e.started {
 		return false
 	}
 	for i, q := range b.queue {
@@ -103,58 +103,58 @@
 // flush commits what gathered until nothing is left.
 func (b *Batcher) flush() {
 	for {
-		group := b.take()
+		group := b.nextBatch()
 		if len(group) == 0 {
 			return
 		}
-		b.commit(group)
+		b.commitBatch(group)
 		for _, e := range group {
 			close(e.done)
 		}
 	}
 }
 
-// take returns the next entries: up to Rows rows, and no row twice, since the
+// nextBatch returns the next entries: up to Rows rows, and no row twice, since the
 // second write of a row needs the version of the first.
-func (b *Batcher) take() []*entry {
+func (b *Batcher) nextBatch() []*pendingCommit {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var group, rest []*entry
-	l := load{rows: map[string]bool{}}
+	var group, rest []*pendingCommit
+	l := batchSize{rows: map[string]bool{}}
 	for _, e := range b.queue {
 		if len(group) > 0 && !b.fits(l, e) {
 			rest = append(rest, e)
 			continue
 		}
 		l.add(e)
-		e.taken = true
+		e.started = true
 		group = append(group, e)
 	}
 	b.queue = rest
-	b.busy = len(group) > 0
+	b.flushing = len(group) > 0
 	return group
 }
 
-// load is what a joint commit has so far.
-type load struct {
+// batchSize is what a joint commit has so far.
+type batchSize struct {
 	rows  map[string]bool
 	bytes int
 }
 
-func (l *load) add(e *entry) {
+func (l *batchSize) add(e *pendingCommit) {
 	for _, w := range e.writes {
 		l.rows[w.key] = true
 		l.bytes += len(w.value)
 	}
 }
 
-func (b *Batcher) fits(l load, e *entry) bool {
-	rows, size := b.Rows, b.Bytes
+func (b *Batcher) fits(l batchSize, e *pendingCommit) bool {
+	rows, size := b.MaxRows, b.MaxBytes
 	if rows == 0 {
-		rows = defaultRows
+		rows = defaultMaxRows
 	}
 	if size == 0 {
-		size = defaultBytes
+		size = defaultMaxBytes
 	}
 	if len(l.rows)+len(e.writes) > rows {
 		return false
@@ -168,7 +168,7 @@
 	return l.bytes <= size
 }
 
-func (b *Batcher) commit(group []*entry) {
+func (b *Batcher) commitBatch(group []*pendingCommit) {
 	var writes []Write
 	for _, e := range group {
 		writes = append(writes, e.writes...)
@@ -178,8 +178,8 @@
 	version, err := b.Table.Commit(context.Background(), writes)
 	if len(group) > 1 && errors.Is(err, ErrConflict) {
 		half := len(group) / 2
-		b.commit(group[:half])
-		b.commit(group[half:])
+		b.commitBatch(group[:half])
+		b.commitBatch(group[half:])
 		return
 	}
 	for _, e := range group {
--- a/internal/state/store/breaker.go
+++ b/internal/state/store/breaker.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	defaultFails = 5
-	defaultFirst = 500 * time.Millisecond
-	defaultMost  = 10 * time.Second
-	// fullFlow is how many calls at once end the slow start.
-	fullFlow = 64
+	defaultMaxFailures = 5
+	defaultMinBackoff  = 500 * time.Millisecond
+	defaultMaxBackoff  = 10 * time.Second
+	// maxSlowStartCalls is how many calls at once end the slow start.
+	maxSlowStartCalls = 64
 )
 
 // Breaker is a Table that stops calling one that fails. Set the exported
@@ -28,10 +28,10 @@
 // allowed at once double with each further success.
 type Breaker struct {
 	Table Table
-	// Fails is how many failures in a row open it; zero is 5.
-	Fails int
-	// First and Most bound the pause before a try; zero are 0.5 s and 10 s.
-	First, Most time.Duration
+	// MaxFailures is how many failures in a row open it; zero is 5.
+	MaxFailures int
+	// MinBackoff and Most bound the pause before a try; zero are 0.5 s and 10 s.
+	MinBackoff, MaxBackoff time.Duration
 	// Rand jitters the pause, by a half either way; nil does not.
 	Rand *rand.Rand
 	// Now is the clock; nil is time.Now.
@@ -39,67 +39,67 @@
 	// Meters takes the metrics; nil makes a private set.
 	Meters *metrics.Set
 
-	once   sync.Once
-	mu     sync.Mutex
-	fails  int
-	opened int
-	until  time.Time
-	// flow is how many calls may be on their way; zero is any number.
-	flow   int
-	flying int
+	once      sync.Once
+	mu        sync.Mutex
+	failures  int
+	openings  int
+	openUntil time.Time
+	// maxInFlight is how many calls may be on their way; zero is any number.
+	maxInFlight int
+	inFlight    int
 }
 
 // Get is Table's.
 func (b *Breaker) Get(ctx context.Context, key string) (Row, error) {
-	if err := b.enter(); err != nil {
+	if err := b.beginCall(); err != nil {
 		return Row{}, err
 	}
 	row, err := b.Table.Get(ctx, key)
-	b.leave(ctx, err)
+	b.endCall(ctx, err)
 	return row, err
 }
 
 // Scan is Table's.
 func (b *Breaker) Scan(ctx context.Context, prefix string, since uint64, limit int) ([]Row, error) {
-	if err := b.enter(); err != nil {
+	if err := b.beginCall(); err != nil {
 		return nil, err
 	}
 	rows, err := b.Table.Scan(ctx, prefix, since, limit)
-	b.leave(ctx, err)
+	b.endCall(ctx, err)
 	return rows, err
 }
 
 // Commit is Table's.
 func (b *Breaker) Commit(ctx context.Context, writes []Write) (uint64, error) {
-	if err := b.enter(); err != nil {
+	if err := b.beginCall(); err != nil {
 		return 0, err
 	}
 	version, err := b.Table.Commit(ctx, writes)
-	b.leave(ctx, err)
+	b.endCall(ctx, err)
 	return version, err
 }
 
-// Open reports whether calls are refused because the table failed.
-func (b *Breaker) Open() bool {
+// IsOpen reports whether calls are refused because the table failed.
+func (b *Breaker) IsOpen() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.opened > 0
+	return b.openings > 0
 }
 
-func (b *Breaker) start() {
+func (b *Breaker) registerMetrics() {
 	if b.Meters == nil {
 		b.Meters = metrics.NewSet()
 	}
 	b.Meters.GetOrCreateGauge("fulmarwick_table_open", func() float64 {
-		if b.Open() {
+		if b.IsOpen() {
 			return 1
 		}
 		return 0
 	})
 }
 
-func (b *Breaker) enter() error {
-	b.once.Do(b.start)
+func (b *Breaker) beginCall() error {
+	b.once.Do(b.registerMetrics)
 	err := b.admit()
 	if err != nil {
 		b.Meters.GetOrCreateCounter("fulmarwick_table_refused_total").Inc()
@@ -110,69 +110,69 @@
 func (b *Breaker) admit() error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.opened > 0 && b.now().Before(b.until) {
-		return errors.Wrap(ErrDown, "breaker is open")
+	if b.openings > 0 && b.now().Before(b.openUntil) {
+		return errors.Wrap(ErrUnavailable, "breaker is open")
 	}
-	if b.flow > 0 && b.flying >= b.flow {
-		return errors.Wrap(ErrDown, "table is recovering")
+	if b.maxInFlight > 0 && b.inFlight >= b.maxInFlight {
+		return errors.Wrap(ErrUnavailable, "table is recovering")
 	}
-	b.flying++
+	b.inFlight++
 	return nil
 }
 
-func (b *Breaker) leave(ctx context.Context, err error) {
+func (b *Breaker) endCall(ctx context.Context, err error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.flying--
-	failed := errors.Is(err, ErrDown) || errors.Is(err, ErrUnsure)
+	b.inFlight--
+	failed := errors.Is(err, ErrUnavailable) || errors.Is(err, ErrOutcomeUnknown)
 	if failed {
 		b.Meters.GetOrCreateCounter("fulmarwick_table_failures_total").Inc()
 	}
 	switch {
 	case !failed:
-		b.worked()
+		b.recordSuccess()
 	case ctx.Err() == nil:
-		b.failed()
+		b.recordFailure()
 	}
 }
 
-func (b *Breaker) worked() {
-	b.fails, b.opened = 0, 0
-	if b.flow == 0 {
+func (b *Breaker) recordSuccess() {
+	b.failures, b.openings = 0, 0
+	if b.maxInFlight == 0 {
 		return
 	}
-	b.flow *= 2
-	if b.flow > fullFlow {
-		b.flow = 0
+	b.maxInFlight *= 2
+	if b.maxInFlight > maxSlowStartCalls {
+		b.maxInFlight = 0
 	}
 }
 
-// failed opens the breaker, or keeps it open for longer after a failed try. A
+// recordFailure opens the breaker, or keeps it open for longer after a failed try. A
 // failure that began before it opened does not count again.
-func (b *Breaker) failed() {
-	b.fails++
-	most := b.Fails
+func (b *Breaker) recordFailure() {
+	b.failures++
+	most := b.MaxFailures
 	if most == 0 {
-		most = defaultFails
+		most = defaultMaxFailures
 	}
 	now := b.now()
-	if b.opened == 0 && b.fails < most || b.opened > 0 && now.Before(b.until) {
+	if b.openings == 0 && b.failures < most || b.openings > 0 && now.Before(b.openUntil) {
 		return
 	}
-	b.until = now.Add(b.pause())
-	b.opened++
-	b.flow = 1
+	b.openUntil = now.Add(b.nextBackoff())
+	b.openings++
+	b.maxInFlight = 1
 }
 
-func (b *Breaker) pause() time.Duration {
-	first, most := b.First, b.Most
+func (b *Breaker) nextBackoff() time.Duration {
+	first, most := b.MinBackoff, b.MaxBackoff
 	if first == 0 {
-		first = defaultFirst
+		first = defaultMinBackoff
 	}
 	if most == 0 {
-		most = defaultMost
+		most = defaultMaxBackoff
 	}
-	d := min(most, first<<min(b.opened, 16))
+	d := min(most, first<<min(b.openings, 16))
 	if b.Rand != nil {
 		d = time.Duration(float64(d) * (0.5 + b.Rand.Float64()))
 	}
--- a/internal/state/store/client.go
+++ b/internal/state/store/client.go
@@ -16,29 +16,29 @@
 )
 
 const (
-	callTimeout = 3 * time.Second
-	dialTimeout = time.Second
-	idleTimeout = 30 * time.Second
-	idleConns   = 16
-	maxBody     = 64 << 20
+	callTimeout  = 3 * time.Second
+	dialTimeout  = time.Second
+	idleTimeout  = 30 * time.Second
+	maxIdleConns = 16
+	maxBodyBytes = 64 << 20
 )
 
 // Client is the HTTP adapter of the platform's services. Set the exported
 // fields before the first call.
 type Client struct {
-	// Base is such as "http://10.0.0.2:7000".
-	Base string
+	// BaseURL is such as "http://10.0.0.2:7000".
+	BaseURL string
 	// HTTP makes the calls; NewHTTP returns one that suits.
 	HTTP *http.Client
 }
 
-// NewHTTP returns a client with a transport of its own. Connections are kept:
+// NewHTTPClient returns a client with a transport of its own. Connections are kept:
 // unlike a payment, a commit whose connection broke can be read back.
-func NewHTTP() *http.Client {
+func NewHTTPClient() *http.Client {
 	return &http.Client{
 		Transport: &http.Transport{
 			DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
-			MaxIdleConnsPerHost: idleConns,
+			MaxIdleConnsPerHost: maxIdleConns,
 			IdleConnTimeout:     idleTimeout,
 		},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
@@ -47,10 +47,10 @@
 
 // Get returns the row under key, or ErrMissing.
 func (c *Client) Get(ctx context.Context, key string) (Row, error) {
-	return c.one(ctx, "/v1/row", key)
+	return c.getRow(ctx, "/v1/row", key)
 }
 
-func (c *Client) one(ctx context.Context, path, key string) (Row, error) {
+func (c *Client) getRow(ctx context.Context, path, key string) (Row, error) {
 	var b RowBody
 	if err := c.read(ctx, path+"?key="+url.QueryEscape(key), &b); err != nil {
 		return Row{}, err
@@ -80,7 +80,7 @@
 func (c *Client) Commit(ctx context.Context, writes []Write) (uint64, error) {
 	var body CommitBody
 	for _, w := range writes {
-		body.Writes = append(body.Writes, WriteBody{Key: w.key, If: w.ifVer, Value: w.value, Remove: w.remove})
+		body.Writes = append(body.Writes, WriteBody{Key: w.key, IfVersion: w.ifVersion, Value: w.value, Remove: w.remove})
 	}
 	data, err := json.Marshal(body)
 	if err != nil {
@@ -95,13 +95,13 @@
 
 // GetObject returns the object under key, or ErrMissing.
 func (c *Client) GetObject(ctx context.Context, key string) (Row, error) {
-	return c.one(ctx, "/v1/object", key)
+	return c.getRow(ctx, "/v1/object", key)
 }
 
 // PutObject stores an object if the one under key has the version; zero means
 // that there must be none. It returns the new version.
 func (c *Client) PutObject(ctx context.Context, key string, ifVersion uint64, value []byte) (uint64, error) {
-	data, err := json.Marshal(WriteBody{Key: key, If: ifVersion, Value: value})
+	data, err := json.Marshal(WriteBody{Key: key, IfVersion: ifVersion, Value: value})
 	if err != nil {
 		return 0, errors.Wrap(err, "store: encode")
 	}
@@ -112,8 +112,8 @@
 	return done.Version, nil
 }
 
-// List returns the platform's lagging list of instances and upstreams.
-func (c *Client) List(ctx context.Context) ([]ListedBody, error) {
+// ListInstances returns the platform's lagging list of instances and upstreams.
+func (c *Client) ListInstances(ctx context.Context) ([]ListedBody, error) {
 	var out []ListedBody
 	if err := c.read(ctx, "/v1/instances", &out); err != nil {
 		return nil, err
@@ -124,8 +124,8 @@
 // read is a call without effect: a lost answer is only an outage.
 func (c *Client) read(ctx context.Context, path string, into any) error {
 	err := c.call(ctx, http.MethodGet, path, nil, into)
-	if errors.Is(err, ErrUnsure) {
-		return errors.Wrap(ErrDown, err.Error())
+	if errors.Is(err, ErrOutcomeUnknown) {
+		return errors.Wrap(ErrUnavailable, err.Error())
 	}
 	return err
 }
@@ -138,7 +138,7 @@
 	ctx = httptrace.WithClientTrace(ctx, trace)
 	// The reader hides its type from net/http, so that the request has no
 	// GetBody and a broken connection is never answered by sending it again.
-	req, err := http.NewRequestWithContext(ctx, method, c.Base+path, io.NopCloser(bytes.NewReader(data)))
+	req, err := http.NewRequestWithContext(ctx, method, c.BaseURL+path, io.NopCloser(bytes.NewReader(data)))
 	if err != nil {
 		return errors.Wrap(err, "store: request")
 	}
@@ -149,29 +149,29 @@
 	resp, err := c.HTTP.Do(req)
 	if err != nil && !connected {
 		// Without a connection nothing left, so the call had no effect.
-		return errors.Wrap(ErrDown, err.Error())
+		return errors.Wrap(ErrUnavailable, err.Error())
 	}
 	if err != nil {
-		return errors.Wrap(ErrUnsure, err.Error())
+		return errors.Wrap(ErrOutcomeUnknown, err.Error())
 	}
 	defer func() { _ = resp.Body.Close() }()
-	return answer(resp, into)
+	return decodeResponse(resp, into)
 }
 
-func answer(resp *http.Response, into any) error {
+func decodeResponse(resp *http.Response, into any) error {
 	switch resp.StatusCode {
 	case http.StatusOK:
 	case http.StatusNotFound:
-		return ErrMissing
+		return ErrNotFound
 	case http.StatusConflict:
 		return ErrConflict
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-		return errors.Wrapf(ErrDown, "status %d", resp.StatusCode)
+		return errors.Wrapf(ErrUnavailable, "status %d", resp.StatusCode)
 	default:
-		return errors.Wrapf(ErrUnsure, "status %d", resp.StatusCode)
+		return errors.Wrapf(ErrOutcomeUnknown, "status %d", resp.StatusCode)
 	}
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxBody)).Decode(into); err != nil {
-		return errors.Wrap(ErrUnsure, err.Error())
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxBodyBytes)).Decode(into); err != nil {
+		return errors.Wrap(ErrOutcomeUnknown, err.Error())
 	}
 	return nil
 }
--- a/internal/state/store/client_test.go
+++ b/internal/state/store/client_test.go
@@ -14,7 +14,7 @@
 	"github.com/go-faster/errors"
 )
 
-func serve(t *testing.T, h http.Handler) string {
+func startServer(t *testing.T, h http.Handler) string {
 	t.Helper()
 	s := httptest.NewServer(h)
 	t.Cleanup(s.Close)
@@ -26,11 +26,11 @@
 // hears that its outcome is open, not that it failed.
 func TestDroppedCommitIsNotReplayed(t *testing.T) {
 	for name, client := range map[string]*http.Client{
-		"own transport": store.NewHTTP(), "default transport": {Transport: &http.Transport{}},
+		"own transport": store.NewHTTPClient(), "default transport": {Transport: &http.Transport{}},
 	} {
 		for _, warm := range []bool{false, true} {
 			var commits atomic.Int32
-			base := serve(t, http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+			base := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 				_, _ = io.Copy(io.Discard, req.Body)
 				if req.Method == http.MethodGet {
 					http.Error(w, "missing", http.StatusNotFound)
@@ -42,15 +42,15 @@
 				commits.Add(1)
 				panic(http.ErrAbortHandler)
 			}))
-			c := &store.Client{Base: base, HTTP: client}
-			if _, err := c.Get(t.Context(), "k"); warm && !errors.Is(err, store.ErrMissing) {
+			c := &store.Client{BaseURL: base, HTTP: client}
+			if _, err := c.Get(t.Context(), "k"); warm && !errors.Is(err, store.ErrNotFound) {
 				t.Fatalf("got %v, want ErrMissing", err)
 			}
 			if !warm {
 				client.CloseIdleConnections()
 			}
 			_, err := c.Commit(t.Context(), []store.Write{store.Put("k", 0, []byte("v"))})
-			if !errors.Is(err, store.ErrUnsure) {
+			if !errors.Is(err, store.ErrOutcomeUnknown) {
 				t.Errorf("%s, reused %v: got %v, want ErrUnsure", name, warm, err)
 			}
 			if got := commits.Load(); got != 1 {
@@ -69,16 +69,16 @@
 	}
 	base := "http://" + l.Addr().String()
 	_ = l.Close()
-	c := &store.Client{Base: base, HTTP: store.NewHTTP()}
-	if _, err := c.Commit(t.Context(), []store.Write{store.Put("k", 0, nil)}); !errors.Is(err, store.ErrDown) {
+	c := &store.Client{BaseURL: base, HTTP: store.NewHTTPClient()}
+	if _, err := c.Commit(t.Context(), []store.Write{store.Put("k", 0, nil)}); !errors.Is(err, store.ErrUnavailable) {
 		t.Errorf("got %v, want ErrDown", err)
 	}
 }
 
 // Rows and objects over HTTP behave as in memory, faults included.
-func TestClientAgainstStandIn(t *testing.T) {
+func TestClientAgainstFakeTable(t *testing.T) {
 	server := &infra.Server{Table: &infra.Table{}}
-	c := &store.Client{Base: serve(t, server.Handler()), HTTP: store.NewHTTP()}
+	c := &store.Client{BaseURL: startServer(t, server.Handler()), HTTP: store.NewHTTPClient()}
 	ctx := t.Context()
 	v, err := c.Commit(ctx, []store.Write{store.Put("a/1", 0, []byte("x")), store.Put("a/2", 0, []byte("y"))})
 	if err != nil || v == 0 {
@@ -103,18 +103,18 @@
 		t.Errorf("got %v %v, want the object", got, err)
 	}
 	server.Table.Fault(infra.Faults{Lose: 1})
-	if _, err := c.Commit(ctx, []store.Write{store.Put("b", 0, nil)}); !errors.Is(err, store.ErrUnsure) {
+	if _, err := c.Commit(ctx, []store.Write{store.Put("b", 0, nil)}); !errors.Is(err, store.ErrOutcomeUnknown) {
 		t.Errorf("got %v for a lost answer, want ErrUnsure", err)
 	}
 	server.Table.Fault(infra.Faults{Down: true})
-	if _, err := c.Get(ctx, "b"); !errors.Is(err, store.ErrDown) {
+	if _, err := c.Get(ctx, "b"); !errors.Is(err, store.ErrUnavailable) {
 		t.Errorf("got %v, want ErrDown", err)
 	}
 }
 
 // A commit has more rows than a page: the walk must not go on after its
 // version and lose the rest of them without a sign.
-func TestWalkSeesWholeCommits(t *testing.T) {
+func TestScanAllReadsWholeCommits(t *testing.T) {
 	table := &infra.Table{}
 	var writes []store.Write
 	for _, k := range []string{"a", "b", "c", "d", "e"} {
@@ -126,7 +126,7 @@
 		}
 	}
 	seen := map[string]bool{}
-	err := store.Walk(t.Context(), table, "p/", 0, 2, func(r store.Row) { seen[r.Key()] = true })
+	err := store.ScanAll(t.Context(), table, "p/", 0, 2, func(r store.Row) { seen[r.Key()] = true })
 	if err != nil || len(seen) != 7 {
 		t.Errorf("got %d rows %v, want 7", len(seen), err)
 	}
--- a/internal/state/store/guard_test.go
+++ b/internal/state/store/guard_test.go
@@ -15,23 +15,23 @@
 	"github.com/go-faster/errors"
 )
 
-// platform is a table that takes 5 ms a commit and 300 commits a second, in
+// slowTable is a table that takes 5 ms a commit and 300 commits a second, in
 // turn, as the real one does at its limit.
-type platform struct {
+type slowTable struct {
 	*infra.Table
-	mu   sync.Mutex
-	free time.Time
-	gaps time.Duration
+	mu             sync.Mutex
+	nextFree       time.Time
+	commitInterval time.Duration
 }
 
-func (p *platform) Commit(ctx context.Context, w []store.Write) (uint64, error) {
+func (p *slowTable) Commit(ctx context.Context, w []store.Write) (uint64, error) {
 	p.mu.Lock()
 	now := time.Now()
-	if p.free.Before(now) {
-		p.free = now
+	if p.nextFree.Before(now) {
+		p.nextFree = now
 	}
-	p.free = p.free.Add(p.gaps)
-	wait := p.free.Sub(now) + 5*time.Millisecond
+	p.nextFree = p.nextFree.Add(p.commitInterval)
+	wait := p.nextFree.Sub(now) + 5*time.Millisecond
 	p.mu.Unlock()
 	time.Sleep(wait)
 	return p.Table.Commit(ctx, w)
@@ -39,9 +39,9 @@
 
 // One of many concurrent commits has a false condition, as a duplicate call
 // has. It alone fails; the others take effect and never know.
-func TestConflictFailsOnlyItsOwn(t *testing.T) {
+func TestConflictFailsOnlyItsCommit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		table := &platform{Table: &infra.Table{}, gaps: time.Second / 300}
+		table := &slowTable{Table: &infra.Table{}, commitInterval: time.Second / 300}
 		b := &store.Batcher{Table: table}
 		var all sync.WaitGroup
 		errs := make([]error, 40)
@@ -71,7 +71,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		table := &infra.Table{}
 		table.Fault(infra.Faults{Slow: time.Millisecond})
-		b := &store.Batcher{Table: table, Bytes: 1000}
+		b := &store.Batcher{Table: table, MaxBytes: 1000}
 		var all sync.WaitGroup
 		for i := range 9 {
 			all.Go(func() {
@@ -90,7 +90,7 @@
 // The answer of a joint commit is lost: each caller is unsure. A caller who
 // leaves while its commit waits has had no effect; one of the same row waits
 // for the next commit.
-func TestBatchFaults(t *testing.T) {
+func TestBatchedCommitFaults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := &infra.Table{}
 		table.Fault(infra.Faults{Slow: time.Second, Lose: 1})
@@ -104,15 +104,15 @@
 		synctest.Wait()
 		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 		defer cancel()
-		if err := put(ctx, 0); !errors.Is(err, store.ErrDown) {
+		if err := put(ctx, 0); !errors.Is(err, store.ErrUnavailable) {
 			t.Errorf("got %v for a commit that never left, want ErrDown", err)
 		}
-		if err := <-errs; !errors.Is(err, store.ErrUnsure) {
+		if err := <-errs; !errors.Is(err, store.ErrOutcomeUnknown) {
 			t.Errorf("got %v for the lost answer, want ErrUnsure", err)
 		}
 		ctx, cancel = context.WithTimeout(t.Context(), 100*time.Millisecond)
 		defer cancel()
-		if err := put(ctx, 1); !errors.Is(err, store.ErrUnsure) {
+		if err := put(ctx, 1); !errors.Is(err, store.ErrOutcomeUnknown) {
 			t.Errorf("got %v for a caller who left too late, want ErrUnsure", err)
 		}
 		time.Sleep(time.Minute)
@@ -125,7 +125,7 @@
 func TestBudgetRanks(t *testing.T) {
 	for _, first := range []store.Rank{store.RankRecord, store.RankLease} {
 		synctest.Test(t, func(t *testing.T) {
-			counts := spend(t, first)
+			counts := commitInAllRanks(t, first)
 			total := counts[0] + counts[1] + counts[2]
 			if most := 300*10 + 40*7; total > most || total < 2700 {
 				t.Errorf("got %d commits in 10 s, want about 3000 and at most %d", total, most)
@@ -138,8 +138,8 @@
 	}
 }
 
-// spend has 40 instances commit all they can for 10 s, in all ranks from first.
-func spend(t *testing.T, first store.Rank) [3]int {
+// commitInAllRanks has 40 instances commit all they can for 10 s, in all ranks from first.
+func commitInAllRanks(t *testing.T, first store.Rank) [3]int {
 	counts := [3]int{}
 	var mu sync.Mutex
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
@@ -147,10 +147,10 @@
 	var all sync.WaitGroup
 	for range 40 {
 		budget := &store.Budget{}
-		budget.SetLive(40)
+		budget.SetInstances(40)
 		table := &infra.Table{}
-		for rank := first; rank <= store.RankRest; rank++ {
-			limited := budget.Table(rank, table)
+		for rank := first; rank <= store.RankOther; rank++ {
+			limited := budget.Limit(rank, table)
 			for i := range 8 {
 				all.Go(func() {
 					for ctx.Err() == nil {
@@ -171,11 +171,11 @@
 
 // A row counter in place of a commit counter, and a caller whose turn does not
 // come: it is refused without effect.
-func TestBudgetPerRowRefuses(t *testing.T) {
+func TestBudgetCountsRows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		budget := &store.Budget{Writes: 10, PerRow: true}
+		budget := &store.Budget{WritesPerSecond: 10, CountRows: true}
 		table := &infra.Table{}
-		limited := budget.Table(store.RankRecord, table)
+		limited := budget.Limit(store.RankRecord, table)
 		var writes []store.Write
 		for i := range 10 {
 			writes = append(writes, store.Put(fmt.Sprint(i), 0, nil))
@@ -189,7 +189,7 @@
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
 		defer cancel()
-		if _, err := limited.Commit(ctx, writes[:1]); !errors.Is(err, store.ErrDown) {
+		if _, err := limited.Commit(ctx, writes[:1]); !errors.Is(err, store.ErrUnavailable) {
 			t.Errorf("got %v without a turn, want ErrDown", err)
 		}
 	})
@@ -198,10 +198,10 @@
 // The table is out for ten minutes under steady calls of 40 instances. Nobody
 // waits out timeouts, hardly a call reaches the table, and when it is back all
 // instances are within seconds, without a storm of retries at any moment.
-func TestBreakerRecoversWithoutStorm(t *testing.T) {
+func TestBreakerRecoversWithoutRetryStorm(t *testing.T) {
 	for _, n := range []int{4, 40} {
 		synctest.Test(t, func(t *testing.T) {
-			normal, tries, peak := outage(t, n)
+			normal, tries, peak := runOutage(t, n)
 			t.Logf("%d instances: normal after %v, %d tries in 10 min, peak %d calls in 100 ms (steady %d)", n, normal, tries, peak, n)
 			if normal > 16*time.Second {
 				t.Errorf("got normal after %v, want within 16s", normal)
@@ -216,8 +216,8 @@
 	}
 }
 
-// outage runs n instances with 10 calls a second each through an outage.
-func outage(t *testing.T, n int) (normal time.Duration, tries, peak int) {
+// runOutage runs n instances with 10 calls a second each through an outage.
+func runOutage(t *testing.T, n int) (normal time.Duration, tries, peak int) {
 	table := &infra.Table{}
 	var breakers []*store.Breaker
 	for i := range n {
@@ -241,7 +241,7 @@
 		peak = max(peak, tick())
 		open := 0
 		for _, b := range breakers {
-			if b.Open() {
+			if b.IsOpen() {
 				open++
 			}
 		}
--- a/internal/state/store/rank_string.go
+++ b/internal/state/store/rank_string.go
@@ -10,7 +10,7 @@
 	var x [1]struct{}
 	_ = x[RankRecord-0]
 	_ = x[RankLease-1]
-	_ = x[RankRest-2]
+	_ = x[RankOther-2]
 }
 
 const _Rank_name = "recordleaserest"
--- a/internal/state/store/store.go
+++ b/internal/state/store/store.go
@@ -12,17 +12,17 @@
 
 // Errors of this package. Callers tell them apart by errors.Is.
 var (
-	// ErrMissing means that no row or object has the key.
-	ErrMissing = errors.New("store: missing")
+	// ErrNotFound means that no row or object has the key.
+	ErrNotFound = errors.New("store: missing")
 	// ErrConflict means that a condition of a commit did not hold, so the
 	// commit had no effect.
 	ErrConflict = errors.New("store: conflict")
-	// ErrDown means that the service refused or could not be reached before
+	// ErrUnavailable means that the service refused or could not be reached before
 	// the request left, so it had no effect.
-	ErrDown = errors.New("store: down")
-	// ErrUnsure means that the answer was lost: the commit may have taken
+	ErrUnavailable = errors.New("store: down")
+	// ErrOutcomeUnknown means that the answer was lost: the commit may have taken
 	// effect, and only reading back can tell.
-	ErrUnsure = errors.New("store: unsure")
+	ErrOutcomeUnknown = errors.New("store: unsure")
 )
 
 // Table is the platform's table. Get and Scan may be stale; Commit is the truth.
@@ -64,28 +64,28 @@
 // If; zero means that it must not exist. A commit takes effect whole or not
 // at all.
 type Write struct {
-	key    string
-	ifVer  uint64
-	value  []byte
-	remove bool
+	key       string
+	ifVersion uint64
+	value     []byte
+	remove    bool
 }
 
 // Put returns a write that stores value.
 func Put(key string, ifVersion uint64, value []byte) Write {
-	return Write{key: key, ifVer: ifVersion, value: value}
+	return Write{key: key, ifVersion: ifVersion, value: value}
 }
 
 // Remove returns a write that removes the row. With version zero it changes
 // nothing and makes sure that there is no row.
 func Remove(key string, ifVersion uint64) Write {
-	return Write{key: key, ifVer: ifVersion, remove: true}
+	return Write{key: key, ifVersion: ifVersion, remove: true}
 }
 
 // Key is the key of the row to write.
 func (w Write) Key() string { return w.key }
 
-// If is the version that the row must have.
-func (w Write) If() uint64 { return w.ifVer }
+// IfVersion is the version that the row must have.
+func (w Write) IfVersion() uint64 { return w.ifVersion }
 
 // Value is the new content.
 func (w Write) Value() []byte { return w.value }
--- a/internal/state/store/wire.go
+++ b/internal/state/store/wire.go
@@ -15,10 +15,10 @@
 	}
 	// WriteBody is one write of a commit.
 	WriteBody struct {
-		Key    string `json:"key"`
-		If     uint64 `json:"if"`
-		Value  []byte `json:"value,omitempty"`
-		Remove bool   `json:"remove,omitempty"`
+		Key       string `json:"key"`
+		IfVersion uint64 `json:"if"`
+		Value     []byte `json:"value,omitempty"`
+		Remove    bool   `json:"remove,omitempty"`
 	}
 	// CommitBody is the body of POST /v1/commit.
 	CommitBody struct {
--- a/internal/wire/chain/adopt.go
+++ b/internal/wire/chain/adopt.go
@@ -20,8 +20,8 @@
 		return err
 	}
 	old := j.stages
-	j.attempt, j.rebuilds, j.depth, j.prio = c.Attempt, 0, c.Depth, c.Prio
-	j.patience, j.prefill = c.Patience, c.Prefill
+	j.attempt, j.rebuilds, j.depth, j.prio = c.Attempt, 0, c.Depth, c.Priority
+	j.patience, j.prefill = c.StepTimeout, c.PrefillTimeout
 	// The next token is told at once: it clears a suspect of poison.
 	j.told = time.Time{}
 	j.stages = make([]*stage, 0, len(c.Chain))
--- a/internal/wire/chain/api.go
+++ b/internal/wire/chain/api.go
@@ -75,7 +75,7 @@
 
 // Job is a request for model work.
 type Job struct {
-	Arrived world.Arrived
+	Arrived world.RequestArrived
 	Text    string
 }
 
--- a/internal/wire/chain/bench_test.go
+++ b/internal/wire/chain/bench_test.go
@@ -79,8 +79,8 @@
 				began := processor(b)
 				b.ReportAllocs()
 				each := func() {
-					job := chain.Job{Text: text, Arrived: world.Arrived{
-						Request: spec.RequestID(fmt.Sprint(next.Add(1))), Model: model, Limit: benchTokens,
+					job := chain.Job{Text: text, Arrived: world.RequestArrived{
+						Request: spec.RequestID(fmt.Sprint(next.Add(1))), Model: model, MaxTokens: benchTokens,
 					}}
 					ctx, cancel := context.WithCancel(b.Context())
 					defer cancel()
--- a/internal/wire/chain/call.go
+++ b/internal/wire/chain/call.go
@@ -116,7 +116,7 @@
 	case frame.CodeLeave, frame.CodeFull:
 		return j.lose(s, world.CauseLeaving)
 	default:
-		return j.lose(s, world.CauseState)
+		return j.lose(s, world.CauseStateLost)
 	}
 }
 
@@ -135,7 +135,7 @@
 		return j.reconnect(ctx, s)
 	case errors.Is(err, engine.ErrMissed):
 		if tries >= maxStalls {
-			return j.lose(s, world.CauseState)
+			return j.lose(s, world.CauseStateLost)
 		}
 		j.meters.resends.Inc()
 		return nil
@@ -146,7 +146,7 @@
 		j.meters.resends.Inc()
 		return nil
 	default:
-		return j.lose(s, world.CauseState)
+		return j.lose(s, world.CauseStateLost)
 	}
 }
 
--- a/internal/wire/chain/flow_test.go
+++ b/internal/wire/chain/flow_test.go
@@ -111,9 +111,9 @@
 		told, hops := 0, 0
 		for _, ev := range s.router.events {
 			switch ev := ev.(type) {
-			case world.Progress:
+			case world.RequestProgress:
 				told++
-			case world.HopTimed:
+			case world.HopMeasured:
 				hops++
 				if ev.P50 < 5*time.Millisecond || ev.P50 > 8*time.Millisecond {
 					t.Errorf("got a median hop of %v, want about 6ms there and back", ev.P50)
--- a/internal/wire/chain/run.go
+++ b/internal/wire/chain/run.go
@@ -123,12 +123,12 @@
 func (j *run) report(ctx context.Context, err error) {
 	id := j.job.Arrived.Request
 	if ctx.Err() != nil {
-		j.Router.Post(world.Canceled{Request: id})
+		j.Router.Post(world.RequestCanceled{Request: id})
 		return
 	}
-	j.Router.Post(world.Finished{
-		Request: id, Tokens: j.count(), First: j.first, Gap: j.gap,
-		Whole: time.Since(j.began), OK: err == nil,
+	j.Router.Post(world.RequestFinished{
+		Request: id, Tokens: j.count(), FirstToken: j.first, LongestGap: j.gap,
+		TotalTime: time.Since(j.began), OK: err == nil,
 	})
 }
 
@@ -157,7 +157,7 @@
 }
 
 func (j *run) ended() bool {
-	return j.stop || j.count() >= j.job.Arrived.Limit
+	return j.stop || j.count() >= j.job.Arrived.MaxTokens
 }
 
 // await takes the next decision and sets the stages to it.
@@ -169,7 +169,7 @@
 		case c := <-j.decided:
 			switch c := c.(type) {
 			case world.Refuse:
-				return &RefusedError{Reason: c.Reason, After: c.After, Ran: c.Ran}
+				return &RefusedError{Reason: c.Reason, After: c.RetryAfter, Ran: c.Ran}
 			case world.Forward:
 				return &ForwardError{To: c.To}
 			case world.Start:
@@ -236,7 +236,7 @@
 	j.last = now
 	if now.Sub(j.told) >= progressEvery {
 		j.told = now
-		j.Router.Post(world.Progress{Request: j.job.Arrived.Request, Tokens: j.count()})
+		j.Router.Post(world.RequestProgress{Request: j.job.Arrived.Request, Tokens: j.count()})
 	}
 }
 
--- a/internal/wire/chain/site_test.go
+++ b/internal/wire/chain/site_test.go
@@ -118,7 +118,7 @@
 	defer r.mu.Unlock()
 	r.events = append(r.events, ev)
 	switch ev := ev.(type) {
-	case world.Arrived:
+	case world.RequestArrived:
 		r.decide(ev.Request)
 	case world.StageLost:
 		w := r.waits[ev.Request]
@@ -135,10 +135,10 @@
 	w.attempt++
 	c := r.choose(w)
 	if c == nil {
-		w.ch <- world.Refuse{Request: id, Reason: world.ReasonRetries, Ran: w.attempt > 1}
+		w.ch <- world.Refuse{Request: id, Reason: world.ReasonRetriesExhausted, Ran: w.attempt > 1}
 		return
 	}
-	w.ch <- world.Start{Request: id, Attempt: w.attempt, Chain: c, Depth: r.site.depth, Prio: r.prio[id]}
+	w.ch <- world.Start{Request: id, Attempt: w.attempt, Chain: c, Depth: r.site.depth, Priority: r.prio[id]}
 }
 
 func (r *router) choose(w *routed) spec.Chain {
@@ -203,7 +203,7 @@
 // ask runs one request; each, if set, is called after every token.
 func (s *site) ask(ctx context.Context, id, text string, limit int, each func(n int)) *answer {
 	a := &answer{}
-	job := chain.Job{Text: text, Arrived: world.Arrived{Request: spec.RequestID(id), Model: model, Limit: limit}}
+	job := chain.Job{Text: text, Arrived: world.RequestArrived{Request: spec.RequestID(id), Model: model, MaxTokens: limit}}
 	a.result, a.err = s.runner.Run(ctx, job, func(t chain.Token) error {
 		if t.Index != a.next {
 			return fmt.Errorf("index %d, want %d", t.Index, a.next)
--- a/internal/wire/chain/stage.go
+++ b/internal/wire/chain/stage.go
@@ -148,7 +148,7 @@
 func (j *run) take(s *stage) error {
 	r := &j.reply
 	if !j.accounts(s) {
-		return j.lose(s, world.CauseState)
+		return j.lose(s, world.CauseStateLost)
 	}
 	if r.Last && (!r.End || r.Total != r.Next) {
 		return j.stalled(s)
@@ -218,7 +218,7 @@
 func (j *run) anew(s *stage) error {
 	s.anew++
 	if s.anew > stageRebuilds || j.rebuilds >= maxRebuilds {
-		return j.lose(s, world.CauseState)
+		return j.lose(s, world.CauseStateLost)
 	}
 	j.meters.rebuilds.Inc()
 	j.reset(s)
--- a/internal/wire/engine/check.go
+++ b/internal/wire/engine/check.go
@@ -114,12 +114,12 @@
 func Row(id spec.UpstreamID, b frame.Engine) world.Engine {
 	row := world.Engine{
 		ID: id, DataCentre: spec.DataCentre(b.DataCentre), Kind: b.Kind,
-		Layer: time.Duration(b.Layer), Slots: b.Slots, Memory: b.Memory,
-		Cache: b.Cache, Cached: b.Cached, Queued: b.Queued, Active: b.Active,
-		Hop: time.Duration(b.Link) * time.Microsecond, Bandwidth: b.Bandwidth, Incarnation: b.Incarnation, Seq: b.Seq,
+		LayerTime: time.Duration(b.Layer), Slots: b.Slots, LayerCapacity: b.Memory,
+		KVCapacity: b.Cache, KVUsed: b.Cached, Queued: b.Queued, Active: b.Active,
+		ReportedHopTime: time.Duration(b.Link) * time.Microsecond, Bandwidth: b.Bandwidth, Incarnation: b.Incarnation, Seq: b.Seq,
 	}
 	for _, h := range b.Holds {
-		row.Holds = append(row.Holds, world.Hold{
+		row.Loaded = append(row.Loaded, world.LoadedRange{
 			Model: spec.ModelName(h.Model), Version: h.Version, Depth: h.Depth,
 			Layers: spec.NewLayers(h.From, h.To), Width: h.Width,
 		})
@@ -129,13 +129,13 @@
 
 // Seen turns a page of cache events into events for the logic, one per Seq,
 // so that the logic sees each gap.
-func Seen(id spec.UpstreamID, page frame.Events) []world.CacheSeen {
+func Seen(id spec.UpstreamID, page frame.Events) []world.CacheReport {
 	if page.Reset {
-		return []world.CacheSeen{{Engine: id, Seq: page.Seq, Added: page.Blocks, Reset: true}}
+		return []world.CacheReport{{Engine: id, Seq: page.Seq, Added: page.Blocks, Reset: true}}
 	}
-	out := make([]world.CacheSeen, 0, len(page.Events))
+	out := make([]world.CacheReport, 0, len(page.Events))
 	for _, ev := range page.Events {
-		seen := world.CacheSeen{Engine: id, Seq: ev.Seq}
+		seen := world.CacheReport{Engine: id, Seq: ev.Seq}
 		if ev.Added {
 			seen.Added = []uint64{ev.Block}
 		} else {
--- a/internal/wire/engine/control_test.go
+++ b/internal/wire/engine/control_test.go
@@ -102,8 +102,8 @@
 			return
 		}
 		row := engine.Row("e", got)
-		for _, h := range row.Holds {
-			if h.Layers.From() < 0 || h.Layers.Len() <= 0 || h.Layers.To() > h.Depth || row.Slots < 0 || row.Layer < 0 {
+		for _, h := range row.Loaded {
+			if h.Layers.From() < 0 || h.Layers.Len() <= 0 || h.Layers.To() > h.Depth || row.Slots < 0 || row.LayerTime < 0 {
 				t.Errorf("got row %+v from %q, want a refusal", row, data)
 			}
 		}
@@ -187,7 +187,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := engine.Row("e", body).Holds[0].Layers.String(); got != want {
+		if got := engine.Row("e", body).Loaded[0].Layers.String(); got != want {
 			t.Errorf("got layers %s, want %s", got, want)
 		}
 		if err := c.Order(t.Context(), frame.Order{Fence: 9, Holds: holds("m", 0, 60)}); !errors.Is(err, engine.ErrRefused) {
@@ -215,7 +215,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				return engine.Row("e", body).Holds[0].Layers.String()
+				return engine.Row("e", body).Loaded[0].Layers.String()
 			})
 		}
 		for _, want := range [][2]string{{"20-30", "20-30"}, {"20-50", "20-30"}, {"20-50", "20-50"}} {
--- a/internal/wire/engine/hops.go
+++ b/internal/wire/engine/hops.go
@@ -48,12 +48,12 @@
 	}
 }
 
-func (h *hops) due() (world.HopTimed, bool) {
+func (h *hops) due() (world.HopMeasured, bool) {
 	now := time.Now()
 	if now.Sub(h.since) < hopEvery {
-		return world.HopTimed{}, false
+		return world.HopMeasured{}, false
 	}
-	ev := world.HopTimed{
+	ev := world.HopMeasured{
 		Engine: h.engine, Count: int(h.hist.TotalCount()),
 		P50: time.Duration(h.hist.ValueAtQuantile(median)) * time.Microsecond,
 		P99: time.Duration(h.hist.ValueAtQuantile(tail)) * time.Microsecond,
--- a/internal/wire/entry/answer.go
+++ b/internal/wire/entry/answer.go
@@ -84,5 +84,5 @@
 }
 
 func usage(a *ask, r chain.Result) chatUsage {
-	return chatUsage{Prompt: a.job.Arrived.Prompt, Completion: r.Tokens, Total: a.job.Arrived.Prompt + r.Tokens}
+	return chatUsage{Prompt: a.job.Arrived.PromptTokens, Completion: r.Tokens, Total: a.job.Arrived.PromptTokens + r.Tokens}
 }
--- a/internal/wire/entry/call.go
+++ b/internal/wire/entry/call.go
@@ -138,7 +138,7 @@
 		s.fault(w, newFault(http.StatusBadRequest, "bad-idempotency-key", "The key in the path is none that a call may have.", RanNo))
 		return
 	}
-	out, err := s.Calls.Look(req.Context(), team.ID(), class.Name(), key)
+	out, err := s.Calls.Lookup(req.Context(), team.ID(), class.Name(), key)
 	if err != nil {
 		s.fault(w, err)
 		return
@@ -155,7 +155,7 @@
 	switch out.State() {
 	case ledger.StateDone:
 		a := out.Answer()
-		s.reply(w, a.Status(), a.Type(), a.Body())
+		s.reply(w, a.Status(), a.ContentType(), a.Body())
 	case ledger.StateNotRun:
 		f := newFault(http.StatusServiceUnavailable, "not-run", "The service could not be reached, so the call did not run.", RanNo)
 		f.After = storeRetry
--- a/internal/wire/entry/call_test.go
+++ b/internal/wire/entry/call_test.go
@@ -62,9 +62,9 @@
 		status int
 		want   string
 	}{
-		{ledger.ErrBody, 422, `"code":"key-reused"`},
-		{errors.Wrap(ledger.ErrStore, "x"), 503, `"ran":"unsure","after":2`},
-		{errors.Wrap(ledger.ErrUnread, "x"), 503, `"code":"record-unread"`},
+		{ledger.ErrBodyMismatch, 422, `"code":"key-reused"`},
+		{errors.Wrap(ledger.ErrStoreUnavailable, "x"), 503, `"ran":"unsure","after":2`},
+		{errors.Wrap(ledger.ErrRecordUnreadable, "x"), 503, `"code":"record-unread"`},
 		{errors.New("other"), 500, `"ran":"unsure"`},
 	}
 	for _, tt := range tests {
--- a/internal/wire/entry/chat.go
+++ b/internal/wire/entry/chat.go
@@ -93,7 +93,7 @@
 	} else {
 		a.from, err = readResume(req, a.sealer, body.Max)
 	}
-	a.job.Arrived.Done = a.from.count
+	a.job.Arrived.ReceivedTokens = a.from.count
 	return a, err
 }
 
@@ -101,7 +101,7 @@
 // another answer.
 func fingerprint(j *chain.Job) uint64 {
 	var limit [8]byte
-	binary.BigEndian.PutUint64(limit[:], uint64(j.Arrived.Limit))
+	binary.BigEndian.PutUint64(limit[:], uint64(j.Arrived.MaxTokens))
 	h := xxhash.New()
 	_, _ = h.WriteString(string(j.Arrived.Model) + "\n" + j.Text)
 	_, _ = h.Write(limit[:])
@@ -132,7 +132,7 @@
 func (s *Server) modelClass(req *http.Request, model spec.ModelName) (spec.Class, error) {
 	name := spec.ClassName(req.Header.Get("X-Class"))
 	if name == "" {
-		class, ok := s.Book.ClassOf(model)
+		class, ok := s.Book.DefaultClass(model)
 		if !ok {
 			return spec.Class{}, newFault(http.StatusNotFound, "unknown-model", "No class serves the model.", RanNo)
 		}
@@ -152,10 +152,10 @@
 	text := prompt(b.Messages)
 	return chain.Job{
 		Text: text,
-		Arrived: world.Arrived{
+		Arrived: world.RequestArrived{
 			Request: spec.RequestID(id), Team: team.ID(), Class: class.Name(), Model: class.Model(),
-			Prompt: 1 + len(text)/bytesPerToken, Limit: b.Max, Blocks: blocks(text),
-			Print: xxhash.Sum64String(string(class.Model()) + "\n" + text),
+			PromptTokens: 1 + len(text)/bytesPerToken, MaxTokens: b.Max, BlockHashes: blocks(text),
+			Fingerprint: xxhash.Sum64String(string(class.Model()) + "\n" + text),
 		},
 	}
 }
--- a/internal/wire/entry/chat_test.go
+++ b/internal/wire/entry/chat_test.go
@@ -184,7 +184,7 @@
 		if (w.Code == http.StatusOK) != (ran != nil) {
 			t.Errorf("got status %d and ran %v, want 200 just if it ran", w.Code, ran != nil)
 		}
-		if ran != nil && (ran.Arrived.Limit < 1 || ran.Arrived.Limit > 100 || ran.Text == "") {
+		if ran != nil && (ran.Arrived.MaxTokens < 1 || ran.Arrived.MaxTokens > 100 || ran.Text == "") {
 			t.Errorf("got job %+v, want its limit in range and a prompt", ran)
 		}
 	})
--- a/internal/wire/entry/entry.go
+++ b/internal/wire/entry/entry.go
@@ -34,17 +34,17 @@
 // Calls runs calls of plain services at most once.
 type Calls interface {
 	Do(ctx context.Context, c ledger.Call) (ledger.Outcome, error)
-	Look(ctx context.Context, team spec.TeamID, class spec.ClassName, key string) (ledger.Outcome, error)
+	Lookup(ctx context.Context, team spec.TeamID, class spec.ClassName, key string) (ledger.Outcome, error)
 }
 
 // Book gives the classes and teams in force. Team takes the key itself and
 // looks up its SHA-256, so that how long it takes tells nothing about the keys
 // of others.
 type Book interface {
-	Now() *config.Snapshot
+	Snapshot() *config.Snapshot
 	Class(name spec.ClassName) (spec.Class, bool)
-	ClassOf(model spec.ModelName) (spec.Class, bool)
-	Team(key string) (spec.Team, bool)
+	DefaultClass(model spec.ModelName) (spec.Class, bool)
+	TeamByKey(key string) (spec.Team, bool)
 }
 
 // Observer learns how each request of a class ended. Times that do not apply
--- a/internal/wire/entry/entry_test.go
+++ b/internal/wire/entry/entry_test.go
@@ -27,7 +27,7 @@
 	ask   = `{"model":"m","stream":true,"messages":[{"role":"user","content":"hi"}]}`
 )
 
-func testBook() *config.Book {
+func testBook() *config.Active {
 	classes := []spec.Class{
 		spec.NewModelClass("answer", "m", spec.NewTarget(time.Second, 0, 0, 95)),
 		spec.NewModelClass("draft", "m", spec.NewTarget(time.Minute, 0, 0, 95)),
@@ -37,8 +37,8 @@
 	teams := []spec.Team{
 		spec.NewTeam(config.HashKey(key), "one", 1), spec.NewTeam(config.HashKey(other), "two", 1),
 	}
-	book := &config.Book{}
-	book.Take(config.NewSnapshot(1, classes, teams))
+	book := &config.Active{}
+	book.SetIfNewer(config.NewSnapshot(1, classes, teams))
 	return book
 }
 
@@ -84,7 +84,7 @@
 	return c.out, c.err
 }
 
-func (c *calls) Look(context.Context, spec.TeamID, spec.ClassName, string) (ledger.Outcome, error) {
+func (c *calls) Lookup(context.Context, spec.TeamID, spec.ClassName, string) (ledger.Outcome, error) {
 	return c.out, c.err
 }
 
@@ -147,7 +147,7 @@
 // the instance has read no configuration: it knows no team yet.
 func TestNoConfigurationYet(t *testing.T) {
 	s := newServer(&models{})
-	s.Book = &config.Book{}
+	s.Book = &config.Active{}
 	w := chat(s, ask)
 	wantFault(t, w, http.StatusServiceUnavailable, "not-ready")
 	if w.Header().Get("Retry-After") == "" {
@@ -165,9 +165,9 @@
 		want   string
 	}{
 		{world.ReasonOverload, false, http.StatusServiceUnavailable, `"code":"overload","message":"The target of the class cannot be met now.","ran":"no","after":3`},
-		{world.ReasonTeam, false, http.StatusTooManyRequests, `"ran":"no","after":3`},
+		{world.ReasonTeamLimit, false, http.StatusTooManyRequests, `"ran":"no","after":3`},
 		{world.ReasonPoison, true, http.StatusUnprocessableEntity, `"ran":"yes"`},
-		{world.ReasonClass, false, http.StatusBadRequest, `"ran":"no"`},
+		{world.ReasonUnknownClass, false, http.StatusBadRequest, `"ran":"no"`},
 	}
 	for _, stream := range []string{"true", "false"} {
 		for _, tt := range tests {
@@ -206,11 +206,11 @@
 		"[class payment]\nkind = plain\nservice = payments\nwhole = 1s\nteams = two\n" +
 		"[team one]\nkey-hash = " + string(config.HashKey(key)) + "\n[team two]\nkey-hash = " + string(config.HashKey(other)) + "\n"
 	a := &config.Applier{Table: table}
-	if _, err := a.Apply(t.Context(), config.Change{Who: "ani", Documents: []config.Document{{File: "a.ini", Data: []byte(text)}}}); err != nil {
+	if _, err := a.Apply(t.Context(), config.Change{Author: "ani", Documents: []config.Document{{File: "a.ini", Data: []byte(text)}}}); err != nil {
 		t.Fatal(err)
 	}
-	book := &config.Book{}
-	if err := (&config.Follower{Table: table, Book: book}).Round(t.Context()); err != nil {
+	book := &config.Active{}
+	if err := (&config.Follower{Table: table, Active: book}).Poll(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	ran := 0
--- a/internal/wire/entry/fault.go
+++ b/internal/wire/entry/fault.go
@@ -82,20 +82,20 @@
 		return refusedFault(refused)
 	}
 	switch {
-	case errors.Is(err, ledger.ErrBody):
+	case errors.Is(err, ledger.ErrBodyMismatch):
 		return newFault(http.StatusUnprocessableEntity, "key-reused", "The idempotency key was used with another body.", RanNo)
-	case errors.Is(err, ledger.ErrStore):
+	case errors.Is(err, ledger.ErrStoreUnavailable):
 		// This request was not sent. But an earlier one under the key may have
 		// run at an instance that died, and only the record tells: "no" would
 		// have its caller pay again under a new key.
 		f := newFault(http.StatusServiceUnavailable, "store-down", "The record of the call is out of reach, so this request was not sent; whether an earlier one under the key ran is not known. Send it again with the same key.", RanUnsure)
 		f.After = storeRetry
 		return f
-	case errors.Is(err, ledger.ErrUnread):
+	case errors.Is(err, ledger.ErrRecordUnreadable):
 		f := newFault(http.StatusServiceUnavailable, "record-unread", "The record of the call could not be read; ask again for its outcome.", RanUnsure)
 		f.After = storeRetry
 		return f
-	case errors.Is(err, context.Canceled), errors.Is(err, ledger.ErrLeft):
+	case errors.Is(err, context.Canceled), errors.Is(err, ledger.ErrCallerLeft):
 		return newFault(statusGone, "caller-gone", "The caller went away.", RanUnsure)
 	default:
 		return newFault(http.StatusInternalServerError, "internal", "The request failed inside the router.", RanUnsure)
@@ -120,22 +120,22 @@
 	}
 	f.After = r.After
 	switch r.Reason {
-	case world.ReasonTeam:
+	case world.ReasonTeamLimit:
 		f.Status = http.StatusTooManyRequests
 	case world.ReasonPoison:
 		f.Status = http.StatusUnprocessableEntity
-	case world.ReasonClass:
+	case world.ReasonUnknownClass:
 		f.Status = http.StatusBadRequest
 	}
 	return f
 }
 
 var refusals = map[world.Reason]string{
-	world.ReasonOverload: "The target of the class cannot be met now.",
-	world.ReasonTeam:     "The team is above its limit, or above its share while others wait.",
-	world.ReasonNoEngine: "No set of engines serves the whole model now.",
-	world.ReasonPoison:   "Engines died while they ran this request, so it is not run again.",
-	world.ReasonRetries:  "The request failed on several engines and the retry budget is spent.",
-	world.ReasonClass:    "The class is not known.",
-	world.ReasonReady:    "This instance is not ready.",
+	world.ReasonOverload:         "The target of the class cannot be met now.",
+	world.ReasonTeamLimit:        "The team is above its limit, or above its share while others wait.",
+	world.ReasonNoEngine:         "No set of engines serves the whole model now.",
+	world.ReasonPoison:           "Engines died while they ran this request, so it is not run again.",
+	world.ReasonRetriesExhausted: "The request failed on several engines and the retry budget is spent.",
+	world.ReasonUnknownClass:     "The class is not known.",
+	world.ReasonNotReady:         "This instance is not ready.",
 }
--- a/internal/wire/entry/hop.go
+++ b/internal/wire/entry/hop.go
@@ -76,7 +76,7 @@
 // team finds the team of a request. Before the first configuration nobody is
 // known, which must not look to callers as if their key were bad.
 func (s *Server) team(req *http.Request) (spec.Team, error) {
-	if s.Book.Now() == nil {
+	if s.Book.Snapshot() == nil {
 		f := newFault(http.StatusServiceUnavailable, "not-ready", "This instance has no configuration yet.", RanNo)
 		f.After = busyRetry
 		return spec.Team{}, f
@@ -85,7 +85,7 @@
 	if !ok {
 		return spec.Team{}, newFault(http.StatusUnauthorized, "no-key", "The Authorization header must carry the team's bearer key.", RanNo)
 	}
-	team, ok := s.Book.Team(key)
+	team, ok := s.Book.TeamByKey(key)
 	if !ok {
 		return spec.Team{}, newFault(http.StatusUnauthorized, "unknown-key", "The key belongs to no team.", RanNo)
 	}
@@ -94,7 +94,7 @@
 
 // allowed refuses a class that its operators keep for other teams.
 func (s *Server) allowed(team spec.Team, class spec.Class) error {
-	if s.Book.Now().Allows(class.Name(), team.ID()) {
+	if s.Book.Snapshot().Allows(class.Name(), team.ID()) {
 		return nil
 	}
 	return newFault(http.StatusForbidden, "closed-class", "The class is not open to the team.", RanNo)
--- a/internal/wire/entry/page_test.go
+++ b/internal/wire/entry/page_test.go
@@ -35,7 +35,7 @@
 			codes[m[1]] = true
 		}
 	}
-	for r := world.ReasonOverload; r <= world.ReasonReady; r++ {
+	for r := world.ReasonOverload; r <= world.ReasonNotReady; r++ {
 		codes[r.String()] = true
 	}
 	if len(codes) < 20 {
--- a/internal/wire/entry/resume_test.go
+++ b/internal/wire/entry/resume_test.go
@@ -75,8 +75,8 @@
 		if got := rest[len(rest)-1].data; got != "[DONE]" {
 			t.Errorf("got last event %q, want [DONE]", got)
 		}
-		if job.Arrived.Done != n {
-			t.Errorf("got Done %d, want %d", job.Arrived.Done, n)
+		if job.Arrived.ReceivedTokens != n {
+			t.Errorf("got Done %d, want %d", job.Arrived.ReceivedTokens, n)
 		}
 		if strings.Contains(first[0].data, string(job.Arrived.Request)) {
 			t.Errorf("got the first request's id again, want a new one")
--- a/internal/wire/loop/loop.go
+++ b/internal/wire/loop/loop.go
@@ -95,12 +95,12 @@
 // finds the queue full is refused at once.
 func (l *Loop) Post(ev world.Event) {
 	l.init()
-	arrived, is := ev.(world.Arrived)
+	arrived, is := ev.(world.RequestArrived)
 	l.mu.Lock()
 	if is && l.arrivals >= l.MaxArrivals {
 		l.mu.Unlock()
 		l.counters.refusedArrivals.Inc()
-		l.deliver(world.Refuse{Request: arrived.Request, Reason: world.ReasonOverload, After: overloadRetryAfter})
+		l.deliver(world.Refuse{Request: arrived.Request, Reason: world.ReasonOverload, RetryAfter: overloadRetryAfter})
 		return
 	}
 	if is {
--- a/internal/wire/loop/loop_test.go
+++ b/internal/wire/loop/loop_test.go
@@ -28,7 +28,7 @@
 	var out []world.Command
 	for _, ev := range events {
 		e.events = append(e.events, ev)
-		if a, ok := ev.(world.Arrived); ok {
+		if a, ok := ev.(world.RequestArrived); ok {
 			out = append(out, world.Start{Request: a.Request, Attempt: 1})
 		}
 	}
@@ -62,7 +62,7 @@
 		startLoop(t, l)
 		for _, id := range []spec.RequestID{"a", "b"} {
 			ch := l.Watch(id)
-			l.Post(world.Arrived{Request: id})
+			l.Post(world.RequestArrived{Request: id})
 			got, ok := (<-ch).(world.Start)
 			if !ok || got.Request != id {
 				t.Errorf("got %+v, want the start of %s", got, id)
@@ -99,13 +99,13 @@
 		for i := range 5 {
 			id := spec.RequestID(fmt.Sprint(i))
 			chans = append(chans, l.Watch(id))
-			l.Post(world.Arrived{Request: id})
-			l.Post(world.Finished{Request: id})
+			l.Post(world.RequestArrived{Request: id})
+			l.Post(world.RequestFinished{Request: id})
 		}
 		for _, ch := range chans {
 			select {
 			case c := <-ch:
-				if r, ok := c.(world.Refuse); ok && r.Reason == world.ReasonOverload && r.After > 0 && !r.Ran {
+				if r, ok := c.(world.Refuse); ok && r.Reason == world.ReasonOverload && r.RetryAfter > 0 && !r.Ran {
 					refused++
 				}
 			default:
@@ -130,12 +130,12 @@
 		startLoop(t, l)
 		l.Watch("deaf")
 		for range 100 {
-			l.Post(world.Arrived{Request: "deaf"})
-			l.Post(world.Arrived{Request: "gone"})
+			l.Post(world.RequestArrived{Request: "deaf"})
+			l.Post(world.RequestArrived{Request: "gone"})
 			synctest.Wait()
 		}
 		ch := l.Watch("a")
-		l.Post(world.Arrived{Request: "a"})
+		l.Post(world.RequestArrived{Request: "a"})
 		<-ch
 		l.Unwatch("a")
 		l.Unwatch("deaf")
@@ -175,7 +175,7 @@
 			}
 		}}
 		startLoop(t, l)
-		if c, ok := (<-got).(world.Warn); !ok || c.Print != 7 {
+		if c, ok := (<-got).(world.ReportSuspect); !ok || c.Fingerprint != 7 {
 			t.Errorf("got %+v, want the warning", c)
 		}
 	})
@@ -184,7 +184,7 @@
 type warningLogic struct{}
 
 func (warningLogic) Tick(time.Duration, []world.Event) []world.Command {
-	return []world.Command{world.Warn{Print: 7}}
+	return []world.Command{world.ReportSuspect{Fingerprint: 7}}
 }
 
 // logicWithEngines fills the logic with engines of one model, each of which holds all.
@@ -192,14 +192,14 @@
 	logic := &core.Logic{}
 	var events []world.Event
 	for i := range engines {
-		events = append(events, world.EngineSeen{Engine: world.Engine{
-			ID: spec.UpstreamID(fmt.Sprintf("e%05d", i)), DataCentre: "klang", Kind: "l40s", Layer: time.Microsecond,
-			Slots: 1 << 20, Cache: 1 << 40, Seq: 1,
-			Holds: []world.Hold{{Model: "m", Version: "1", Depth: 24, Layers: spec.NewLayers(0, 24)}},
+		events = append(events, world.EngineReport{Engine: world.Engine{
+			ID: spec.UpstreamID(fmt.Sprintf("e%05d", i)), DataCentre: "klang", Kind: "l40s", LayerTime: time.Microsecond,
+			Slots: 1 << 20, KVCapacity: 1 << 40, Seq: 1,
+			Loaded: []world.LoadedRange{{Model: "m", Version: "1", Depth: 24, Layers: spec.NewLayers(0, 24)}},
 		}})
 	}
 	target := spec.NewTarget(time.Minute, time.Minute, 0, 95)
-	events = append(events, world.ConfigSet{
+	events = append(events, world.ConfigChanged{
 		Version: 1, Classes: []spec.Class{spec.NewModelClass("answer", "m", target)},
 		Teams: []spec.Team{spec.NewTeam("t", "t", 1)},
 	})
@@ -222,12 +222,12 @@
 				n++
 				id := spec.RequestID(fmt.Sprint(n))
 				ch := l.Watch(id)
-				l.Post(world.Arrived{Request: id, Team: "t", Class: "answer", Model: "m", Prompt: 10, Limit: 10, Print: uint64(n)})
+				l.Post(world.RequestArrived{Request: id, Team: "t", Class: "answer", Model: "m", PromptTokens: 10, MaxTokens: 10, Fingerprint: uint64(n)})
 				if _, ok := (<-ch).(world.Start); !ok {
 					b.Fatal("got no start")
 				}
 				l.Unwatch(id)
-				l.Post(world.Finished{Request: id, Tokens: 10, OK: true})
+				l.Post(world.RequestFinished{Request: id, Tokens: 10, OK: true})
 			}
 			cancel()
 			<-done
--- a/internal/wire/peer/bench_test.go
+++ b/internal/wire/peer/bench_test.go
@@ -35,7 +35,7 @@
 		ends[0].mu.Lock()
 		ends[0].to = append(ends[0].to, node.Send{To: "b", URL: url, Data: data})
 		ends[0].mu.Unlock()
-		hubs[0].Post(node.Listed{})
+		hubs[0].Post(node.DiscoveryList{})
 		<-ends[1].came
 	}
 }
--- a/internal/wire/peer/conn.go
+++ b/internal/wire/peer/conn.go
@@ -65,7 +65,7 @@
 	g.Wait()
 	c.fail()
 	if !errors.Is(c.cause, errIdle) {
-		c.hub.Post(node.Lost{Peer: c.id})
+		c.hub.Post(node.ConnectionLost{Peer: c.id})
 	}
 }
 
@@ -130,7 +130,7 @@
 func (c *conn) take(f *frame) {
 	switch f.Kind {
 	case kindNews:
-		c.hub.Post(node.Heard{From: c.id, Data: f.Data})
+		c.hub.Post(node.Received{From: c.id, Data: f.Data})
 	case kindForward:
 		c.serve(f.ID, *f.Job)
 	case kindCancel:
--- a/internal/wire/peer/hub.go
+++ b/internal/wire/peer/hub.go
@@ -150,8 +150,8 @@
 	}
 }
 
-// Say spreads an item.
-func (h *Hub) Say(item news.Item) { h.Post(node.Say{Item: item}) }
+// Publish spreads an item.
+func (h *Hub) Say(item news.Item) { h.Post(node.Publish{Item: item}) }
 
 // Run drives the logic until ctx ends, then closes all connections.
 func (h *Hub) Run(ctx context.Context) error {
--- a/internal/wire/peer/link.go
+++ b/internal/wire/peer/link.go
@@ -138,7 +138,7 @@
 		close(done)
 		h.meter.failed.Inc()
 		h.Log.Debug("peer: no connection", zap.String("peer", string(id)), zap.Error(err))
-		h.Post(node.Lost{Peer: id})
+		h.Post(node.ConnectionLost{Peer: id})
 		return
 	}
 	l.backoff, l.retry = 0, time.Time{}
--- a/internal/wire/peer/link_test.go
+++ b/internal/wire/peer/link_test.go
@@ -29,12 +29,12 @@
 	defer k.mu.Unlock()
 	for _, ev := range events {
 		switch ev.(type) {
-		case node.Heard:
+		case node.Received:
 			k.heard++
 			if k.came != nil {
 				k.came <- struct{}{}
 			}
-		case node.Lost:
+		case node.ConnectionLost:
 			k.lost++
 		}
 	}
@@ -145,7 +145,7 @@
 			want    uint64
 		}{
 			{node.Members{Peers: []node.Peer{{ID: "b", URL: "http://10.0.0.2:7000"}}}, 2},
-			{node.Expire{Peer: "b"}, 2},
+			{node.ExpirePeer{Peer: "b"}, 2},
 			{node.Members{}, 0},
 		} {
 			a.send("b", 2)
--- a/internal/wire/peer/meters.go
+++ b/internal/wire/peer/meters.go
@@ -67,7 +67,7 @@
 	}
 	s := c.Stats()
 	m.suspected.Set(s.Suspected)
-	m.bad.Set(s.Bad)
+	m.bad.Set(s.Malformed)
 	m.pauses.Set(s.Pauses)
 	m.refused.Set(uint64(max(0, s.Refused)))
 	m.items.Set(uint64(max(0, s.Items)))
--- a/internal/wire/peer/peer_test.go
+++ b/internal/wire/peer/peer_test.go
@@ -155,7 +155,7 @@
 	h := &host{name: name, done: make(chan struct{})}
 	h.hub = &peer.Hub{
 		Self: self, TLS: config, Dial: s.dial, On: h.on,
-		Logic: &node.Logic{Self: self, Born: 1, Rand: mrand.New(mrand.NewPCG(1, uint64(len(s.hubs))))},
+		Logic: &node.Logic{Local: self, StartTime: 1, Rand: mrand.New(mrand.NewPCG(1, uint64(len(s.hubs))))},
 	}
 	if change != nil {
 		change(h.hub)
@@ -208,7 +208,7 @@
 		peers = append(peers, h.hub.Self)
 	}
 	for _, h := range s.hubs {
-		h.hub.Post(node.Listed{Peers: peers})
+		h.hub.Post(node.DiscoveryList{Peers: peers})
 	}
 }
 
--- a/internal/wire/plain/plain.go
+++ b/internal/wire/plain/plain.go
@@ -165,9 +165,9 @@
 	return ledger.NewAnswer(resp.StatusCode, resp.Header.Get("Content-Type"), body), nil
 }
 
-// Ask asks the instances of a service for the outcome of a call. It returns an
+// QueryOutcome asks the instances of a service for the outcome of a call. It returns an
 // error unless one of them has its answer.
-func (s *Sender) Ask(ctx context.Context, c ledger.Call) (ledger.Answer, error) {
+func (s *Sender) QueryOutcome(ctx context.Context, c ledger.Call) (ledger.Answer, error) {
 	last := errors.New("plain: no instance of the service")
 	for _, base := range s.bases(c.Service()) {
 		answer, err := s.ask(ctx, base, c)
@@ -229,7 +229,7 @@
 		return nil, err
 	}
 	req.ContentLength = int64(len(c.Body()))
-	req.Header.Set("Content-Type", c.Type())
+	req.Header.Set("Content-Type", c.ContentType())
 	req.Header.Set(headerKey, c.Key())
 	scope(req, c)
 	propagation.TraceContext{}.Inject(ctx, propagation.HeaderCarrier(req.Header))
--- a/internal/wire/plain/plain_test.go
+++ b/internal/wire/plain/plain_test.go
@@ -210,7 +210,7 @@
 			t.Errorf("got %d %s, want %d", c.got, c.what, c.want)
 		}
 	}
-	if _, err := s.Ask(t.Context(), payment("loaded")); err != nil {
+	if _, err := s.QueryOutcome(t.Context(), payment("loaded")); err != nil {
 		t.Errorf("got %v from the leaving instance, want the outcome", err)
 	}
 }
@@ -273,11 +273,11 @@
 	if _, err := s.Send(t.Context(), payment("k1")); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := s.Ask(t.Context(), payment("k1")); err != nil {
+	if _, err := s.QueryOutcome(t.Context(), payment("k1")); err != nil {
 		t.Errorf("got %v, want the outcome", err)
 	}
 	other := ledger.NewCall("other", "payment", "payments", "k1", "text/plain", []byte("42"))
-	if a, err := s.Ask(t.Context(), other); err == nil {
+	if a, err := s.QueryOutcome(t.Context(), other); err == nil {
 		t.Errorf("got %q for another team, want an error", a.Body())
 	}
 }
--- a/internal/wire/plain/whole_test.go
+++ b/internal/wire/plain/whole_test.go
@@ -35,8 +35,8 @@
 		instance := func() *ledger.Ledger {
 			s := sender(service)
 			return &ledger.Ledger{
-				Table:  &store.Batcher{Table: &store.Breaker{Table: &store.Client{Base: base, HTTP: store.NewHTTP()}}},
-				Sender: s, Asker: s, Asks: func(spec.ServiceName) bool { return c.asks },
+				Table:  &store.Batcher{Table: &store.Breaker{Table: &store.Client{BaseURL: base, HTTP: store.NewHTTPClient()}}},
+				Sender: s, Querier: s, SupportsOutcomes: func(spec.ServiceName) bool { return c.asks },
 			}
 		}
 		platform.Table.Fault(c.faults)
--- a/internal/wire/watch/board.go
+++ b/internal/wire/watch/board.go
@@ -153,7 +153,7 @@
 	e.down, e.dead = false, false
 	e.row, e.body, e.known = row, body, true
 	e.answered = max(e.answered, now)
-	b.post(world.EngineSeen{Engine: row})
+	b.post(world.EngineReport{Engine: row})
 	if body.State == frame.StateLeaving {
 		b.leave(e, true)
 	} else if e.leaving {
@@ -188,7 +188,7 @@
 		if now-e.listed < after || now-e.answered < after {
 			return false
 		}
-		b.post(world.EngineGone{Engine: e.id})
+		b.post(world.EngineRemoved{Engine: e.id})
 		return true
 	})
 }
--- a/internal/wire/watch/judge.go
+++ b/internal/wire/watch/judge.go
@@ -83,7 +83,7 @@
 func (b *board) die(e *entry) {
 	e.down, e.dead = true, true
 	e.deadInc, e.deadSeq = e.row.Incarnation, e.row.Seq
-	b.post(world.EngineDown{Engine: e.id})
+	b.post(world.EngineDead{Engine: e.id})
 }
 
 // leave posts that an engine takes no new work, and tells the others the
--- a/internal/wire/watch/news.go
+++ b/internal/wire/watch/news.go
@@ -33,7 +33,7 @@
 func (b *board) sayLevel(e *entry) {
 	b.make(news.KindLevel, string(e.id), levelLife, news.Level{
 		Born: e.row.Incarnation, Seq: e.row.Seq,
-		Queued: e.row.Queued, Active: e.row.Active, Cached: e.row.Cached,
+		Queued: e.row.Queued, Active: e.row.Active, Cached: e.row.KVUsed,
 	})
 }
 
@@ -92,7 +92,7 @@
 		return
 	}
 	row, report := e.row, e.body
-	row.Seq, row.Queued, row.Active, row.Cached = body.Seq, body.Queued, body.Active, body.Cached
+	row.Seq, row.Queued, row.Active, row.KVUsed = body.Seq, body.Queued, body.Active, body.Cached
 	report.Seq, report.Queued, report.Active, report.Cached = body.Seq, body.Queued, body.Active, body.Cached
 	b.told(now, e, report, row)
 }
--- a/internal/wire/watch/service_test.go
+++ b/internal/wire/watch/service_test.go
@@ -25,7 +25,7 @@
 	told   []string
 }
 
-func (p *places) List(context.Context) ([]store.ListedBody, error) {
+func (p *places) ListInstances(context.Context) ([]store.ListedBody, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var out []store.ListedBody
--- a/internal/wire/watch/watch.go
+++ b/internal/wire/watch/watch.go
@@ -46,7 +46,7 @@
 
 // Lister reads the platform's lagging list.
 type Lister interface {
-	List(ctx context.Context) ([]store.ListedBody, error)
+	ListInstances(ctx context.Context) ([]store.ListedBody, error)
 }
 
 // Poster takes events for the logic.
@@ -153,7 +153,7 @@
 	w.init()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.board.assign(c.Engines, c.First)
+	w.board.assign(c.Engines, c.Primary)
 	w.follow()
 }
 
@@ -181,7 +181,7 @@
 
 // round reads the list once.
 func (w *Watcher) round(ctx context.Context) {
-	listed, err := w.List.List(ctx)
+	listed, err := w.List.ListInstances(ctx)
 	if err != nil {
 		// A list that cannot be read removes nobody: the engines of the last
 		// one still answer, and dropping them would stop all work.
--- a/internal/wire/watch/watch_test.go
+++ b/internal/wire/watch/watch_test.go
@@ -76,7 +76,7 @@
 	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(strings.NewReader(string(data)))}, err
 }
 
-func (s *site) List(context.Context) ([]store.ListedBody, error) {
+func (s *site) ListInstances(context.Context) ([]store.ListedBody, error) {
 	s.lab.mu.Lock()
 	defer s.lab.mu.Unlock()
 	return slices.Clone(s.lab.list), s.lab.listed
@@ -134,7 +134,7 @@
 			time.Sleep(10 * time.Millisecond)
 			command := node.Watch{Engines: []spec.UpstreamID{"e1"}}
 			if i == 0 {
-				command.First = command.Engines
+				command.Primary = command.Engines
 			}
 			s.w.Assign(command)
 		}
@@ -179,21 +179,21 @@
 		synctest.Test(t, func(t *testing.T) {
 			l := newLab()
 			defer l.run(t)()
-			l.want(t, "EngineSeen", true)
+			l.want(t, "EngineReport", true)
 			l.since()
 			died := time.Now()
 			l.set(func(l *lab) { l.state = state })
 			time.Sleep(2 * time.Second)
-			l.want(t, "EngineDown", true)
+			l.want(t, "EngineDead", true)
 			for _, s := range l.sites {
-				if got := s.at["EngineDown"].Sub(died); got > 1600*time.Millisecond {
+				if got := s.at["EngineDead"].Sub(died); got > 1600*time.Millisecond {
 					t.Errorf("got %v until %s knew of an engine that would %s, want 1.6s", got, s.name, state)
 				}
 			}
 			l.since()
 			l.set(func(l *lab) { l.state = "" })
 			time.Sleep(2 * time.Second)
-			l.want(t, "EngineSeen", true)
+			l.want(t, "EngineReport", true)
 		})
 	}
 }
@@ -207,8 +207,8 @@
 		l.since()
 		l.set(func(l *lab) { l.blind["first"] = true })
 		time.Sleep(20 * time.Second)
-		l.want(t, "EngineDown", false)
-		l.want(t, "EngineSeen", true)
+		l.want(t, "EngineDead", false)
+		l.want(t, "EngineReport", true)
 	})
 }
 
@@ -222,8 +222,8 @@
 		l.since()
 		l.set(func(l *lab) { l.body.Seq = 0 })
 		time.Sleep(2 * time.Second)
-		l.want(t, "EngineDown", true)
-		l.want(t, "EngineSeen", true)
+		l.want(t, "EngineDead", true)
+		l.want(t, "EngineReport", true)
 	})
 }
 
@@ -251,10 +251,10 @@
 		time.Sleep(5 * time.Minute)
 		l.set(func(l *lab) { l.listed, l.list = nil, nil })
 		time.Sleep(5 * time.Minute)
-		l.want(t, "EngineGone", false)
+		l.want(t, "EngineRemoved", false)
 		l.set(func(l *lab) { l.state = "refuse" })
 		time.Sleep(2 * time.Minute)
-		l.want(t, "EngineGone", true)
+		l.want(t, "EngineRemoved", true)
 	})
 }
 
