--- a/internal/app/daemon/bridge.go
+++ b/internal/app/daemon/bridge.go
@@ -7,7 +7,7 @@
 
 	"fulmarwick/internal/base/news"
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 
 	"go.uber.org/zap"
 )
@@ -25,8 +25,8 @@
 
 // told takes the commands of the routing logic that no request waits for. It
 // runs between ticks and must not block.
-func (d *Daemon) told(c world.Command) {
-	if c, ok := c.(world.LoadLayers); ok {
+func (d *Daemon) told(c domain.Command) {
+	if c, ok := c.(domain.LoadLayers); ok {
 		d.parts.duties.place(c)
 		return
 	}
@@ -39,18 +39,18 @@
 }
 
 // item is what the others should know of a command.
-func (d *Daemon) item(c world.Command) (news.Item, bool) {
+func (d *Daemon) item(c domain.Command) (news.Item, bool) {
 	switch c := c.(type) {
-	case world.LocalLoad:
+	case domain.LocalLoad:
 		body := news.Load{Engine: string(c.Engine), Active: c.Active, Tokens: c.LayerTokenRate}
 		return d.made(news.KindLoad, string(c.Engine), news.ScopeCentre, loadLife, body)
-	case world.LocalTeamUsage:
+	case domain.LocalTeamUsage:
 		body := news.Rate{Team: string(c.Team), Rate: c.Rate}
 		return d.made(news.KindRate, string(c.Team), news.ScopeFleet, loadLife, body)
-	case world.LocalCapacity:
+	case domain.LocalCapacity:
 		body := news.Sum{DataCentre: d.unit(), Model: string(c.Model), Free: c.FreeRate}
 		return d.made(news.KindSum, string(c.Model), news.ScopeFleet, sumLife, body)
-	case world.ReportSuspect:
+	case domain.ReportSuspect:
 		key := strconv.FormatUint(c.Fingerprint, 16)
 		return d.made(news.KindPrint, key, news.ScopeFleet, printLife, news.Print{Print: c.Fingerprint, Crashes: c.Crashes, Engine: string(c.Engine)})
 	}
@@ -77,12 +77,12 @@
 	case news.KindPrint:
 		var b news.Print
 		if news.Decode(item, &b) == nil {
-			f.parts.loop.Post(world.SuspectReported{Fingerprint: b.Print, Crashes: b.Crashes, Engine: spec.UpstreamID(b.Engine)})
+			f.parts.loop.Post(domain.SuspectReported{Fingerprint: b.Print, Crashes: b.Crashes, Engine: spec.UpstreamID(b.Engine)})
 		}
 	case news.KindSum:
 		var b news.Sum
 		if news.Decode(item, &b) == nil && b.DataCentre != f.unit() {
-			f.parts.loop.Post(world.CentreCapacity{
+			f.parts.loop.Post(domain.CentreCapacity{
 				DataCentre: spec.DataCentre(b.DataCentre), Model: spec.ModelName(b.Model),
 				Instance: spec.InstanceID(item.Origin), FreeRate: b.Free,
 			})
--- a/internal/app/daemon/build.go
+++ b/internal/app/daemon/build.go
@@ -11,8 +11,8 @@
 	"fulmarwick/internal/app/spans"
 	"fulmarwick/internal/base/spec"
 	"fulmarwick/internal/route/core"
+	"fulmarwick/internal/route/domain"
 	"fulmarwick/internal/route/place"
-	"fulmarwick/internal/route/world"
 	"fulmarwick/internal/state/config"
 	"fulmarwick/internal/state/ledger"
 	"fulmarwick/internal/state/store"
@@ -183,7 +183,7 @@
 func (d *Daemon) adopt(s *config.Snapshot) {
 	p := &d.parts
 	p.board.Keep(s.Classes())
-	p.loop.Post(world.ConfigChanged{Version: s.Version(), Classes: s.Classes(), Teams: s.Teams()})
+	p.loop.Post(domain.ConfigChanged{Version: s.Version(), Classes: s.Classes(), Teams: s.Teams()})
 	d.Log.Info("config: in force", zap.Uint64("version", s.Version()))
 	select {
 	case p.changed <- struct{}{}:
--- a/internal/app/daemon/duties.go
+++ b/internal/app/daemon/duties.go
@@ -10,7 +10,7 @@
 	"fulmarwick/internal/base/news"
 	"fulmarwick/internal/base/spec"
 	"fulmarwick/internal/fleet/node"
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 	"fulmarwick/internal/state/lease"
 	"fulmarwick/internal/state/ledger"
 	"fulmarwick/internal/state/order"
@@ -39,7 +39,7 @@
 	over    bool
 	running map[string]context.CancelFunc
 	group   sync.WaitGroup
-	places  []world.LoadLayers
+	places  []domain.LoadLayers
 }
 
 func (d *Daemon) newDuties() *duties {
@@ -123,12 +123,12 @@
 		if !held {
 			adopted = 0
 		}
-		u.parts.loop.Post(world.Duties{PlansPlacement: held && adopted != 0})
+		u.parts.loop.Post(domain.Duties{PlansPlacement: held && adopted != 0})
 		if held {
 			adopted = u.orderRound(ctx, adopted)
 		}
 	})
-	u.parts.loop.Post(world.Duties{})
+	u.parts.loop.Post(domain.Duties{})
 }
 
 // orderRound takes over what former holders wished, then sends what is due.
@@ -153,13 +153,13 @@
 }
 
 // place queues a wish of the planner.
-func (u *duties) place(p world.LoadLayers) {
+func (u *duties) place(p domain.LoadLayers) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.places = append(u.places, p)
 }
 
-func (u *duties) taken() []world.LoadLayers {
+func (u *duties) taken() []domain.LoadLayers {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	out := u.places
@@ -202,7 +202,7 @@
 	return d.Settings.Fenced[d.parts.tap.kind(id)]
 }
 
-func holdFrames(holds []world.LoadedRange) []frame.Hold {
+func holdFrames(holds []domain.LoadedRange) []frame.Hold {
 	out := make([]frame.Hold, 0, len(holds))
 	for _, h := range holds {
 		out = append(out, frame.Hold{
--- a/internal/app/daemon/fleet.go
+++ b/internal/app/daemon/fleet.go
@@ -9,7 +9,7 @@
 
 	"fulmarwick/internal/base/spec"
 	"fulmarwick/internal/fleet/node"
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 	"fulmarwick/internal/wire/peer"
 
 	"github.com/cespare/xxhash/v2"
@@ -104,11 +104,11 @@
 	case node.Deliver:
 		f.deliver(c.Item)
 	case node.PeerEngineLoad:
-		loop.Post(world.PeerLoad{Engine: c.Engine, Active: c.Active, LayerTokenRate: c.Tokens})
+		loop.Post(domain.PeerLoad{Engine: c.Engine, Active: c.Active, LayerTokenRate: c.Tokens})
 	case node.TeamUsage:
-		loop.Post(world.TeamUsage{Team: c.Team, Rate: c.Rate})
+		loop.Post(domain.TeamUsage{Team: c.Team, Rate: c.Rate})
 	case node.ExpirePeer:
-		loop.Post(world.PeerRemoved{Peer: c.Peer})
+		loop.Post(domain.PeerRemoved{Peer: c.Peer})
 	case node.Members:
 		f.met(c.Peers)
 	case node.Watch:
--- a/internal/app/daemon/forward.go
+++ b/internal/app/daemon/forward.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 	"fulmarwick/internal/wire/chain"
 	"fulmarwick/internal/wire/entry"
 	"fulmarwick/internal/wire/peer"
@@ -48,7 +48,7 @@
 		// An instance that died counts as live for seconds yet. Without this
 		// all tries would go to it, and the answer be cut; one that lives
 		// tells its room again.
-		m.parts.loop.Post(world.PeerRemoved{Peer: to})
+		m.parts.loop.Post(domain.PeerRemoved{Peer: to})
 		m.Log.Info("forward: request comes back", zap.String("request", string(job.Arrived.Request)), zap.Error(err))
 		job.Arrived.ReceivedTokens = max(job.Arrived.ReceivedTokens, given.count)
 	}
@@ -108,7 +108,7 @@
 
 // refusalOf turns the other instance's refusal into what this one would give.
 func refusalOf(f peer.Fault) error {
-	for r := world.ReasonOverload; r <= world.ReasonNotReady; r++ {
+	for r := domain.ReasonOverload; r <= domain.ReasonNotReady; r++ {
 		if r.String() == f.Code {
 			return &chain.RefusedError{
 				Reason: r, After: time.Duration(f.After) * time.Millisecond, Ran: f.Ran != string(entry.RanNo),
@@ -125,7 +125,7 @@
 
 // ServeForwarded brings the answer to the other instance.
 func (s *server) ServeForwarded(ctx context.Context, _ spec.InstanceID, job peer.Job, sink func(peer.Token) error) (peer.End, error) {
-	arrived := world.RequestArrived{
+	arrived := domain.RequestArrived{
 		Request: job.Request, Team: job.Team, Class: job.Class, Model: job.Model, PromptTokens: job.Prompt,
 		MaxTokens: job.Limit, BlockHashes: job.Blocks, Fingerprint: job.Print, Hops: job.Hops,
 	}
--- a/internal/app/daemon/members.go
+++ b/internal/app/daemon/members.go
@@ -8,7 +8,7 @@
 	"fulmarwick/internal/base/frame"
 	"fulmarwick/internal/base/spec"
 	"fulmarwick/internal/fleet/node"
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 	"fulmarwick/internal/state/store"
 	"fulmarwick/internal/wire/admin"
 )
@@ -42,7 +42,7 @@
 	}
 	f.mu.Unlock()
 	f.parts.budget.SetInstances(1 + len(peers))
-	f.parts.loop.Post(world.PeersChanged{Peers: f.near(peers)})
+	f.parts.loop.Post(domain.PeersChanged{Peers: f.near(peers)})
 }
 
 // gone reports whether an instance is out of the members for so long that it
--- a/internal/app/daemon/status.go
+++ b/internal/app/daemon/status.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"fulmarwick/internal/app/meters"
+	"fulmarwick/internal/route/domain"
 	"fulmarwick/internal/route/place"
-	"fulmarwick/internal/route/world"
 	"fulmarwick/internal/wire/admin"
 )
 
@@ -33,7 +33,7 @@
 		}
 		for _, e := range p.logic.State().Engines().Rows() {
 			out.Engines = append(out.Engines, engineStatus(e))
-			if e.State() == world.StateLeaving {
+			if e.State() == domain.StateLeaving {
 				out.Leaving = append(out.Leaving, string(e.ID))
 			}
 		}
@@ -74,7 +74,7 @@
 
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-func engineStatus(e *world.Engine) admin.Engine {
+func engineStatus(e *domain.Engine) admin.Engine {
 	layers := make([]string, 0, len(e.Loaded))
 	for _, h := range e.Loaded {
 		layers = append(layers, string(h.Model)+":"+h.Layers.String())
--- a/internal/app/daemon/tap.go
+++ b/internal/app/daemon/tap.go
@@ -7,7 +7,7 @@
 
 	"fulmarwick/internal/base/frame"
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 	"fulmarwick/internal/wire/engine"
 )
 
@@ -20,14 +20,14 @@
 }
 
 // Post passes an event on.
-func (t *tap) Post(ev world.Event) {
+func (t *tap) Post(ev domain.Event) {
 	switch ev := ev.(type) {
-	case world.EngineReport:
+	case domain.EngineReport:
 		t.seen(ev.Engine)
-	case world.EngineDead:
+	case domain.EngineDead:
 		t.parts.duties.orders.RemoveReport(ev.Engine)
 		t.parts.pool.Break(ev.Engine)
-	case world.EngineRemoved:
+	case domain.EngineRemoved:
 		t.parts.duties.orders.RemoveReport(ev.Engine)
 		t.parts.pool.Forget(ev.Engine)
 		t.mu.Lock()
@@ -37,7 +37,7 @@
 	t.parts.loop.Post(ev)
 }
 
-func (t *tap) seen(e world.Engine) {
+func (t *tap) seen(e domain.Engine) {
 	t.mu.Lock()
 	if t.kinds == nil {
 		t.kinds = map[spec.UpstreamID]string{}
--- a/internal/fakes/bench/ends.go
+++ b/internal/fakes/bench/ends.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 )
 
 // watch loses the stage of the running step unless it ends in time.
@@ -29,11 +29,11 @@
 		return
 	}
 	r.site.timeouts++
-	r.lose(r.step.stage, world.CauseTimeout)
+	r.lose(r.step.stage, domain.CauseTimeout)
 }
 
 // lose gives up a stage and asks for a decision.
-func (r *run) lose(s *stage, cause world.Cause) {
+func (r *run) lose(s *stage, cause domain.Cause) {
 	if r.waiting || r.outcome != OutcomeOpen {
 		return
 	}
@@ -44,7 +44,7 @@
 	if r.hurt > 0 && r.found == 0 {
 		r.found = r.site.clock.now - r.hurt
 	}
-	r.on.post(world.StageLost{Request: r.ask.Request, Attempt: r.attempt, Engine: s.is.Engine(), Cause: cause, Tokens: r.tokens})
+	r.on.post(domain.StageLost{Request: r.ask.Request, Attempt: r.attempt, Engine: s.is.Engine(), Cause: cause, Tokens: r.tokens})
 }
 
 func (r *run) end(o Outcome) {
@@ -57,7 +57,7 @@
 	if o != OutcomeDone {
 		return
 	}
-	r.on.post(world.RequestFinished{
+	r.on.post(domain.RequestFinished{
 		Request: r.ask.Request, Tokens: r.tokens, FirstToken: r.first, LongestGap: r.longest,
 		TotalTime: r.ended - r.came, OK: true,
 	})
--- a/internal/fakes/bench/engine.go
+++ b/internal/fakes/bench/engine.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 )
 
 // step is a piece of work on an engine: some tokens through some layers.
@@ -50,7 +50,7 @@
 // engine runs steps in slots, tighter priorities first.
 type engine struct {
 	site *Site
-	row  world.Engine
+	row  domain.Engine
 	// hop is the true time of one hop now.
 	hop     time.Duration
 	busy    int
@@ -146,7 +146,7 @@
 }
 
 // report is what the engine tells of itself now.
-func (e *engine) report() world.Engine {
+func (e *engine) report() domain.Engine {
 	e.row.Seq++
 	out := e.row
 	out.Active, out.Queued, out.KVUsed = e.busy, len(e.wait), e.kv
--- a/internal/fakes/bench/hedge.go
+++ b/internal/fakes/bench/hedge.go
@@ -1,6 +1,6 @@
 package bench
 
-import "fulmarwick/internal/route/world"
+import "fulmarwick/internal/route/domain"
 
 // hedge starts a second run of a request that has no token yet, as a client or
 // router would that hopes for a faster chain.
@@ -28,5 +28,5 @@
 		o.step.canceled = true
 	}
 	o.end(OutcomeHedged)
-	o.on.post(world.RequestCanceled{Request: o.ask.Request})
+	o.on.post(domain.RequestCanceled{Request: o.ask.Request})
 }
--- a/internal/fakes/bench/instance.go
+++ b/internal/fakes/bench/instance.go
@@ -3,7 +3,7 @@
 import (
 	"fulmarwick/internal/base/spec"
 	"fulmarwick/internal/route/core"
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 )
 
 // instance is one router.
@@ -11,14 +11,14 @@
 	site    *Site
 	id      spec.InstanceID
 	logic   *core.Logic
-	inbox   []world.Event
+	inbox   []domain.Event
 	waking  bool
 	waits   map[spec.RequestID]*run
 	Refused int
 }
 
 // post queues an event and wakes the logic.
-func (i *instance) post(ev world.Event) {
+func (i *instance) post(ev domain.Event) {
 	i.inbox = append(i.inbox, ev)
 	if i.waking {
 		return
@@ -38,11 +38,11 @@
 	}
 }
 
-func (i *instance) obey(c world.Command) {
+func (i *instance) obey(c domain.Command) {
 	switch c := c.(type) {
-	case world.Start:
+	case domain.Start:
 		i.waits[c.Request].take(c)
-	case world.Refuse:
+	case domain.Refuse:
 		r := i.waits[c.Request]
 		r.reason = c.Reason
 		if r.twin != nil && r.twin.outcome == OutcomeOpen {
@@ -54,19 +54,19 @@
 		} else {
 			r.end(OutcomeRefused)
 		}
-	case world.Forward:
+	case domain.Forward:
 		i.waits[c.Request].end(OutcomeForwarded)
-	case world.LocalLoad:
-		i.tell(world.PeerLoad{Peer: i.id, Engine: c.Engine, Active: c.Active, LayerTokenRate: c.LayerTokenRate})
-	case world.LocalTeamUsage:
+	case domain.LocalLoad:
+		i.tell(domain.PeerLoad{Peer: i.id, Engine: c.Engine, Active: c.Active, LayerTokenRate: c.LayerTokenRate})
+	case domain.LocalTeamUsage:
 		i.site.rate(c, i.id)
-	case world.ReportSuspect:
-		i.tell(world.SuspectReported(c))
+	case domain.ReportSuspect:
+		i.tell(domain.SuspectReported(c))
 	}
 }
 
 // tell hands a message to the other instances, late.
-func (i *instance) tell(ev world.Event) {
+func (i *instance) tell(ev domain.Event) {
 	i.site.clock.after(peerLag, func() {
 		for _, o := range i.site.instances {
 			if o != i {
--- a/internal/fakes/bench/layout.go
+++ b/internal/fakes/bench/layout.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 )
 
 // Model is the model of all layouts.
@@ -13,7 +13,7 @@
 
 // Layout is a set of engines with what they hold.
 type Layout struct {
-	Engines []world.Engine
+	Engines []domain.Engine
 	Depth   int
 	// Blocks is how many prompt blocks an engine caches.
 	Blocks int
@@ -48,15 +48,15 @@
 	return l
 }
 
-func row(i int, k kind, depth int, layers spec.Layers) world.Engine {
+func row(i int, k kind, depth int, layers spec.Layers) domain.Engine {
 	bps := int64(fastBps)
 	if k.hop > time.Millisecond {
 		bps = slowBps
 	}
-	return world.Engine{
+	return domain.Engine{
 		ID: spec.UpstreamID(fmt.Sprintf("%s-%03d", k.name, i)), Kind: k.name, DataCentre: "dc",
 		LayerTime: k.layer, Slots: slots, LayerCapacity: layers.Len(), KVCapacity: kvRoom, ReportedHopTime: k.hop, Bandwidth: bps,
-		Loaded: []world.LoadedRange{{Model: Model, Version: "1", Depth: depth, Layers: layers, Width: width}},
+		Loaded: []domain.LoadedRange{{Model: Model, Version: "1", Depth: depth, Layers: layers, Width: width}},
 	}
 }
 
--- a/internal/fakes/bench/load.go
+++ b/internal/fakes/bench/load.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"fulmarwick/internal/base/spec"
+	"fulmarwick/internal/route/domain"
 	"fulmarwick/internal/route/pick"
-	"fulmarwick/internal/route/world"
 )
 
 // Load is what callers ask for.
@@ -161,7 +161,7 @@
 	prompt := l.Prompt/2 + s.rand.IntN(l.Prompt)
 	out := l.Out/2 + s.rand.IntN(l.Out)
 	r := &run{site: s, on: on, target: l.Target, out: out, came: s.clock.now}
-	r.ask = world.RequestArrived{
+	r.ask = domain.RequestArrived{
 		Request: spec.RequestID(fmt.Sprintf("r-%06d", n)), Team: teamID(team), Class: ClassName,
 		Model: Model, PromptTokens: prompt, MaxTokens: l.Out * 3 / 2 * limitTimes,
 		Fingerprint: uint64(1_000_000 + n),
--- a/internal/fakes/bench/prefix.go
+++ b/internal/fakes/bench/prefix.go
@@ -3,7 +3,7 @@
 import (
 	"container/list"
 
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 )
 
 // prefix is the prefix cache of an engine: blocks, the one used longest ago
@@ -54,9 +54,9 @@
 
 // news are the cache events since the last call; whole makes them the whole
 // content.
-func (p *prefix) news(e *engine, whole bool) world.CacheReport {
+func (p *prefix) news(e *engine, whole bool) domain.CacheReport {
 	p.seq++
-	ev := world.CacheReport{Engine: e.row.ID, Seq: p.seq, Added: p.added, Removed: p.gone, Reset: whole}
+	ev := domain.CacheReport{Engine: e.row.ID, Seq: p.seq, Added: p.added, Removed: p.gone, Reset: whole}
 	p.added, p.gone = nil, nil
 	if whole {
 		ev.Added, ev.Removed = nil, nil
--- a/internal/fakes/bench/result.go
+++ b/internal/fakes/bench/result.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 )
 
 // Result is the figures of a run, for what came after the warm-up.
@@ -33,7 +33,7 @@
 	Found                          time.Duration
 	Kills                          int
 	Timeouts                       int
-	Reasons                        map[world.Reason]int
+	Reasons                        map[domain.Reason]int
 	// MissFirst and MissGap count answers that missed that part of the target.
 	MissFirst, MissGap int
 	// Use is per kind of accelerator the part of its slots' time that ran.
@@ -45,7 +45,7 @@
 func (s *Site) result() Result {
 	out := Result{
 		Kills: s.kills, Timeouts: s.timeouts, Hedges: s.hedges,
-		Teams: map[spec.TeamID]float64{}, Reasons: map[world.Reason]int{},
+		Teams: map[spec.TeamID]float64{}, Reasons: map[domain.Reason]int{},
 	}
 	came := map[spec.TeamID]float64{}
 	held := map[spec.TeamID]float64{}
--- a/internal/fakes/bench/run.go
+++ b/internal/fakes/bench/run.go
@@ -4,8 +4,8 @@
 	"time"
 
 	"fulmarwick/internal/base/spec"
+	"fulmarwick/internal/route/domain"
 	"fulmarwick/internal/route/pick"
-	"fulmarwick/internal/route/world"
 )
 
 // Outcome says how a request ended.
@@ -27,14 +27,14 @@
 type run struct {
 	site    *Site
 	on      *instance
-	ask     world.RequestArrived
+	ask     domain.RequestArrived
 	target  spec.Target
 	out     int
 	poison  bool
 	attempt uint32
 	stages  []*stage
 	step    *step
-	start   world.Start
+	start   domain.Start
 	tokens  int
 	came    time.Duration
 	first   time.Duration
@@ -45,7 +45,7 @@
 	dog     time.Duration
 	barking bool
 	outcome Outcome
-	reason  world.Reason
+	reason  domain.Reason
 	ended   time.Duration
 	hit     int
 	prefill int
@@ -59,7 +59,7 @@
 	found  time.Duration
 }
 
-func (r *run) take(c world.Start) {
+func (r *run) take(c domain.Start) {
 	if r.outcome != OutcomeOpen {
 		return
 	}
@@ -151,17 +151,17 @@
 	case e.dead && e.silent:
 		return
 	case e.dead && !s.opened:
-		r.lose(s, world.CauseRefused)
+		r.lose(s, domain.CauseRefused)
 		return
 	case s.lost():
-		r.lose(s, world.CauseBroken)
+		r.lose(s, domain.CauseBroken)
 		return
 	case e.leaving && !s.opened:
-		r.lose(s, world.CauseLeaving)
+		r.lose(s, domain.CauseLeaving)
 		return
 	}
 	if !s.opened && e.kv+r.ask.PromptTokens+r.ask.MaxTokens > e.row.KVCapacity {
-		r.lose(s, world.CauseLeaving)
+		r.lose(s, domain.CauseLeaving)
 		return
 	}
 	if !s.opened {
@@ -215,7 +215,7 @@
 		r.healed = now - r.hurt
 	}
 	if r.attempt > 1 && r.tokens == r.progressed()+1 {
-		r.on.post(world.RequestProgress{Request: r.ask.Request, Tokens: r.tokens})
+		r.on.post(domain.RequestProgress{Request: r.ask.Request, Tokens: r.tokens})
 	}
 	if r.tokens >= r.out {
 		r.end(OutcomeDone)
--- a/internal/fakes/bench/site.go
+++ b/internal/fakes/bench/site.go
@@ -7,7 +7,7 @@
 
 	"fulmarwick/internal/base/spec"
 	"fulmarwick/internal/route/core"
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 )
 
 const (
@@ -67,7 +67,7 @@
 	Do func(s *Site)
 }
 
-func (s *Site) rate(c world.LocalTeamUsage, from spec.InstanceID) {
+func (s *Site) rate(c domain.LocalTeamUsage, from spec.InstanceID) {
 	if s.rates[c.Team] == nil {
 		s.rates[c.Team] = map[spec.InstanceID]float64{}
 	}
@@ -78,7 +78,7 @@
 	}
 	s.clock.after(rateEvery, func() {
 		for _, i := range s.instances {
-			i.post(world.TeamUsage{Team: c.Team, Rate: sum})
+			i.post(domain.TeamUsage{Team: c.Team, Rate: sum})
 		}
 	})
 }
@@ -128,7 +128,7 @@
 	logic.Seed = s.Seed*1000 + uint64(n)
 	i := &instance{site: s, id: id, logic: logic, waits: map[spec.RequestID]*run{}}
 	s.instances = append(s.instances, i)
-	i.post(world.ConfigChanged{Version: 1, Classes: s.Load.classes(), Teams: s.Load.teams()})
+	i.post(domain.ConfigChanged{Version: 1, Classes: s.Load.classes(), Teams: s.Load.teams()})
 	s.clock.every(tickEvery, func() bool {
 		i.tick()
 		return true
@@ -137,7 +137,7 @@
 
 // follow reports an engine to all instances, late, until it is silent.
 func (s *Site) follow(e *engine) {
-	s.tellAll(world.EngineReport{Engine: e.report()})
+	s.tellAll(domain.EngineReport{Engine: e.report()})
 	phase := time.Duration(s.noise.Int64N(int64(reportEvery)))
 	var deadFor time.Duration
 	s.clock.after(phase, func() {
@@ -155,14 +155,14 @@
 func (s *Site) watch(e *engine, deadFor time.Duration) time.Duration {
 	if e.dead {
 		if deadFor < downAfter && deadFor+reportEvery >= downAfter {
-			s.tellAll(world.EngineDead{Engine: e.row.ID})
+			s.tellAll(domain.EngineDead{Engine: e.row.ID})
 		}
 		return deadFor + reportEvery
 	}
-	ev := world.EngineReport{Engine: e.report()}
+	ev := domain.EngineReport{Engine: e.report()}
 	s.clock.after(reportLag, func() { s.tellAll(ev) })
 	if e.hop != e.row.ReportedHopTime {
-		s.tellAll(world.HopMeasured{Engine: e.row.ID, P50: e.hop, P99: e.hop, Count: 1})
+		s.tellAll(domain.HopMeasured{Engine: e.row.ID, P50: e.hop, P99: e.hop, Count: 1})
 	}
 	return 0
 }
@@ -184,10 +184,10 @@
 
 // leave tells the signal of a leaving engine to all.
 func (s *Site) leave(e *engine) {
-	s.clock.after(peerLag, func() { s.tellAll(world.EngineLeaving{Engine: e.row.ID}) })
+	s.clock.after(peerLag, func() { s.tellAll(domain.EngineLeaving{Engine: e.row.ID}) })
 }
 
-func (s *Site) tellAll(ev world.Event) {
+func (s *Site) tellAll(ev domain.Event) {
 	for _, i := range s.instances {
 		i.post(ev)
 	}
@@ -205,7 +205,7 @@
 			}
 			s.hit(r)
 			if !e.silent && r.step != nil && r.step.stage == st && st.opened && !r.waiting {
-				s.clock.after(time.Millisecond, func() { r.lose(st, world.CauseBroken) })
+				s.clock.after(time.Millisecond, func() { r.lose(st, domain.CauseBroken) })
 			}
 		}
 	}
--- a/internal/fleet/gossip/delta.go
+++ b/internal/fleet/gossip/delta.go
@@ -5,16 +5,16 @@
 
 	"fulmarwick/internal/base/news"
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/fleet/talk"
+	"fulmarwick/internal/fleet/proto"
 )
 
 // Digest returns the marks of all streams of at most the given scope that
 // have items. Streams without any have nothing to give, so they cost nothing.
-func (s *Store) Digest(least news.Scope) []talk.Watermark {
-	var out []talk.Watermark
+func (s *Store) Digest(least news.Scope) []proto.Watermark {
+	var out []proto.Watermark
 	for _, st := range s.streams {
 		if st.key.scope >= least && len(st.items) > 0 && !st.hashCollision {
-			out = append(out, talk.Watermark{StreamHash: st.hash, Stamp: st.watermark})
+			out = append(out, proto.Watermark{StreamHash: st.hash, Stamp: st.watermark})
 		}
 	}
 	return out
@@ -23,18 +23,18 @@
 // Wants returns the own marks of the streams in which the sender of marks is
 // ahead. A mark of an own stream that is ahead shows that this instance spoke
 // before under the same birth; its stream goes on after that mark.
-func (s *Store) Wants(marks []talk.Watermark) []talk.Watermark {
-	var out []talk.Watermark
+func (s *Store) Wants(marks []proto.Watermark) []proto.Watermark {
+	var out []proto.Watermark
 	for _, m := range marks {
 		st := s.byHash[m.StreamHash]
 		switch {
 		case st == nil:
-			out = append(out, talk.Watermark{StreamHash: m.StreamHash})
+			out = append(out, proto.Watermark{StreamHash: m.StreamHash})
 		case st.hashCollision || st.watermark >= m.Stamp:
 		case st.key.origin == s.LocalID:
 			s.restampAfter(st, m.Stamp)
 		default:
-			out = append(out, talk.Watermark{StreamHash: m.StreamHash, Stamp: st.watermark})
+			out = append(out, proto.Watermark{StreamHash: m.StreamHash, Stamp: st.watermark})
 		}
 	}
 	return out
@@ -55,12 +55,12 @@
 // One item goes in order even if it is larger than the limit, or it would hold
 // up its stream for good. Start says at which stream to begin, so that a small
 // limit serves all in turn.
-func (s *Store) Delta(now time.Duration, least news.Scope, marks []talk.Watermark, limit, start int) ([]talk.Block, bool) {
+func (s *Store) Delta(now time.Duration, least news.Scope, marks []proto.Watermark, limit, start int) ([]proto.Block, bool) {
 	return s.buildDelta(now, limit, start, watermarksByStream(marks), func(st *stream) bool { return st.key.scope >= least })
 }
 
 // DeltaSince returns what comes after the marks wanted, like Delta.
-func (s *Store) DeltaSince(now time.Duration, wants []talk.Watermark, limit, start int) ([]talk.Block, bool) {
+func (s *Store) DeltaSince(now time.Duration, wants []proto.Watermark, limit, start int) ([]proto.Block, bool) {
 	known := watermarksByStream(wants)
 	return s.buildDelta(now, limit, start, known, func(st *stream) bool {
 		_, ok := known[st.hash]
@@ -68,7 +68,7 @@
 	})
 }
 
-func watermarksByStream(marks []talk.Watermark) map[uint32]uint64 {
+func watermarksByStream(marks []proto.Watermark) map[uint32]uint64 {
 	out := make(map[uint32]uint64, len(marks))
 	for _, m := range marks {
 		out[m.StreamHash] = m.Stamp
@@ -76,7 +76,7 @@
 	return out
 }
 
-func (s *Store) buildDelta(now time.Duration, limit, start int, known map[uint32]uint64, want func(*stream) bool) ([]talk.Block, bool) {
+func (s *Store) buildDelta(now time.Duration, limit, start int, known map[uint32]uint64, want func(*stream) bool) ([]proto.Block, bool) {
 	w := &deltaWriter{now: now, limit: limit / 2, sentUrgent: map[*entry]bool{}}
 	lacks := make([]*stream, 0, len(s.streams))
 	for i := range s.streams {
@@ -101,7 +101,7 @@
 	now       time.Duration
 	limit     int
 	truncated bool
-	blocks    []talk.Block
+	blocks    []proto.Block
 	// sentUrgent are the urgent items that went out of turn; moved says that the
 	// part in order holds an item.
 	sentUrgent     map[*entry]bool
@@ -154,28 +154,28 @@
 
 func (w *deltaWriter) fits(e *entry) bool { return w.limit >= itemBytes(&e.item) }
 
-func (w *deltaWriter) add(b *talk.Block, e *entry) {
+func (w *deltaWriter) add(b *proto.Block, e *entry) {
 	entry := e.toWire(w.now)
 	w.limit -= entry.Bytes()
 	b.Items = append(b.Items, entry)
 }
 
 // PushBlock returns a block that carries one item out of turn.
-func (s *Store) PushBlock(now time.Duration, item news.Item) (talk.Block, bool) {
+func (s *Store) PushBlock(now time.Duration, item news.Item) (proto.Block, bool) {
 	e := s.latest[itemKey{kind: item.Kind, origin: spec.InstanceID(item.Origin), key: item.Key}]
 	if e == nil || e.item.Stamp != item.Stamp {
-		return talk.Block{}, false
+		return proto.Block{}, false
 	}
 	b := e.stream.newBlock()
-	b.Items = []talk.Entry{e.toWire(now)}
+	b.Items = []proto.Entry{e.toWire(now)}
 	return b, true
 }
 
-func (st *stream) newBlock() talk.Block {
-	return talk.Block{Origin: st.key.origin, StartTime: st.key.startTime, Scope: st.key.scope}
+func (st *stream) newBlock() proto.Block {
+	return proto.Block{Origin: st.key.origin, StartTime: st.key.startTime, Scope: st.key.scope}
 }
 
-func (e *entry) toWire(now time.Duration) talk.Entry {
+func (e *entry) toWire(now time.Duration) proto.Entry {
 	left := max(1, (e.expiresAt - now).Milliseconds())
-	return talk.Entry{Kind: e.item.Kind, Key: e.item.Key, Stamp: e.item.Stamp, TTLMs: left, Body: e.item.Body}
+	return proto.Entry{Kind: e.item.Kind, Key: e.item.Key, Stamp: e.item.Stamp, TTLMs: left, Body: e.item.Body}
 }
--- a/internal/fleet/gossip/store.go
+++ b/internal/fleet/gossip/store.go
@@ -5,7 +5,7 @@
 // an instance has it. A superseded item leaves its stream, so what is sent is
 // bounded by what counts now and not by what happened.
 //
-// It imports base/news, base/spec and fleet/talk. Package node feeds it.
+// It imports base/news, base/spec and fleet/proto. Package node feeds it.
 package gossip
 
 import (
@@ -15,7 +15,7 @@
 
 	"fulmarwick/internal/base/news"
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/fleet/talk"
+	"fulmarwick/internal/fleet/proto"
 )
 
 // Bounds of the store.
@@ -130,7 +130,7 @@
 }
 
 // ApplyBlock puts in the items of a block and returns those that are new here.
-func (s *Store) ApplyBlock(now time.Duration, b *talk.Block) []news.Item {
+func (s *Store) ApplyBlock(now time.Duration, b *proto.Block) []news.Item {
 	if b.Origin == s.LocalID {
 		return nil
 	}
--- a/internal/fleet/gossip/store_test.go
+++ b/internal/fleet/gossip/store_test.go
@@ -8,7 +8,7 @@
 	"fulmarwick/internal/base/news"
 	"fulmarwick/internal/base/spec"
 	"fulmarwick/internal/fleet/gossip"
-	"fulmarwick/internal/fleet/talk"
+	"fulmarwick/internal/fleet/proto"
 
 	"pgregory.net/rapid"
 )
@@ -97,7 +97,7 @@
 func TestOneOriginCannotFillTheStore(t *testing.T) {
 	s := newStore("b")
 	for i := range 5000 {
-		s.ApplyBlock(0, &talk.Block{Origin: "a", StartTime: 1, Items: []talk.Entry{
+		s.ApplyBlock(0, &proto.Block{Origin: "a", StartTime: 1, Items: []proto.Entry{
 			{Kind: news.KindLevel, Key: fmt.Sprint(i), Stamp: uint64(i + 1), TTLMs: 1000, Body: make([]byte, 100)},
 		}})
 	}
--- a/internal/fleet/gossip/stream.go
+++ b/internal/fleet/gossip/stream.go
@@ -7,7 +7,7 @@
 
 	"fulmarwick/internal/base/news"
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/fleet/talk"
+	"fulmarwick/internal/fleet/proto"
 )
 
 const sweepInterval = 100 * time.Millisecond
@@ -17,7 +17,7 @@
 	if st := s.index[k]; st != nil {
 		return st
 	}
-	st := &stream{key: k, hash: talk.StreamHash(k.origin, k.startTime, k.scope)}
+	st := &stream{key: k, hash: proto.StreamHash(k.origin, k.startTime, k.scope)}
 	at, _ := slices.BinarySearchFunc(s.streams, k, func(st *stream, k streamKey) int { return compareStreamKeys(st.key, k) })
 	s.streams = slices.Insert(s.streams, at, st)
 	s.index[k] = st
--- a/internal/fleet/member/ring.go
+++ b/internal/fleet/member/ring.go
@@ -5,8 +5,8 @@
 	"slices"
 
 	"fulmarwick/internal/base/spec"
+	"fulmarwick/internal/fleet/proto"
 	"fulmarwick/internal/fleet/rank"
-	"fulmarwick/internal/fleet/talk"
 )
 
 // RingCount is how many instances each one watches, and by how many each is
@@ -18,7 +18,7 @@
 // The rings make a graph in which news reach all in a few steps and no
 // instance has more than a handful of connections.
 func (t *Table) Neighbours() []spec.InstanceID {
-	ids := t.LiveMembers(func(r talk.Record) bool {
+	ids := t.LiveMembers(func(r proto.Record) bool {
 		return r.DataCentre == t.Local.DataCentre && r.ID != t.Local.ID
 	})
 	if len(ids) <= RingCount {
@@ -51,7 +51,7 @@
 }
 
 // LiveMembers returns the live instances that f accepts, in order of ID.
-func (t *Table) LiveMembers(f func(talk.Record) bool) []spec.InstanceID {
+func (t *Table) LiveMembers(f func(proto.Record) bool) []spec.InstanceID {
 	var out []spec.InstanceID
 	for _, r := range t.rows {
 		if isLive(&r.record) && f(r.record) {
--- a/internal/fleet/member/sums.go
+++ b/internal/fleet/member/sums.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/fleet/talk"
+	"fulmarwick/internal/fleet/proto"
 
 	"github.com/cespare/xxhash/v2"
 )
@@ -21,7 +21,7 @@
 
 // recordChecksum is the part of a record in its bucket's checksum. The dead have none, so
 // that instances which forgot them at different times do not differ.
-func recordChecksum(r *talk.Record) uint32 {
+func recordChecksum(r *proto.Record) uint32 {
 	if !isLive(r) {
 		return 0
 	}
@@ -41,7 +41,7 @@
 // sums, as many whole buckets as fit into limit bytes but at least one. Whole
 // is false if some did not fit. Start says at which bucket to begin: records
 // that are sent again and again must not keep out the rest.
-func (t *Table) DifferingRecords(sums []byte, limit, start int) (out []talk.Record, whole bool) {
+func (t *Table) DifferingRecords(sums []byte, limit, start int) (out []proto.Record, whole bool) {
 	if len(sums) != ChecksumBuckets*checksumBytes {
 		return nil, true
 	}
--- a/internal/fleet/member/suspect.go
+++ b/internal/fleet/member/suspect.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/fleet/talk"
+	"fulmarwick/internal/fleet/proto"
 )
 
 // Suspect notes that id did not answer. The suspicion spreads, and id is dead
@@ -16,7 +16,7 @@
 		return
 	}
 	rec := r.record
-	rec.State = talk.StateSuspect
+	rec.State = proto.StateSuspect
 	rec.SuspectedBy = t.Local.ID
 	t.ApplyRecord(now, rec)
 }
@@ -29,7 +29,7 @@
 			continue
 		}
 		rec := r.record
-		rec.State = talk.StateDead
+		rec.State = proto.StateDead
 		rec.SuspectedBy = ""
 		t.replace(r, rec)
 	}
@@ -48,7 +48,7 @@
 func (t *Table) updateSuspicion(r *row) {
 	t.suspects = slices.DeleteFunc(t.suspects, func(w *row) bool { return w == r })
 	r.suspectedBy = nil
-	if r.record.State != talk.StateSuspect {
+	if r.record.State != proto.StateSuspect {
 		return
 	}
 	r.suspectedBy = []spec.InstanceID{r.record.SuspectedBy}
@@ -58,7 +58,7 @@
 
 // confirmSuspicion counts another instance that suspects the same incarnation. Each
 // one shortens the time, since one bad link alone does not suspect twice.
-func (t *Table) confirmSuspicion(r *row, rec talk.Record) bool {
+func (t *Table) confirmSuspicion(r *row, rec proto.Record) bool {
 	if slices.Contains(r.suspectedBy, rec.SuspectedBy) || len(r.suspectedBy) > MaxConfirmations {
 		return false
 	}
--- a/internal/fleet/member/table.go
+++ b/internal/fleet/member/table.go
@@ -4,7 +4,7 @@
 // Phillips and Currey, DSN-W 2018). The instances that watch each other are
 // neighbours on several hash rings, as in Rapid (Suresh et al., ATC 2018).
 //
-// It imports base/spec, fleet/rank and fleet/talk. Package node feeds it.
+// It imports base/spec, fleet/rank and fleet/proto. Package node feeds it.
 package member
 
 import (
@@ -13,7 +13,7 @@
 	"time"
 
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/fleet/talk"
+	"fulmarwick/internal/fleet/proto"
 )
 
 // Times and bounds of the table.
@@ -36,7 +36,7 @@
 type Change struct {
 	ID spec.InstanceID
 	// OldState and Is are the states; Was is StateLeft for one that is new.
-	OldState, NewState talk.State
+	OldState, NewState proto.State
 	// Restarted says that the instance restarted.
 	Restarted bool
 }
@@ -45,14 +45,14 @@
 // then call Init.
 type Table struct {
 	// Local is the own record. Only the table writes it after Init.
-	Local talk.Record
+	Local proto.Record
 
 	now       time.Duration
 	rows      []*row
 	index     map[spec.InstanceID]*row
 	checksums [ChecksumBuckets]uint32
 	changes   []Change
-	updates   []talk.Record
+	updates   []proto.Record
 	version   uint64
 	// suspects are the rows under suspicion, to find timeouts without a scan.
 	suspects []*row
@@ -60,7 +60,7 @@
 }
 
 type row struct {
-	record      talk.Record
+	record      proto.Record
 	suspectedBy []spec.InstanceID
 	changedAt   time.Duration
 	// deadAt is when a suspect counts as dead.
@@ -78,10 +78,10 @@
 func (t *Table) Version() uint64 { return t.version }
 
 // Get returns what is held true of id.
-func (t *Table) Get(id spec.InstanceID) (talk.Record, bool) {
+func (t *Table) Get(id spec.InstanceID) (proto.Record, bool) {
 	r := t.index[id]
 	if r == nil {
-		return talk.Record{}, false
+		return proto.Record{}, false
 	}
 	return r.record, true
 }
@@ -93,7 +93,7 @@
 }
 
 // Each calls f for every record in order of ID.
-func (t *Table) Each(f func(talk.Record)) {
+func (t *Table) Each(f func(proto.Record)) {
 	for _, r := range t.rows {
 		f(r.record)
 	}
@@ -110,7 +110,7 @@
 }
 
 // TakeUpdates returns the records that others should hear of since the last call.
-func (t *Table) TakeUpdates() []talk.Record {
+func (t *Table) TakeUpdates() []proto.Record {
 	out := t.updates
 	t.updates = nil
 	return out
@@ -118,7 +118,7 @@
 
 // ApplyRecord takes a record heard from another instance. It reports whether it
 // told anything new.
-func (t *Table) ApplyRecord(now time.Duration, rec talk.Record) bool {
+func (t *Table) ApplyRecord(now time.Duration, rec proto.Record) bool {
 	t.now = now
 	if rec.ID == t.Local.ID {
 		return t.refute(rec)
@@ -138,7 +138,7 @@
 
 // refute answers a record of the own instance that is not its own: a
 // suspicion, a death, or one of a former self.
-func (t *Table) refute(rec talk.Record) bool {
+func (t *Table) refute(rec proto.Record) bool {
 	if !supersedes(&rec, &t.Local) {
 		return false
 	}
@@ -170,25 +170,25 @@
 
 // Leave ends the own membership; the own record says so from now on.
 func (t *Table) Leave() {
-	t.Local.State = talk.StateLeft
+	t.Local.State = proto.StateLeft
 	t.setRecord(t.index[t.Local.ID], t.Local)
 	t.updates = append(t.updates, t.Local)
 	t.version++
 }
 
-func (t *Table) add(rec talk.Record) bool {
+func (t *Table) add(rec proto.Record) bool {
 	// A dead one that was never known takes nothing away from here.
 	if len(t.rows) >= MaxMembers || !isLive(&rec) {
 		return false
 	}
 	r := t.insert(rec)
-	t.changes = append(t.changes, Change{ID: rec.ID, OldState: talk.StateLeft, NewState: rec.State})
+	t.changes = append(t.changes, Change{ID: rec.ID, OldState: proto.StateLeft, NewState: rec.State})
 	t.updates = append(t.updates, rec)
 	t.updateSuspicion(r)
 	return true
 }
 
-func (t *Table) insert(rec talk.Record) *row {
+func (t *Table) insert(rec proto.Record) *row {
 	r := &row{record: rec, changedAt: t.now}
 	at, _ := slices.BinarySearchFunc(t.rows, rec.ID, func(r *row, id spec.InstanceID) int {
 		return strings.Compare(string(r.record.ID), string(id))
@@ -200,7 +200,7 @@
 	return r
 }
 
-func (t *Table) replace(r *row, rec talk.Record) {
+func (t *Table) replace(r *row, rec proto.Record) {
 	t.changes = append(t.changes, Change{
 		ID: rec.ID, OldState: r.record.State, NewState: rec.State, Restarted: rec.StartTime != r.record.StartTime,
 	})
@@ -212,17 +212,17 @@
 	t.updateSuspicion(r)
 }
 
-func (t *Table) setRecord(r *row, rec talk.Record) {
+func (t *Table) setRecord(r *row, rec proto.Record) {
 	b := bucketOf(rec.ID)
 	t.checksums[b] ^= recordChecksum(&r.record) ^ recordChecksum(&rec)
 	r.record = rec
 	r.changedAt = t.now
 }
 
-func isLive(r *talk.Record) bool { return r.State <= talk.StateSuspect }
+func isLive(r *proto.Record) bool { return r.State <= proto.StateSuspect }
 
 // supersedes reports whether a counts over b.
-func supersedes(a, b *talk.Record) bool {
+func supersedes(a, b *proto.Record) bool {
 	if a.StartTime != b.StartTime {
 		return a.StartTime > b.StartTime
 	}
@@ -232,6 +232,6 @@
 	return a.State > b.State
 }
 
-func sameSuspicion(a, b *talk.Record) bool {
-	return a.State == talk.StateSuspect && b.State == talk.StateSuspect && a.StartTime == b.StartTime && a.Incarnation == b.Incarnation
+func sameSuspicion(a, b *proto.Record) bool {
+	return a.State == proto.StateSuspect && b.State == proto.StateSuspect && a.StartTime == b.StartTime && a.Incarnation == b.Incarnation
 }
--- a/internal/fleet/member/table_test.go
+++ b/internal/fleet/member/table_test.go
@@ -7,11 +7,11 @@
 
 	"fulmarwick/internal/base/spec"
 	"fulmarwick/internal/fleet/member"
-	"fulmarwick/internal/fleet/talk"
+	"fulmarwick/internal/fleet/proto"
 )
 
 func newTable(id spec.InstanceID) *member.Table {
-	t := &member.Table{Local: talk.Record{ID: id, DataCentre: "klang", StartTime: 5}}
+	t := &member.Table{Local: proto.Record{ID: id, DataCentre: "klang", StartTime: 5}}
 	t.Init()
 	return t
 }
@@ -22,7 +22,7 @@
 func TestLargeTablesConvergeInParts(t *testing.T) {
 	a, b := newTable("a"), newTable("b")
 	for i := range 360 {
-		a.ApplyRecord(0, talk.Record{ID: spec.InstanceID(fmt.Sprintf("i%03d", i)), DataCentre: "klang", URL: "https://10.0.0.1:7000"})
+		a.ApplyRecord(0, proto.Record{ID: spec.InstanceID(fmt.Sprintf("i%03d", i)), DataCentre: "klang", URL: "https://10.0.0.1:7000"})
 	}
 	for round := range 64 {
 		records, whole := a.DifferingRecords(b.Checksums(), 2000, round*7)
@@ -44,17 +44,17 @@
 func TestRecordsMergeByStartTimeIncarnationAndState(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		rec  talk.Record
-		want talk.State
+		rec  proto.Record
+		want proto.State
 	}{
-		{"same incarnation, suspect", talk.Record{StartTime: 5, Incarnation: 3, State: talk.StateSuspect}, talk.StateSuspect},
-		{"older incarnation, dead", talk.Record{StartTime: 5, Incarnation: 2, State: talk.StateDead}, talk.StateAlive},
-		{"same incarnation, dead", talk.Record{StartTime: 5, Incarnation: 3, State: talk.StateDead}, talk.StateDead},
-		{"older birth, left", talk.Record{StartTime: 4, Incarnation: 9, State: talk.StateLeft}, talk.StateAlive},
-		{"later birth", talk.Record{StartTime: 6, State: talk.StateAlive}, talk.StateAlive},
+		{"same incarnation, suspect", proto.Record{StartTime: 5, Incarnation: 3, State: proto.StateSuspect}, proto.StateSuspect},
+		{"older incarnation, dead", proto.Record{StartTime: 5, Incarnation: 2, State: proto.StateDead}, proto.StateAlive},
+		{"same incarnation, dead", proto.Record{StartTime: 5, Incarnation: 3, State: proto.StateDead}, proto.StateDead},
+		{"older birth, left", proto.Record{StartTime: 4, Incarnation: 9, State: proto.StateLeft}, proto.StateAlive},
+		{"later birth", proto.Record{StartTime: 6, State: proto.StateAlive}, proto.StateAlive},
 	} {
 		m := newTable("a")
-		m.ApplyRecord(0, talk.Record{ID: "x", DataCentre: "klang", StartTime: 5, Incarnation: 3})
+		m.ApplyRecord(0, proto.Record{ID: "x", DataCentre: "klang", StartTime: 5, Incarnation: 3})
 		c.rec.ID, c.rec.DataCentre = "x", "klang"
 		m.ApplyRecord(0, c.rec)
 		if got, _ := m.Get("x"); got.State != c.want {
@@ -67,11 +67,11 @@
 // birth lived: its clock went back. It speaks up so that all believe it.
 func TestLocalInstanceRefutes(t *testing.T) {
 	m := newTable("a")
-	m.ApplyRecord(0, talk.Record{ID: "a", StartTime: 5, Incarnation: 4, State: talk.StateDead})
-	if got := m.Local; got.Incarnation != 5 || got.State != talk.StateAlive {
+	m.ApplyRecord(0, proto.Record{ID: "a", StartTime: 5, Incarnation: 4, State: proto.StateDead})
+	if got := m.Local; got.Incarnation != 5 || got.State != proto.StateAlive {
 		t.Errorf("got %+v, want incarnation 5 alive", got)
 	}
-	m.ApplyRecord(0, talk.Record{ID: "a", StartTime: 9})
+	m.ApplyRecord(0, proto.Record{ID: "a", StartTime: 9})
 	if got := m.Local.StartTime; got != 10 {
 		t.Errorf("got birth %d, want 10", got)
 	}
@@ -81,11 +81,11 @@
 	for confirms, want := range map[int]time.Duration{0: member.MaxSuspicionTimeout, 3: member.MinSuspicionTimeout} {
 		m := newTable("a")
 		for _, id := range []spec.InstanceID{"b", "c", "d", "e", "x"} {
-			m.ApplyRecord(0, talk.Record{ID: id, DataCentre: "klang"})
+			m.ApplyRecord(0, proto.Record{ID: id, DataCentre: "klang"})
 		}
 		m.Suspect(0, "x")
 		for i := range confirms {
-			m.ApplyRecord(0, talk.Record{ID: "x", DataCentre: "klang", State: talk.StateSuspect, SuspectedBy: spec.InstanceID(fmt.Sprint("o", i))})
+			m.ApplyRecord(0, proto.Record{ID: "x", DataCentre: "klang", State: proto.StateSuspect, SuspectedBy: spec.InstanceID(fmt.Sprint("o", i))})
 		}
 		m.Tick(want - time.Millisecond)
 		if !m.IsLive("x") {
--- a/internal/fleet/node/call.go
+++ b/internal/fleet/node/call.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/fleet/talk"
+	"fulmarwick/internal/fleet/proto"
 )
 
 // Times of a call that waits for its answer. A call to a neighbour is sent
@@ -187,8 +187,8 @@
 func (l *Logic) requestIndirectProbes(c *call) {
 	c.stage = stageIndirect
 	l.sendProbe(c)
-	helpers := l.members.LiveMembers(func(r talk.Record) bool {
-		return r.DataCentre == l.Local.DataCentre && r.ID != c.to && r.ID != l.Local.ID && r.State == talk.StateAlive
+	helpers := l.members.LiveMembers(func(r proto.Record) bool {
+		return r.DataCentre == l.Local.DataCentre && r.ID != c.to && r.ID != l.Local.ID && r.State == proto.StateAlive
 	})
 	for range min(maxIndirectProbes, len(helpers)) {
 		i := l.Rand.IntN(len(helpers))
@@ -231,7 +231,7 @@
 }
 
 func (l *Logic) suspect(id spec.InstanceID) {
-	if rec, ok := l.members.Get(id); ok && rec.State == talk.StateAlive {
+	if rec, ok := l.members.Get(id); ok && rec.State == proto.StateAlive {
 		l.stats.Suspected++
 	}
 	l.members.Suspect(l.now, id)
--- a/internal/fleet/node/hear.go
+++ b/internal/fleet/node/hear.go
@@ -6,7 +6,7 @@
 	"fulmarwick/internal/base/news"
 	"fulmarwick/internal/base/spec"
 	"fulmarwick/internal/fleet/gossip"
-	"fulmarwick/internal/fleet/talk"
+	"fulmarwick/internal/fleet/proto"
 )
 
 // handleMessage takes a message from another instance. The transport vouches for who
@@ -14,7 +14,7 @@
 func (l *Logic) handleMessage(ev Received) {
 	l.stats.Received++
 	l.stats.ReceivedBytes += uint64(len(ev.Data))
-	m, err := talk.Decode(ev.Data)
+	m, err := proto.Decode(ev.Data)
 	if err != nil || ev.From == l.Local.ID {
 		l.stats.Malformed++
 		return
@@ -45,7 +45,7 @@
 }
 
 // handleCall answers a call.
-func (l *Logic) handleCall(from spec.InstanceID, m *talk.Message) {
+func (l *Logic) handleCall(from spec.InstanceID, m *proto.Message) {
 	switch {
 	case m.CallID == 0:
 	case m.ProbeTarget != "":
@@ -61,7 +61,7 @@
 }
 
 // replyToExchange gives what the caller lacks and asks for what it has more.
-func (l *Logic) replyToExchange(from spec.InstanceID, m *talk.Message) {
+func (l *Logic) replyToExchange(from spec.InstanceID, m *proto.Message) {
 	out := l.messageForAck(from)
 	out.AckID = m.CallID
 	out.Ready = l.join.ready
@@ -78,7 +78,7 @@
 }
 
 // handleAck takes the answer to an own call.
-func (l *Logic) handleAck(from spec.InstanceID, m *talk.Message) {
+func (l *Logic) handleAck(from spec.InstanceID, m *proto.Message) {
 	if m.AckID != 0 {
 		if c := l.completeCall(m.AckID); c != nil && c.to == from {
 			l.join.handleAnswer(l, from, c, m)
@@ -107,14 +107,14 @@
 func (l *Logic) randomStart() int { return l.Rand.IntN(1 << 16) }
 
 // applyBlock takes a block of items and hands on what is new.
-func (l *Logic) applyBlock(from spec.InstanceID, b *talk.Block) {
+func (l *Logic) applyBlock(from spec.InstanceID, b *proto.Block) {
 	if b.Scope == news.ScopeCentre && !l.inLocalCentre(from) {
 		return
 	}
 	l.detectRestart(b)
 	rec, known := l.members.Get(b.Origin)
 	for _, item := range l.items.ApplyBlock(l.now, b) {
-		gone := known && (rec.State == talk.StateDead || rec.State == talk.StateLeft)
+		gone := known && (rec.State == proto.StateDead || rec.State == proto.StateLeft)
 		if gone && gossip.EndsWithOrigin(item.Kind) {
 			continue
 		}
@@ -127,14 +127,14 @@
 
 // detectRestart learns of a restart from the items of the new self, so that what
 // the former self told is forgotten before they are handed on.
-func (l *Logic) detectRestart(b *talk.Block) {
+func (l *Logic) detectRestart(b *proto.Block) {
 	rec, ok := l.members.Get(b.Origin)
 	if !ok || b.StartTime <= rec.StartTime || b.Origin == l.Local.ID {
 		return
 	}
 	rec.StartTime = b.StartTime
 	rec.Incarnation = 0
-	rec.State = talk.StateAlive
+	rec.State = proto.StateAlive
 	rec.Passive = true
 	rec.SuspectedBy = ""
 	l.members.ApplyRecord(l.now, rec)
--- a/internal/fleet/node/join.go
+++ b/internal/fleet/node/join.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/fleet/talk"
+	"fulmarwick/internal/fleet/proto"
 )
 
 // Times of a join.
@@ -37,7 +37,7 @@
 }
 
 // handleAnswer notes what an answer to an exchange says about catching up.
-func (j *joinState) handleAnswer(l *Logic, from spec.InstanceID, c *call, m *talk.Message) {
+func (j *joinState) handleAnswer(l *Logic, from spec.InstanceID, c *call, m *proto.Message) {
 	if j.ready || c.purpose == purposeIndirectProbe {
 		return
 	}
@@ -125,7 +125,7 @@
 
 // livePeers are the other live instances, of the own data centre only if near.
 func (l *Logic) livePeers(near bool) []spec.InstanceID {
-	return l.members.LiveMembers(func(r talk.Record) bool {
+	return l.members.LiveMembers(func(r proto.Record) bool {
 		return r.ID != l.Local.ID && (!near || r.DataCentre == l.Local.DataCentre)
 	})
 }
--- a/internal/fleet/node/logic.go
+++ b/internal/fleet/node/logic.go
@@ -10,8 +10,8 @@
 	"fulmarwick/internal/fleet/drain"
 	"fulmarwick/internal/fleet/gossip"
 	"fulmarwick/internal/fleet/member"
+	"fulmarwick/internal/fleet/proto"
 	"fulmarwick/internal/fleet/quota"
-	"fulmarwick/internal/fleet/talk"
 )
 
 const (
@@ -111,7 +111,7 @@
 	l.initialized = true
 	l.started = now
 	l.now = now
-	l.members.Local = talk.Record{
+	l.members.Local = proto.Record{
 		ID: l.Local.ID, DataCentre: l.Local.DataCentre, URL: l.Local.URL, StartTime: l.StartTime, Passive: true,
 	}
 	l.members.Init()
@@ -162,7 +162,7 @@
 func (l *Logic) handleMemberChanges() {
 	for _, c := range l.members.TakeChanges() {
 		switch {
-		case c.NewState == talk.StateDead || c.NewState == talk.StateLeft:
+		case c.NewState == proto.StateDead || c.NewState == proto.StateLeft:
 			l.expire(c.ID, math.MaxUint32)
 		case c.Restarted:
 			rec, _ := l.members.Get(c.ID)
--- a/internal/fleet/node/meet.go
+++ b/internal/fleet/node/meet.go
@@ -6,7 +6,7 @@
 
 	"fulmarwick/internal/base/news"
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/fleet/talk"
+	"fulmarwick/internal/fleet/proto"
 )
 
 const (
@@ -151,9 +151,9 @@
 // activeInstances returns the instances of a data centre that take duties; if there
 // are none yet, all of them.
 func (l *Logic) activeInstances(centre spec.DataCentre) []spec.InstanceID {
-	ids := l.members.LiveMembers(func(r talk.Record) bool { return r.DataCentre == centre && !r.Passive })
+	ids := l.members.LiveMembers(func(r proto.Record) bool { return r.DataCentre == centre && !r.Passive })
 	if len(ids) > 0 {
 		return ids
 	}
-	return l.members.LiveMembers(func(r talk.Record) bool { return r.DataCentre == centre })
+	return l.members.LiveMembers(func(r proto.Record) bool { return r.DataCentre == centre })
 }
--- a/internal/fleet/node/outbox.go
+++ b/internal/fleet/node/outbox.go
@@ -5,7 +5,7 @@
 
 	"fulmarwick/internal/base/news"
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/fleet/talk"
+	"fulmarwick/internal/fleet/proto"
 )
 
 const (
@@ -58,12 +58,12 @@
 type outgoing struct {
 	to      spec.InstanceID
 	url     string
-	message talk.Message
+	message proto.Message
 }
 
 // messageFor returns the message that goes to id in this tick. One message carries
 // one call and one answer at most.
-func (l *Logic) messageFor(id spec.InstanceID) *talk.Message { return &l.outgoingFor(id).message }
+func (l *Logic) messageFor(id spec.InstanceID) *proto.Message { return &l.outgoingFor(id).message }
 
 func (l *Logic) outgoingFor(id spec.InstanceID) *outgoing {
 	if l.outbox.index == nil {
@@ -84,7 +84,7 @@
 
 // messageForCall returns a message to id that has no call yet, and answer one that has no
 // answer yet.
-func (l *Logic) messageForCall(id spec.InstanceID) *talk.Message {
+func (l *Logic) messageForCall(id spec.InstanceID) *proto.Message {
 	w := l.outgoingFor(id)
 	if w.message.CallID != 0 {
 		w = l.newOutgoing(id)
@@ -92,7 +92,7 @@
 	return &w.message
 }
 
-func (l *Logic) messageForAck(id spec.InstanceID) *talk.Message {
+func (l *Logic) messageForAck(id spec.InstanceID) *proto.Message {
 	w := l.outgoingFor(id)
 	if w.message.AckID != 0 {
 		w = l.newOutgoing(id)
@@ -105,8 +105,8 @@
 	l.budget.refill(l.now)
 	l.flushPushes()
 	for _, w := range l.outbox.order {
-		data, err := talk.Encode(&w.message)
-		if err != nil || len(data) > talk.MaxMessageBytes {
+		data, err := proto.Encode(&w.message)
+		if err != nil || len(data) > proto.MaxMessageBytes {
 			continue
 		}
 		l.budget.spend(len(data) + messageOverheadBytes)
@@ -154,7 +154,7 @@
 	for _, id := range l.pushTargets() {
 		far := !l.inLocalCentre(id)
 		for _, rec := range records {
-			if rec.ID != id || rec.State != talk.StateAlive {
+			if rec.ID != id || rec.State != proto.StateAlive {
 				m := l.messageFor(id)
 				m.Records = append(m.Records, rec)
 			}
--- a/internal/fleet/node/remote.go
+++ b/internal/fleet/node/remote.go
@@ -7,8 +7,8 @@
 
 	"fulmarwick/internal/base/news"
 	"fulmarwick/internal/base/spec"
+	"fulmarwick/internal/fleet/proto"
 	"fulmarwick/internal/fleet/rank"
-	"fulmarwick/internal/fleet/talk"
 )
 
 const (
@@ -83,7 +83,7 @@
 	r.gatewayRank = slices.Index(r.gateways, l.Local.ID)
 	was := r.isGateway
 	r.isGateway = r.gatewayRank >= 0
-	l.members.Each(func(rec talk.Record) { l.addRemoteCentre(rec.DataCentre) })
+	l.members.Each(func(rec proto.Record) { l.addRemoteCentre(rec.DataCentre) })
 	for _, p := range l.discovered.peers {
 		l.addRemoteCentre(p.DataCentre)
 	}
--- a/internal/fleet/node/share.go
+++ b/internal/fleet/node/share.go
@@ -8,9 +8,9 @@
 
 	"fulmarwick/internal/base/news"
 	"fulmarwick/internal/base/spec"
+	"fulmarwick/internal/fleet/proto"
 	"fulmarwick/internal/fleet/quota"
 	"fulmarwick/internal/fleet/rank"
-	"fulmarwick/internal/fleet/talk"
 )
 
 // Times of the sums.
@@ -47,7 +47,7 @@
 	nextShares time.Duration
 	nextRates  time.Duration
 	// reportedLoads is what was last told of an engine here, out what others use.
-	reportedLoads map[spec.UpstreamID]talk.Load
+	reportedLoads map[spec.UpstreamID]proto.Load
 	peerLoads     map[spec.UpstreamID]PeerEngineLoad
 	// memorySums are the latest sums per model that the routing logic told.
 	memorySums []news.Item
@@ -66,7 +66,7 @@
 	}
 	var b news.Load
 	if news.Decode(item, &b) == nil {
-		l.shares.local.SetLoad(talk.Load{Engine: spec.UpstreamID(b.Engine), Active: max(0, b.Active), Tokens: max(0, b.Tokens)})
+		l.shares.local.SetLoad(proto.Load{Engine: spec.UpstreamID(b.Engine), Active: max(0, b.Active), Tokens: max(0, b.Tokens)})
 	}
 }
 
@@ -105,15 +105,15 @@
 // outgoingShares are the shares of one tick, one per instance that adds up.
 type outgoingShares struct {
 	receivers []spec.InstanceID
-	shares    []*talk.Share
+	shares    []*proto.Share
 }
 
-func (t *outgoingShares) shareFor(to spec.InstanceID) *talk.Share {
+func (t *outgoingShares) shareFor(to spec.InstanceID) *proto.Share {
 	if at := slices.Index(t.receivers, to); at >= 0 {
 		return t.shares[at]
 	}
 	t.receivers = append(t.receivers, to)
-	t.shares = append(t.shares, &talk.Share{})
+	t.shares = append(t.shares, &proto.Share{})
 	return t.shares[len(t.shares)-1]
 }
 
@@ -170,7 +170,7 @@
 
 // addLoads puts the own loads of a group into a share. An empty share is sent
 // only to take back a former one.
-func (l *Logic) addLoads(share *talk.Share, in func(spec.UpstreamID) bool) {
+func (l *Logic) addLoads(share *proto.Share, in func(spec.UpstreamID) bool) {
 	loads := l.shares.local.Loads(in)
 	had := l.recordReportedLoads(in, loads)
 	share.HasLoads = share.HasLoads || had || len(loads) > 0
@@ -192,11 +192,11 @@
 
 // recordReportedLoads notes what is told of a group and reports whether anything was
 // told before.
-func (l *Logic) recordReportedLoads(in func(spec.UpstreamID) bool, loads []talk.Load) bool {
+func (l *Logic) recordReportedLoads(in func(spec.UpstreamID) bool, loads []proto.Load) bool {
 	had := false
 	told := l.shares.reportedLoads
 	if told == nil {
-		told = map[spec.UpstreamID]talk.Load{}
+		told = map[spec.UpstreamID]proto.Load{}
 		l.shares.reportedLoads = told
 	}
 	for e := range told {
--- a/internal/fleet/node/watch.go
+++ b/internal/fleet/node/watch.go
@@ -8,8 +8,8 @@
 	"fulmarwick/internal/base/news"
 	"fulmarwick/internal/base/spec"
 	"fulmarwick/internal/fleet/drain"
+	"fulmarwick/internal/fleet/proto"
 	"fulmarwick/internal/fleet/rank"
-	"fulmarwick/internal/fleet/talk"
 )
 
 // watchersPerEngine is how many instances read each engine's reports.
@@ -50,8 +50,8 @@
 
 func (l *Logic) membersCommand() Members {
 	var out Members
-	l.members.Each(func(r talk.Record) {
-		if r.State <= talk.StateSuspect && r.ID != l.Local.ID {
+	l.members.Each(func(r proto.Record) {
+		if r.State <= proto.StateSuspect && r.ID != l.Local.ID {
 			out.Peers = append(out.Peers, Peer{ID: r.ID, DataCentre: r.DataCentre, URL: l.peerURL(r.ID), Passive: r.Passive})
 		}
 	})
@@ -125,5 +125,5 @@
 	for _, c := range l.remoteCentres.rows {
 		cut[c.centre] = c.unreachable
 	}
-	return l.members.LiveMembers(func(r talk.Record) bool { return !r.Passive && !cut[r.DataCentre] })
+	return l.members.LiveMembers(func(r proto.Record) bool { return !r.Passive && !cut[r.DataCentre] })
 }
--- a/internal/fleet/talk/codec.go
+++ b/internal/fleet/proto/codec.go
@@ -1,4 +1,4 @@
-package talk
+package proto
 
 import (
 	"math"
--- a/internal/fleet/talk/talk.go
+++ b/internal/fleet/proto/proto.go
@@ -1,9 +1,9 @@
-// Package talk holds the messages that instances send each other and their
+// Package proto holds the messages that instances send each other and their
 // CBOR codec.
 //
 // Fields are exported because the codec fills them. It imports base/news and
 // the codec; package node and its siblings fill and read messages.
-package talk
+package proto
 
 import (
 	"fulmarwick/internal/base/news"
--- a/internal/fleet/quota/own.go
+++ b/internal/fleet/quota/own.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/fleet/talk"
+	"fulmarwick/internal/fleet/proto"
 )
 
 // Bounds of what one instance tells of its use.
@@ -22,7 +22,7 @@
 
 // LocalUsage holds what the own instance uses.
 type LocalUsage struct {
-	loads []talk.Load
+	loads []proto.Load
 	rates []localRate
 }
 
@@ -36,8 +36,8 @@
 }
 
 // SetLoad sets what is in flight on an engine.
-func (o *LocalUsage) SetLoad(l talk.Load) {
-	at, found := slices.BinarySearchFunc(o.loads, l, func(a, b talk.Load) int { return cmp.Compare(a.Engine, b.Engine) })
+func (o *LocalUsage) SetLoad(l proto.Load) {
+	at, found := slices.BinarySearchFunc(o.loads, l, func(a, b proto.Load) int { return cmp.Compare(a.Engine, b.Engine) })
 	none := l.Active <= 0 && l.Tokens <= 0
 	switch {
 	case found && none:
@@ -50,8 +50,8 @@
 }
 
 // Loads returns what is in flight on the engines that f accepts.
-func (o *LocalUsage) Loads(f func(spec.UpstreamID) bool) []talk.Load {
-	var out []talk.Load
+func (o *LocalUsage) Loads(f func(spec.UpstreamID) bool) []proto.Load {
+	var out []proto.Load
 	for _, l := range o.loads {
 		if f(l.Engine) {
 			out = append(out, l)
@@ -68,7 +68,7 @@
 		o.rates[at].rate, o.rates[at].expiresAt = rate, now+rateTTL
 		return
 	}
-	row := localRate{team: team, hash: talk.TeamHash(team), rate: rate, expiresAt: now + rateTTL}
+	row := localRate{team: team, hash: proto.TeamHash(team), rate: rate, expiresAt: now + rateTTL}
 	o.rates = slices.Insert(o.rates, at, row)
 	if len(o.rates) <= MaxHeavyTeams {
 		return
@@ -83,13 +83,13 @@
 }
 
 // ReportRates returns the rates to tell and notes them as told.
-func (o *LocalUsage) ReportRates() []talk.Rate {
-	out := make([]talk.Rate, 0, len(o.rates))
+func (o *LocalUsage) ReportRates() []proto.Rate {
+	out := make([]proto.Rate, 0, len(o.rates))
 	for i := range o.rates {
 		r := &o.rates[i]
 		r.reported = r.rate
 		if r.rate > 0 {
-			out = append(out, talk.Rate{TeamHash: r.hash, Rate: float32(r.rate)})
+			out = append(out, proto.Rate{TeamHash: r.hash, Rate: float32(r.rate)})
 		}
 	}
 	return out
--- a/internal/fleet/quota/quota_test.go
+++ b/internal/fleet/quota/quota_test.go
@@ -8,8 +8,8 @@
 
 	"fulmarwick/internal/base/news"
 	"fulmarwick/internal/base/spec"
+	"fulmarwick/internal/fleet/proto"
 	"fulmarwick/internal/fleet/quota"
-	"fulmarwick/internal/fleet/talk"
 
 	"pgregory.net/rapid"
 )
@@ -60,9 +60,9 @@
 
 func TestSharesAreReplacedAndExpire(t *testing.T) {
 	var s quota.Aggregator
-	s.SetShare(0, "a", talk.Share{HasRates: true, Rates: []talk.Rate{{TeamHash: 1, Rate: 10}}, HasLoads: true, Loads: []talk.Load{{Engine: "e", Active: 2}}})
-	s.SetShare(0, "b", talk.Share{HasRates: true, Rates: []talk.Rate{{TeamHash: 1, Rate: 5}}})
-	s.SetShare(0, "a", talk.Share{HasLoads: true})
+	s.SetShare(0, "a", proto.Share{HasRates: true, Rates: []proto.Rate{{TeamHash: 1, Rate: 10}}, HasLoads: true, Loads: []proto.Load{{Engine: "e", Active: 2}}})
+	s.SetShare(0, "b", proto.Share{HasRates: true, Rates: []proto.Rate{{TeamHash: 1, Rate: 5}}})
+	s.SetShare(0, "a", proto.Share{HasLoads: true})
 	all := func(spec.UpstreamID) bool { return true }
 	if got := s.Loads(all); len(got) != 0 {
 		t.Errorf("got loads %v, want none after an empty share", got)
@@ -82,10 +82,10 @@
 
 func TestSmallTeamsAreOmitted(t *testing.T) {
 	var s quota.Aggregator
-	var share talk.Share
+	var share proto.Share
 	share.HasRates = true
 	for i := range 30 {
-		share.Rates = append(share.Rates, talk.Rate{TeamHash: uint64(i), Rate: 1})
+		share.Rates = append(share.Rates, proto.Rate{TeamHash: uint64(i), Rate: 1})
 	}
 	share.Rates[7].Rate = 1000
 	s.SetShare(0, "a", share)
@@ -99,7 +99,7 @@
 	var own quota.LocalUsage
 	own.SetRate(0, "big", 100)
 	own.ReportRates()
-	sum := news.RateSum{Team: talk.TeamHash("big"), Rate: 400}
+	sum := news.RateSum{Team: proto.TeamHash("big"), Rate: 400}
 	v.SetCentreRates(0, "klang", time.Second, []news.RateSum{sum})
 	v.SetCentreRates(0, "penang", time.Second, []news.RateSum{sum})
 	own.SetRate(0, "big", 150)
--- a/internal/fleet/quota/sketch.go
+++ b/internal/fleet/quota/sketch.go
@@ -2,7 +2,7 @@
 // that a team's limit and an engine's load count over a data centre and the
 // fleet. Small teams are never sent and cost nothing.
 //
-// It imports base/news, base/spec and fleet/talk. Package node feeds it.
+// It imports base/news, base/spec and fleet/proto. Package node feeds it.
 package quota
 
 import (
--- a/internal/fleet/quota/sums.go
+++ b/internal/fleet/quota/sums.go
@@ -7,7 +7,7 @@
 
 	"fulmarwick/internal/base/news"
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/fleet/talk"
+	"fulmarwick/internal/fleet/proto"
 )
 
 // shareTTL is how long a share counts that was not sent again; its sender
@@ -24,15 +24,15 @@
 
 type senderShare struct {
 	sender spec.InstanceID
-	loads  []talk.Load
-	rates  []talk.Rate
+	loads  []proto.Load
+	rates  []proto.Rate
 	// Each list counts until its own time.
 	loadsExpireAt time.Duration
 	ratesExpireAt time.Duration
 }
 
 // SetShare takes a share; each list that it has replaces its sender's former one.
-func (s *Aggregator) SetShare(now time.Duration, from spec.InstanceID, share talk.Share) {
+func (s *Aggregator) SetShare(now time.Duration, from spec.InstanceID, share proto.Share) {
 	at, found := slices.BinarySearchFunc(s.rows, from, func(r senderShare, id spec.InstanceID) int { return cmp.Compare(r.sender, id) })
 	if !found {
 		s.rows = slices.Insert(s.rows, at, senderShare{sender: from})
--- a/internal/route/admit/admit.go
+++ b/internal/route/admit/admit.go
@@ -1,7 +1,7 @@
 // Package admit says whether a request can meet the target of its class, and
 // if not, when its caller should try again.
 //
-// It imports base and route/world. Package core asks
+// It imports base and route/domain. Package core asks
 // it at arrival and again before each start from the queue.
 package admit
 
@@ -9,7 +9,7 @@
 	"time"
 
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 )
 
 // DefaultMaxWait is how long a request whose class has no limit on the first token
@@ -21,7 +21,7 @@
 	// Elapsed is the time since it came, Wait how long it must wait still.
 	Elapsed       time.Duration
 	RemainingWait time.Duration
-	Plan          world.Plan
+	Plan          domain.Plan
 }
 
 // TargetMiss returns by how much the estimate misses the target, and false if it
@@ -49,7 +49,7 @@
 }
 
 // LatestStart is when a request that came at must start for the target to hold.
-func LatestStart(target spec.Target, m Margin, at time.Duration, plan world.Plan) time.Duration {
+func LatestStart(target spec.Target, m Margin, at time.Duration, plan domain.Plan) time.Duration {
 	last := at + DefaultMaxWait
 	first := scaleDuration(plan.FirstTokenTime, m.First)
 	if limit := target.FirstEvent(); limit > 0 {
--- a/internal/route/admit/admit_test.go
+++ b/internal/route/admit/admit_test.go
@@ -9,11 +9,11 @@
 
 	"fulmarwick/internal/base/spec"
 	"fulmarwick/internal/route/admit"
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 )
 
 func TestTargetMiss(t *testing.T) {
-	plan := world.Plan{FirstTokenTime: time.Second, TokenTime: 10 * time.Millisecond, TotalTime: 3 * time.Second}
+	plan := domain.Plan{FirstTokenTime: time.Second, TokenTime: 10 * time.Millisecond, TotalTime: 3 * time.Second}
 	plain := admit.Margin{First: 1, Token: 1}
 	tests := []struct {
 		name   string
--- a/internal/route/admit/fill.go
+++ b/internal/route/admit/fill.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 )
 
 const (
@@ -44,7 +44,7 @@
 
 // RecordAnswer takes an answer that ran to its end on its first chain; full tells that
 // work of the model waits for room.
-func (f *UtilizationLimits) RecordAnswer(r *world.Request, ev world.RequestFinished, full bool) {
+func (f *UtilizationLimits) RecordAnswer(r *domain.Request, ev domain.RequestFinished, full bool) {
 	target := r.Class().Target()
 	model := r.Arrival().Model
 	limit := f.Limit(model)
@@ -61,7 +61,7 @@
 	f.limits[model] = min(max(limit, minUtilizationLimit), maxUtilizationLimit)
 }
 
-func missedTarget(target spec.Target, ev world.RequestFinished) bool {
+func missedTarget(target spec.Target, ev domain.RequestFinished) bool {
 	if limit := target.FirstEvent(); limit > 0 && ev.FirstToken > limit {
 		return true
 	}
--- a/internal/route/admit/margin.go
+++ b/internal/route/admit/margin.go
@@ -5,7 +5,7 @@
 
 	"fulmarwick/internal/base/hist"
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 )
 
 const (
@@ -37,7 +37,7 @@
 }
 
 // RecordAnswer notes a request that ran to its end on its first chain.
-func (s *Margins) RecordAnswer(r *world.Request, ev world.RequestFinished) {
+func (s *Margins) RecordAnswer(r *domain.Request, ev domain.RequestFinished) {
 	plan := r.Plan()
 	if ev.Tokens < 1 || plan.FirstTokenTime <= 0 || plan.TokenTime <= 0 {
 		return
@@ -64,7 +64,7 @@
 }
 
 // ExpectedTokens is how many tokens the request is expected to make.
-func (s *Margins) ExpectedTokens(r *world.Request) int {
+func (s *Margins) ExpectedTokens(r *domain.Request) int {
 	limit := r.Arrival().MaxTokens
 	c := s.classes[r.Arrival().Class]
 	if c == nil {
--- a/internal/route/core/away_test.go
+++ b/internal/route/core/away_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 )
 
 // A caller whose answer came from another data centre is cut off and resumes
@@ -11,14 +11,14 @@
 // centre again; waiting here for engines that never come would lose it.
 func TestResumedRequestIsForwardedWithoutLocalEngine(t *testing.T) {
 	g := newHarness(t, lenientTarget())
-	g.tick(world.CentreCapacity{DataCentre: "other", Model: testModel, Instance: "far", FreeRate: 1000})
+	g.tick(domain.CentreCapacity{DataCentre: "other", Model: testModel, Instance: "far", FreeRate: 1000})
 	a := g.newRequest("team")
 	a.ReceivedTokens = 7
 	cs := g.tick(a)
 	if len(cs) != 1 {
 		t.Fatalf("got %d commands, want 1", len(cs))
 	}
-	if f, ok := cs[0].(world.Forward); !ok || f.To != "far" {
+	if f, ok := cs[0].(domain.Forward); !ok || f.To != "far" {
 		t.Errorf("got %+v, want a Forward to far", cs[0])
 	}
 }
@@ -30,7 +30,7 @@
 	g := newHarness(t, lenientTarget())
 	a := g.newRequest("team")
 	a.ReceivedTokens, a.Hops = 7, 1
-	if r, ok := findRefusal(g.tick(a), a.Request); !ok || r.Reason != world.ReasonNoEngine {
+	if r, ok := findRefusal(g.tick(a), a.Request); !ok || r.Reason != domain.ReasonNoEngine {
 		t.Errorf("got %+v, want a refusal for want of engines", r)
 	}
 }
--- a/internal/route/core/core.go
+++ b/internal/route/core/core.go
@@ -1,6 +1,6 @@
 // Package core runs the systems of the routing logic over a World each tick.
 //
-// It imports route/world and the systems beside it. The loop of wire/loop
+// It imports route/domain and the systems beside it. The loop of wire/loop
 // calls Tick at each wake-up and at least every 20 ms; tests and benches call
 // it directly. The same events give the same commands, byte for byte.
 package core
@@ -11,16 +11,16 @@
 
 	"fulmarwick/internal/base/spec"
 	"fulmarwick/internal/route/admit"
+	"fulmarwick/internal/route/domain"
 	"fulmarwick/internal/route/fair"
 	"fulmarwick/internal/route/pick"
 	"fulmarwick/internal/route/poison"
 	"fulmarwick/internal/route/retry"
-	"fulmarwick/internal/route/world"
 )
 
 // Planner is a system that plans what engines should hold.
 type Planner interface {
-	Run(w *world.RoutingState)
+	Run(w *domain.RoutingState)
 }
 
 // Logic is the routing logic of one instance. Set the exported fields before
@@ -42,7 +42,7 @@
 	Planner Planner
 
 	initialized bool
-	state       world.RoutingState
+	state       domain.RoutingState
 	rand        *rand.Rand
 	prefixCache pick.Cache
 	margins     admit.Margins
@@ -58,7 +58,7 @@
 }
 
 // State gives the tables for reading.
-func (l *Logic) State() *world.RoutingState { return &l.state }
+func (l *Logic) State() *domain.RoutingState { return &l.state }
 
 // WaitingCount is how many requests wait in the queues.
 func (l *Logic) WaitingCount() int {
@@ -70,7 +70,7 @@
 }
 
 // Tick applies events at now, runs the systems and returns their commands.
-func (l *Logic) Tick(now time.Duration, events []world.Event) []world.Command {
+func (l *Logic) Tick(now time.Duration, events []domain.Event) []domain.Command {
 	l.init()
 	w := &l.state
 	w.BeginTick(now)
@@ -105,25 +105,25 @@
 
 // apply takes an event into the tables and tells the systems that keep state
 // of their own.
-func (l *Logic) apply(ev world.Event) {
+func (l *Logic) apply(ev domain.Event) {
 	w := &l.state
 	switch ev := ev.(type) {
-	case world.RequestFinished:
+	case domain.RequestFinished:
 		l.observeResult(ev)
-	case world.StageLost:
+	case domain.StageLost:
 		l.recordStageLoss(ev)
-	case world.EngineDead:
+	case domain.EngineDead:
 		l.prefixCache.RemoveEngine(ev.Engine)
-	case world.EngineRemoved:
+	case domain.EngineRemoved:
 		l.prefixCache.RemoveEngine(ev.Engine)
 		l.announcer.removeEngine(ev.Engine)
-	case world.CacheReport:
+	case domain.CacheReport:
 		l.prefixCache.ApplyEvent(w.Now(), ev)
-	case world.TeamUsage:
+	case domain.TeamUsage:
 		l.teamRates.ApplyReport(w.Now(), ev)
-	case world.SuspectReported:
+	case domain.SuspectReported:
 		l.suspects.ApplyPeerReport(w.Now(), ev)
-	case world.ConfigChanged:
+	case domain.ConfigChanged:
 		if ev.Version >= w.Version() {
 			l.retryBudget.RetainClasses(ev.Classes)
 			l.timeouts.RetainClasses(ev.Classes)
@@ -134,7 +134,7 @@
 }
 
 // observeResult compares what was predicted for an answer with what it took.
-func (l *Logic) observeResult(ev world.RequestFinished) {
+func (l *Logic) observeResult(ev domain.RequestFinished) {
 	r := l.state.Requests().Get(ev.Request)
 	if r == nil || !ev.OK || r.Attempt() != 1 {
 		return
@@ -146,14 +146,14 @@
 
 // recordStageLoss counts a death against the request before the tables forget on
 // which chain it ran.
-func (l *Logic) recordStageLoss(ev world.StageLost) {
+func (l *Logic) recordStageLoss(ev domain.StageLost) {
 	w := &l.state
 	r := w.Requests().Get(ev.Request)
 	if r == nil || r.Attempt() != ev.Attempt || r.AwaitsRestart() {
 		return
 	}
 	l.suspects.HandleStageLoss(r)
-	if ev.Cause != world.CauseBroken && !l.lostToDeadEngine(ev) {
+	if ev.Cause != domain.CauseBroken && !l.lostToDeadEngine(ev) {
 		return
 	}
 	l.prefixCache.RemoveEngine(ev.Engine)
@@ -167,12 +167,12 @@
 	}
 }
 
-func (l *Logic) lostToDeadEngine(ev world.StageLost) bool {
+func (l *Logic) lostToDeadEngine(ev domain.StageLost) bool {
 	e := l.state.Engines().Get(ev.Engine)
-	return ev.Cause == world.CauseTimeout && e != nil && e.State() == world.StateDead
+	return ev.Cause == domain.CauseTimeout && e != nil && e.State() == domain.StateDead
 }
 
-func (l *Logic) decide(r *world.Request) {
+func (l *Logic) decide(r *domain.Request) {
 	if r.Attempt() == 0 && r.Arrival().ReceivedTokens == 0 {
 		l.decideNew(r)
 		return
--- a/internal/route/core/core_test.go
+++ b/internal/route/core/core_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 )
 
 // The caller of an answer that is half done sees the next token, not a new
@@ -18,8 +18,8 @@
 	first := g.mustStart(a)
 	dead := first.Chain[1].Engine()
 	cs := g.tick(
-		world.RequestProgress{Request: a.Request, Tokens: 5},
-		world.StageLost{Request: a.Request, Attempt: 1, Engine: dead, Cause: world.CauseBroken},
+		domain.RequestProgress{Request: a.Request, Tokens: 5},
+		domain.StageLost{Request: a.Request, Attempt: 1, Engine: dead, Cause: domain.CauseBroken},
 	)
 	second, ok := findStart(cs, a.Request)
 	if !ok {
@@ -47,8 +47,8 @@
 	late := only
 	late.Seq = 2
 	cs := g.tick(
-		world.StageLost{Request: a.Request, Attempt: 1, Engine: "a1", Cause: world.CauseBroken},
-		world.EngineReport{Engine: late},
+		domain.StageLost{Request: a.Request, Attempt: 1, Engine: "a1", Cause: domain.CauseBroken},
+		domain.EngineReport{Engine: late},
 	)
 	if len(cs) > 0 {
 		if _, ok := findStart(cs, a.Request); ok {
@@ -57,7 +57,7 @@
 	}
 	g.tickFor(2 * time.Second)
 	other := newEngine("a2", 0, 8)
-	if _, ok := findStart(g.tick(world.EngineReport{Engine: other}), a.Request); !ok {
+	if _, ok := findStart(g.tick(domain.EngineReport{Engine: other}), a.Request); !ok {
 		t.Error("got no start when an engine covers the model again")
 	}
 }
@@ -68,7 +68,7 @@
 	g := newHarness(t, lenientTarget(), newEngine("a1", 0, 4))
 	a := g.newRequest("big")
 	r, ok := findRefusal(g.tick(a), a.Request)
-	if !ok || r.Reason != world.ReasonNoEngine || r.Ran || r.RetryAfter <= 0 {
+	if !ok || r.Reason != domain.ReasonNoEngine || r.Ran || r.RetryAfter <= 0 {
 		t.Errorf("got %+v (%v), want a refusal no-engine that did not run, with a time", r, ok)
 	}
 }
@@ -99,7 +99,7 @@
 	if starts == 0 || refusals == 0 || waiting == 0 {
 		t.Fatalf("got %d started, %d refused, %d waiting; want some of each", starts, refusals, waiting)
 	}
-	cs := g.tick(world.RequestFinished{Request: ran[0], Tokens: 50, OK: true})
+	cs := g.tick(domain.RequestFinished{Request: ran[0], Tokens: 50, OK: true})
 	if g.logic.WaitingCount() >= waiting {
 		t.Errorf("got %v, want one of the queue settled when room came", cs)
 	}
@@ -122,7 +122,7 @@
 	ended := 0
 	for g.now < time.Minute && ended < waiting {
 		for _, c := range g.tick() {
-			r, ok := c.(world.Refuse)
+			r, ok := c.(domain.Refuse)
 			if !ok {
 				continue
 			}
@@ -154,9 +154,9 @@
 		if _, ok := findStart(cs, small.Request); ok {
 			return
 		}
-		cs = g.tick(world.RequestFinished{Request: ran[i], Tokens: 50, OK: true})
+		cs = g.tick(domain.RequestFinished{Request: ran[i], Tokens: 50, OK: true})
 		for _, c := range cs {
-			if s, ok := c.(world.Start); ok && s.Request != small.Request {
+			if s, ok := c.(domain.Start); ok && s.Request != small.Request {
 				t.Fatalf("got %s of the large team started before the small one", s.Request)
 			}
 		}
@@ -168,10 +168,10 @@
 // most once: a request that came from another instance is refused instead.
 func TestRequestIsForwardedOnlyOnce(t *testing.T) {
 	g := newHarness(t, spec.NewTarget(time.Second, 0, 0, 95))
-	g.tick(world.CentreCapacity{DataCentre: "other", Model: testModel, Instance: "far", FreeRate: 1000})
+	g.tick(domain.CentreCapacity{DataCentre: "other", Model: testModel, Instance: "far", FreeRate: 1000})
 	a := g.newRequest("big")
 	cs := g.tick(a)
-	if f, ok := cs[0].(world.Forward); !ok || f.To != "far" {
+	if f, ok := cs[0].(domain.Forward); !ok || f.To != "far" {
 		t.Fatalf("got %v, want it forwarded to far", cs)
 	}
 	b := g.newRequest("big")
@@ -179,7 +179,7 @@
 	if _, ok := findRefusal(g.tick(b), b.Request); !ok {
 		t.Error("a request that was forwarded already: want it refused")
 	}
-	g.tick(world.PeerRemoved{Peer: "far"})
+	g.tick(domain.PeerRemoved{Peer: "far"})
 	c := g.newRequest("big")
 	if _, ok := findRefusal(g.tick(c), c.Request); !ok {
 		t.Error("the other instance is gone: want a refusal")
@@ -194,7 +194,7 @@
 	g := newHarness(t, lenientTarget(), one, two)
 	late := one
 	late.Seq = 9
-	g.tick(world.EngineLeaving{Engine: "a1"}, world.EngineReport{Engine: late})
+	g.tick(domain.EngineLeaving{Engine: "a1"}, domain.EngineReport{Engine: late})
 	for range 8 {
 		a := g.newRequest("big")
 		if s := g.mustStart(a); s.Chain.Uses("a1") {
@@ -202,7 +202,7 @@
 		}
 	}
 	late.Incarnation, late.Seq = 7, 1
-	g.tick(world.EngineReport{Engine: late})
+	g.tick(domain.EngineReport{Engine: late})
 	used := false
 	for range 8 {
 		used = used || g.mustStart(g.newRequest("big")).Chain.Uses("a1")
@@ -216,7 +216,7 @@
 // everything times out stops retrying: its bank of retries is spent, and the
 // load is not multiplied.
 func TestTimeoutsSpendRetryBudget(t *testing.T) {
-	var engines []world.Engine
+	var engines []domain.Engine
 	for i := range 20 {
 		engines = append(engines, newEngine(fmt.Sprint("e", i), 0, 8))
 	}
@@ -228,11 +228,11 @@
 		for ok {
 			starts++
 			lost := s.Chain[0].Engine()
-			cs := g.tick(world.StageLost{Request: a.Request, Attempt: s.Attempt, Engine: lost, Cause: world.CauseTimeout})
+			cs := g.tick(domain.StageLost{Request: a.Request, Attempt: s.Attempt, Engine: lost, Cause: domain.CauseTimeout})
 			if s, ok = findStart(cs, a.Request); ok {
 				retries++
 			} else {
-				g.tick(world.RequestCanceled{Request: a.Request})
+				g.tick(domain.RequestCanceled{Request: a.Request})
 			}
 		}
 	}
@@ -246,14 +246,14 @@
 	g := newHarness(t, lenientTarget(), newEngine("a1", 0, 8))
 	a := g.newRequest("big")
 	g.mustStart(a)
-	g.tick(world.PeerLoad{Peer: "p", Engine: "a1", Active: 3, LayerTokenRate: 900})
+	g.tick(domain.PeerLoad{Peer: "p", Engine: "a1", Active: 3, LayerTokenRate: 900})
 	e := g.logic.State().Engines().Get("a1")
 	busy := e.Demand()
-	g.tick(world.PeerRemoved{Peer: "p"})
+	g.tick(domain.PeerRemoved{Peer: "p"})
 	if got, want := busy-e.Demand(), int64(900); got != want {
 		t.Errorf("draw that went with the peer: got %d, want %d", got, want)
 	}
-	g.tick(world.EngineRemoved{Engine: "a1"}, world.PeerLoad{Peer: "q", Engine: "a1", Active: 1, LayerTokenRate: 0}, world.EngineReport{Engine: newEngine("a1", 0, 8)}, world.RequestCanceled{Request: a.Request})
+	g.tick(domain.EngineRemoved{Engine: "a1"}, domain.PeerLoad{Peer: "q", Engine: "a1", Active: 1, LayerTokenRate: 0}, domain.EngineReport{Engine: newEngine("a1", 0, 8)}, domain.RequestCanceled{Request: a.Request})
 	if got := g.logic.State().Engines().Get("a1").Demand(); got != 0 {
 		t.Errorf("draw on the engine of the same name: got %d, want 0", got)
 	}
--- a/internal/route/core/fresh.go
+++ b/internal/route/core/fresh.go
@@ -6,11 +6,11 @@
 
 	"fulmarwick/internal/base/spec"
 	"fulmarwick/internal/route/admit"
+	"fulmarwick/internal/route/domain"
 	"fulmarwick/internal/route/fair"
 	"fulmarwick/internal/route/pick"
 	"fulmarwick/internal/route/poison"
 	"fulmarwick/internal/route/retry"
-	"fulmarwick/internal/route/world"
 )
 
 const (
@@ -33,15 +33,15 @@
 )
 
 // decideNew decides on a request that has not run.
-func (l *Logic) decideNew(r *world.Request) {
+func (l *Logic) decideNew(r *domain.Request) {
 	w := &l.state
 	if _, ok := w.Class(r.Arrival().Class); !ok {
-		w.Refuse(r, world.ReasonUnknownClass, 0)
+		w.Refuse(r, domain.ReasonUnknownClass, 0)
 		return
 	}
 	switch l.suspects.Evaluate(w.Now(), r) {
 	case poison.VerdictCulprit:
-		w.Refuse(r, world.ReasonPoison, 0)
+		w.Refuse(r, domain.ReasonPoison, 0)
 	case poison.VerdictWait, poison.VerdictIsolate:
 		l.decideResumed(r)
 	default:
@@ -50,23 +50,23 @@
 }
 
 // checkTeamLimit admits the request unless its team is above its limit.
-func (l *Logic) checkTeamLimit(r *world.Request) {
+func (l *Logic) checkTeamLimit(r *domain.Request) {
 	w := &l.state
 	if t, ok := w.Team(r.Arrival().Team); ok {
 		if over := l.teamRates.LimitDelay(w.Now(), t.ID(), t.Limit()); over > 0 {
-			w.Refuse(r, world.ReasonTeamLimit, admit.RetryAfter(over, l.rand.Float64()))
+			w.Refuse(r, domain.ReasonTeamLimit, admit.RetryAfter(over, l.rand.Float64()))
 			return
 		}
 	}
 	l.admit(r)
 }
 
-func (l *Logic) admit(r *world.Request) {
+func (l *Logic) admit(r *domain.Request) {
 	q := l.queueFor(r.Arrival().Model)
 	choice, ok := l.chooseChain(r, q)
 	switch {
 	case !ok:
-		l.forwardOrRefuse(r, world.ReasonNoEngine, uncoveredRetryAfter, 0)
+		l.forwardOrRefuse(r, domain.ReasonNoEngine, uncoveredRetryAfter, 0)
 	case l.AdmitAll:
 		l.startRun(r, choice)
 	default:
@@ -74,13 +74,13 @@
 	}
 }
 
-func (l *Logic) chooseChain(r *world.Request, q *modelQueue) (pick.Choice, bool) {
+func (l *Logic) chooseChain(r *domain.Request, q *modelQueue) (pick.Choice, bool) {
 	ask := pick.Query{MaxUtilization: l.utilizationLimit(r, q), RemainingTokens: l.margins.ExpectedTokens(r)}
 	return l.Chooser.Choose(&l.state, r, ask)
 }
 
 // utilizationLimit is how full an engine may be for this request.
-func (l *Logic) utilizationLimit(r *world.Request, q *modelQueue) float64 {
+func (l *Logic) utilizationLimit(r *domain.Request, q *modelQueue) float64 {
 	limit := l.UtilizationLimit
 	if limit == 0 {
 		limit = l.utilization.Limit(r.Arrival().Model)
@@ -110,7 +110,7 @@
 }
 
 // startOrQueue starts the request, lets it wait, or refuses it at once.
-func (l *Logic) startOrQueue(r *world.Request, q *modelQueue, choice pick.Choice) {
+func (l *Logic) startOrQueue(r *domain.Request, q *modelQueue, choice pick.Choice) {
 	drain := l.drainRate(r.Arrival().Model)
 	team := r.Arrival().Team
 	cost := l.tokenCost(r)
@@ -147,7 +147,7 @@
 	isLate      bool
 }
 
-func (l *Logic) assess(r *world.Request, q *modelQueue, choice pick.Choice, drain, cost float64) assessment {
+func (l *Logic) assess(r *domain.Request, q *modelQueue, choice pick.Choice, drain, cost float64) assessment {
 	class := r.Class()
 	margin := l.margins.ForClass(class)
 	v := assessment{latestStart: admit.LatestStart(class.Target(), margin, r.ArrivedAt(), choice.Plan)}
@@ -162,25 +162,25 @@
 
 // refusalReason tells whether the request is late because of its own team's backlog:
 // it would be in time if the team were within its share.
-func (l *Logic) refusalReason(r *world.Request, q *modelQueue, v assessment, drain float64) world.Reason {
+func (l *Logic) refusalReason(r *domain.Request, q *modelQueue, v assessment, drain float64) domain.Reason {
 	if q.fair.AheadOfShare(r.Arrival().Team) <= 0 {
-		return world.ReasonOverload
+		return domain.ReasonOverload
 	}
 	v.estimate.RemainingWait = toDuration(q.fair.CostAheadOfNewTeam(v.latestStart) / drain)
 	if _, late := admit.TargetMiss(r.Class().Target(), l.margins.ForClass(r.Class()), v.estimate); late {
-		return world.ReasonOverload
+		return domain.ReasonOverload
 	}
-	return world.ReasonTeamLimit
+	return domain.ReasonTeamLimit
 }
 
 // tokenCost is what the request takes, in tokens through the whole model.
-func (l *Logic) tokenCost(r *world.Request) float64 {
+func (l *Logic) tokenCost(r *domain.Request) float64 {
 	return float64(r.Arrival().PromptTokens)/pick.ChunkPositions + float64(l.margins.ExpectedTokens(r))
 }
 
 // teamCharge is what the request costs its team: more for a small share, and more
 // for a team that uses much elsewhere.
-func (l *Logic) teamCharge(r *world.Request, cost float64) float64 {
+func (l *Logic) teamCharge(r *domain.Request, cost float64) float64 {
 	w := &l.state
 	share := 1.0
 	if t, ok := w.Team(r.Arrival().Team); ok && t.Share() > 0 {
@@ -191,21 +191,21 @@
 
 // forwardOrRefuse sends the request to another data centre that has room for rate
 // tokens a second, if there is one, and else ends it.
-func (l *Logic) forwardOrRefuse(r *world.Request, reason world.Reason, over time.Duration, rate float64) {
+func (l *Logic) forwardOrRefuse(r *domain.Request, reason domain.Reason, over time.Duration, rate float64) {
 	w := &l.state
-	if c := l.chooseRemoteCentre(r, rate); c != nil && reason != world.ReasonTeamLimit {
+	if c := l.chooseRemoteCentre(r, rate); c != nil && reason != domain.ReasonTeamLimit {
 		c.Reserve(rate)
 		w.Forward(r, c.Instance())
 		return
 	}
-	if reason == world.ReasonNoEngine && len(w.Engines().Rows()) == 0 {
+	if reason == domain.ReasonNoEngine && len(w.Engines().Rows()) == 0 {
 		over = notReadyRetryAfter
 	}
 	w.Refuse(r, reason, admit.RetryAfter(over, l.rand.Float64()))
 }
 
 // startRun runs the request on a chain and tells the systems.
-func (l *Logic) startRun(r *world.Request, choice pick.Choice) {
+func (l *Logic) startRun(r *domain.Request, choice pick.Choice) {
 	w := &l.state
 	now := w.Now()
 	if r.Attempt() == 0 {
@@ -229,7 +229,7 @@
 
 // enginePriority orders work inside engines: a tighter target runs first, and what
 // resumes before what starts, since its caller has waited already.
-func enginePriority(r *world.Request) int {
+func enginePriority(r *domain.Request) int {
 	target := r.Class().Target()
 	limit := target.FirstEvent()
 	if limit == 0 {
--- a/internal/route/core/limit_test.go
+++ b/internal/route/core/limit_test.go
@@ -5,14 +5,14 @@
 	"time"
 
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 )
 
 // newLimitedHarness is a rig whose big team may use 100 tokens a second.
 func newLimitedHarness(t *testing.T) *harness {
 	t.Helper()
 	g := newHarness(t, lenientTarget(), newEngine("a", 0, 8), newEngine("b", 0, 8))
-	g.tick(world.ConfigChanged{
+	g.tick(domain.ConfigChanged{
 		Version: 2, Classes: []spec.Class{spec.NewModelClass("c", testModel, lenientTarget())},
 		Teams: []spec.Team{spec.NewTeam("big", "big", 1).WithLimit(100), spec.NewTeam("small", "small", 1)},
 	})
@@ -28,10 +28,10 @@
 		a := g.newRequest("big")
 		r, ok := findRefusal(g.tick(a), a.Request)
 		if !ok {
-			g.tick(world.RequestFinished{Request: a.Request, Tokens: 1, OK: true})
+			g.tick(domain.RequestFinished{Request: a.Request, Tokens: 1, OK: true})
 			continue
 		}
-		if r.Reason != world.ReasonTeamLimit || r.RetryAfter <= 0 {
+		if r.Reason != domain.ReasonTeamLimit || r.RetryAfter <= 0 {
 			t.Fatalf("got %+v, want team-limit and a time to come back", r)
 		}
 		g.mustStart(g.newRequest("small"))
@@ -46,9 +46,9 @@
 // here, so that four instances do not give four times the limit.
 func TestTeamLimitCountsRemoteUsage(t *testing.T) {
 	g := newLimitedHarness(t)
-	g.tick(world.TeamUsage{Team: "big", Rate: 300})
+	g.tick(domain.TeamUsage{Team: "big", Rate: 300})
 	a := g.newRequest("big")
-	if r, ok := findRefusal(g.tick(a), a.Request); !ok || r.Reason != world.ReasonTeamLimit {
+	if r, ok := findRefusal(g.tick(a), a.Request); !ok || r.Reason != domain.ReasonTeamLimit {
 		t.Errorf("got %+v, want team-limit", r)
 	}
 	g.tickFor(time.Minute)
--- a/internal/route/core/queue.go
+++ b/internal/route/core/queue.go
@@ -5,8 +5,8 @@
 
 	"fulmarwick/internal/base/spec"
 	"fulmarwick/internal/route/admit"
+	"fulmarwick/internal/route/domain"
 	"fulmarwick/internal/route/fair"
-	"fulmarwick/internal/route/world"
 )
 
 // purgeInterval is how often the whole queue is looked through for requests that
@@ -53,7 +53,7 @@
 	}
 	q.nextPurge = now + purgeInterval
 	for _, it := range q.fair.RemoveUnmeetable(now, l.drainRate(model)) {
-		l.refuseQueued(it, world.ReasonOverload, time.Second)
+		l.refuseQueued(it, domain.ReasonOverload, time.Second)
 	}
 }
 
@@ -99,12 +99,12 @@
 	choice, ok := l.chooseChain(r, q)
 	if !ok {
 		q.fair.Remove(it)
-		l.refuseQueued(it, world.ReasonNoEngine, uncoveredRetryAfter)
+		l.refuseQueued(it, domain.ReasonNoEngine, uncoveredRetryAfter)
 		return headSettled
 	}
 	if w.Now() > it.LatestStart {
 		q.fair.Remove(it)
-		l.refuseQueued(it, world.ReasonOverload, w.Now()-it.LatestStart)
+		l.refuseQueued(it, domain.ReasonOverload, w.Now()-it.LatestStart)
 		return headSettled
 	}
 	if !choice.Fits {
@@ -120,6 +120,6 @@
 	return headSettled
 }
 
-func (l *Logic) refuseQueued(it *fair.Item, reason world.Reason, over time.Duration) {
+func (l *Logic) refuseQueued(it *fair.Item, reason domain.Reason, over time.Duration) {
 	l.forwardOrRefuse(it.Request, reason, over, it.TokenRate)
 }
--- a/internal/route/core/resume.go
+++ b/internal/route/core/resume.go
@@ -5,9 +5,9 @@
 	"time"
 
 	"fulmarwick/internal/base/spec"
+	"fulmarwick/internal/route/domain"
 	"fulmarwick/internal/route/pick"
 	"fulmarwick/internal/route/poison"
-	"fulmarwick/internal/route/world"
 )
 
 const (
@@ -27,16 +27,16 @@
 // heldRequest is a request that waits for an engine that may run it, ahead of the
 // queues.
 type heldRequest struct {
-	request   *world.Request
+	request   *domain.Request
 	heldSince time.Duration
 }
 
 // decideResumed decides on a request that ran before, here or at another instance,
 // or that is a suspect.
-func (l *Logic) decideResumed(r *world.Request) {
+func (l *Logic) decideResumed(r *domain.Request) {
 	w := &l.state
 	if r.Attempt() > 0 && !l.retryBudget.AllowRetry(r) {
-		w.Refuse(r, world.ReasonRetriesExhausted, l.retryAfter(r))
+		w.Refuse(r, domain.ReasonRetriesExhausted, l.retryAfter(r))
 		return
 	}
 	h := &heldRequest{request: r, heldSince: w.Now()}
@@ -45,7 +45,7 @@
 	}
 }
 
-func (l *Logic) retryAfter(r *world.Request) time.Duration {
+func (l *Logic) retryAfter(r *domain.Request) time.Duration {
 	return max(time.Second, r.Plan().FirstTokenTime)
 }
 
@@ -71,7 +71,7 @@
 	verdict := l.suspects.Evaluate(w.Now(), r)
 	switch verdict {
 	case poison.VerdictCulprit:
-		w.Refuse(r, world.ReasonPoison, 0)
+		w.Refuse(r, domain.ReasonPoison, 0)
 		return true
 	case poison.VerdictWait:
 		return l.refuseAfterWait(r, waited, maxSuspectWait)
@@ -94,7 +94,7 @@
 
 // handleUncovered settles a request whose model no engines cover here, or reports
 // false if it waits for them to come back.
-func (l *Logic) handleUncovered(r *world.Request, waited time.Duration) bool {
+func (l *Logic) handleUncovered(r *domain.Request, waited time.Duration) bool {
 	// A request that its caller resumes here has nothing running here. Without
 	// this a data centre without engines of the model, whose answers all come
 	// from others, could resume none of them.
@@ -111,22 +111,22 @@
 	return l.refuseAfterWait(r, waited, most)
 }
 
-func (l *Logic) refuseAfterWait(r *world.Request, waited, most time.Duration) bool {
+func (l *Logic) refuseAfterWait(r *domain.Request, waited, most time.Duration) bool {
 	if waited < most {
 		return false
 	}
-	l.state.Refuse(r, world.ReasonNoEngine, uncoveredRetryAfter)
+	l.state.Refuse(r, domain.ReasonNoEngine, uncoveredRetryAfter)
 	return true
 }
 
-func (l *Logic) remainingTokens(r *world.Request) int {
+func (l *Logic) remainingTokens(r *domain.Request) int {
 	return max(1, l.margins.ExpectedTokens(r)-r.Tokens())
 }
 
 // suspectFilter says where a suspect may run: where no other suspect of this instance
 // is on probation, and on this instance's part of the engines, so that two
 // instances do not try suspects on the same engine at once.
-func (l *Logic) suspectFilter(r *world.Request, part bool) func(spec.UpstreamID) bool {
+func (l *Logic) suspectFilter(r *domain.Request, part bool) func(spec.UpstreamID) bool {
 	if !part {
 		return func(engine spec.UpstreamID) bool { return l.suspects.HasNoOtherSuspect(engine, r) }
 	}
--- a/internal/route/core/tell.go
+++ b/internal/route/core/tell.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 )
 
 const (
@@ -34,7 +34,7 @@
 }
 
 type announcedLoad struct {
-	engine  *world.Engine
+	engine  *domain.Engine
 	active  int
 	demand  int64
 	sentAt  time.Duration
@@ -56,7 +56,7 @@
 	}
 }
 
-func (t *announcer) markChanged(w *world.RoutingState) {
+func (t *announcer) markChanged(w *domain.RoutingState) {
 	for _, e := range w.TakeChangedEngines() {
 		if w.Engines().Get(e.ID) != e {
 			continue
@@ -76,7 +76,7 @@
 	}
 }
 
-func (t *announcer) announceLoads(w *world.RoutingState) {
+func (t *announcer) announceLoads(w *domain.RoutingState) {
 	keep := t.changed[:0]
 	for _, s := range t.changed {
 		if s.sent && w.Now()-s.sentAt < loadInterval {
@@ -89,7 +89,7 @@
 		}
 		s.active, s.demand = s.engine.LocalRequests(), s.engine.LocalDemand()
 		s.sentAt, s.sent = w.Now(), true
-		w.Emit(world.LocalLoad{Engine: s.engine.ID, Active: s.active, LayerTokenRate: int(s.demand)})
+		w.Emit(domain.LocalLoad{Engine: s.engine.ID, Active: s.active, LayerTokenRate: int(s.demand)})
 	}
 	t.changed = keep
 }
@@ -126,7 +126,7 @@
 	}
 }
 
-func (t *announcer) announceCapacity(w *world.RoutingState, name spec.ModelName, free, capacity float64) {
+func (t *announcer) announceCapacity(w *domain.RoutingState, name spec.ModelName, free, capacity float64) {
 	s := t.capacities[name]
 	if s == nil {
 		s = &announcedCapacity{sentAt: -capacityResendAfter}
@@ -138,22 +138,22 @@
 		return
 	}
 	s.freeRate, s.sentAt = free, w.Now()
-	w.Emit(world.LocalCapacity{Model: name, FreeRate: free})
+	w.Emit(domain.LocalCapacity{Model: name, FreeRate: free})
 }
 
 // chooseRemoteCentre is an instance of another data centre that has room for a request
 // of rate tokens a second. A request that was forwarded already, or that ran
 // here, stays: so it takes at most one hop and no circle.
-func (l *Logic) chooseRemoteCentre(r *world.Request, rate float64) *world.RemoteCentre {
+func (l *Logic) chooseRemoteCentre(r *domain.Request, rate float64) *domain.RemoteCentre {
 	a := r.Arrival()
 	if a.Hops > 0 || r.Attempt() > 0 {
 		return nil
 	}
 	w := &l.state
-	fits := func(c *world.RemoteCentre) bool {
+	fits := func(c *domain.RemoteCentre) bool {
 		return w.Now()-c.ReportedAt() < remoteCapacityTTL && c.FreeRate() > 0 && c.FreeRate() >= spareFactor*rate
 	}
-	var open []*world.RemoteCentre
+	var open []*domain.RemoteCentre
 	for _, c := range w.RemoteCentres(a.Model) {
 		if fits(c) {
 			open = append(open, c)
--- a/internal/route/core/tell_test.go
+++ b/internal/route/core/tell_test.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 )
 
 // Other instances hear of a changing load soon, but at most five times a
@@ -14,10 +14,10 @@
 	e := newEngine("a1", 0, 8)
 	e.Slots = 1000
 	g := newHarness(t, lenientTarget(), e)
-	var told []world.LocalLoad
-	note := func(cs []world.Command) {
+	var told []domain.LocalLoad
+	note := func(cs []domain.Command) {
 		for _, c := range cs {
-			if o, ok := c.(world.LocalLoad); ok {
+			if o, ok := c.(domain.LocalLoad); ok {
 				told = append(told, o)
 			}
 		}
@@ -32,7 +32,7 @@
 		t.Errorf("told in two seconds: got %d times, want about 10", got)
 	}
 	for _, id := range ids {
-		note(g.tick(world.RequestCanceled{Request: id}))
+		note(g.tick(domain.RequestCanceled{Request: id}))
 	}
 	note(g.tickFor(time.Second))
 	if last := told[len(told)-1]; last.Active != 0 || last.LayerTokenRate != 0 {
@@ -44,8 +44,8 @@
 	e := newEngine("a1", 0, 8)
 	e.Slots = 1000
 	g := newHarness(t, lenientTarget(), e)
-	g.tick(world.PeerLoad{Peer: "p", Engine: "a1"})
-	var cs []world.Command
+	g.tick(domain.PeerLoad{Peer: "p", Engine: "a1"})
+	var cs []domain.Command
 	for range 100 {
 		cs = append(cs, g.tick(g.newRequest("big"))...)
 	}
@@ -54,9 +54,9 @@
 	free, rates := 0.0, map[spec.TeamID]float64{}
 	for _, c := range cs {
 		switch c := c.(type) {
-		case world.LocalCapacity:
+		case domain.LocalCapacity:
 			free = c.FreeRate
-		case world.LocalTeamUsage:
+		case domain.LocalTeamUsage:
 			rates[c.Team] = c.Rate
 		}
 	}
@@ -73,7 +73,7 @@
 // much elsewhere, the other team's request goes first.
 func TestRemoteUsageLowersTeamPriority(t *testing.T) {
 	g := newHarness(t, lenientTarget(), newEngine("a1", 0, 8))
-	g.tick(world.TeamUsage{Team: "big", Rate: 5000}, world.TeamUsage{Team: "small", Rate: 1})
+	g.tick(domain.TeamUsage{Team: "big", Rate: 5000}, domain.TeamUsage{Team: "small", Rate: 1})
 	var ran []spec.RequestID
 	team := map[spec.RequestID]spec.TeamID{}
 	for i := range 40 {
@@ -85,8 +85,8 @@
 	}
 	first := map[spec.TeamID]int{}
 	for _, id := range ran {
-		for _, c := range g.tick(world.RequestFinished{Request: id, Tokens: 50, OK: true}) {
-			if s, ok := c.(world.Start); ok {
+		for _, c := range g.tick(domain.RequestFinished{Request: id, Tokens: 50, OK: true}) {
+			if s, ok := c.(domain.Start); ok {
 				first[team[s.Request]]++
 			}
 		}
--- a/internal/route/core/tick_test.go
+++ b/internal/route/core/tick_test.go
@@ -7,7 +7,7 @@
 
 	"fulmarwick/internal/base/spec"
 	"fulmarwick/internal/route/core"
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 )
 
 // BenchmarkTick is the cost of a tick that takes the report of one engine, one
@@ -22,8 +22,8 @@
 			name := fmt.Sprint("m", m)
 			classes = append(classes, spec.NewModelClass(spec.ClassName(name), spec.ModelName(name), spec.NewTarget(time.Minute, 0, 0, 95)))
 		}
-		events := []world.Event{world.ConfigChanged{Version: 1, Classes: classes}}
-		var rows []world.Engine
+		events := []domain.Event{domain.ConfigChanged{Version: 1, Classes: classes}}
+		var rows []domain.Engine
 		for i := range n {
 			part := i % 4
 			e := newEngine(fmt.Sprintf("e%05d", i), 2*part, 2*part+2)
@@ -31,7 +31,7 @@
 			e.Slots = 16
 			e.Loaded[0].Model = spec.ModelName(fmt.Sprint("m", i/4%models))
 			rows = append(rows, e)
-			events = append(events, world.EngineReport{Engine: e})
+			events = append(events, domain.EngineReport{Engine: e})
 		}
 		l.Tick(0, events)
 		now := time.Second
@@ -43,12 +43,12 @@
 				e.Seq++
 				id := spec.RequestID(fmt.Sprint(now))
 				m := fmt.Sprint("m", i%models)
-				l.Tick(now, []world.Event{
-					world.EngineReport{Engine: *e},
-					world.RequestArrived{Request: id, Team: "t", Class: spec.ClassName(m), Model: spec.ModelName(m), PromptTokens: 256, MaxTokens: 64},
+				l.Tick(now, []domain.Event{
+					domain.EngineReport{Engine: *e},
+					domain.RequestArrived{Request: id, Team: "t", Class: spec.ClassName(m), Model: spec.ModelName(m), PromptTokens: 256, MaxTokens: 64},
 				})
 				now += time.Millisecond
-				l.Tick(now, []world.Event{world.RequestFinished{Request: id, Tokens: 64, FirstToken: time.Second, TotalTime: 2 * time.Second, OK: true}})
+				l.Tick(now, []domain.Event{domain.RequestFinished{Request: id, Tokens: 64, FirstToken: time.Second, TotalTime: 2 * time.Second, OK: true}})
 			}
 		})
 		b.Run(fmt.Sprintf("%d/idle", n), func(b *testing.B) {
--- a/internal/route/world/engines.go
+++ b/internal/route/domain/engines.go
@@ -1,4 +1,4 @@
-package world
+package domain
 
 import (
 	"sort"
--- a/internal/route/world/enum.go
+++ b/internal/route/domain/enum.go
@@ -1,4 +1,4 @@
-package world
+package domain
 
 //go:generate stringer -type=Cause -linecomment -output=cause_string.go
 //go:generate stringer -type=Reason -linecomment -output=reason_string.go
--- a/internal/route/world/hop_test.go
+++ b/internal/route/domain/hop_test.go
@@ -1,23 +1,23 @@
-package world_test
+package domain_test
 
 import (
 	"testing"
 	"time"
 
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 )
 
 // A link degrades: after two bad reports the engine counts as slow. It hovers
 // around the limit, then heals. New work leaves it once and comes back once;
 // a single bad report and the hovering change nothing.
 func TestSlowLinkStateChangesOnce(t *testing.T) {
-	w := &world.RoutingState{}
-	w.Apply(world.EngineReport{Engine: world.Engine{ID: "e", ReportedHopTime: time.Millisecond, Seq: 1}})
+	w := &domain.RoutingState{}
+	w.Apply(domain.EngineReport{Engine: domain.Engine{ID: "e", ReportedHopTime: time.Millisecond, Seq: 1}})
 	e := w.Engines().Get("e")
 	changes, last := 0, false
 	report := func(ms ...int) {
 		for _, m := range ms {
-			w.Apply(world.HopMeasured{Engine: "e", P50: time.Duration(m) * time.Millisecond, Count: 9})
+			w.Apply(domain.HopMeasured{Engine: "e", P50: time.Duration(m) * time.Millisecond, Count: 9})
 			if e.HasSlowLink() != last {
 				changes++
 				last = e.HasSlowLink()
--- a/internal/route/fair/fair_test.go
+++ b/internal/route/fair/fair_test.go
@@ -6,23 +6,23 @@
 	"time"
 
 	"fulmarwick/internal/base/spec"
+	"fulmarwick/internal/route/domain"
 	"fulmarwick/internal/route/fair"
-	"fulmarwick/internal/route/world"
 
 	"pgregory.net/rapid"
 )
 
 // newRequests makes a request per team name, in order.
-func newRequests(teams ...string) []*world.Request {
-	w := &world.RoutingState{}
+func newRequests(teams ...string) []*domain.Request {
+	w := &domain.RoutingState{}
 	w.BeginTick(0)
 	for i, team := range teams {
-		w.Apply(world.RequestArrived{Request: spec.RequestID(fmt.Sprint(i)), Team: spec.TeamID(team)})
+		w.Apply(domain.RequestArrived{Request: spec.RequestID(fmt.Sprint(i)), Team: spec.TeamID(team)})
 	}
 	return w.Requests().TakeDue()
 }
 
-func newItem(r *world.Request, latest time.Duration) *fair.Item {
+func newItem(r *domain.Request, latest time.Duration) *fair.Item {
 	return &fair.Item{Request: r, Cost: 100, Charge: 100, LatestStart: latest}
 }
 
@@ -66,7 +66,7 @@
 	q.Push(newItem(rs[0], 30))
 	q.Push(newItem(rs[1], 10))
 	q.Push(newItem(rs[2], 20))
-	for _, want := range []*world.Request{rs[1], rs[2], rs[0]} {
+	for _, want := range []*domain.Request{rs[1], rs[2], rs[0]} {
 		it := q.Head()
 		if it.Request != want {
 			t.Fatalf("got %s, want %s", it.Request.Arrival().Request, want.Arrival().Request)
@@ -78,7 +78,7 @@
 func TestIdleTeamsUseNoMemory(t *testing.T) {
 	q := &fair.Queue{}
 	rates := &fair.Rates{}
-	w := &world.RoutingState{}
+	w := &domain.RoutingState{}
 	for i := range 37000 {
 		now := time.Duration(i) * time.Millisecond
 		team := spec.TeamID(fmt.Sprint(i))
@@ -101,7 +101,7 @@
 func TestFleetRateRaisesCharge(t *testing.T) {
 	rates := &fair.Rates{}
 	rates.RecordUse(0, "big", 500)
-	rates.ApplyReport(0, world.TeamUsage{Team: "big", Rate: 400})
+	rates.ApplyReport(0, domain.TeamUsage{Team: "big", Rate: 400})
 	if got := rates.ChargeFactor(0, "big"); got != 4 {
 		t.Errorf("factor: got %v, want 4", got)
 	}
--- a/internal/route/fair/queue.go
+++ b/internal/route/fair/queue.go
@@ -1,7 +1,7 @@
 // Package fair orders the requests that wait for engines so that the burst of
 // one team delays no other, and follows how much each team uses.
 //
-// It imports base/spec and route/world. Package core keeps one Queue per model
+// It imports base/spec and route/domain. Package core keeps one Queue per model
 // and one Rates.
 package fair
 
@@ -9,7 +9,7 @@
 	"time"
 
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 )
 
 const (
@@ -24,7 +24,7 @@
 
 // Item is a request that waits.
 type Item struct {
-	Request *world.Request
+	Request *domain.Request
 	// Cost is in tokens through the whole model; Charge is what the team is
 	// charged for it.
 	Cost   float64
--- a/internal/route/fair/rates.go
+++ b/internal/route/fair/rates.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 )
 
 const (
@@ -54,7 +54,7 @@
 }
 
 // ApplyReport takes the fleet-wide use of a team.
-func (s *Rates) ApplyReport(now time.Duration, ev world.TeamUsage) {
+func (s *Rates) ApplyReport(now time.Duration, ev domain.TeamUsage) {
 	r := s.get(ev.Team)
 	r.decay(now)
 	r.fleetRate = ev.Rate
@@ -93,7 +93,7 @@
 }
 
 // Run tells the use of the heavy teams where it changed.
-func (s *Rates) Run(w *world.RoutingState) {
+func (s *Rates) Run(w *domain.RoutingState) {
 	now := w.Now()
 	if now < s.nextReport {
 		return
@@ -112,12 +112,12 @@
 // isNearLimit reports whether the team uses so much of its limit here that its use
 // over the fleet may pass it. Without it many instances could each give a small
 // limit in full.
-func (r *teamRate) isNearLimit(w *world.RoutingState) bool {
+func (r *teamRate) isNearLimit(w *domain.RoutingState) bool {
 	t, ok := w.Team(r.team)
 	return ok && t.Limit() > 0 && r.localRate > t.Limit()/nearLimitDivisor
 }
 
-func (r *teamRate) report(w *world.RoutingState, rate float64) {
+func (r *teamRate) report(w *domain.RoutingState, rate float64) {
 	if rate == 0 && r.sentRate == 0 {
 		return
 	}
@@ -127,7 +127,7 @@
 	}
 	r.sentRate = rate
 	r.sentAt = w.Now()
-	w.Emit(world.LocalTeamUsage{Team: r.team, Rate: rate})
+	w.Emit(domain.LocalTeamUsage{Team: r.team, Rate: rate})
 }
 
 func (s *Rates) sortedByUse() []*teamRate {
--- a/internal/route/pick/cache.go
+++ b/internal/route/pick/cache.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 )
 
 const (
@@ -59,7 +59,7 @@
 
 // cachedPrefix is an engine with some of a prompt.
 type cachedPrefix struct {
-	engine *world.Engine
+	engine *domain.Engine
 	tokens int
 }
 
@@ -74,7 +74,7 @@
 // ApplyEvent takes cache events. After a gap nothing known of the engine before is
 // trusted, since a missed event may have removed it; until a whole list comes
 // only what is sent to the engine after the gap counts.
-func (c *Cache) ApplyEvent(now time.Duration, ev world.CacheReport) {
+func (c *Cache) ApplyEvent(now time.Duration, ev domain.CacheReport) {
 	f := c.feedOf(ev.Engine)
 	if f.received && ev.Seq <= f.seq {
 		return
@@ -114,7 +114,7 @@
 }
 
 // longestPrefixes returns the engines with the longest cached prefixes of a prompt.
-func (c *Cache) longestPrefixes(w *world.RoutingState, blocks []uint64) []cachedPrefix {
+func (c *Cache) longestPrefixes(w *domain.RoutingState, blocks []uint64) []cachedPrefix {
 	var out []cachedPrefix
 	for i := len(blocks) - 1; i >= 0 && len(out) < maxCachedEngines; i-- {
 		el := c.blocks[blocks[i]]
--- a/internal/route/pick/cache_test.go
+++ b/internal/route/pick/cache_test.go
@@ -6,24 +6,24 @@
 	"time"
 
 	"fulmarwick/internal/base/spec"
+	"fulmarwick/internal/route/domain"
 	"fulmarwick/internal/route/pick"
-	"fulmarwick/internal/route/world"
 )
 
 // cacheFixture is a world with two engines that each hold the whole model.
 type cacheFixture struct {
-	w      *world.RoutingState
+	w      *domain.RoutingState
 	cache  *pick.Cache
 	picker *pick.Picker
 	lastID int
 }
 
 func newCacheFixture() *cacheFixture {
-	g := &cacheFixture{w: &world.RoutingState{}, cache: &pick.Cache{}}
+	g := &cacheFixture{w: &domain.RoutingState{}, cache: &pick.Cache{}}
 	g.picker = &pick.Picker{Rand: rand.New(rand.NewPCG(1, 1)), Cache: g.cache}
 	g.w.BeginTick(time.Second)
 	for _, id := range []string{"a", "b"} {
-		g.w.Apply(world.EngineReport{Engine: newEngine(id, 0, 8)})
+		g.w.Apply(domain.EngineReport{Engine: newEngine(id, 0, 8)})
 	}
 	return g
 }
@@ -33,7 +33,7 @@
 	t.Helper()
 	g.lastID++
 	id := spec.RequestID(rune('0' + g.lastID))
-	g.w.Apply(world.RequestArrived{Request: id, Model: model, PromptTokens: 640, MaxTokens: 10, BlockHashes: blocks})
+	g.w.Apply(domain.RequestArrived{Request: id, Model: model, PromptTokens: 640, MaxTokens: 10, BlockHashes: blocks})
 	due := g.w.Requests().TakeDue()
 	if len(due) != 1 {
 		t.Fatalf("due: got %d, want 1", len(due))
@@ -55,9 +55,9 @@
 	}
 	busy := newEngine("b", 0, 8)
 	busy.Seq, busy.Active, busy.Queued = 2, 8, 400
-	g.w.Apply(world.EngineReport{Engine: busy})
+	g.w.Apply(domain.EngineReport{Engine: busy})
 	busy.Seq = 3
-	g.w.Apply(world.EngineReport{Engine: busy})
+	g.w.Apply(domain.EngineReport{Engine: busy})
 	if got, _ := g.choose(t, prompt); got != "a" {
 		t.Errorf("cached engine with a long queue: got %s, want a", got)
 	}
@@ -73,11 +73,11 @@
 		_, hit := g.choose(t, prompt)
 		return hit > 0
 	}
-	g.cache.ApplyEvent(now, world.CacheReport{Engine: "b", Seq: 1, Added: prompt})
+	g.cache.ApplyEvent(now, domain.CacheReport{Engine: "b", Seq: 1, Added: prompt})
 	if !known() {
 		t.Error("after the first event: want the prompt known")
 	}
-	g.cache.ApplyEvent(now, world.CacheReport{Engine: "b", Seq: 3, Added: prompt})
+	g.cache.ApplyEvent(now, domain.CacheReport{Engine: "b", Seq: 3, Added: prompt})
 	if known() {
 		t.Error("after a gap: want nothing known")
 	}
@@ -85,11 +85,11 @@
 	if !known() {
 		t.Error("after own work later than the gap: want the prompt known")
 	}
-	g.cache.ApplyEvent(now, world.CacheReport{Engine: "b", Seq: 4, Removed: prompt})
+	g.cache.ApplyEvent(now, domain.CacheReport{Engine: "b", Seq: 4, Removed: prompt})
 	if known() {
 		t.Error("after its removal: want nothing known")
 	}
-	g.cache.ApplyEvent(now, world.CacheReport{Engine: "b", Seq: 5, Added: prompt, Reset: true})
+	g.cache.ApplyEvent(now, domain.CacheReport{Engine: "b", Seq: 5, Added: prompt, Reset: true})
 	if !known() {
 		t.Error("after the whole list: want the prompt known")
 	}
--- a/internal/route/pick/cost.go
+++ b/internal/route/pick/cost.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 )
 
 const (
@@ -21,7 +21,7 @@
 
 // candidate is an engine that may run layers within a range.
 type candidate struct {
-	engine *world.Engine
+	engine *domain.Engine
 	layers spec.Layers
 	width  int
 	// cachedPositions is how many prompt positions the engine has cached.
--- a/internal/route/pick/doc.go
+++ b/internal/route/pick/doc.go
@@ -1,6 +1,6 @@
 // Package pick chooses the chain of engines for a request by predicted finish.
 //
-// It imports base/spec and route/world. Package core calls it for requests
+// It imports base/spec and route/domain. Package core calls it for requests
 // that were admitted or whose stage was lost. RoundRobin and Least are naive
 // choosers that tests and benches compare with.
 package pick
@@ -9,7 +9,7 @@
 	"time"
 
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 )
 
 // ChunkPositions is how many prompt positions an engine is taken to run in the time of
@@ -29,18 +29,18 @@
 
 // Choice is a chain with whether its engines have room for it.
 type Choice struct {
-	Plan world.Plan
+	Plan domain.Plan
 	Fits bool
 }
 
 // Chooser chooses chains.
 type Chooser interface {
 	// Choose reports false if no set of usable engines covers the model.
-	Choose(w *world.RoutingState, r *world.Request, ask Query) (Choice, bool)
+	Choose(w *domain.RoutingState, r *domain.Request, ask Query) (Choice, bool)
 }
 
 // prefillPositions is how many positions a stage without state must run first.
-func prefillPositions(r *world.Request) int { return r.Arrival().PromptTokens + r.Tokens() }
+func prefillPositions(r *domain.Request) int { return r.Arrival().PromptTokens + r.Tokens() }
 
 func chunkCount(positions int) time.Duration {
 	return time.Duration(max(1, (positions+ChunkPositions-1)/ChunkPositions))
--- a/internal/route/pick/herd_test.go
+++ b/internal/route/pick/herd_test.go
@@ -8,25 +8,25 @@
 	"time"
 
 	"fulmarwick/internal/base/spec"
+	"fulmarwick/internal/route/domain"
 	"fulmarwick/internal/route/pick"
-	"fulmarwick/internal/route/world"
 )
 
 const model = "m"
 
-func newEngine(id string, from, to int) world.Engine {
-	return world.Engine{
+func newEngine(id string, from, to int) domain.Engine {
+	return domain.Engine{
 		ID: spec.UpstreamID(id), LayerTime: time.Millisecond, Slots: 8, ReportedHopTime: time.Millisecond, Seq: 1,
-		Loaded: []world.LoadedRange{{Model: model, Version: "1", Depth: 8, Layers: spec.NewLayers(from, to)}},
+		Loaded: []domain.LoadedRange{{Model: model, Version: "1", Depth: 8, Layers: spec.NewLayers(from, to)}},
 	}
 }
 
 // herdSim is many instances that read the same late reports and hear nothing of
 // each other.
 type herdSim struct {
-	worlds       []*world.RoutingState
+	worlds       []*domain.RoutingState
 	choosers     []pick.Chooser
-	engines      []world.Engine
+	engines      []domain.Engine
 	inFlight     map[spec.UpstreamID]int
 	completions  map[int][]completion
 	lastID       int
@@ -55,9 +55,9 @@
 		c.engines = append(c.engines, newEngine(fmt.Sprintf("e%04d", i), 0, 8))
 	}
 	for i := range instances {
-		w := &world.RoutingState{}
+		w := &domain.RoutingState{}
 		w.BeginTick(0)
-		w.Apply(world.ConfigChanged{Version: 1, Classes: []spec.Class{spec.NewModelClass("c", model, spec.Target{})}})
+		w.Apply(domain.ConfigChanged{Version: 1, Classes: []spec.Class{spec.NewModelClass("c", model, spec.Target{})}})
 		c.worlds = append(c.worlds, w)
 		c.choosers = append(c.choosers, chooser(i))
 	}
@@ -73,7 +73,7 @@
 	for n := range steps {
 		for _, e := range c.completions[n] {
 			c.inFlight[e.engine]--
-			c.worlds[e.instance].Apply(world.RequestFinished{Request: e.request, OK: true})
+			c.worlds[e.instance].Apply(domain.RequestFinished{Request: e.request, OK: true})
 		}
 		delete(c.completions, n)
 		if n%reportSteps == 0 {
@@ -102,7 +102,7 @@
 		e.Queued = c.inFlight[e.ID] - e.Active
 		for _, w := range c.worlds {
 			w.BeginTick(time.Duration(n) * stepTime)
-			w.Apply(world.EngineReport{Engine: *e})
+			w.Apply(domain.EngineReport{Engine: *e})
 		}
 	}
 }
@@ -112,7 +112,7 @@
 	w.BeginTick(time.Duration(n) * stepTime)
 	c.lastID++
 	id := spec.RequestID(fmt.Sprint(c.lastID))
-	w.Apply(world.RequestArrived{Request: id, Class: "c", Model: model, PromptTokens: 32, MaxTokens: 100})
+	w.Apply(domain.RequestArrived{Request: id, Class: "c", Model: model, PromptTokens: 32, MaxTokens: 100})
 	for _, r := range w.Requests().TakeDue() {
 		choice, ok := c.choosers[on].Choose(w, r, pick.Query{MaxUtilization: 1, RemainingTokens: 100})
 		if !ok {
--- a/internal/route/pick/naive.go
+++ b/internal/route/pick/naive.go
@@ -4,21 +4,21 @@
 	"time"
 
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 )
 
 // RoundRobin takes the engines of each layer range in turn, whatever their
 // speed and load. It is the naive side of comparisons.
 type RoundRobin struct {
-	next map[*world.Group]int
+	next map[*domain.Group]int
 }
 
 // Choose implements Chooser; the chain always fits.
-func (n *RoundRobin) Choose(w *world.RoutingState, r *world.Request, ask Query) (Choice, bool) {
+func (n *RoundRobin) Choose(w *domain.RoutingState, r *domain.Request, ask Query) (Choice, bool) {
 	if n.next == nil {
-		n.next = map[*world.Group]int{}
+		n.next = map[*domain.Group]int{}
 	}
-	return greedyChain(w, r, ask, func(g *world.Group) *world.Engine {
+	return greedyChain(w, r, ask, func(g *domain.Group) *domain.Engine {
 		n.next[g]++
 		return g.Engines()[n.next[g]%len(g.Engines())]
 	})
@@ -29,9 +29,9 @@
 type LeastLoaded struct{}
 
 // Choose implements Chooser; the chain always fits.
-func (LeastLoaded) Choose(w *world.RoutingState, r *world.Request, ask Query) (Choice, bool) {
-	return greedyChain(w, r, ask, func(g *world.Group) *world.Engine {
-		var best *world.Engine
+func (LeastLoaded) Choose(w *domain.RoutingState, r *domain.Request, ask Query) (Choice, bool) {
+	return greedyChain(w, r, ask, func(g *domain.Group) *domain.Engine {
+		var best *domain.Engine
 		for _, e := range g.Engines() {
 			if best == nil || e.Active+e.Queued < best.Active+best.Queued {
 				best = e
@@ -43,13 +43,13 @@
 
 // greedyChain walks the layers from the first to the last, each time with the range
 // that reaches furthest.
-func greedyChain(w *world.RoutingState, r *world.Request, ask Query, pick func(*world.Group) *world.Engine) (Choice, bool) {
+func greedyChain(w *domain.RoutingState, r *domain.Request, ask Query, pick func(*domain.Group) *domain.Engine) (Choice, bool) {
 	versions := w.Engines().Index().Versions(r.Arrival().Model)
 	if len(versions) == 0 {
 		return Choice{}, false
 	}
 	m := versions[0]
-	out := Choice{Fits: true, Plan: world.Plan{Depth: m.Depth(), Version: m.Version()}}
+	out := Choice{Fits: true, Plan: domain.Plan{Depth: m.Depth(), Version: m.Version()}}
 	for at := 0; at < m.Depth(); {
 		g := furthest(m, at)
 		if g == nil {
@@ -67,8 +67,8 @@
 	return out, true
 }
 
-func furthest(m *world.Model, at int) *world.Group {
-	var best *world.Group
+func furthest(m *domain.Model, at int) *domain.Group {
+	var best *domain.Group
 	for _, g := range m.Groups() {
 		if g.Layers().Has(at) && (best == nil || g.Layers().To() > best.Layers().To()) {
 			best = g
--- a/internal/route/pick/pick.go
+++ b/internal/route/pick/pick.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 )
 
 const (
@@ -36,8 +36,8 @@
 // selection is the state of one choice.
 type selection struct {
 	*Picker
-	w                *world.RoutingState
-	r                *world.Request
+	w                *domain.RoutingState
+	r                *domain.Request
 	query            Query
 	typicalTokenTime time.Duration
 	positions        int
@@ -47,7 +47,7 @@
 // Choose returns the chain with the least predicted finish that covers one
 // version of the model. A request that made tokens stays on its version and
 // keeps the stages that live, unless rebuilding them elsewhere is faster.
-func (p *Picker) Choose(w *world.RoutingState, r *world.Request, ask Query) (Choice, bool) {
+func (p *Picker) Choose(w *domain.RoutingState, r *domain.Request, ask Query) (Choice, bool) {
 	c := &selection{Picker: p, w: w, r: r, query: ask, positions: prefillPositions(r)}
 	if p.Cache != nil {
 		c.cached = p.Cache.longestPrefixes(w, r.Arrival().BlockHashes)
@@ -71,7 +71,7 @@
 
 // searchVersion searches one version, first among few engines and then, if those
 // have no room, among more.
-func (c *selection) searchVersion(m *world.Model) (Choice, time.Duration, bool) {
+func (c *selection) searchVersion(m *domain.Model) (Choice, time.Duration, bool) {
 	tries := c.Samples
 	if tries == 0 {
 		tries = DefaultSamples
@@ -83,7 +83,7 @@
 	return c.search(m, c.candidates(m, wideSamples, true))
 }
 
-func (c *selection) candidates(m *world.Model, tries int, wide bool) []candidate {
+func (c *selection) candidates(m *domain.Model, tries int, wide bool) []candidate {
 	out := c.keptStages(m)
 	for _, g := range m.Groups() {
 		c.addGroupCandidates(g, tries, wide, &out)
@@ -93,14 +93,14 @@
 
 // keptStages are the stages of the request that live still. Those of a leaving
 // engine stay: it finishes what runs on it.
-func (c *selection) keptStages(m *world.Model) []candidate {
+func (c *selection) keptStages(m *domain.Model) []candidate {
 	if c.r.Attempt() == 0 {
 		return nil
 	}
 	var out []candidate
 	for _, s := range c.r.Chain() {
 		e := c.w.Engines().Get(s.Engine())
-		if e == nil || e.State() == world.StateDead || c.r.Avoids(e.ID) {
+		if e == nil || e.State() == domain.StateDead || c.r.Avoids(e.ID) {
 			continue
 		}
 		if h, ok := e.FindLoaded(m.Name(), m.Version(), s.Layers()); ok {
@@ -112,9 +112,9 @@
 
 // addGroupCandidates adds the best engine of those drawn and the best of those that have
 // some of the prompt cached.
-func (c *selection) addGroupCandidates(g *world.Group, tries int, wide bool, out *[]candidate) {
+func (c *selection) addGroupCandidates(g *domain.Group, tries int, wide bool, out *[]candidate) {
 	cold, warm := bestCandidate{selection: c, group: g}, bestCandidate{selection: c, group: g}
-	c.sampleEngines(g, tries, wide, func(e *world.Engine) { cold.consider(e, 0) })
+	c.sampleEngines(g, tries, wide, func(e *domain.Engine) { cold.consider(e, 0) })
 	for _, h := range c.cached {
 		if g.Contains(h.engine) {
 			warm.consider(h.engine, h.tokens)
@@ -130,12 +130,12 @@
 // bestCandidate keeps the offer of a group with the least predicted finish.
 type bestCandidate struct {
 	selection *selection
-	group     *world.Group
+	group     *domain.Group
 	candidate candidate
 	rank      time.Duration
 }
 
-func (b *bestCandidate) consider(e *world.Engine, hit int) {
+func (b *bestCandidate) consider(e *domain.Engine, hit int) {
 	if e == nil || !b.selection.usable(e) {
 		return
 	}
@@ -146,7 +146,7 @@
 	}
 }
 
-func (c *selection) sampleEngines(g *world.Group, tries int, wide bool, take func(*world.Engine)) {
+func (c *selection) sampleEngines(g *domain.Group, tries int, wide bool, take func(*domain.Engine)) {
 	engines := g.Engines()
 	if len(engines) <= tries || (wide && len(engines) <= maxFullScan) {
 		for _, e := range engines {
@@ -164,7 +164,7 @@
 	}
 }
 
-func (c *selection) usable(e *world.Engine) bool {
+func (c *selection) usable(e *domain.Engine) bool {
 	if !e.Usable(c.w.Now()) || c.r.Avoids(e.ID) {
 		return false
 	}
@@ -172,7 +172,7 @@
 }
 
 // estimateTokenTime is the time that a token of the model usually takes.
-func (p *Picker) estimateTokenTime(m *world.Model) time.Duration {
+func (p *Picker) estimateTokenTime(m *domain.Model) time.Duration {
 	if t := p.tokenTimes[m.Name()]; t > 0 {
 		return t
 	}
--- a/internal/route/pick/search.go
+++ b/internal/route/pick/search.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 )
 
 // step is the best way found to a layer boundary.
@@ -25,7 +25,7 @@
 // search is a shortest path over the layer boundaries: an engine that holds
 // [from, to) may run from any boundary within it to any later one, so
 // overlaps are trimmed.
-func (c *selection) search(m *world.Model, offers []candidate) (Choice, time.Duration, bool) {
+func (c *selection) search(m *domain.Model, offers []candidate) (Choice, time.Duration, bool) {
 	bounds := c.boundaries(m, offers)
 	best := make([]step, len(bounds))
 	best[0].reachable = bounds[0] == 0
@@ -46,7 +46,7 @@
 
 // boundaries are the boundaries of the model with those of kept stages, which may
 // come from an earlier layout.
-func (c *selection) boundaries(m *world.Model, offers []candidate) []int {
+func (c *selection) boundaries(m *domain.Model, offers []candidate) []int {
 	out := append([]int(nil), m.Bounds()...)
 	for _, o := range offers {
 		if !o.kept {
@@ -90,14 +90,14 @@
 	}
 }
 
-func (c *selection) buildChoice(m *world.Model, best []step, bounds []int) Choice {
+func (c *selection) buildChoice(m *domain.Model, best []step, bounds []int) Choice {
 	var path []int
 	for at := len(bounds) - 1; at > 0; at = best[at].prev {
 		path = append(path, at)
 	}
 	end := best[len(bounds)-1]
 	out := Choice{Fits: !end.lacksCapacity}
-	plan := world.Plan{Depth: m.Depth(), Version: m.Version(), FirstTokenTime: end.firstTokenTime, TokenTime: end.tokenTime}
+	plan := domain.Plan{Depth: m.Depth(), Version: m.Version(), FirstTokenTime: end.firstTokenTime, TokenTime: end.tokenTime}
 	plan.MaxStepTime, plan.MaxPrefillTime = end.maxStepTime, end.maxPrefillTime
 	plan.TotalTime = end.firstTokenTime + time.Duration(max(0, c.query.RemainingTokens-1))*end.tokenTime
 	saved := 0
--- a/internal/route/pick/search_test.go
+++ b/internal/route/pick/search_test.go
@@ -6,15 +6,15 @@
 	"testing"
 	"time"
 
+	"fulmarwick/internal/route/domain"
 	"fulmarwick/internal/route/pick"
-	"fulmarwick/internal/route/world"
 
 	"pgregory.net/rapid"
 )
 
 // cheapestTokenTime is the naive side: the least time for a token over all chains that
 // hand over at any layer.
-func cheapestTokenTime(engines []world.Engine, depth int) time.Duration {
+func cheapestTokenTime(engines []domain.Engine, depth int) time.Duration {
 	best := make([]time.Duration, depth+1)
 	for at := 1; at <= depth; at++ {
 		best[at] = -1
@@ -39,8 +39,8 @@
 func TestSearchFindsTheCheapestChain(t *testing.T) {
 	const depth = 8
 	rapid.Check(t, func(t *rapid.T) {
-		var engines []world.Engine
-		w := &world.RoutingState{}
+		var engines []domain.Engine
+		w := &domain.RoutingState{}
 		w.BeginTick(0)
 		for i := range rapid.IntRange(1, 6).Draw(t, "engines") {
 			from := rapid.IntRange(0, depth-1).Draw(t, "from")
@@ -49,9 +49,9 @@
 			e.Slots = 1 << 20
 			e.LayerTime = time.Duration(rapid.IntRange(1, 9).Draw(t, "layer")) * time.Millisecond
 			engines = append(engines, e)
-			w.Apply(world.EngineReport{Engine: e})
+			w.Apply(domain.EngineReport{Engine: e})
 		}
-		w.Apply(world.RequestArrived{Request: "r", Model: model, PromptTokens: 1, MaxTokens: 1000})
+		w.Apply(domain.RequestArrived{Request: "r", Model: model, PromptTokens: 1, MaxTokens: 1000})
 		p := &pick.Picker{Rand: rand.New(rand.NewPCG(1, 1)), Samples: 64}
 		want := cheapestTokenTime(engines, depth)
 		c, ok := p.Choose(w, w.Requests().TakeDue()[0], pick.Query{MaxUtilization: 1, RemainingTokens: 1000})
@@ -73,18 +73,18 @@
 // Two versions of a model stand side by side while one replaces the other. A
 // chain never mixes them, and an answer that began on one stays on it.
 func TestVersionsAreNeverMixed(t *testing.T) {
-	w := &world.RoutingState{}
+	w := &domain.RoutingState{}
 	w.BeginTick(0)
 	add := func(id, version string, from, to int, layer time.Duration) {
 		e := newEngine(id, from, to)
 		e.LayerTime = layer
 		e.Loaded[0].Version = version
-		w.Apply(world.EngineReport{Engine: e})
+		w.Apply(domain.EngineReport{Engine: e})
 	}
 	add("old1", "1", 0, 4, 9*time.Millisecond)
 	add("old2", "1", 4, 8, 9*time.Millisecond)
 	add("new1", "2", 0, 4, time.Millisecond)
-	w.Apply(world.RequestArrived{Request: "r", Model: model, PromptTokens: 1, MaxTokens: 10})
+	w.Apply(domain.RequestArrived{Request: "r", Model: model, PromptTokens: 1, MaxTokens: 10})
 	r := w.Requests().TakeDue()[0]
 	p := &pick.Picker{Rand: rand.New(rand.NewPCG(1, 1))}
 	c, ok := p.Choose(w, r, pick.Query{MaxUtilization: 1, RemainingTokens: 10})
@@ -93,7 +93,7 @@
 	}
 	w.Start(r, c.Plan, 0, 0, 0)
 	add("new2", "2", 4, 8, time.Millisecond)
-	w.Apply(world.StageLost{Request: "r", Attempt: 1, Engine: c.Plan.Chain[0].Engine(), Cause: world.CauseStateLost})
+	w.Apply(domain.StageLost{Request: "r", Attempt: 1, Engine: c.Plan.Chain[0].Engine(), Cause: domain.CauseStateLost})
 	again, ok := p.Choose(w, r, pick.Query{MaxUtilization: 1, RemainingTokens: 10})
 	if !ok || again.Plan.Version != "1" {
 		t.Errorf("got %v %v, want version 1 still", again.Plan, ok)
--- a/internal/route/place/bench_test.go
+++ b/internal/route/place/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"fulmarwick/internal/base/spec"
+	"fulmarwick/internal/route/domain"
 	"fulmarwick/internal/route/place"
-	"fulmarwick/internal/route/world"
 )
 
 // kind is a sort of accelerator.
@@ -74,11 +74,11 @@
 	}
 }
 
-func (s deployment) engines() []*world.Engine {
-	var out []*world.Engine
+func (s deployment) engines() []*domain.Engine {
+	var out []*domain.Engine
 	for _, k := range s.kinds {
 		for i := range k.count {
-			out = append(out, &world.Engine{
+			out = append(out, &domain.Engine{
 				ID: spec.UpstreamID(fmt.Sprintf("%s-%03d", k.name, i)), Kind: k.name, LayerTime: k.layer,
 				Slots: k.slots, LayerCapacity: k.memory, Bandwidth: k.link, ReportedHopTime: k.hop,
 			})
@@ -87,7 +87,7 @@
 	return out
 }
 
-func setLoaded(engines []*world.Engine, holds [][]world.LoadedRange) {
+func setLoaded(engines []*domain.Engine, holds [][]domain.LoadedRange) {
 	for i, e := range engines {
 		e.Loaded = holds[i]
 	}
@@ -141,7 +141,7 @@
 			}
 		}},
 		{name: "link", apply: func(s *sim, _ int) {
-			s.w.Apply(world.HopMeasured{Engine: s.engines[0].row.ID, P50: 100 * time.Millisecond, P99: time.Second, Count: 100})
+			s.w.Apply(domain.HopMeasured{Engine: s.engines[0].row.ID, P50: 100 * time.Millisecond, P99: time.Second, Count: 100})
 		}},
 		{name: "join", apply: func(s *sim, second int) {
 			if second == 0 {
--- a/internal/route/place/catalog.go
+++ b/internal/route/place/catalog.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 )
 
 // catalog is the models to serve, kept when no engine holds them any more.
@@ -23,7 +23,7 @@
 	demandSteps = 10
 )
 
-func (c *catalog) update(w *world.RoutingState, wanted []Model) {
+func (c *catalog) update(w *domain.RoutingState, wanted []Model) {
 	c.configured = wanted != nil
 	for _, m := range wanted {
 		c.upsert(w, m)
@@ -39,8 +39,8 @@
 }
 
 // largestVersion is the version that can serve most.
-func largestVersion(versions []*world.Model) *world.Model {
-	var best *world.Model
+func largestVersion(versions []*domain.Model) *domain.Model {
+	var best *domain.Model
 	for _, v := range versions {
 		if best == nil || v.Capacity() >= best.Capacity() {
 			best = v
@@ -49,7 +49,7 @@
 	return best
 }
 
-func hiddenWidth(m *world.Model) int {
+func hiddenWidth(m *domain.Model) int {
 	for _, g := range m.Groups() {
 		if g.Width() > 0 {
 			return g.Width()
@@ -58,7 +58,7 @@
 	return 0
 }
 
-func (c *catalog) upsert(w *world.RoutingState, m Model) {
+func (c *catalog) upsert(w *domain.RoutingState, m Model) {
 	i := slices.IndexFunc(c.tracked, func(o Model) bool { return o.Name == m.Name })
 	if i < 0 {
 		i = len(c.tracked)
--- a/internal/route/place/doc.go
+++ b/internal/route/place/doc.go
@@ -2,9 +2,9 @@
 // holds, near the most tokens a second that the engines' speed, memory and
 // links allow, and orders the changes one safe step after another.
 //
-// It imports base/spec and route/world, does no I/O and draws no random
+// It imports base/spec and route/domain, does no I/O and draws no random
 // numbers. Package core runs a Planner at the end of each tick; it emits
-// world.Place while this instance has the duty. docs/notes/placement.md weighs
+// domain.LoadLayers while this instance has the duty. docs/notes/placement.md weighs
 // the design.
 //
 // The rate of a placement is a maximum flow from engines (layer-tokens a
--- a/internal/route/place/guard.go
+++ b/internal/route/place/guard.go
@@ -2,7 +2,7 @@
 
 import (
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 )
 
 // modelVersion names a version of a model.
@@ -16,15 +16,15 @@
 // and one under way may drop its ranges at any moment.
 type coverage struct {
 	minHolders     int
-	serving        map[spec.UpstreamID][]world.LoadedRange
+	serving        map[spec.UpstreamID][]domain.LoadedRange
 	holderCounts   map[modelVersion][]int
 	wanted         map[modelVersion]bool
 	wantedVersions map[spec.ModelName]modelVersion
 }
 
-func newCoverage(goal Goal, engines []*world.Engine, models []Model, under map[spec.UpstreamID]*pendingOrder) *coverage {
+func newCoverage(goal Goal, engines []*domain.Engine, models []Model, under map[spec.UpstreamID]*pendingOrder) *coverage {
 	g := &coverage{
-		minHolders: goal.minHolders(), serving: map[spec.UpstreamID][]world.LoadedRange{},
+		minHolders: goal.minHolders(), serving: map[spec.UpstreamID][]domain.LoadedRange{},
 		holderCounts: map[modelVersion][]int{}, wanted: map[modelVersion]bool{}, wantedVersions: map[spec.ModelName]modelVersion{},
 	}
 	for _, m := range models {
@@ -45,7 +45,7 @@
 	return g
 }
 
-func (g *coverage) addRanges(holds []world.LoadedRange, n int) {
+func (g *coverage) addRanges(holds []domain.LoadedRange, n int) {
 	for _, h := range holds {
 		v := modelVersion{h.Model, h.Version}
 		if len(g.holderCounts[v]) < h.Depth {
@@ -77,7 +77,7 @@
 
 // droppedLayersServed reports whether some other engine serves each layer that an order
 // under way drops.
-func (g *coverage) droppedLayersServed(reported, ordered []world.LoadedRange) bool {
+func (g *coverage) droppedLayersServed(reported, ordered []domain.LoadedRange) bool {
 	for _, h := range reported {
 		for at := h.Layers.From(); at < h.Layers.To(); at++ {
 			v := modelVersion{h.Model, h.Version}
@@ -133,7 +133,7 @@
 	g.serving[mv.engine] = kept
 }
 
-func holdsLayer(list []world.LoadedRange, h world.LoadedRange, at int) bool {
+func holdsLayer(list []domain.LoadedRange, h domain.LoadedRange, at int) bool {
 	for _, o := range list {
 		if o.Model == h.Model && o.Version == h.Version && o.Layers.Has(at) {
 			return true
@@ -143,8 +143,8 @@
 }
 
 // intersect is what is in a and in b.
-func intersect(a, b []world.LoadedRange) []world.LoadedRange {
-	var out []world.LoadedRange
+func intersect(a, b []domain.LoadedRange) []domain.LoadedRange {
+	var out []domain.LoadedRange
 	for _, x := range a {
 		for _, y := range b {
 			if x.Model != y.Model || x.Version != y.Version {
--- a/internal/route/place/moves.go
+++ b/internal/route/place/moves.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 )
 
 const (
@@ -25,7 +25,7 @@
 // move has an engine hold other ranges.
 type move struct {
 	engine       spec.UpstreamID
-	ranges       []world.LoadedRange
+	ranges       []domain.LoadedRange
 	layersToLoad int
 }
 
@@ -66,8 +66,8 @@
 }
 
 // removeCompleted takes off what engines report as done, and those that are gone.
-func (m *rollout) removeCompleted(now time.Duration, engines []*world.Engine) {
-	here := map[spec.UpstreamID]*world.Engine{}
+func (m *rollout) removeCompleted(now time.Duration, engines []*domain.Engine) {
+	here := map[spec.UpstreamID]*domain.Engine{}
 	for _, e := range engines {
 		here[e.ID] = e
 	}
@@ -99,23 +99,23 @@
 // cancelUnsafe takes back orders that were not followed yet and that would now
 // leave a layer without a holder, since another engine died meanwhile: the
 // engine is told to keep what it reports.
-func (m *rollout) cancelUnsafe(w *world.RoutingState, goal Goal, engines []*world.Engine, models []Model) {
+func (m *rollout) cancelUnsafe(w *domain.RoutingState, goal Goal, engines []*domain.Engine, models []Model) {
 	for _, e := range engines {
 		s := m.pending[e.ID]
 		if s == nil || newCoverage(goal, engines, models, m.pending).droppedLayersServed(e.Loaded, s.ranges) {
 			continue
 		}
 		delete(m.pending, e.ID)
-		w.Emit(world.LoadLayers{Engine: e.ID, Ranges: e.Loaded})
+		w.Emit(domain.LoadLayers{Engine: e.ID, Ranges: e.Loaded})
 	}
 }
 
-func sameRanges(a, b []world.LoadedRange) bool {
+func sameRanges(a, b []domain.LoadedRange) bool {
 	if len(a) != len(b) {
 		return false
 	}
 	for _, h := range a {
-		if !slices.ContainsFunc(b, func(o world.LoadedRange) bool {
+		if !slices.ContainsFunc(b, func(o domain.LoadedRange) bool {
 			return o.Model == h.Model && o.Version == h.Version && o.Layers == h.Layers
 		}) {
 			return false
@@ -125,7 +125,7 @@
 }
 
 // dispatch orders the next moves that may go now.
-func (m *rollout) dispatch(w *world.RoutingState, goal Goal, engines []*world.Engine, models []Model, rate float64) {
+func (m *rollout) dispatch(w *domain.RoutingState, goal Goal, engines []*domain.Engine, models []Model, rate float64) {
 	m.resendOverdue(w, rate)
 	if len(m.queue) == 0 {
 		return
@@ -145,7 +145,7 @@
 
 // resendOverdue gives overdue orders again; an order states the desired end, so that
 // is safe.
-func (m *rollout) resendOverdue(w *world.RoutingState, rate float64) {
+func (m *rollout) resendOverdue(w *domain.RoutingState, rate float64) {
 	var late []*pendingOrder
 	for _, s := range m.pending {
 		if s.deadline == 0 {
@@ -170,7 +170,7 @@
 	return rate <= 0 || m.storeFreeAt <= now+maxStoreBacklog
 }
 
-func (m *rollout) sendOrder(w *world.RoutingState, mv move, rate float64, orders int) {
+func (m *rollout) sendOrder(w *domain.RoutingState, mv move, rate float64, orders int) {
 	if m.pending == nil {
 		m.pending = map[spec.UpstreamID]*pendingOrder{}
 	}
@@ -179,5 +179,5 @@
 		m.storeFreeAt += time.Duration(float64(mv.layersToLoad) / rate * float64(time.Second))
 	}
 	m.pending[mv.engine] = &pendingOrder{move: mv, deadline: m.storeFreeAt + overdueGrace, attempts: orders}
-	w.Emit(world.LoadLayers{Engine: mv.engine, Ranges: mv.ranges})
+	w.Emit(domain.LoadLayers{Engine: mv.engine, Ranges: mv.ranges})
 }
--- a/internal/route/place/place_test.go
+++ b/internal/route/place/place_test.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"fulmarwick/internal/base/spec"
+	"fulmarwick/internal/route/domain"
 	"fulmarwick/internal/route/place"
-	"fulmarwick/internal/route/world"
 
 	"pgregory.net/rapid"
 )
@@ -26,10 +26,10 @@
 	return out
 }
 
-func drawEngines(t *rapid.T, most int) []*world.Engine {
-	var out []*world.Engine
+func drawEngines(t *rapid.T, most int) []*domain.Engine {
+	var out []*domain.Engine
 	for i := range rapid.IntRange(1, most).Draw(t, "engines") {
-		out = append(out, &world.Engine{
+		out = append(out, &domain.Engine{
 			ID:            spec.UpstreamID(fmt.Sprintf("e%02d", i)),
 			LayerTime:     time.Duration(rapid.IntRange(1, 100).Draw(t, "layer")) * time.Microsecond,
 			Slots:         rapid.IntRange(1, 16).Draw(t, "slots"),
@@ -41,7 +41,7 @@
 }
 
 // minHolders is how many holders the layer with the fewest has.
-func minHolders(m place.Model, holds [][]world.LoadedRange) int {
+func minHolders(m place.Model, holds [][]domain.LoadedRange) int {
 	least := -1
 	for at := range m.Depth {
 		n := 0
@@ -134,10 +134,10 @@
 // The rate against a computation by hand: layer 1 has the slow engine only.
 func TestRateOfKnownPlacement(t *testing.T) {
 	models := []place.Model{{Name: "m", Version: "1", Depth: 2, Demand: 1}}
-	hold := func(from, to int) []world.LoadedRange {
-		return []world.LoadedRange{{Model: "m", Version: "1", Depth: 2, Layers: spec.NewLayers(from, to)}}
+	hold := func(from, to int) []domain.LoadedRange {
+		return []domain.LoadedRange{{Model: "m", Version: "1", Depth: 2, Layers: spec.NewLayers(from, to)}}
 	}
-	engines := []*world.Engine{
+	engines := []*domain.Engine{
 		{ID: "a", LayerTime: time.Millisecond, Slots: 3, LayerCapacity: 1, Loaded: hold(0, 1)},
 		{ID: "b", LayerTime: time.Millisecond, Slots: 1, LayerCapacity: 2, Loaded: hold(0, 2)},
 		{ID: "c", LayerTime: time.Millisecond, Slots: 2, LayerCapacity: 1, Loaded: hold(0, 1)},
@@ -167,7 +167,7 @@
 			switch rapid.SampledFrom([]string{"die", "back", "deaf", "version"}).Draw(t, "what") {
 			case "die":
 				e.dead = true
-				s.w.Apply(world.EngineDead{Engine: e.row.ID})
+				s.w.Apply(domain.EngineDead{Engine: e.row.ID})
 			case "back":
 				e.dead, e.row.Loaded, e.loaded = false, nil, true
 			case "deaf":
@@ -187,7 +187,7 @@
 
 // The same world gives the same orders.
 func TestPlannerIsDeterministic(t *testing.T) {
-	run := func() []world.LoadedRange {
+	run := func() []domain.LoadedRange {
 		st := deployments()[0]
 		engines := st.engines()
 		setLoaded(engines, place.EvenSplit(engines, st.models))
@@ -195,7 +195,7 @@
 		s.run(40 * time.Second)
 		s.kill(3)
 		s.run(40 * time.Second)
-		var out []world.LoadedRange
+		var out []domain.LoadedRange
 		for _, e := range s.engines {
 			out = append(out, e.row.Loaded...)
 		}
@@ -304,7 +304,7 @@
 		t.Fatal("got no order while the duty was held, want some")
 	}
 	before := s.moves
-	s.w.Apply(world.Duties{})
+	s.w.Apply(domain.Duties{})
 	s.run(2 * time.Minute)
 	if s.moves != before {
 		t.Errorf("got %d orders after the duty was lost, want 0", s.moves-before)
--- a/internal/route/place/plan.go
+++ b/internal/route/place/plan.go
@@ -4,7 +4,7 @@
 	"cmp"
 	"slices"
 
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 )
 
 // minRebuildGain is how much better a fresh layout must be than the present one
@@ -197,7 +197,7 @@
 // Result is a placement with what it is worth.
 type Result struct {
 	// Placement are by engine, in the order given.
-	Placement [][]world.LoadedRange
+	Placement [][]domain.LoadedRange
 	// Rate is the multiple of the demands that it serves, Bound one that no
 	// placement passes.
 	Rate  float64
@@ -211,7 +211,7 @@
 
 // Plan finds a placement for the engines in one go. It is what a Planner
 // finds over many ticks; benches and tools call it.
-func Plan(goal Goal, engines []*world.Engine, models []Model) Result {
+func Plan(goal Goal, engines []*domain.Engine, models []Model) Result {
 	p := newProblem(goal, engines, models)
 	j := newJob(p, p.currentLayout(engines))
 	j.run()
@@ -226,7 +226,7 @@
 }
 
 // Evaluate is what the present placement of the engines is worth.
-func Evaluate(engines []*world.Engine, models []Model) Result {
+func Evaluate(engines []*domain.Engine, models []Model) Result {
 	p := newProblem(Throughput, engines, models)
 	now := p.currentLayout(engines)
 	s := solver{problem: p}
--- a/internal/route/place/planner.go
+++ b/internal/route/place/planner.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 )
 
 // Defaults of the exported fields.
@@ -26,7 +26,7 @@
 	stepPause    = 20 * time.Millisecond
 )
 
-// Planner keeps the placement near the best and emits world.Place while this
+// Planner keeps the placement near the best and emits domain.LoadLayers while this
 // instance has the duty. Set the exported fields before the first Run.
 type Planner struct {
 	Goal Goal
@@ -86,7 +86,7 @@
 
 // Run reviews the placement now and then. A tick does a bounded piece of a
 // plan, so that planning for many engines holds up no request.
-func (p *Planner) Run(w *world.RoutingState) {
+func (p *Planner) Run(w *domain.RoutingState) {
 	if !w.Duties().PlansPlacement {
 		p.reset()
 		return
@@ -105,7 +105,7 @@
 // continueJob does a few steps of the plan under way for a small site, one for a
 // large one. Steps for many engines take some milliseconds and are spread out,
 // unless layers have no holder.
-func (p *Planner) continueJob(w *world.RoutingState) {
+func (p *Planner) continueJob(w *domain.RoutingState) {
 	if w.Now() < p.nextStep {
 		return
 	}
@@ -134,7 +134,7 @@
 	return d
 }
 
-func (p *Planner) review(w *world.RoutingState) {
+func (p *Planner) review(w *domain.RoutingState) {
 	engines := p.plannableEngines(w)
 	p.catalog.update(w, p.Models)
 	models := p.catalog.normalizedModels()
@@ -157,17 +157,17 @@
 
 // plannableEngines are those that can be planned with, in order of ID. A leaving
 // engine gets nothing more and a dead one holds nothing.
-func (p *Planner) plannableEngines(w *world.RoutingState) []*world.Engine {
-	var out []*world.Engine
+func (p *Planner) plannableEngines(w *domain.RoutingState) []*domain.Engine {
+	var out []*domain.Engine
 	for _, e := range w.Engines().Rows() {
-		if e.State() == world.StateServing && (p.DataCentre == "" || e.DataCentre == p.DataCentre) {
+		if e.State() == domain.StateServing && (p.DataCentre == "" || e.DataCentre == p.DataCentre) {
 			out = append(out, e)
 		}
 	}
 	return out
 }
 
-func (p *Planner) buildProblem(now time.Duration, engines []*world.Engine, models []Model) *problem {
+func (p *Planner) buildProblem(now time.Duration, engines []*domain.Engine, models []Model) *problem {
 	prob := newProblem(p.Goal, engines, models)
 	for i, e := range engines {
 		prob.units[i].fixed = p.rollout.isRefusing(now, e.ID)
@@ -176,7 +176,7 @@
 }
 
 // expectedLayout is what the engines hold when the orders under way are followed.
-func (p *Planner) expectedLayout(prob *problem, engines []*world.Engine) layout {
+func (p *Planner) expectedLayout(prob *problem, engines []*domain.Engine) layout {
 	out := prob.currentLayout(engines)
 	for i, e := range engines {
 		if o := p.rollout.pending[e.ID]; o != nil {
@@ -218,7 +218,7 @@
 	return now >= p.changedAt+defaultIfZero(p.SettleTime, defaultSettleTime)
 }
 
-func (p *Planner) startJob(prob *problem, l layout, engines []*world.Engine) {
+func (p *Planner) startJob(prob *problem, l layout, engines []*domain.Engine) {
 	p.planDue = false
 	// What is left of an older plan was meant for engines that changed.
 	p.rollout.queue = nil
@@ -230,7 +230,7 @@
 }
 
 // applyResult takes the layout found if it is worth its loads.
-func (p *Planner) applyResult(w *world.RoutingState) {
+func (p *Planner) applyResult(w *domain.RoutingState) {
 	j := p.job
 	p.job = nil
 	p.status.Rate, p.status.Bound, p.status.Target = j.currentValue.rate, j.problem.rateBound(), j.currentValue.rate
--- a/internal/route/place/problem.go
+++ b/internal/route/place/problem.go
@@ -4,7 +4,7 @@
 	"slices"
 
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 
 	"github.com/cespare/xxhash/v2"
 )
@@ -71,7 +71,7 @@
 	cachedBound float64
 }
 
-func newProblem(goal Goal, engines []*world.Engine, models []Model) *problem {
+func newProblem(goal Goal, engines []*domain.Engine, models []Model) *problem {
 	p := &problem{models: models, minHolders: goal.minHolders(), cachedBound: -1}
 	room, layers := 0, 0
 	for _, e := range engines {
@@ -92,7 +92,7 @@
 	return p
 }
 
-func newUnit(e *world.Engine) unit {
+func newUnit(e *domain.Engine) unit {
 	u := unit{id: e.ID, rate: float64(e.Capacity()), linkBandwidth: float64(e.Bandwidth), memory: e.LayerCapacity}
 	if e.HasSlowLink() {
 		u.rate *= degradedRateFactor
@@ -107,7 +107,7 @@
 }
 
 // currentLayout is what the engines hold of the models.
-func (p *problem) currentLayout(engines []*world.Engine) layout {
+func (p *problem) currentLayout(engines []*domain.Engine) layout {
 	out := make(layout, len(engines))
 	for i, e := range engines {
 		out[i] = p.toSpans(e.Loaded)
@@ -115,7 +115,7 @@
 	return out
 }
 
-func (p *problem) toSpans(holds []world.LoadedRange) []span {
+func (p *problem) toSpans(holds []domain.LoadedRange) []span {
 	var out []span
 	for _, h := range holds {
 		if m := p.modelIndex(h); m >= 0 {
@@ -125,7 +125,7 @@
 	return sortSpans(out)
 }
 
-func (p *problem) modelIndex(h world.LoadedRange) int {
+func (p *problem) modelIndex(h domain.LoadedRange) int {
 	for i, m := range p.models {
 		if m.Name == h.Model && m.Version == h.Version && m.Depth == h.Depth {
 			return i
@@ -145,11 +145,11 @@
 }
 
 // toLoadedRanges turns spans into what an engine is ordered to hold.
-func (p *problem) toLoadedRanges(spans []span) []world.LoadedRange {
-	out := make([]world.LoadedRange, 0, len(spans))
+func (p *problem) toLoadedRanges(spans []span) []domain.LoadedRange {
+	out := make([]domain.LoadedRange, 0, len(spans))
 	for _, s := range spans {
 		m := p.models[s.model]
-		out = append(out, world.LoadedRange{
+		out = append(out, domain.LoadedRange{
 			Model: m.Name, Version: m.Version, Depth: m.Depth,
 			Layers: spec.NewLayers(s.from, s.to), Width: m.Width,
 		})
--- a/internal/route/place/sim_test.go
+++ b/internal/route/place/sim_test.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"fulmarwick/internal/base/spec"
+	"fulmarwick/internal/route/domain"
 	"fulmarwick/internal/route/place"
-	"fulmarwick/internal/route/world"
 )
 
 const tick = 20 * time.Millisecond
@@ -15,7 +15,7 @@
 // sim is engines that follow orders in virtual time: what an order does not
 // name goes at once, the rest comes from a store of a given rate.
 type sim struct {
-	w            world.RoutingState
+	w            domain.RoutingState
 	planner      place.Planner
 	now          time.Duration
 	loadRate     float64
@@ -33,20 +33,20 @@
 }
 
 type simEngine struct {
-	row           world.Engine
-	ordered       []world.LoadedRange
+	row           domain.Engine
+	ordered       []domain.LoadedRange
 	readyAt       time.Duration
 	dead          bool
 	ignoresOrders bool
 	loaded        bool
 }
 
-func newSim(goal place.Goal, rate float64, rows []*world.Engine) *sim {
+func newSim(goal place.Goal, rate float64, rows []*domain.Engine) *sim {
 	s := &sim{planner: place.Planner{Goal: goal, LoadRate: rate}, loadRate: rate, wantedVersions: map[spec.ModelName]string{}}
 	for _, r := range rows {
 		s.engines = append(s.engines, &simEngine{row: *r, loaded: true})
 	}
-	s.w.Apply(world.Duties{PlansPlacement: true})
+	s.w.Apply(domain.Duties{PlansPlacement: true})
 	return s
 }
 
@@ -58,14 +58,14 @@
 			s.finishLoad(e)
 			if s.now%time.Second == 0 && !e.dead {
 				e.row.Seq++
-				s.w.Apply(world.EngineReport{Engine: e.row})
+				s.w.Apply(domain.EngineReport{Engine: e.row})
 			}
 		}
 		began := time.Now()
 		s.planner.Run(&s.w)
 		s.longestRun = max(s.longestRun, time.Since(began))
 		for _, c := range s.w.Commands() {
-			if p, ok := c.(world.LoadLayers); ok {
+			if p, ok := c.(domain.LoadLayers); ok {
 				s.applyOrder(p)
 			}
 		}
@@ -79,14 +79,14 @@
 	}
 }
 
-func (s *sim) applyOrder(p world.LoadLayers) {
+func (s *sim) applyOrder(p domain.LoadLayers) {
 	for _, e := range s.engines {
 		if e.row.ID != p.Engine || e.dead || e.ignoresOrders {
 			continue
 		}
 		before := s.holderCounts()
 		missing := layerCount(p.Ranges)
-		var kept []world.LoadedRange
+		var kept []domain.LoadedRange
 		for _, want := range p.Ranges {
 			for _, have := range e.row.Loaded {
 				if want.Model != have.Model || want.Version != have.Version {
@@ -167,21 +167,21 @@
 
 func (s *sim) kill(i int) {
 	s.engines[i].dead = true
-	s.w.Apply(world.EngineDead{Engine: s.engines[i].row.ID})
+	s.w.Apply(domain.EngineDead{Engine: s.engines[i].row.ID})
 }
 
 // evaluate is what the living engines are worth as the world sees them.
 func (s *sim) evaluate(models []place.Model) place.Result {
-	var rows []*world.Engine
+	var rows []*domain.Engine
 	for _, e := range s.w.Engines().Rows() {
-		if e.State() == world.StateServing {
+		if e.State() == domain.StateServing {
 			rows = append(rows, e)
 		}
 	}
 	return place.Evaluate(rows, models)
 }
 
-func layerCount(holds []world.LoadedRange) int {
+func layerCount(holds []domain.LoadedRange) int {
 	n := 0
 	for _, h := range holds {
 		n += h.Layers.Len()
--- a/internal/route/poison/poison.go
+++ b/internal/route/poison/poison.go
@@ -1,7 +1,7 @@
 // Package poison finds the request that kills the engines that run it, and
 // keeps it from more than two of them.
 //
-// It imports base/spec and route/world. Package core tells it of deaths and
+// It imports base/spec and route/domain. Package core tells it of deaths and
 // asks it before each start.
 //
 // All that ran on an engine that died are suspects. A suspect runs again only
@@ -13,7 +13,7 @@
 	"time"
 
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 )
 
 const (
@@ -53,7 +53,7 @@
 type Tracker struct {
 	suspects          map[uint64]*suspect
 	insertionOrder    []uint64
-	probationByEngine map[spec.UpstreamID]*world.Request
+	probationByEngine map[spec.UpstreamID]*domain.Request
 	probations        []*probation
 }
 
@@ -66,12 +66,12 @@
 	// with it is on probation here.
 	reportedAt time.Duration
 	reported   bool
-	running    *world.Request
+	running    *domain.Request
 }
 
 // probation is a request on probation.
 type probation struct {
-	request *world.Request
+	request *domain.Request
 	engines []spec.UpstreamID
 	attempt uint32
 	until   time.Duration
@@ -80,7 +80,7 @@
 // RecordCrash counts the death of engine against the request, once per engine, and
 // warns the other instances. Only a stage that was new in the attempt counts:
 // a stage that was kept had run all of the request before and lived.
-func (b *Tracker) RecordCrash(w *world.RoutingState, r *world.Request, engine spec.UpstreamID) {
+func (b *Tracker) RecordCrash(w *domain.RoutingState, r *domain.Request, engine spec.UpstreamID) {
 	p := r.Arrival().Fingerprint
 	if p == 0 {
 		return
@@ -90,7 +90,7 @@
 	if !s.addEngine(engine) {
 		return
 	}
-	w.Emit(world.ReportSuspect{Fingerprint: p, Crashes: s.crashes, Engine: engine})
+	w.Emit(domain.ReportSuspect{Fingerprint: p, Crashes: s.crashes, Engine: engine})
 }
 
 func (s *suspect) addEngine(engine spec.UpstreamID) bool {
@@ -108,7 +108,7 @@
 
 // ApplyPeerReport takes what another instance found. No crashes means that the request
 // was cleared there.
-func (b *Tracker) ApplyPeerReport(now time.Duration, ev world.SuspectReported) {
+func (b *Tracker) ApplyPeerReport(now time.Duration, ev domain.SuspectReported) {
 	if ev.Crashes <= 0 {
 		if s := b.suspects[ev.Fingerprint]; s != nil && s.crashes < culpritCrashes && s.running == nil {
 			b.evict(ev.Fingerprint)
@@ -126,7 +126,7 @@
 }
 
 // Evaluate says what may be done with a request that is about to start.
-func (b *Tracker) Evaluate(now time.Duration, r *world.Request) Verdict {
+func (b *Tracker) Evaluate(now time.Duration, r *domain.Request) Verdict {
 	s := b.suspects[r.Arrival().Fingerprint]
 	switch {
 	case s == nil || now-s.lastCrash > SuspectTTL || s.crashes == 0:
@@ -140,7 +140,7 @@
 }
 
 // mustWait reports whether the suspect must wait before it runs again.
-func (b *Tracker) mustWait(now time.Duration, s *suspect, r *world.Request) bool {
+func (b *Tracker) mustWait(now time.Duration, s *suspect, r *domain.Request) bool {
 	if s.running != nil && s.running != r && !s.running.Ended() {
 		return true
 	}
@@ -153,7 +153,7 @@
 }
 
 // RestartDelay is how long a suspect that runs here waits after the death.
-func RestartDelay(r *world.Request) time.Duration {
+func RestartDelay(r *domain.Request) time.Duration {
 	if r.Tokens() > r.TokensAtStart() {
 		return 0
 	}
@@ -161,17 +161,17 @@
 }
 
 // HasNoOtherSuspect reports whether engine has no other suspect on probation.
-func (b *Tracker) HasNoOtherSuspect(engine spec.UpstreamID, r *world.Request) bool {
+func (b *Tracker) HasNoOtherSuspect(engine spec.UpstreamID, r *domain.Request) bool {
 	on := b.probationByEngine[engine]
 	return on == nil || on == r || on.Ended()
 }
 
 // StartProbation puts a suspect that starts now on probation on the stages that are new
 // to it.
-func (b *Tracker) StartProbation(now time.Duration, r *world.Request, fresh []spec.UpstreamID) {
+func (b *Tracker) StartProbation(now time.Duration, r *domain.Request, fresh []spec.UpstreamID) {
 	b.endProbation(r)
 	if b.probationByEngine == nil {
-		b.probationByEngine = map[spec.UpstreamID]*world.Request{}
+		b.probationByEngine = map[spec.UpstreamID]*domain.Request{}
 	}
 	wait := max(minProbation, probationFactor*r.Plan().FirstTokenTime)
 	b.probations = append(b.probations, &probation{request: r, engines: fresh, attempt: r.Attempt(), until: now + wait})
@@ -184,7 +184,7 @@
 }
 
 // HandleStageLoss ends the probation of a request that lost a stage.
-func (b *Tracker) HandleStageLoss(r *world.Request) { b.endProbation(r) }
+func (b *Tracker) HandleStageLoss(r *domain.Request) { b.endProbation(r) }
 
 func (b *Tracker) ensureSuspect(now time.Duration, print uint64) *suspect {
 	if s := b.suspects[print]; s != nil {
--- a/internal/route/poison/poison_test.go
+++ b/internal/route/poison/poison_test.go
@@ -5,19 +5,19 @@
 	"time"
 
 	"fulmarwick/internal/base/spec"
+	"fulmarwick/internal/route/domain"
 	"fulmarwick/internal/route/poison"
-	"fulmarwick/internal/route/world"
 )
 
 func TestFingerprintsAreBoundedAndExpire(t *testing.T) {
 	b := &poison.Tracker{}
 	for i := range 6000 {
-		b.ApplyPeerReport(time.Second, world.SuspectReported{Fingerprint: uint64(i + 1), Crashes: 2, Engine: "e"})
+		b.ApplyPeerReport(time.Second, domain.SuspectReported{Fingerprint: uint64(i + 1), Crashes: 2, Engine: "e"})
 	}
 	if got, want := b.Len(), 4096; got != want {
 		t.Errorf("fingerprints: got %d, want %d", got, want)
 	}
-	w := &world.RoutingState{}
+	w := &domain.RoutingState{}
 	w.BeginTick(2*time.Second + poison.SuspectTTL)
 	b.Run(w)
 	if got := b.Len(); got != 0 {
@@ -29,13 +29,13 @@
 // counts once, two engines condemn, and a clearance by one instance does not
 // absolve what killed two.
 func TestReportedCrashesCountPerEngine(t *testing.T) {
-	w := &world.RoutingState{}
+	w := &domain.RoutingState{}
 	w.BeginTick(time.Minute)
-	w.Apply(world.RequestArrived{Request: "r", Fingerprint: 7})
+	w.Apply(domain.RequestArrived{Request: "r", Fingerprint: 7})
 	r := w.Requests().TakeDue()[0]
 	b := &poison.Tracker{}
 	heard := func(crashes int, engine spec.UpstreamID) poison.Verdict {
-		b.ApplyPeerReport(0, world.SuspectReported{Fingerprint: 7, Crashes: crashes, Engine: engine})
+		b.ApplyPeerReport(0, domain.SuspectReported{Fingerprint: 7, Crashes: crashes, Engine: engine})
 		return b.Evaluate(w.Now(), r)
 	}
 	if got := heard(1, "e"); got != poison.VerdictIsolate {
--- a/internal/route/poison/trial.go
+++ b/internal/route/poison/trial.go
@@ -1,9 +1,9 @@
 package poison
 
-import "fulmarwick/internal/route/world"
+import "fulmarwick/internal/route/domain"
 
 // Run clears the suspects that got past the point where they were.
-func (b *Tracker) Run(w *world.RoutingState) {
+func (b *Tracker) Run(w *domain.RoutingState) {
 	now := w.Now()
 	for _, t := range append([]*probation(nil), b.probations...) {
 		switch {
@@ -17,14 +17,14 @@
 	b.evictExpired(now)
 }
 
-func (b *Tracker) clearSuspect(w *world.RoutingState, print uint64) {
+func (b *Tracker) clearSuspect(w *domain.RoutingState, print uint64) {
 	if s := b.suspects[print]; s != nil && s.crashes < culpritCrashes {
 		b.evict(print)
-		w.Emit(world.ReportSuspect{Fingerprint: print})
+		w.Emit(domain.ReportSuspect{Fingerprint: print})
 	}
 }
 
-func (b *Tracker) endProbation(r *world.Request) {
+func (b *Tracker) endProbation(r *domain.Request) {
 	keep := b.probations[:0]
 	for _, t := range b.probations {
 		if t.request != r {
--- a/internal/route/retry/patience.go
+++ b/internal/route/retry/patience.go
@@ -5,7 +5,7 @@
 
 	"fulmarwick/internal/base/hist"
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 )
 
 const (
@@ -34,7 +34,7 @@
 }
 
 // Observe notes an answer that ran on one chain to its end.
-func (p *TimeoutEstimator) Observe(r *world.Request, ev world.RequestFinished) {
+func (p *TimeoutEstimator) Observe(r *domain.Request, ev domain.RequestFinished) {
 	plan := r.Plan()
 	if plan.TokenTime <= 0 || plan.FirstTokenTime <= 0 || ev.LongestGap <= 0 {
 		return
@@ -76,7 +76,7 @@
 // Timeouts is how long to wait for the steps of a request that starts by plan.
 // Each timeout that the request met doubles it: where a step is slow and not
 // lost, trying again just as soon would only repeat the work.
-func (p *TimeoutEstimator) Timeouts(r *world.Request, plan world.Plan) Timeouts {
+func (p *TimeoutEstimator) Timeouts(r *domain.Request, plan domain.Plan) Timeouts {
 	step, prefill := float64(predictedFactor), float64(predictedFactor)
 	if s := p.classes[r.Arrival().Class]; s != nil {
 		step, prefill = timeoutFactor(&s.step), timeoutFactor(&s.prefill)
@@ -85,7 +85,7 @@
 		Step:    max(minStepTimeout(r.Class().Target()), time.Duration(step*float64(plan.MaxStepTime))),
 		Prefill: max(minPrefillTimeout, time.Duration(prefill*float64(plan.MaxPrefillTime))),
 	}
-	if r.LossCause() == world.CauseTimeout && r.Attempt() > 0 {
+	if r.LossCause() == domain.CauseTimeout && r.Attempt() > 0 {
 		shift := min(len(r.FailedEngines()), 5)
 		out.Step <<= shift
 		out.Prefill <<= shift
--- a/internal/route/retry/retry.go
+++ b/internal/route/retry/retry.go
@@ -1,7 +1,7 @@
 // Package retry says whether a request that lost a stage may go on, and how
 // long the wire waits for a step before it counts the stage as lost.
 //
-// It imports base and route/world. Package core
+// It imports base and route/domain. Package core
 // calls it at each start and loss. Calls that may not be repeated are never
 // here: they go to plain services through the ledger.
 package retry
@@ -10,7 +10,7 @@
 	"time"
 
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 )
 
 const (
@@ -37,11 +37,11 @@
 }
 
 // AllowRetry reports whether the request, which lost a stage, may start again.
-func (b *Budget) AllowRetry(r *world.Request) bool {
+func (b *Budget) AllowRetry(r *domain.Request) bool {
 	if r.Attempt() >= maxAttempts {
 		return false
 	}
-	if r.EngineDied() || r.LossCause() == world.CauseStateLost || r.LossCause() == world.CauseLeaving {
+	if r.EngineDied() || r.LossCause() == domain.CauseStateLost || r.LossCause() == domain.CauseLeaving {
 		return true
 	}
 	class := r.Arrival().Class
--- a/internal/route/retry/retry_test.go
+++ b/internal/route/retry/retry_test.go
@@ -5,24 +5,24 @@
 	"time"
 
 	"fulmarwick/internal/base/spec"
+	"fulmarwick/internal/route/domain"
 	"fulmarwick/internal/route/retry"
-	"fulmarwick/internal/route/world"
 )
 
-func newRequest(target spec.Target) *world.Request {
-	w := &world.RoutingState{}
-	w.Apply(world.ConfigChanged{Version: 1, Classes: []spec.Class{spec.NewModelClass("c", "m", target)}})
-	w.Apply(world.RequestArrived{Request: "r", Class: "c"})
+func newRequest(target spec.Target) *domain.Request {
+	w := &domain.RoutingState{}
+	w.Apply(domain.ConfigChanged{Version: 1, Classes: []spec.Class{spec.NewModelClass("c", "m", target)}})
+	w.Apply(domain.RequestArrived{Request: "r", Class: "c"})
 	return w.Requests().TakeDue()[0]
 }
 
 func TestTimeoutsFollowPredictionAndTarget(t *testing.T) {
-	slow := world.Plan{MaxStepTime: 100 * time.Millisecond, MaxPrefillTime: time.Second}
-	fast := world.Plan{MaxStepTime: time.Millisecond, MaxPrefillTime: 10 * time.Millisecond}
+	slow := domain.Plan{MaxStepTime: 100 * time.Millisecond, MaxPrefillTime: time.Second}
+	fast := domain.Plan{MaxStepTime: time.Millisecond, MaxPrefillTime: 10 * time.Millisecond}
 	tests := []struct {
 		name string
 		gap  time.Duration
-		plan world.Plan
+		plan domain.Plan
 		want retry.Timeouts
 	}{
 		{"fast engines wait for a stall of the host", 0, fast, retry.Timeouts{Step: 500 * time.Millisecond, Prefill: time.Second}},
--- a/internal/wire/chain/adopt.go
+++ b/internal/wire/chain/adopt.go
@@ -6,7 +6,7 @@
 
 	"fulmarwick/internal/base/frame"
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 )
 
 // movePositions is the least cache worth moving; a shorter one is replayed in
@@ -15,7 +15,7 @@
 
 // adopt keeps the stages that stand unchanged in the new chain and drops the
 // others. A stage that was lost never stands unchanged.
-func (j *run) adopt(ctx context.Context, c world.Start) error {
+func (j *run) adopt(ctx context.Context, c domain.Start) error {
 	if err := c.Chain.Check(c.Depth); err != nil {
 		return err
 	}
--- a/internal/wire/chain/api.go
+++ b/internal/wire/chain/api.go
@@ -6,7 +6,7 @@
 
 	"fulmarwick/internal/base/frame"
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 
 	"github.com/go-faster/errors"
 )
@@ -24,8 +24,8 @@
 
 // Router takes events and gives the decisions for one request.
 type Router interface {
-	Post(ev world.Event)
-	Watch(id spec.RequestID) <-chan world.Command
+	Post(ev domain.Event)
+	Watch(id spec.RequestID) <-chan domain.Command
 	Unwatch(id spec.RequestID)
 }
 
@@ -40,7 +40,7 @@
 
 // RefusedError is the final answer to a request that the logic gave up on.
 type RefusedError struct {
-	Reason world.Reason
+	Reason domain.Reason
 	After  time.Duration
 	Ran    bool
 }
@@ -59,7 +59,7 @@
 // lostError says which stage the routing logic must replace.
 type lostError struct {
 	engine spec.UpstreamID
-	cause  world.Cause
+	cause  domain.Cause
 }
 
 func (l *lostError) Error() string {
@@ -75,7 +75,7 @@
 
 // Job is a request for model work.
 type Job struct {
-	Arrived world.RequestArrived
+	Arrived domain.RequestArrived
 	Text    string
 }
 
--- a/internal/wire/chain/bench_test.go
+++ b/internal/wire/chain/bench_test.go
@@ -11,7 +11,7 @@
 
 	"fulmarwick/internal/base/spec"
 	"fulmarwick/internal/fakes/layer"
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 	"fulmarwick/internal/wire/chain"
 	"fulmarwick/internal/wire/engine"
 )
@@ -23,11 +23,11 @@
 	chain spec.Chain
 }
 
-func (f *fixed) Post(world.Event) {}
+func (f *fixed) Post(domain.Event) {}
 
-func (f *fixed) Watch(id spec.RequestID) <-chan world.Command {
-	ch := make(chan world.Command, 1)
-	ch <- world.Start{Request: id, Attempt: 1, Chain: f.chain, Depth: depth}
+func (f *fixed) Watch(id spec.RequestID) <-chan domain.Command {
+	ch := make(chan domain.Command, 1)
+	ch <- domain.Start{Request: id, Attempt: 1, Chain: f.chain, Depth: depth}
 	return ch
 }
 
@@ -79,7 +79,7 @@
 				began := processor(b)
 				b.ReportAllocs()
 				each := func() {
-					job := chain.Job{Text: text, Arrived: world.RequestArrived{
+					job := chain.Job{Text: text, Arrived: domain.RequestArrived{
 						Request: spec.RequestID(fmt.Sprint(next.Add(1))), Model: model, MaxTokens: benchTokens,
 					}}
 					ctx, cancel := context.WithCancel(b.Context())
--- a/internal/wire/chain/call.go
+++ b/internal/wire/chain/call.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"fulmarwick/internal/base/frame"
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 	"fulmarwick/internal/wire/engine"
 
 	"github.com/go-faster/errors"
@@ -114,9 +114,9 @@
 		// for it expired or was dropped.
 		return j.anew(s)
 	case frame.CodeLeave, frame.CodeFull:
-		return j.lose(s, world.CauseLeaving)
+		return j.lose(s, domain.CauseLeaving)
 	default:
-		return j.lose(s, world.CauseStateLost)
+		return j.lose(s, domain.CauseStateLost)
 	}
 }
 
@@ -127,26 +127,26 @@
 	case ctx.Err() != nil:
 		return canceled(ctx)
 	case errors.Is(err, engine.ErrRefused):
-		return j.lose(s, world.CauseRefused)
+		return j.lose(s, domain.CauseRefused)
 	case errors.Is(err, engine.ErrBroken):
 		if tries >= maxRepeats {
-			return j.lose(s, world.CauseBroken)
+			return j.lose(s, domain.CauseBroken)
 		}
 		return j.reconnect(ctx, s)
 	case errors.Is(err, engine.ErrMissed):
 		if tries >= maxStalls {
-			return j.lose(s, world.CauseStateLost)
+			return j.lose(s, domain.CauseStateLost)
 		}
 		j.meters.resends.Inc()
 		return nil
 	case errors.Is(err, engine.ErrLate):
 		if tries >= maxRepeats {
-			return j.lose(s, world.CauseTimeout)
+			return j.lose(s, domain.CauseTimeout)
 		}
 		j.meters.resends.Inc()
 		return nil
 	default:
-		return j.lose(s, world.CauseStateLost)
+		return j.lose(s, domain.CauseStateLost)
 	}
 }
 
@@ -165,11 +165,11 @@
 		if ctx.Err() != nil {
 			return canceled(ctx)
 		}
-		return j.lose(s, world.CauseBroken)
+		return j.lose(s, domain.CauseBroken)
 	}
 	s.on = on
 	if on.Incarnation() != s.life || s.life == 0 {
-		return j.lose(s, world.CauseBroken)
+		return j.lose(s, domain.CauseBroken)
 	}
 	j.meters.reconnects.Inc()
 	return nil
--- a/internal/wire/chain/chain_test.go
+++ b/internal/wire/chain/chain_test.go
@@ -15,7 +15,7 @@
 	"fulmarwick/internal/base/spec"
 	"fulmarwick/internal/fakes/layer"
 	"fulmarwick/internal/fakes/stage"
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 	"fulmarwick/internal/wire/chain"
 
 	"github.com/VictoriaMetrics/metrics"
@@ -87,7 +87,7 @@
 		steps(t, s, 0, once)
 		steps(t, s, 2, once)
 		steps(t, s, 3, once)
-		if lost := s.router.lost(); len(lost) != 1 || lost[0].Cause != world.CauseBroken {
+		if lost := s.router.lost(); len(lost) != 1 || lost[0].Cause != domain.CauseBroken {
 			t.Errorf("got lost stages %v, want one that broke", lost)
 		}
 	})
--- a/internal/wire/chain/doc.go
+++ b/internal/wire/chain/doc.go
@@ -1,7 +1,7 @@
 // Package chain runs one model request over a chain of engines: each layer
 // once per token, in order, through deaths of stages and replans.
 //
-// It imports base/frame, base/spec, route/world and wire/engine. Package
+// It imports base/frame, base/spec, route/domain and wire/engine. Package
 // entry starts a Run per request; the routing logic decides every chain.
 //
 // A Run keeps, for each layer boundary, the inputs of the stage that begins
--- a/internal/wire/chain/flow_test.go
+++ b/internal/wire/chain/flow_test.go
@@ -10,7 +10,7 @@
 
 	"fulmarwick/internal/base/spec"
 	"fulmarwick/internal/fakes/layer"
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 )
 
 // Nobody waits any more: the caller goes away in the midst of its answer. All
@@ -111,9 +111,9 @@
 		told, hops := 0, 0
 		for _, ev := range s.router.events {
 			switch ev := ev.(type) {
-			case world.RequestProgress:
+			case domain.RequestProgress:
 				told++
-			case world.HopMeasured:
+			case domain.HopMeasured:
 				hops++
 				if ev.P50 < 5*time.Millisecond || ev.P50 > 8*time.Millisecond {
 					t.Errorf("got a median hop of %v, want about 6ms there and back", ev.P50)
--- a/internal/wire/chain/run.go
+++ b/internal/wire/chain/run.go
@@ -9,7 +9,7 @@
 
 	"fulmarwick/internal/base/frame"
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 
 	"github.com/VictoriaMetrics/metrics"
 	"github.com/go-faster/errors"
@@ -79,7 +79,7 @@
 	// for a while, and their steps must not meet in one state.
 	name     string
 	sink     Sink
-	decided  <-chan world.Command
+	decided  <-chan domain.Command
 	attempt  uint32
 	rebuilds uint32
 	depth    int
@@ -123,10 +123,10 @@
 func (j *run) report(ctx context.Context, err error) {
 	id := j.job.Arrived.Request
 	if ctx.Err() != nil {
-		j.Router.Post(world.RequestCanceled{Request: id})
+		j.Router.Post(domain.RequestCanceled{Request: id})
 		return
 	}
-	j.Router.Post(world.RequestFinished{
+	j.Router.Post(domain.RequestFinished{
 		Request: id, Tokens: j.count(), FirstToken: j.first, LongestGap: j.gap,
 		TotalTime: time.Since(j.began), OK: err == nil,
 	})
@@ -145,7 +145,7 @@
 		case !errors.As(err, &lost):
 			return err
 		}
-		j.Router.Post(world.StageLost{
+		j.Router.Post(domain.StageLost{
 			Request: j.job.Arrived.Request, Attempt: j.attempt,
 			Engine: lost.engine, Cause: lost.cause, Tokens: j.count(),
 		})
@@ -168,11 +168,11 @@
 			return errors.Wrap(ctx.Err(), "chain: wait for a decision")
 		case c := <-j.decided:
 			switch c := c.(type) {
-			case world.Refuse:
+			case domain.Refuse:
 				return &RefusedError{Reason: c.Reason, After: c.RetryAfter, Ran: c.Ran}
-			case world.Forward:
+			case domain.Forward:
 				return &ForwardError{To: c.To}
-			case world.Start:
+			case domain.Start:
 				if c.Attempt > j.attempt {
 					return j.adopt(ctx, c)
 				}
@@ -236,7 +236,7 @@
 	j.last = now
 	if now.Sub(j.told) >= progressEvery {
 		j.told = now
-		j.Router.Post(world.RequestProgress{Request: j.job.Arrived.Request, Tokens: j.count()})
+		j.Router.Post(domain.RequestProgress{Request: j.job.Arrived.Request, Tokens: j.count()})
 	}
 }
 
--- a/internal/wire/chain/site_test.go
+++ b/internal/wire/chain/site_test.go
@@ -16,7 +16,7 @@
 	"fulmarwick/internal/fakes/inmem"
 	"fulmarwick/internal/fakes/layer"
 	"fulmarwick/internal/fakes/stage"
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 	"fulmarwick/internal/wire/chain"
 	"fulmarwick/internal/wire/engine"
 
@@ -90,19 +90,19 @@
 
 	mu     sync.Mutex
 	waits  map[spec.RequestID]*routed
-	events []world.Event
+	events []domain.Event
 }
 
 type routed struct {
-	ch      chan world.Command
+	ch      chan domain.Command
 	attempt uint32
 	lost    []spec.UpstreamID
 }
 
-func (r *router) Watch(id spec.RequestID) <-chan world.Command {
+func (r *router) Watch(id spec.RequestID) <-chan domain.Command {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	w := &routed{ch: make(chan world.Command, 4)}
+	w := &routed{ch: make(chan domain.Command, 4)}
 	r.waits[id] = w
 	return w.ch
 }
@@ -113,14 +113,14 @@
 	delete(r.waits, id)
 }
 
-func (r *router) Post(ev world.Event) {
+func (r *router) Post(ev domain.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.events = append(r.events, ev)
 	switch ev := ev.(type) {
-	case world.RequestArrived:
+	case domain.RequestArrived:
 		r.decide(ev.Request)
-	case world.StageLost:
+	case domain.StageLost:
 		w := r.waits[ev.Request]
 		if ev.Attempt != w.attempt {
 			return
@@ -135,10 +135,10 @@
 	w.attempt++
 	c := r.choose(w)
 	if c == nil {
-		w.ch <- world.Refuse{Request: id, Reason: world.ReasonRetriesExhausted, Ran: w.attempt > 1}
+		w.ch <- domain.Refuse{Request: id, Reason: domain.ReasonRetriesExhausted, Ran: w.attempt > 1}
 		return
 	}
-	w.ch <- world.Start{Request: id, Attempt: w.attempt, Chain: c, Depth: r.site.depth, Priority: r.prio[id]}
+	w.ch <- domain.Start{Request: id, Attempt: w.attempt, Chain: c, Depth: r.site.depth, Priority: r.prio[id]}
 }
 
 func (r *router) choose(w *routed) spec.Chain {
@@ -180,12 +180,12 @@
 	return c
 }
 
-func (r *router) lost() []world.StageLost {
+func (r *router) lost() []domain.StageLost {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var out []world.StageLost
+	var out []domain.StageLost
 	for _, ev := range r.events {
-		if l, ok := ev.(world.StageLost); ok {
+		if l, ok := ev.(domain.StageLost); ok {
 			out = append(out, l)
 		}
 	}
@@ -203,7 +203,7 @@
 // ask runs one request; each, if set, is called after every token.
 func (s *site) ask(ctx context.Context, id, text string, limit int, each func(n int)) *answer {
 	a := &answer{}
-	job := chain.Job{Text: text, Arrived: world.RequestArrived{Request: spec.RequestID(id), Model: model, MaxTokens: limit}}
+	job := chain.Job{Text: text, Arrived: domain.RequestArrived{Request: spec.RequestID(id), Model: model, MaxTokens: limit}}
 	a.result, a.err = s.runner.Run(ctx, job, func(t chain.Token) error {
 		if t.Index != a.next {
 			return fmt.Errorf("index %d, want %d", t.Index, a.next)
--- a/internal/wire/chain/stage.go
+++ b/internal/wire/chain/stage.go
@@ -5,7 +5,7 @@
 
 	"fulmarwick/internal/base/frame"
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 
 	"github.com/go-faster/errors"
 	"go.opentelemetry.io/otel/attribute"
@@ -148,7 +148,7 @@
 func (j *run) take(s *stage) error {
 	r := &j.reply
 	if !j.accounts(s) {
-		return j.lose(s, world.CauseStateLost)
+		return j.lose(s, domain.CauseStateLost)
 	}
 	if r.Last && (!r.End || r.Total != r.Next) {
 		return j.stalled(s)
@@ -207,7 +207,7 @@
 
 // lose drops the stage's state. It is rebuilt under a new attempt, since a
 // step whose reply was lost may have been applied.
-func (j *run) lose(s *stage, why world.Cause) error {
+func (j *run) lose(s *stage, why domain.Cause) error {
 	s.lost = true
 	j.meters.lost.Inc()
 	return &lostError{engine: s.is.Engine(), cause: why}
@@ -218,7 +218,7 @@
 func (j *run) anew(s *stage) error {
 	s.anew++
 	if s.anew > stageRebuilds || j.rebuilds >= maxRebuilds {
-		return j.lose(s, world.CauseStateLost)
+		return j.lose(s, domain.CauseStateLost)
 	}
 	j.meters.rebuilds.Inc()
 	j.reset(s)
--- a/internal/wire/chain/stream.go
+++ b/internal/wire/chain/stream.go
@@ -4,13 +4,13 @@
 	"context"
 
 	"fulmarwick/internal/base/frame"
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 )
 
 // stream runs a whole-model stage: one step, a reply per token.
 func (j *run) stream(ctx context.Context, s *stage) error {
 	if !j.build(s) {
-		return j.lose(s, world.CauseStateLost)
+		return j.lose(s, domain.CauseStateLost)
 	}
 	if s.done == 0 {
 		// No hidden values come back, so the whole prompt goes in one step.
@@ -56,7 +56,7 @@
 func (j *run) counted(s *stage, i int) error {
 	r := &j.reply
 	if r.Left != 0 || !j.accounts(s) {
-		return j.lose(s, world.CauseStateLost)
+		return j.lose(s, domain.CauseStateLost)
 	}
 	want := i + 1
 	if r.Last {
@@ -82,7 +82,7 @@
 func (j *run) stalled(s *stage) error {
 	s.stalls++
 	if s.stalls > maxStalls {
-		return j.lose(s, world.CauseStateLost)
+		return j.lose(s, domain.CauseStateLost)
 	}
 	j.meters.resends.Inc()
 	return errAgain
--- a/internal/wire/engine/check.go
+++ b/internal/wire/engine/check.go
@@ -5,7 +5,7 @@
 
 	"fulmarwick/internal/base/frame"
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 
 	"github.com/go-faster/errors"
 )
@@ -111,15 +111,15 @@
 }
 
 // Row turns a checked report into a row of the world.
-func Row(id spec.UpstreamID, b frame.Engine) world.Engine {
-	row := world.Engine{
+func Row(id spec.UpstreamID, b frame.Engine) domain.Engine {
+	row := domain.Engine{
 		ID: id, DataCentre: spec.DataCentre(b.DataCentre), Kind: b.Kind,
 		LayerTime: time.Duration(b.Layer), Slots: b.Slots, LayerCapacity: b.Memory,
 		KVCapacity: b.Cache, KVUsed: b.Cached, Queued: b.Queued, Active: b.Active,
 		ReportedHopTime: time.Duration(b.Link) * time.Microsecond, Bandwidth: b.Bandwidth, Incarnation: b.Incarnation, Seq: b.Seq,
 	}
 	for _, h := range b.Holds {
-		row.Loaded = append(row.Loaded, world.LoadedRange{
+		row.Loaded = append(row.Loaded, domain.LoadedRange{
 			Model: spec.ModelName(h.Model), Version: h.Version, Depth: h.Depth,
 			Layers: spec.NewLayers(h.From, h.To), Width: h.Width,
 		})
@@ -129,13 +129,13 @@
 
 // Seen turns a page of cache events into events for the logic, one per Seq,
 // so that the logic sees each gap.
-func Seen(id spec.UpstreamID, page frame.Events) []world.CacheReport {
+func Seen(id spec.UpstreamID, page frame.Events) []domain.CacheReport {
 	if page.Reset {
-		return []world.CacheReport{{Engine: id, Seq: page.Seq, Added: page.Blocks, Reset: true}}
+		return []domain.CacheReport{{Engine: id, Seq: page.Seq, Added: page.Blocks, Reset: true}}
 	}
-	out := make([]world.CacheReport, 0, len(page.Events))
+	out := make([]domain.CacheReport, 0, len(page.Events))
 	for _, ev := range page.Events {
-		seen := world.CacheReport{Engine: id, Seq: ev.Seq}
+		seen := domain.CacheReport{Engine: id, Seq: ev.Seq}
 		if ev.Added {
 			seen.Added = []uint64{ev.Block}
 		} else {
--- a/internal/wire/engine/doc.go
+++ b/internal/wire/engine/doc.go
@@ -1,7 +1,7 @@
 // Package engine is the client of model engines: steps over one multiplexed
 // WebSocket per engine, and the JSON control calls.
 //
-// It imports base and route/world. Package chain opens streams on a Pool;
+// It imports base and route/domain. Package chain opens streams on a Pool;
 // package watch reads reports and cache events; package order sends orders.
 package engine
 
--- a/internal/wire/engine/hops.go
+++ b/internal/wire/engine/hops.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
@@ -23,14 +23,14 @@
 // hops gathers the hop times of one engine and posts them now and then.
 type hops struct {
 	engine spec.UpstreamID
-	post   func(world.Event)
+	post   func(domain.Event)
 
 	mu    sync.Mutex
 	hist  *hdrhistogram.Histogram
 	since time.Time
 }
 
-func newHops(engine spec.UpstreamID, post func(world.Event)) *hops {
+func newHops(engine spec.UpstreamID, post func(domain.Event)) *hops {
 	hist := hdrhistogram.New(1, hopMax.Microseconds(), hopDigits)
 	return &hops{engine: engine, post: post, hist: hist, since: time.Now()}
 }
@@ -48,12 +48,12 @@
 	}
 }
 
-func (h *hops) due() (world.HopMeasured, bool) {
+func (h *hops) due() (domain.HopMeasured, bool) {
 	now := time.Now()
 	if now.Sub(h.since) < hopEvery {
-		return world.HopMeasured{}, false
+		return domain.HopMeasured{}, false
 	}
-	ev := world.HopMeasured{
+	ev := domain.HopMeasured{
 		Engine: h.engine, Count: int(h.hist.TotalCount()),
 		P50: time.Duration(h.hist.ValueAtQuantile(median)) * time.Microsecond,
 		P99: time.Duration(h.hist.ValueAtQuantile(tail)) * time.Microsecond,
--- a/internal/wire/engine/pool.go
+++ b/internal/wire/engine/pool.go
@@ -9,7 +9,7 @@
 
 	"fulmarwick/internal/base/frame"
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 
 	"github.com/VictoriaMetrics/metrics"
 	"github.com/go-faster/errors"
@@ -28,7 +28,7 @@
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 	// Post takes HopTimed events, at most one a second per engine; nil drops
 	// them.
-	Post func(world.Event)
+	Post func(domain.Event)
 	// Meters takes the counters; nil makes a private set.
 	Meters *metrics.Set
 
--- a/internal/wire/entry/chat.go
+++ b/internal/wire/entry/chat.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 	"fulmarwick/internal/wire/chain"
 
 	"github.com/cespare/xxhash/v2"
@@ -152,7 +152,7 @@
 	text := prompt(b.Messages)
 	return chain.Job{
 		Text: text,
-		Arrived: world.RequestArrived{
+		Arrived: domain.RequestArrived{
 			Request: spec.RequestID(id), Team: team.ID(), Class: class.Name(), Model: class.Model(),
 			PromptTokens: 1 + len(text)/bytesPerToken, MaxTokens: b.Max, BlockHashes: blocks(text),
 			Fingerprint: xxhash.Sum64String(string(class.Model()) + "\n" + text),
--- a/internal/wire/entry/entry_test.go
+++ b/internal/wire/entry/entry_test.go
@@ -11,7 +11,7 @@
 
 	"fulmarwick/internal/base/spec"
 	"fulmarwick/internal/fakes/infra"
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 	"fulmarwick/internal/state/config"
 	"fulmarwick/internal/state/ledger"
 	"fulmarwick/internal/wire/chain"
@@ -159,15 +159,15 @@
 // when to come back.
 func TestRefusalIsTheFinalAnswer(t *testing.T) {
 	tests := []struct {
-		reason world.Reason
+		reason domain.Reason
 		ran    bool
 		status int
 		want   string
 	}{
-		{world.ReasonOverload, false, http.StatusServiceUnavailable, `"code":"overload","message":"The target of the class cannot be met now.","ran":"no","after":3`},
-		{world.ReasonTeamLimit, false, http.StatusTooManyRequests, `"ran":"no","after":3`},
-		{world.ReasonPoison, true, http.StatusUnprocessableEntity, `"ran":"yes"`},
-		{world.ReasonUnknownClass, false, http.StatusBadRequest, `"ran":"no"`},
+		{domain.ReasonOverload, false, http.StatusServiceUnavailable, `"code":"overload","message":"The target of the class cannot be met now.","ran":"no","after":3`},
+		{domain.ReasonTeamLimit, false, http.StatusTooManyRequests, `"ran":"no","after":3`},
+		{domain.ReasonPoison, true, http.StatusUnprocessableEntity, `"ran":"yes"`},
+		{domain.ReasonUnknownClass, false, http.StatusBadRequest, `"ran":"no"`},
 	}
 	for _, stream := range []string{"true", "false"} {
 		for _, tt := range tests {
--- a/internal/wire/entry/fault.go
+++ b/internal/wire/entry/fault.go
@@ -7,7 +7,7 @@
 	"strconv"
 	"time"
 
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 	"fulmarwick/internal/state/ledger"
 	"fulmarwick/internal/wire/chain"
 
@@ -120,22 +120,22 @@
 	}
 	f.After = r.After
 	switch r.Reason {
-	case world.ReasonTeamLimit:
+	case domain.ReasonTeamLimit:
 		f.Status = http.StatusTooManyRequests
-	case world.ReasonPoison:
+	case domain.ReasonPoison:
 		f.Status = http.StatusUnprocessableEntity
-	case world.ReasonUnknownClass:
+	case domain.ReasonUnknownClass:
 		f.Status = http.StatusBadRequest
 	}
 	return f
 }
 
-var refusals = map[world.Reason]string{
-	world.ReasonOverload:         "The target of the class cannot be met now.",
-	world.ReasonTeamLimit:        "The team is above its limit, or above its share while others wait.",
-	world.ReasonNoEngine:         "No set of engines serves the whole model now.",
-	world.ReasonPoison:           "Engines died while they ran this request, so it is not run again.",
-	world.ReasonRetriesExhausted: "The request failed on several engines and the retry budget is spent.",
-	world.ReasonUnknownClass:     "The class is not known.",
-	world.ReasonNotReady:         "This instance is not ready.",
+var refusals = map[domain.Reason]string{
+	domain.ReasonOverload:         "The target of the class cannot be met now.",
+	domain.ReasonTeamLimit:        "The team is above its limit, or above its share while others wait.",
+	domain.ReasonNoEngine:         "No set of engines serves the whole model now.",
+	domain.ReasonPoison:           "Engines died while they ran this request, so it is not run again.",
+	domain.ReasonRetriesExhausted: "The request failed on several engines and the retry budget is spent.",
+	domain.ReasonUnknownClass:     "The class is not known.",
+	domain.ReasonNotReady:         "This instance is not ready.",
 }
--- a/internal/wire/entry/page_test.go
+++ b/internal/wire/entry/page_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 )
 
 // A caller meets a code that the page does not have and cannot tell what to do.
@@ -35,7 +35,7 @@
 			codes[m[1]] = true
 		}
 	}
-	for r := world.ReasonOverload; r <= world.ReasonNotReady; r++ {
+	for r := domain.ReasonOverload; r <= domain.ReasonNotReady; r++ {
 		codes[r.String()] = true
 	}
 	if len(codes) < 20 {
--- a/internal/wire/loop/loop.go
+++ b/internal/wire/loop/loop.go
@@ -1,7 +1,7 @@
 // Package loop runs the routing logic in its own goroutine: it gathers
 // events, ticks, and hands commands to whoever waits for them.
 //
-// It imports base/spec and route/world. The app builds one Loop per process;
+// It imports base/spec and route/domain. The app builds one Loop per process;
 // package chain posts to it and waits on it, once per decision and never once
 // per token.
 //
@@ -17,7 +17,7 @@
 	"time"
 
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 
 	"github.com/VictoriaMetrics/metrics"
 )
@@ -37,7 +37,7 @@
 
 // Logic is the deterministic part.
 type Logic interface {
-	Tick(now time.Duration, events []world.Event) []world.Command
+	Tick(now time.Duration, events []domain.Event) []domain.Command
 }
 
 // Loop drives a Logic. Set the exported fields before Run.
@@ -45,7 +45,7 @@
 	Logic Logic
 	// HandleOther receives the commands that no request waits for; nil drops them.
 	// It runs between ticks and must not block.
-	HandleOther func(world.Command)
+	HandleOther func(domain.Command)
 	// MaxArrivals is the most arrivals that wait for a tick.
 	MaxArrivals int
 	// Meters takes the metrics; nil makes a private set.
@@ -57,11 +57,11 @@
 	counters loopMetrics
 
 	mu          sync.Mutex
-	queue       []world.Event
-	spareQueue  []world.Event
+	queue       []domain.Event
+	spareQueue  []domain.Event
 	arrivals    int
 	inspections []func()
-	watchers    map[spec.RequestID]chan world.Command
+	watchers    map[spec.RequestID]chan domain.Command
 }
 
 // loopMetrics is what the loop tells about itself.
@@ -75,7 +75,7 @@
 	l.once.Do(func() {
 		l.wake = make(chan struct{}, 1)
 		l.ended = make(chan struct{})
-		l.watchers = map[spec.RequestID]chan world.Command{}
+		l.watchers = map[spec.RequestID]chan domain.Command{}
 		if l.MaxArrivals == 0 {
 			l.MaxArrivals = DefaultMaxArrivals
 		}
@@ -93,14 +93,14 @@
 
 // Post queues an event for the next tick and wakes the loop. An arrival that
 // finds the queue full is refused at once.
-func (l *Loop) Post(ev world.Event) {
+func (l *Loop) Post(ev domain.Event) {
 	l.init()
-	arrived, is := ev.(world.RequestArrived)
+	arrived, is := ev.(domain.RequestArrived)
 	l.mu.Lock()
 	if is && l.arrivals >= l.MaxArrivals {
 		l.mu.Unlock()
 		l.counters.refusedArrivals.Inc()
-		l.deliver(world.Refuse{Request: arrived.Request, Reason: world.ReasonOverload, RetryAfter: overloadRetryAfter})
+		l.deliver(domain.Refuse{Request: arrived.Request, Reason: domain.ReasonOverload, RetryAfter: overloadRetryAfter})
 		return
 	}
 	if is {
@@ -120,9 +120,9 @@
 
 // Watch returns the channel on which commands for a request arrive. Call
 // Forget when the request ended; without it the channel would stay for ever.
-func (l *Loop) Watch(id spec.RequestID) <-chan world.Command {
+func (l *Loop) Watch(id spec.RequestID) <-chan domain.Command {
 	l.init()
-	ch := make(chan world.Command, maxPendingCommands)
+	ch := make(chan domain.Command, maxPendingCommands)
 	l.mu.Lock()
 	l.watchers[id] = ch
 	l.mu.Unlock()
@@ -200,7 +200,7 @@
 	l.mu.Unlock()
 }
 
-func (l *Loop) takeQueued() ([]world.Event, []func()) {
+func (l *Loop) takeQueued() ([]domain.Event, []func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	events, looks := l.queue, l.inspections
@@ -208,7 +208,7 @@
 	return events, looks
 }
 
-func (l *Loop) deliver(c world.Command) {
+func (l *Loop) deliver(c domain.Command) {
 	id, ok := requestID(c)
 	if !ok {
 		if l.HandleOther != nil {
@@ -216,7 +216,7 @@
 		}
 		return
 	}
-	if r, is := c.(world.Refuse); is {
+	if r, is := c.(domain.Refuse); is {
 		l.Meters.GetOrCreateCounter(`fulmarwick_refusals_total{reason="` + r.Reason.String() + `"}`).Inc()
 	}
 	l.mu.Lock()
@@ -233,13 +233,13 @@
 	}
 }
 
-func requestID(c world.Command) (spec.RequestID, bool) {
+func requestID(c domain.Command) (spec.RequestID, bool) {
 	switch c := c.(type) {
-	case world.Start:
+	case domain.Start:
 		return c.Request, true
-	case world.Refuse:
+	case domain.Refuse:
 		return c.Request, true
-	case world.Forward:
+	case domain.Forward:
 		return c.Request, true
 	default:
 		return "", false
--- a/internal/wire/loop/loop_test.go
+++ b/internal/wire/loop/loop_test.go
@@ -10,7 +10,7 @@
 
 	"fulmarwick/internal/base/spec"
 	"fulmarwick/internal/route/core"
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 	"fulmarwick/internal/wire/loop"
 )
 
@@ -18,18 +18,18 @@
 type echoLogic struct {
 	mu     sync.Mutex
 	ticks  int
-	events []world.Event
+	events []domain.Event
 }
 
-func (e *echoLogic) Tick(_ time.Duration, events []world.Event) []world.Command {
+func (e *echoLogic) Tick(_ time.Duration, events []domain.Event) []domain.Command {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.ticks++
-	var out []world.Command
+	var out []domain.Command
 	for _, ev := range events {
 		e.events = append(e.events, ev)
-		if a, ok := ev.(world.RequestArrived); ok {
-			out = append(out, world.Start{Request: a.Request, Attempt: 1})
+		if a, ok := ev.(domain.RequestArrived); ok {
+			out = append(out, domain.Start{Request: a.Request, Attempt: 1})
 		}
 	}
 	return out
@@ -62,8 +62,8 @@
 		startLoop(t, l)
 		for _, id := range []spec.RequestID{"a", "b"} {
 			ch := l.Watch(id)
-			l.Post(world.RequestArrived{Request: id})
-			got, ok := (<-ch).(world.Start)
+			l.Post(domain.RequestArrived{Request: id})
+			got, ok := (<-ch).(domain.Start)
 			if !ok || got.Request != id {
 				t.Errorf("got %+v, want the start of %s", got, id)
 			}
@@ -95,17 +95,17 @@
 		logic := &echoLogic{}
 		l := &loop.Loop{Logic: logic, MaxArrivals: 3}
 		var refused int
-		var chans []<-chan world.Command
+		var chans []<-chan domain.Command
 		for i := range 5 {
 			id := spec.RequestID(fmt.Sprint(i))
 			chans = append(chans, l.Watch(id))
-			l.Post(world.RequestArrived{Request: id})
-			l.Post(world.RequestFinished{Request: id})
+			l.Post(domain.RequestArrived{Request: id})
+			l.Post(domain.RequestFinished{Request: id})
 		}
 		for _, ch := range chans {
 			select {
 			case c := <-ch:
-				if r, ok := c.(world.Refuse); ok && r.Reason == world.ReasonOverload && r.RetryAfter > 0 && !r.Ran {
+				if r, ok := c.(domain.Refuse); ok && r.Reason == domain.ReasonOverload && r.RetryAfter > 0 && !r.Ran {
 					refused++
 				}
 			default:
@@ -130,12 +130,12 @@
 		startLoop(t, l)
 		l.Watch("deaf")
 		for range 100 {
-			l.Post(world.RequestArrived{Request: "deaf"})
-			l.Post(world.RequestArrived{Request: "gone"})
+			l.Post(domain.RequestArrived{Request: "deaf"})
+			l.Post(domain.RequestArrived{Request: "gone"})
 			synctest.Wait()
 		}
 		ch := l.Watch("a")
-		l.Post(world.RequestArrived{Request: "a"})
+		l.Post(domain.RequestArrived{Request: "a"})
 		<-ch
 		l.Unwatch("a")
 		l.Unwatch("deaf")
@@ -167,15 +167,15 @@
 
 func TestCommandWithoutRequestReachesHandler(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		got := make(chan world.Command, 1)
-		l := &loop.Loop{Logic: warningLogic{}, HandleOther: func(c world.Command) {
+		got := make(chan domain.Command, 1)
+		l := &loop.Loop{Logic: warningLogic{}, HandleOther: func(c domain.Command) {
 			select {
 			case got <- c:
 			default:
 			}
 		}}
 		startLoop(t, l)
-		if c, ok := (<-got).(world.ReportSuspect); !ok || c.Fingerprint != 7 {
+		if c, ok := (<-got).(domain.ReportSuspect); !ok || c.Fingerprint != 7 {
 			t.Errorf("got %+v, want the warning", c)
 		}
 	})
@@ -183,23 +183,23 @@
 
 type warningLogic struct{}
 
-func (warningLogic) Tick(time.Duration, []world.Event) []world.Command {
-	return []world.Command{world.ReportSuspect{Fingerprint: 7}}
+func (warningLogic) Tick(time.Duration, []domain.Event) []domain.Command {
+	return []domain.Command{domain.ReportSuspect{Fingerprint: 7}}
 }
 
 // logicWithEngines fills the logic with engines of one model, each of which holds all.
 func logicWithEngines(engines int) *core.Logic {
 	logic := &core.Logic{}
-	var events []world.Event
+	var events []domain.Event
 	for i := range engines {
-		events = append(events, world.EngineReport{Engine: world.Engine{
+		events = append(events, domain.EngineReport{Engine: domain.Engine{
 			ID: spec.UpstreamID(fmt.Sprintf("e%05d", i)), DataCentre: "klang", Kind: "l40s", LayerTime: time.Microsecond,
 			Slots: 1 << 20, KVCapacity: 1 << 40, Seq: 1,
-			Loaded: []world.LoadedRange{{Model: "m", Version: "1", Depth: 24, Layers: spec.NewLayers(0, 24)}},
+			Loaded: []domain.LoadedRange{{Model: "m", Version: "1", Depth: 24, Layers: spec.NewLayers(0, 24)}},
 		}})
 	}
 	target := spec.NewTarget(time.Minute, time.Minute, 0, 95)
-	events = append(events, world.ConfigChanged{
+	events = append(events, domain.ConfigChanged{
 		Version: 1, Classes: []spec.Class{spec.NewModelClass("answer", "m", target)},
 		Teams: []spec.Team{spec.NewTeam("t", "t", 1)},
 	})
@@ -222,12 +222,12 @@
 				n++
 				id := spec.RequestID(fmt.Sprint(n))
 				ch := l.Watch(id)
-				l.Post(world.RequestArrived{Request: id, Team: "t", Class: "answer", Model: "m", PromptTokens: 10, MaxTokens: 10, Fingerprint: uint64(n)})
-				if _, ok := (<-ch).(world.Start); !ok {
+				l.Post(domain.RequestArrived{Request: id, Team: "t", Class: "answer", Model: "m", PromptTokens: 10, MaxTokens: 10, Fingerprint: uint64(n)})
+				if _, ok := (<-ch).(domain.Start); !ok {
 					b.Fatal("got no start")
 				}
 				l.Unwatch(id)
-				l.Post(world.RequestFinished{Request: id, Tokens: 10, OK: true})
+				l.Post(domain.RequestFinished{Request: id, Tokens: 10, OK: true})
 			}
 			cancel()
 			<-done
--- a/internal/wire/watch/board.go
+++ b/internal/wire/watch/board.go
@@ -9,7 +9,7 @@
 	"fulmarwick/internal/base/frame"
 	"fulmarwick/internal/base/news"
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 )
 
 // Times and thresholds of the judgement on engines.
@@ -45,7 +45,7 @@
 	id  spec.UpstreamID
 	url string
 	// row is the last report; known is false before the first.
-	row   world.Engine
+	row   domain.Engine
 	body  frame.Engine
 	known bool
 	// watched and first follow the fleet's Watch command.
@@ -79,7 +79,7 @@
 // post and say take what follows from what it is told.
 type board struct {
 	self spec.InstanceID
-	post func(world.Event)
+	post func(domain.Event)
 	say  func(news.Item)
 	find func(id spec.UpstreamID, url string)
 	rows []*entry
@@ -113,7 +113,7 @@
 }
 
 // polled takes the answer of a poll.
-func (b *board) polled(now time.Duration, e *entry, body frame.Engine, row world.Engine) {
+func (b *board) polled(now time.Duration, e *entry, body frame.Engine, row domain.Engine) {
 	if e.weight > 0 {
 		b.doubt(e, 0)
 	}
@@ -146,14 +146,14 @@
 
 // seen hands a report to the routing logic, unless it is of before the
 // engine's death.
-func (b *board) seen(now time.Duration, e *entry, body frame.Engine, row world.Engine) {
+func (b *board) seen(now time.Duration, e *entry, body frame.Engine, row domain.Engine) {
 	if e.dead && row.Incarnation == e.deadInc && row.Seq <= e.deadSeq && row.Incarnation != 0 {
 		return
 	}
 	e.down, e.dead = false, false
 	e.row, e.body, e.known = row, body, true
 	e.answered = max(e.answered, now)
-	b.post(world.EngineReport{Engine: row})
+	b.post(domain.EngineReport{Engine: row})
 	if body.State == frame.StateLeaving {
 		b.leave(e, true)
 	} else if e.leaving {
@@ -188,7 +188,7 @@
 		if now-e.listed < after || now-e.answered < after {
 			return false
 		}
-		b.post(world.EngineRemoved{Engine: e.id})
+		b.post(domain.EngineRemoved{Engine: e.id})
 		return true
 	})
 }
--- a/internal/wire/watch/judge.go
+++ b/internal/wire/watch/judge.go
@@ -5,12 +5,12 @@
 	"time"
 
 	"fulmarwick/internal/base/news"
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 )
 
 // crashed tells of a restart between two reports: all that ran on the engine
 // is lost although it answers.
-func (b *board) crashed(e *entry, row world.Engine) {
+func (b *board) crashed(e *entry, row domain.Engine) {
 	if !e.known || e.down {
 		return
 	}
@@ -83,13 +83,13 @@
 func (b *board) die(e *entry) {
 	e.down, e.dead = true, true
 	e.deadInc, e.deadSeq = e.row.Incarnation, e.row.Seq
-	b.post(world.EngineDead{Engine: e.id})
+	b.post(domain.EngineDead{Engine: e.id})
 }
 
 // leave posts that an engine takes no new work, and tells the others the
 // first time if it was learnt here.
 func (b *board) leave(e *entry, tell bool) {
-	b.post(world.EngineLeaving{Engine: e.id})
+	b.post(domain.EngineLeaving{Engine: e.id})
 	if e.leaving {
 		return
 	}
--- a/internal/wire/watch/news.go
+++ b/internal/wire/watch/news.go
@@ -8,7 +8,7 @@
 	"fulmarwick/internal/base/frame"
 	"fulmarwick/internal/base/news"
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 	"fulmarwick/internal/wire/engine"
 )
 
@@ -65,7 +65,7 @@
 		if e := b.get(spec.UpstreamID(body.Upstream)); e != nil {
 			b.leave(e, false)
 		} else {
-			b.post(world.EngineLeaving{Engine: spec.UpstreamID(body.Upstream)})
+			b.post(domain.EngineLeaving{Engine: spec.UpstreamID(body.Upstream)})
 		}
 	}
 }
@@ -98,7 +98,7 @@
 }
 
 // told takes another watcher's report.
-func (b *board) told(now time.Duration, e *entry, body frame.Engine, row world.Engine) {
+func (b *board) told(now time.Duration, e *entry, body frame.Engine, row domain.Engine) {
 	e.other = now
 	old := e.known && row.Incarnation == e.row.Incarnation && row.Seq <= e.row.Seq
 	// An engine that tells no incarnation counts from one again after a death;
@@ -113,7 +113,7 @@
 }
 
 // crashedElsewhere posts a restart that another watcher's report shows.
-func (b *board) crashedElsewhere(e *entry, row world.Engine) {
+func (b *board) crashedElsewhere(e *entry, row domain.Engine) {
 	if e.known && !e.down && row.Incarnation != e.row.Incarnation {
 		b.die(e)
 		e.down = false
--- a/internal/wire/watch/service_test.go
+++ b/internal/wire/watch/service_test.go
@@ -11,7 +11,7 @@
 
 	"fulmarwick/internal/base/frame"
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 	"fulmarwick/internal/state/store"
 	"fulmarwick/internal/wire/watch"
 
@@ -56,7 +56,7 @@
 // nowhere posts events and locates engines nowhere.
 type nowhere struct{}
 
-func (nowhere) Post(world.Event)               {}
+func (nowhere) Post(domain.Event)              {}
 func (nowhere) Locate(spec.UpstreamID, string) {}
 
 // One after the other, both instances of a payment service leave. The sender
--- a/internal/wire/watch/watch.go
+++ b/internal/wire/watch/watch.go
@@ -3,7 +3,7 @@
 //
 // It reads the reports of the engines that the fleet logic assigns to this
 // instance and tells the other instances; reports of the rest come from them.
-// It imports base, fleet/node, state/store, route/world and wire/engine. The
+// It imports base, fleet/node, state/store, route/domain and wire/engine. The
 // daemon runs one Watcher.
 package watch
 
@@ -18,7 +18,7 @@
 	"fulmarwick/internal/base/news"
 	"fulmarwick/internal/base/spec"
 	"fulmarwick/internal/fleet/node"
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 	"fulmarwick/internal/state/store"
 
 	"go.uber.org/zap"
@@ -51,7 +51,7 @@
 
 // Poster takes events for the logic.
 type Poster interface {
-	Post(ev world.Event)
+	Post(ev domain.Event)
 }
 
 // Locator learns where an engine is.
