--- a/internal/wire/watch/watch_test.go
+++ b/internal/wire/watch/watch_test.go
@@ -17,7 +17,7 @@
 	"fulmarwick/internal/base/news"
 	"fulmarwick/internal/base/spec"
 	"fulmarwick/internal/fleet/node"
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 	"fulmarwick/internal/state/store"
 	"fulmarwick/internal/wire/watch"
 
@@ -82,10 +82,10 @@
 	return slices.Clone(s.lab.list), s.lab.listed
 }
 
-func (s *site) Post(ev world.Event) {
+func (s *site) Post(ev domain.Event) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	name := strings.TrimPrefix(fmt.Sprintf("%T", ev), "world.")
+	name := strings.TrimPrefix(fmt.Sprintf("%T", ev), "domain.")
 	if len(s.posts) == 0 || s.posts[len(s.posts)-1] != name {
 		s.posts = append(s.posts, name)
 		s.at[name] = time.Now()
