--- a/internal/app/daemon/tap.go
+++ b/internal/app/daemon/tap.go
@@ -7,7 +7,7 @@
 
 	"fulmarwick/internal/base/frame"
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 	"fulmarwick/internal/wire/engine"
 )
 
@@ -20,14 +20,14 @@
 }
 
 // Post passes an event on.
-func (t *tap) Post(ev world.Event) {
+func (t *tap) Post(ev domain.Event) {
 	switch ev := ev.(type) {
-	case world.EngineSeen:
+	case domain.EngineReport:
 		t.seen(ev.Engine)
-	case world.EngineDown:
+	case domain.EngineDead:
 		t.parts.duties.orders.RemoveReport(ev.Engine)
 		t.parts.pool.Break(ev.Engine)
-	case world.EngineGone:
+	case domain.EngineRemoved:
 		t.parts.duties.orders.RemoveReport(ev.Engine)
 		t.parts.pool.Forget(ev.Engine)
 		t.mu.Lock()
@@ -37,14 +37,14 @@
 	t.parts.loop.Post(ev)
 }
 
-func (t *tap) seen(e world.Engine) {
+func (t *tap) seen(e domain.Engine) {
 	t.mu.Lock()
 	if t.kinds == nil {
 		t.kinds = map[spec.UpstreamID]string{}
 	}
 	t.kinds[e.ID] = e.Kind
 	t.mu.Unlock()
-	t.parts.duties.orders.ApplyReport(e.ID, frame.Engine{Seq: e.Seq, Holds: holdFrames(e.Holds)})
+	t.parts.duties.orders.ApplyReport(e.ID, frame.Engine{Seq: e.Seq, Holds: holdFrames(e.Loaded)})
 }
 
 func (t *tap) kind(id spec.UpstreamID) string {
--- a/internal/app/edge/mesh.go
+++ b/internal/app/edge/mesh.go
@@ -131,7 +131,7 @@
 	if err != nil {
 		return err
 	}
-	m.hub.Post(node.Listed{Peers: m.decodeRoster(page)})
+	m.hub.Post(node.DiscoveryList{Peers: m.decodeRoster(page)})
 	m.rosterRead = true
 	return nil
 }
--- a/internal/app/edge/order.go
+++ b/internal/app/edge/order.go
@@ -70,7 +70,7 @@
 	}
 	// The last token known is enough, even if the lease is no longer held: of two orders
 	// that expect the same count of accepted orders, an engine accepts only one.
-	fence, ok := p.lease.Last()
+	fence, ok := p.lease.LastFence()
 	if !ok {
 		return
 	}
--- a/internal/app/edge/sweep.go
+++ b/internal/app/edge/sweep.go
@@ -21,7 +21,7 @@
 	for {
 		if i.mesh.logic.DutyRank(planLeaseName) < maxPlanContenders {
 			// An error is counted with the store call and shows in the state of the lease.
-			_ = i.lease.Step(ctx)
+			_ = i.lease.RenewOrAcquire(ctx)
 		} else {
 			i.lease.Release(ctx)
 		}
--- a/internal/fakes/bench/run.go
+++ b/internal/fakes/bench/run.go
@@ -4,8 +4,8 @@
 	"time"
 
 	"fulmarwick/internal/base/spec"
+	"fulmarwick/internal/route/domain"
 	"fulmarwick/internal/route/pick"
-	"fulmarwick/internal/route/world"
 )
 
 // Outcome says how a request ended.
@@ -27,14 +27,14 @@
 type run struct {
 	site    *Site
 	on      *instance
-	ask     world.Arrived
+	ask     domain.RequestArrived
 	target  spec.Target
 	out     int
 	poison  bool
 	attempt uint32
 	stages  []*stage
 	step    *step
-	start   world.Start
+	start   domain.Start
 	tokens  int
 	came    time.Duration
 	first   time.Duration
@@ -45,7 +45,7 @@
 	dog     time.Duration
 	barking bool
 	outcome Outcome
-	reason  world.Reason
+	reason  domain.Reason
 	ended   time.Duration
 	hit     int
 	prefill int
@@ -59,7 +59,7 @@
 	found  time.Duration
 }
 
-func (r *run) take(c world.Start) {
+func (r *run) take(c domain.Start) {
 	if r.outcome != OutcomeOpen {
 		return
 	}
@@ -96,12 +96,12 @@
 
 func (r *run) leave(s *stage) {
 	if s.opened && s.engine.life == s.life {
-		s.engine.kv -= r.ask.Prompt + r.ask.Limit
+		s.engine.kv -= r.ask.PromptTokens + r.ask.MaxTokens
 	}
 	s.opened = false
 }
 
-func (r *run) positions() int { return r.ask.Prompt + r.tokens }
+func (r *run) positions() int { return r.ask.PromptTokens + r.tokens }
 
 // advance submits the next step, or ends the request.
 func (r *run) advance() {
@@ -117,12 +117,12 @@
 func (r *run) submit(s *stage) {
 	e := s.engine
 	hop := e.hop + r.carry(s)
-	st := &step{run: r, attempt: r.attempt, stage: s, prio: r.start.Prio}
+	st := &step{run: r, attempt: r.attempt, stage: s, prio: r.start.Priority}
 	st.done = func() { r.stepped(st) }
 	r.step = st
-	wait := r.start.Patience
+	wait := r.start.StepTimeout
 	if s.done == 0 {
-		wait = r.start.Prefill
+		wait = r.start.PrefillTimeout
 	}
 	r.watch(wait)
 	r.site.clock.after(hop, func() {
@@ -138,7 +138,7 @@
 	if s.engine.row.Bandwidth <= 0 || s.is.Layers().From() == 0 {
 		return 0
 	}
-	bytes := float64((r.positions() - s.done) * s.engine.row.Holds[0].Width)
+	bytes := float64((r.positions() - s.done) * s.engine.row.Loaded[0].Width)
 	return time.Duration(bytes / float64(s.engine.row.Bandwidth) * float64(time.Second))
 }
 
@@ -151,34 +151,34 @@
 	case e.dead && e.silent:
 		return
 	case e.dead && !s.opened:
-		r.lose(s, world.CauseRefused)
+		r.lose(s, domain.CauseRefused)
 		return
 	case s.lost():
-		r.lose(s, world.CauseBroken)
+		r.lose(s, domain.CauseBroken)
 		return
 	case e.leaving && !s.opened:
-		r.lose(s, world.CauseLeaving)
+		r.lose(s, domain.CauseLeaving)
 		return
 	}
-	if !s.opened && e.kv+r.ask.Prompt+r.ask.Limit > e.row.Cache {
-		r.lose(s, world.CauseLeaving)
+	if !s.opened && e.kv+r.ask.PromptTokens+r.ask.MaxTokens > e.row.KVCapacity {
+		r.lose(s, domain.CauseLeaving)
 		return
 	}
 	if !s.opened {
 		s.opened = true
 		e.opened = r.site.clock.now
-		e.kv += r.ask.Prompt + r.ask.Limit
+		e.kv += r.ask.PromptTokens + r.ask.MaxTokens
 	}
 	todo := r.positions() - s.done
 	if s.done == 0 {
-		hit := min(e.cache.hits(r.ask.Blocks)*pick.BlockTokens, r.ask.Prompt-1)
+		hit := min(e.cache.hits(r.ask.BlockHashes)*pick.BlockTokens, r.ask.PromptTokens-1)
 		r.hit += hit
-		r.prefill += r.ask.Prompt
+		r.prefill += r.ask.PromptTokens
 		todo -= hit
 	}
-	chunks := max(1, (todo+pick.Chunk-1)/pick.Chunk)
+	chunks := max(1, (todo+pick.ChunkPositions-1)/pick.ChunkPositions)
 	r.work += chunks * s.is.Layers().Len()
-	st.took = time.Duration(s.is.Layers().Len()) * e.row.Layer
+	st.took = time.Duration(s.is.Layers().Len()) * e.row.LayerTime
 	st.chunks = chunks
 	e.submit(st)
 }
@@ -189,7 +189,7 @@
 	}
 	s := st.stage
 	if s.done == 0 {
-		s.engine.cache.put(r.ask.Blocks)
+		s.engine.cache.put(r.ask.BlockHashes)
 	}
 	s.done = r.positions()
 	r.step = nil
@@ -215,7 +215,7 @@
 		r.healed = now - r.hurt
 	}
 	if r.attempt > 1 && r.tokens == r.progressed()+1 {
-		r.on.post(world.Progress{Request: r.ask.Request, Tokens: r.tokens})
+		r.on.post(domain.RequestProgress{Request: r.ask.Request, Tokens: r.tokens})
 	}
 	if r.tokens >= r.out {
 		r.end(OutcomeDone)
@@ -225,4 +225,6 @@
 }
 
 // progressed is the tokens at the last start.
-func (r *run) progressed() int { return r.on.logic.World().Requests().Get(r.ask.Request).From() }
+func (r *run) progressed() int {
+	return r.on.logic.State().Requests().Get(r.ask.Request).TokensAtStart()
+}
--- a/internal/fleet/mesh/chaos_test.go
+++ b/internal/fleet/mesh/chaos_test.go
@@ -53,7 +53,7 @@
 		peers = append(peers, node.Peer{ID: other, DataCentre: centreOf(other), URL: "http://" + string(other)})
 	}
 	f.members[id] = f.newMember(id)
-	f.inbox[id] = []node.Event{node.Listed{Peers: peers}}
+	f.inbox[id] = []node.Event{node.DiscoveryList{Peers: peers}}
 }
 
 // Instances freeze, restart, are rejected by the store and lose each other's messages
--- a/internal/fleet/mesh/mesh.go
+++ b/internal/fleet/mesh/mesh.go
@@ -185,9 +185,9 @@
 	}
 	for _, ev := range events {
 		switch ev := ev.(type) {
-		case node.Listed:
+		case node.DiscoveryList:
 			l.handleRoster(ev)
-		case node.Heard:
+		case node.Received:
 			l.handleMessage(now, ev)
 		}
 	}
@@ -203,7 +203,7 @@
 	return p
 }
 
-func (l *Logic) handleMessage(now time.Duration, ev node.Heard) {
+func (l *Logic) handleMessage(now time.Duration, ev node.Received) {
 	var m Message
 	if err := cbor.Unmarshal(ev.Data, &m); err != nil {
 		// A message of another version of the program is ignored; its sender counts as
--- a/internal/state/order/order.go
+++ b/internal/state/order/order.go
@@ -53,8 +53,8 @@
 type Lease interface {
 	// Guard returns the fencing token and a context that ends before the lease does.
 	Guard(ctx context.Context) (context.Context, context.CancelFunc, uint64, error)
-	// Since returns how long the lease has been held.
-	Since() time.Duration
+	// HeldFor returns how long the lease has been held.
+	HeldFor() time.Duration
 }
 
 // Table is the part of the platform's table that a Reconciler needs.
@@ -191,7 +191,7 @@
 func (r *Reconciler) loadRows(ctx context.Context) (map[spec.UpstreamID]*desiredRow, error) {
 	rows := map[spec.UpstreamID]*desiredRow{}
 	var decodeErr error
-	err := store.Walk(ctx, r.Table, r.prefix(), 0, pageRows, func(stored store.Row) {
+	err := store.ScanAll(ctx, r.Table, r.prefix(), 0, pageRows, func(stored store.Row) {
 		row := &desiredRow{version: stored.Version()}
 		if err := cbor.Unmarshal(stored.Value(), &row.state); err != nil {
 			decodeErr = err
@@ -215,7 +215,7 @@
 	switch {
 	case err == nil:
 		return version, nil
-	case errors.Is(err, store.ErrDown):
+	case errors.Is(err, store.ErrUnavailable):
 		return 0, errors.Wrap(ErrStoreUnavailable, err.Error())
 	}
 	r.mu.Lock()
--- a/internal/state/order/reconcile.go
+++ b/internal/state/order/reconcile.go
@@ -100,7 +100,7 @@
 		return frame.Order{}, false
 	case !row.lastSent.IsZero() && now.Sub(row.lastSent) < r.retryDelay(row.tries):
 		return frame.Order{}, false
-	case !r.checksFence(id) && r.Lease.Since() < r.firstOrderDelay():
+	case !r.checksFence(id) && r.Lease.HeldFor() < r.firstOrderDelay():
 		return frame.Order{}, false
 	}
 	missing := missingLayers(row.state.Holds, rep.holds)
--- a/internal/wire/loop/loop.go
+++ b/internal/wire/loop/loop.go
@@ -1,7 +1,7 @@
 // Package loop runs the routing logic in its own goroutine: it queues events, calls the
 // logic at each tick, and delivers commands to the goroutines that wait for them.
 //
-// It imports base/spec and route/world. The app builds one Loop per process; package
+// It imports base/spec and route/domain. The app builds one Loop per process; package
 // chain posts events to it and waits for its commands, once per decision and never once
 // per token.
 //
@@ -17,7 +17,7 @@
 	"time"
 
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 
 	"github.com/VictoriaMetrics/metrics"
 )
@@ -39,7 +39,7 @@
 // Logic is the deterministic routing logic: its commands depend only on the time and the
 // events that it is passed.
 type Logic interface {
-	Tick(now time.Duration, events []world.Event) []world.Command
+	Tick(now time.Duration, events []domain.Event) []domain.Command
 }
 
 // Loop runs a Logic. Set the exported fields before Run.
@@ -47,7 +47,7 @@
 	Logic Logic
 	// HandleOther is called with each command that belongs to no request; nil drops
 	// them. It runs in the loop's goroutine and must not block.
-	HandleOther func(world.Command)
+	HandleOther func(domain.Command)
 	// MaxArrivals is the maximum number of arrivals that wait for a tick; zero means
 	// DefaultMaxArrivals.
 	MaxArrivals int
@@ -60,11 +60,11 @@
 	counters loopMetrics
 
 	mu          sync.Mutex
-	queue       []world.Event
-	spareQueue  []world.Event
+	queue       []domain.Event
+	spareQueue  []domain.Event
 	arrivals    int
 	inspections []func()
-	watchers    map[spec.RequestID]chan world.Command
+	watchers    map[spec.RequestID]chan domain.Command
 }
 
 // loopMetrics holds the metrics of the loop.
@@ -78,7 +78,7 @@
 	l.once.Do(func() {
 		l.wake = make(chan struct{}, 1)
 		l.ended = make(chan struct{})
-		l.watchers = map[spec.RequestID]chan world.Command{}
+		l.watchers = map[spec.RequestID]chan domain.Command{}
 		if l.MaxArrivals == 0 {
 			l.MaxArrivals = DefaultMaxArrivals
 		}
@@ -96,14 +96,14 @@
 
 // Post queues an event for the next tick and wakes the loop. If MaxArrivals arrivals are
 // queued already, a further arrival is refused at once.
-func (l *Loop) Post(event world.Event) {
+func (l *Loop) Post(event domain.Event) {
 	l.init()
-	arrived, isArrival := event.(world.Arrived)
+	arrived, isArrival := event.(domain.RequestArrived)
 	l.mu.Lock()
 	if isArrival && l.arrivals >= l.MaxArrivals {
 		l.mu.Unlock()
 		l.counters.refusedArrivals.Inc()
-		l.deliver(world.Refuse{Request: arrived.Request, Reason: world.ReasonOverload, After: overloadRetryAfter})
+		l.deliver(domain.Refuse{Request: arrived.Request, Reason: domain.ReasonOverload, RetryAfter: overloadRetryAfter})
 		return
 	}
 	if isArrival {
@@ -123,9 +123,9 @@
 
 // Watch returns the channel on which commands for a request are delivered. Call Unwatch
 // when the request has ended; otherwise the channel is never freed.
-func (l *Loop) Watch(id spec.RequestID) <-chan world.Command {
+func (l *Loop) Watch(id spec.RequestID) <-chan domain.Command {
 	l.init()
-	commands := make(chan world.Command, maxPendingCommands)
+	commands := make(chan domain.Command, maxPendingCommands)
 	l.mu.Lock()
 	l.watchers[id] = commands
 	l.mu.Unlock()
@@ -203,7 +203,7 @@
 	l.mu.Unlock()
 }
 
-func (l *Loop) takeQueued() ([]world.Event, []func()) {
+func (l *Loop) takeQueued() ([]domain.Event, []func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	events, inspections := l.queue, l.inspections
@@ -211,7 +211,7 @@
 	return events, inspections
 }
 
-func (l *Loop) deliver(c world.Command) {
+func (l *Loop) deliver(c domain.Command) {
 	id, ok := requestID(c)
 	if !ok {
 		if l.HandleOther != nil {
@@ -219,7 +219,7 @@
 		}
 		return
 	}
-	if refusal, ok := c.(world.Refuse); ok {
+	if refusal, ok := c.(domain.Refuse); ok {
 		l.Meters.GetOrCreateCounter(`fulmarwick_refusals_total{reason="` + refusal.Reason.String() + `"}`).Inc()
 	}
 	l.mu.Lock()
@@ -236,13 +236,13 @@
 	}
 }
 
-func requestID(c world.Command) (spec.RequestID, bool) {
+func requestID(c domain.Command) (spec.RequestID, bool) {
 	switch c := c.(type) {
-	case world.Start:
+	case domain.Start:
 		return c.Request, true
-	case world.Refuse:
+	case domain.Refuse:
 		return c.Request, true
-	case world.Forward:
+	case domain.Forward:
 		return c.Request, true
 	default:
 		return "", false
--- a/internal/wire/watch/service_test.go
+++ b/internal/wire/watch/service_test.go
@@ -11,7 +11,7 @@
 
 	"fulmarwick/internal/base/frame"
 	"fulmarwick/internal/base/spec"
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 	"fulmarwick/internal/state/store"
 	"fulmarwick/internal/wire/watch"
 
@@ -25,7 +25,7 @@
 	told   []string
 }
 
-func (p *places) List(context.Context) ([]store.ListedBody, error) {
+func (p *places) ListInstances(context.Context) ([]store.ListedBody, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var out []store.ListedBody
@@ -56,7 +56,7 @@
 // nowhere posts events and locates engines nowhere.
 type nowhere struct{}
 
-func (nowhere) Post(world.Event)               {}
+func (nowhere) Post(domain.Event)              {}
 func (nowhere) Locate(spec.UpstreamID, string) {}
 
 // One after the other, both instances of a payment service leave. The sender
--- a/internal/wire/watch/watch.go
+++ b/internal/wire/watch/watch.go
@@ -3,7 +3,7 @@
 //
 // It reads the reports of the engines that the fleet logic assigns to this
 // instance and tells the other instances; reports of the rest come from them.
-// It imports base, fleet/node, state/store, route/world and wire/engine. The
+// It imports base, fleet/node, state/store, route/domain and wire/engine. The
 // daemon runs one Watcher.
 package watch
 
@@ -18,7 +18,7 @@
 	"fulmarwick/internal/base/news"
 	"fulmarwick/internal/base/spec"
 	"fulmarwick/internal/fleet/node"
-	"fulmarwick/internal/route/world"
+	"fulmarwick/internal/route/domain"
 	"fulmarwick/internal/state/store"
 
 	"go.uber.org/zap"
@@ -46,12 +46,12 @@
 
 // Lister reads the platform's lagging list.
 type Lister interface {
-	List(ctx context.Context) ([]store.ListedBody, error)
+	ListInstances(ctx context.Context) ([]store.ListedBody, error)
 }
 
 // Poster takes events for the logic.
 type Poster interface {
-	Post(ev world.Event)
+	Post(ev domain.Event)
 }
 
 // Locator learns where an engine is.
@@ -153,7 +153,7 @@
 	w.init()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.board.assign(c.Engines, c.First)
+	w.board.assign(c.Engines, c.Primary)
 	w.follow()
 }
 
@@ -181,7 +181,7 @@
 
 // round reads the list once.
 func (w *Watcher) round(ctx context.Context) {
-	listed, err := w.List.List(ctx)
+	listed, err := w.List.ListInstances(ctx)
 	if err != nil {
 		// A list that cannot be read removes nobody: the engines of the last
 		// one still answer, and dropping them would stop all work.
