--- a/internal/route/core/core.go
+++ b/internal/route/core/core.go
@@ -1,8 +1,11 @@
-// Package core runs the systems of the routing logic over a World each tick.
+// Package core implements the routing logic of the serve command as a state
+// machine: Logic.Tick turns events into commands.
 //
-// It imports route/domain and the systems beside it. The loop of wire/loop
-// calls Tick at each wake-up and at least every 20 ms; tests and benches call
-// it directly. The same events give the same commands, byte for byte.
+// It imports route/domain, which defines the state, events and commands, and
+// its sibling packages, which implement the individual policies. The event
+// loop in wire/loop calls Tick at each wake-up and at least every 20 ms;
+// tests and benchmarks call it directly. The same events produce the same
+// commands, byte for byte.
 package core
 
 import (
@@ -18,25 +21,29 @@
 	"fulmarwick/internal/route/retry"
 )
 
-// Planner is a system that plans what engines should hold.
+// Planner plans which layers each engine should load.
 type Planner interface {
-	Run(w *domain.RoutingState)
+	Run(state *domain.RoutingState)
 }
 
 // Logic is the routing logic of one instance. Set the exported fields before
-// the first Tick; the zero value works alone.
+// the first Tick. The zero value is usable.
 type Logic struct {
-	// ID is this instance; suspects of poison are spread over instances by it.
+	// ID identifies this instance. Poison suspects are distributed over the
+	// instances by it.
 	ID spec.InstanceID
-	// Seed makes the instance's draws its own; give each instance another.
+	// Seed seeds the instance's random numbers. Each instance needs a
+	// different one.
 	Seed uint64
-	// Chooser chooses chains; nil is a pick.Picker.
+	// Chooser chooses the chain of engines for a request. If nil, a
+	// pick.Picker is used.
 	Chooser pick.Chooser
-	// UtilizationLimit is the part of an engine's capacity up to which it takes new
-	// work; zero lets the targets decide.
+	// UtilizationLimit is the fraction of an engine's capacity up to which
+	// the engine gets new work. If zero, the limit is derived from how well
+	// the targets are met.
 	UtilizationLimit float64
-	// AdmitAll starts every request at once and suspects none of poison. It is the
-	// naive side of comparisons.
+	// AdmitAll starts every request at once and treats none as a poison
+	// suspect. It is the baseline in comparisons.
 	AdmitAll bool
 	// Planner, if set, runs at the end of each tick.
 	Planner Planner
@@ -57,10 +64,11 @@
 	announcer   announcer
 }
 
-// State gives the tables for reading.
+// State returns the routing state. Callers must not change it.
 func (l *Logic) State() *domain.RoutingState { return &l.state }
 
-// WaitingCount is how many requests wait in the queues.
+// WaitingCount returns the number of requests that wait in the queues or are
+// held.
 func (l *Logic) WaitingCount() int {
 	n := len(l.held)
 	for _, name := range l.modelOrder {
@@ -69,26 +77,27 @@
 	return n
 }
 
-// Tick applies events at now, runs the systems and returns their commands.
+// Tick applies the events at time now, makes all decisions that are due and
+// returns the resulting commands.
 func (l *Logic) Tick(now time.Duration, events []domain.Event) []domain.Command {
 	l.init()
-	w := &l.state
-	w.BeginTick(now)
+	state := &l.state
+	state.BeginTick(now)
 	for _, ev := range events {
 		l.apply(ev)
 	}
-	l.suspects.Run(w)
-	for _, r := range w.Requests().TakeDue() {
+	l.suspects.Run(state)
+	for _, r := range state.Requests().TakeDue() {
 		l.decide(r)
 	}
 	l.startHeld()
 	l.serveQueues()
-	l.teamRates.Run(w)
+	l.teamRates.Run(state)
 	l.announcer.announce(l)
 	if l.Planner != nil {
-		l.Planner.Run(w)
+		l.Planner.Run(state)
 	}
-	return w.Commands()
+	return state.Commands()
 }
 
 func (l *Logic) init() {
@@ -103,10 +112,10 @@
 	l.queues = map[spec.ModelName]*modelQueue{}
 }
 
-// apply takes an event into the tables and tells the systems that keep state
-// of their own.
+// apply updates the routing state, and the components that keep state of
+// their own, with an event.
 func (l *Logic) apply(ev domain.Event) {
-	w := &l.state
+	state := &l.state
 	switch ev := ev.(type) {
 	case domain.RequestFinished:
 		l.observeResult(ev)
@@ -118,22 +127,23 @@
 		l.prefixCache.RemoveEngine(ev.Engine)
 		l.announcer.removeEngine(ev.Engine)
 	case domain.CacheReport:
-		l.prefixCache.ApplyEvent(w.Now(), ev)
+		l.prefixCache.ApplyEvent(state.Now(), ev)
 	case domain.TeamUsage:
-		l.teamRates.ApplyReport(w.Now(), ev)
+		l.teamRates.ApplyReport(state.Now(), ev)
 	case domain.SuspectReported:
-		l.suspects.ApplyPeerReport(w.Now(), ev)
+		l.suspects.ApplyPeerReport(state.Now(), ev)
 	case domain.ConfigChanged:
-		if ev.Version >= w.Version() {
+		if ev.Version >= state.Version() {
 			l.retryBudget.RetainClasses(ev.Classes)
 			l.timeouts.RetainClasses(ev.Classes)
 			l.margins.KeepClasses(ev.Classes)
 		}
 	}
-	w.Apply(ev)
+	state.Apply(ev)
 }
 
-// observeResult compares what was predicted for an answer with what it took.
+// observeResult updates the predictions with the measured times of an answer.
+// Only answers that completed on the first attempt count.
 func (l *Logic) observeResult(ev domain.RequestFinished) {
 	r := l.state.Requests().Get(ev.Request)
 	if r == nil || !ev.OK || r.Attempt() != 1 {
@@ -144,11 +154,12 @@
 	l.timeouts.Observe(r, ev)
 }
 
-// recordStageLoss counts a death against the request before the tables forget on
-// which chain it ran.
+// recordStageLoss counts an engine crash against the request. It must run
+// before the routing state applies the event and drops the chain that the
+// request ran on.
 func (l *Logic) recordStageLoss(ev domain.StageLost) {
-	w := &l.state
-	r := w.Requests().Get(ev.Request)
+	state := &l.state
+	r := state.Requests().Get(ev.Request)
 	if r == nil || r.Attempt() != ev.Attempt || r.AwaitsRestart() {
 		return
 	}
@@ -162,7 +173,7 @@
 	}
 	for _, e := range r.Plan().NewEngines {
 		if e == ev.Engine {
-			l.suspects.RecordCrash(w, r, ev.Engine)
+			l.suspects.RecordCrash(state, r, ev.Engine)
 		}
 	}
 }
--- a/internal/route/core/core_test.go
+++ b/internal/route/core/core_test.go
@@ -9,15 +9,15 @@
 	"fulmarwick/internal/route/domain"
 )
 
-// The caller of an answer that is half done sees the next token, not a new
-// answer: the engine of the second stage dies, and the new chain keeps the
-// first stage with its state and replaces only the range that was lost.
+// The engine of the second stage dies in the middle of an answer. The new
+// chain must keep the first stage with its state and replace only the lost
+// range, so that the caller gets the next token and not a new answer.
 func TestEngineDeathReplacesOnlyLostRange(t *testing.T) {
-	g := newHarness(t, lenientTarget(), newEngine("a1", 0, 4), newEngine("a2", 0, 4), newEngine("b1", 4, 8), newEngine("b2", 4, 8))
-	a := g.newRequest("big")
-	first := g.mustStart(a)
+	h := newHarness(t, lenientTarget(), newEngine("a1", 0, 4), newEngine("a2", 0, 4), newEngine("b1", 4, 8), newEngine("b2", 4, 8))
+	a := h.newRequest("big")
+	first := h.mustStart(a)
 	dead := first.Chain[1].Engine()
-	cs := g.tick(
+	cs := h.tick(
 		domain.RequestProgress{Request: a.Request, Tokens: 5},
 		domain.StageLost{Request: a.Request, Attempt: 1, Engine: dead, Cause: domain.CauseBroken},
 	)
@@ -36,54 +36,54 @@
 	}
 }
 
-// The caller of a request whose last engine died waits while nothing covers
-// the model, and goes on when the engine is back. The report that was under
-// way when the engine died does not bring it back.
+// The last engine of a running request dies. The request waits while no
+// engine covers the model and continues once one does. A report that was in
+// transit when the engine died must not bring the dead engine back.
 func TestRunningRequestWaitsForEngine(t *testing.T) {
 	only := newEngine("a1", 0, 8)
-	g := newHarness(t, lenientTarget(), only)
-	a := g.newRequest("big")
-	g.mustStart(a)
-	late := only
-	late.Seq = 2
-	cs := g.tick(
+	h := newHarness(t, lenientTarget(), only)
+	a := h.newRequest("big")
+	h.mustStart(a)
+	lateReport := only
+	lateReport.Seq = 2
+	cs := h.tick(
 		domain.StageLost{Request: a.Request, Attempt: 1, Engine: "a1", Cause: domain.CauseBroken},
-		domain.EngineReport{Engine: late},
+		domain.EngineReport{Engine: lateReport},
 	)
 	if len(cs) > 0 {
 		if _, ok := findStart(cs, a.Request); ok {
-			t.Fatal("started on a dead engine by a late report")
+			t.Fatal("started on a dead engine after a late report")
 		}
 	}
-	g.tickFor(2 * time.Second)
+	h.tickFor(2 * time.Second)
 	other := newEngine("a2", 0, 8)
-	if _, ok := findStart(g.tick(domain.EngineReport{Engine: other}), a.Request); !ok {
+	if _, ok := findStart(h.tick(domain.EngineReport{Engine: other}), a.Request); !ok {
 		t.Error("got no start when an engine covers the model again")
 	}
 }
 
-// A caller who comes while no engines cover the model is refused at once, is
-// told that nothing ran, and when to come back.
+// A request that arrives while no engines cover its model is refused at once.
+// The refusal says that nothing ran and when to retry.
 func TestUncoveredModelIsRefusedAtOnce(t *testing.T) {
-	g := newHarness(t, lenientTarget(), newEngine("a1", 0, 4))
-	a := g.newRequest("big")
-	r, ok := findRefusal(g.tick(a), a.Request)
+	h := newHarness(t, lenientTarget(), newEngine("a1", 0, 4))
+	a := h.newRequest("big")
+	r, ok := findRefusal(h.tick(a), a.Request)
 	if !ok || r.Reason != domain.ReasonNoEngine || r.Ran || r.RetryAfter <= 0 {
-		t.Errorf("got %+v (%v), want a refusal no-engine that did not run, with a time", r, ok)
+		t.Errorf("got %+v (%v), want reason no-engine, not run, with a retry time", r, ok)
 	}
 }
 
-// Callers that come while the engines are full wait only if their target
-// still holds; the others are refused in the tick in which they come, with the
-// time after which the backlog is worked off, and what waits is started when
-// there is room.
+// A request that arrives while the engines are full is queued only if its
+// target can still be met. Otherwise it is refused in the tick of its
+// arrival, with the time until the backlog has drained. A queued request
+// starts when capacity becomes free.
 func TestOverloadRefusesLateRequestsAndQueuesOthers(t *testing.T) {
-	g := newHarness(t, spec.NewTarget(time.Second, 0, 0, 95), newEngine("a1", 0, 8))
+	h := newHarness(t, spec.NewTarget(time.Second, 0, 0, 95), newEngine("a1", 0, 8))
 	var ran []spec.RequestID
 	starts, refusals := 0, 0
 	for range 60 {
-		a := g.newRequest("big")
-		cs := g.tick(a)
+		a := h.newRequest("big")
+		cs := h.tick(a)
 		if _, ok := findStart(cs, a.Request); ok {
 			starts++
 			ran = append(ran, a.Request)
@@ -91,70 +91,70 @@
 		if r, ok := findRefusal(cs, a.Request); ok {
 			refusals++
 			if r.RetryAfter < time.Second || r.Ran {
-				t.Errorf("refusal: got %+v, want a time of at least 1s and not ran", r)
+				t.Errorf("refusal: got %+v, want a retry time of at least 1s and not run", r)
 			}
 		}
 	}
-	waiting := g.logic.WaitingCount()
+	waiting := h.logic.WaitingCount()
 	if starts == 0 || refusals == 0 || waiting == 0 {
 		t.Fatalf("got %d started, %d refused, %d waiting; want some of each", starts, refusals, waiting)
 	}
-	cs := g.tick(domain.RequestFinished{Request: ran[0], Tokens: 50, OK: true})
-	if g.logic.WaitingCount() >= waiting {
-		t.Errorf("got %v, want one of the queue settled when room came", cs)
+	cs := h.tick(domain.RequestFinished{Request: ran[0], Tokens: 50, OK: true})
+	if h.logic.WaitingCount() >= waiting {
+		t.Errorf("got %v, want a queued request settled when capacity became free", cs)
 	}
 }
 
-// A caller who waits in the queue learns in the moment in which the target
-// cannot hold any more that it is refused, not at its deadline.
+// A queued request is refused as soon as its target can no longer be met, not
+// only at its deadline.
 func TestHopelessQueuedRequestIsRefusedEarly(t *testing.T) {
-	g := newHarness(t, spec.NewTarget(2*time.Second, 0, 0, 95), newEngine("a1", 0, 8))
-	asked := map[spec.RequestID]time.Duration{}
+	h := newHarness(t, spec.NewTarget(2*time.Second, 0, 0, 95), newEngine("a1", 0, 8))
+	arrivedAt := map[spec.RequestID]time.Duration{}
 	for range 30 {
-		a := g.newRequest("big")
-		g.tick(a)
-		asked[a.Request] = g.now
+		a := h.newRequest("big")
+		h.tick(a)
+		arrivedAt[a.Request] = h.now
 	}
-	waiting := g.logic.WaitingCount()
+	waiting := h.logic.WaitingCount()
 	if waiting == 0 {
-		t.Fatal("nothing waits")
+		t.Fatal("got no queued requests, want some")
 	}
 	ended := 0
-	for g.now < time.Minute && ended < waiting {
-		for _, c := range g.tick() {
+	for h.now < time.Minute && ended < waiting {
+		for _, c := range h.tick() {
 			r, ok := c.(domain.Refuse)
 			if !ok {
 				continue
 			}
 			ended++
-			if got := g.now - asked[r.Request]; got > 2*time.Second {
+			if got := h.now - arrivedAt[r.Request]; got > 2*time.Second {
 				t.Errorf("request %s refused after %v, want within its 2s", r.Request, got)
 			}
 		}
 	}
 	if ended != waiting {
-		t.Errorf("got %d refused of %d that waited behind work that never ends", ended, waiting)
+		t.Errorf("got %d of %d requests refused that waited behind work that never ends", ended, waiting)
 	}
 }
 
-// A small team's caller does not wait behind the backlog of a large team: its
-// request is the next one that starts.
+// A request of a small team does not wait behind the backlog of a large team:
+// it is the next request to start.
 func TestSmallTeamStartsBeforeLargeBacklog(t *testing.T) {
-	g := newHarness(t, lenientTarget(), newEngine("a1", 0, 8))
+	h := newHarness(t, lenientTarget(), newEngine("a1", 0, 8))
 	var ran []spec.RequestID
 	for range 40 {
-		a := g.newRequest("big")
-		if _, ok := findStart(g.tick(a), a.Request); ok {
+		a := h.newRequest("big")
+		if _, ok := findStart(h.tick(a), a.Request); ok {
 			ran = append(ran, a.Request)
 		}
 	}
-	small := g.newRequest("small")
-	cs := g.tick(small)
+	small := h.newRequest("small")
+	cs := h.tick(small)
 	for i := 0; i < len(ran); i++ {
 		if _, ok := findStart(cs, small.Request); ok {
 			return
 		}
-		cs = g.tick(domain.RequestFinished{Request: ran[i], Tokens: 50, OK: true})
+		cs = h.tick(domain.RequestFinished{Request: ran[i], Tokens: 50, OK: true})
 		for _, c := range cs {
 			if s, ok := c.(domain.Start); ok && s.Request != small.Request {
 				t.Fatalf("got %s of the large team started before the small one", s.Request)
@@ -164,100 +164,102 @@
 	t.Error("the small team's request never started")
 }
 
-// A caller whose own data centre is full is sent to another that has room, at
-// most once: a request that came from another instance is refused instead.
+// A request that finds its own data centre full is forwarded to another with
+// free capacity, at most once: a request that was forwarded here is refused
+// instead.
 func TestRequestIsForwardedOnlyOnce(t *testing.T) {
-	g := newHarness(t, spec.NewTarget(time.Second, 0, 0, 95))
-	g.tick(domain.CentreCapacity{DataCentre: "other", Model: testModel, Instance: "far", FreeRate: 1000})
-	a := g.newRequest("big")
-	cs := g.tick(a)
+	h := newHarness(t, spec.NewTarget(time.Second, 0, 0, 95))
+	h.tick(domain.CentreCapacity{DataCentre: "other", Model: testModel, Instance: "far", FreeRate: 1000})
+	a := h.newRequest("big")
+	cs := h.tick(a)
 	if f, ok := cs[0].(domain.Forward); !ok || f.To != "far" {
 		t.Fatalf("got %v, want it forwarded to far", cs)
 	}
-	b := g.newRequest("big")
+	b := h.newRequest("big")
 	b.Hops = 1
-	if _, ok := findRefusal(g.tick(b), b.Request); !ok {
+	if _, ok := findRefusal(h.tick(b), b.Request); !ok {
 		t.Error("a request that was forwarded already: want it refused")
 	}
-	g.tick(domain.PeerRemoved{Peer: "far"})
-	c := g.newRequest("big")
-	if _, ok := findRefusal(g.tick(c), c.Request); !ok {
+	h.tick(domain.PeerRemoved{Peer: "far"})
+	c := h.newRequest("big")
+	if _, ok := findRefusal(h.tick(c), c.Request); !ok {
 		t.Error("the other instance is gone: want a refusal")
 	}
 }
 
-// A leaving engine gets nothing in the tick of the first signal or after,
-// though its late reports call it live, until it comes back restarted.
+// A leaving engine gets no new requests from the tick of the first signal on,
+// even if late reports call it live, until it restarts.
 func TestLeavingEngineGetsNoNewRequests(t *testing.T) {
 	one, two := newEngine("a1", 0, 8), newEngine("a2", 0, 8)
 	one.Slots, two.Slots = 64, 64
-	g := newHarness(t, lenientTarget(), one, two)
-	late := one
-	late.Seq = 9
-	g.tick(domain.EngineLeaving{Engine: "a1"}, domain.EngineReport{Engine: late})
+	h := newHarness(t, lenientTarget(), one, two)
+	report := one
+	report.Seq = 9
+	h.tick(domain.EngineLeaving{Engine: "a1"}, domain.EngineReport{Engine: report})
 	for range 8 {
-		a := g.newRequest("big")
-		if s := g.mustStart(a); s.Chain.Uses("a1") {
+		a := h.newRequest("big")
+		if s := h.mustStart(a); s.Chain.Uses("a1") {
 			t.Fatalf("got chain %v, want none over the leaving engine", s.Chain)
 		}
 	}
-	late.Incarnation, late.Seq = 7, 1
-	g.tick(domain.EngineReport{Engine: late})
+	report.Incarnation, report.Seq = 7, 1
+	h.tick(domain.EngineReport{Engine: report})
 	used := false
 	for range 8 {
-		used = used || g.mustStart(g.newRequest("big")).Chain.Uses("a1")
+		used = used || h.mustStart(h.newRequest("big")).Chain.Uses("a1")
 	}
 	if !used {
 		t.Error("a restarted engine was never used")
 	}
 }
 
-// A caller whose request timed out is tried elsewhere, but a class in which
-// everything times out stops retrying: its bank of retries is spent, and the
-// load is not multiplied.
+// A request that times out is retried on other engines. In a class where
+// everything times out, retries stop when the retry budget is spent, so that
+// they do not multiply the load.
 func TestTimeoutsSpendRetryBudget(t *testing.T) {
 	var engines []domain.Engine
 	for i := range 20 {
 		engines = append(engines, newEngine(fmt.Sprint("e", i), 0, 8))
 	}
-	g := newHarness(t, lenientTarget(), engines...)
+	h := newHarness(t, lenientTarget(), engines...)
 	starts, retries := 0, 0
 	for range 60 {
-		a := g.newRequest("big")
-		s, ok := findStart(g.tick(a), a.Request)
+		a := h.newRequest("big")
+		s, ok := findStart(h.tick(a), a.Request)
 		for ok {
 			starts++
 			lost := s.Chain[0].Engine()
-			cs := g.tick(domain.StageLost{Request: a.Request, Attempt: s.Attempt, Engine: lost, Cause: domain.CauseTimeout})
+			cs := h.tick(domain.StageLost{Request: a.Request, Attempt: s.Attempt, Engine: lost, Cause: domain.CauseTimeout})
 			if s, ok = findStart(cs, a.Request); ok {
 				retries++
 			} else {
-				g.tick(domain.RequestCanceled{Request: a.Request})
+				h.tick(domain.RequestCanceled{Request: a.Request})
 			}
 		}
 	}
-	if got, most := retries, 20+starts/10+1; got == 0 || got > most {
-		t.Errorf("got %d retries of %d starts, want some and at most %d", got, starts, most)
+	if got, limit := retries, 20+starts/10+1; got == 0 || got > limit {
+		t.Errorf("got %d retries of %d starts, want some and at most %d", got, starts, limit)
 	}
 }
 
-// An engine that was removed, and a peer that went, leave nothing behind.
+// A removed engine and a removed peer leave no load behind. An engine that
+// comes back under the same ID starts without load.
 func TestRemovedEngineAndPeerLeaveNoLoad(t *testing.T) {
-	g := newHarness(t, lenientTarget(), newEngine("a1", 0, 8))
-	a := g.newRequest("big")
-	g.mustStart(a)
-	g.tick(domain.PeerLoad{Peer: "p", Engine: "a1", Active: 3, LayerTokenRate: 900})
-	e := g.logic.State().Engines().Get("a1")
+	h := newHarness(t, lenientTarget(), newEngine("a1", 0, 8))
+	a := h.newRequest("big")
+	h.mustStart(a)
+	h.tick(domain.PeerLoad{Peer: "p", Engine: "a1", Active: 3, LayerTokenRate: 900})
+	e := h.logic.State().Engines().Get("a1")
 	busy := e.Demand()
-	g.tick(domain.PeerRemoved{Peer: "p"})
+	h.tick(domain.PeerRemoved{Peer: "p"})
 	if got, want := busy-e.Demand(), int64(900); got != want {
-		t.Errorf("draw that went with the peer: got %d, want %d", got, want)
+		t.Errorf("demand removed with the peer: got %d, want %d", got, want)
 	}
-	g.tick(domain.EngineRemoved{Engine: "a1"}, domain.PeerLoad{Peer: "q", Engine: "a1", Active: 1, LayerTokenRate: 0}, domain.EngineReport{Engine: newEngine("a1", 0, 8)}, domain.RequestCanceled{Request: a.Request})
-	if got := g.logic.State().Engines().Get("a1").Demand(); got != 0 {
-		t.Errorf("draw on the engine of the same name: got %d, want 0", got)
+	h.tick(domain.EngineRemoved{Engine: "a1"}, domain.PeerLoad{Peer: "q", Engine: "a1", Active: 1, LayerTokenRate: 0}, domain.EngineReport{Engine: newEngine("a1", 0, 8)}, domain.RequestCanceled{Request: a.Request})
+	if got := h.logic.State().Engines().Get("a1").Demand(); got != 0 {
+		t.Errorf("demand on the new engine with the same ID: got %d, want 0", got)
 	}
-	if got := g.logic.State().Requests().Len(); got != 0 {
+	if got := h.logic.State().Requests().Len(); got != 0 {
 		t.Errorf("requests: got %d, want 0", got)
 	}
 }
--- a/internal/route/core/same_test.go
+++ b/internal/route/core/determinism_test.go
@@ -13,7 +13,8 @@
 	"pgregory.net/rapid"
 )
 
-// drawEvent draws any event over a few names, so that events meet.
+// drawEvent draws a random event over a small set of IDs, so that events
+// often concern the same request or engine.
 func drawEvent(t *rapid.T) domain.Event {
 	engineID := spec.UpstreamID(rapid.SampledFrom([]string{"a1", "a2", "b1", "b2", "b3"}).Draw(t, "engine"))
 	request := spec.RequestID(fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "request")))
@@ -56,9 +57,10 @@
 	}
 }
 
-// The same events give the same commands, byte for byte, and whatever comes:
-// every chain covers the model once, no request is settled twice without
-// another attempt between, and none is forwarded that came by forwarding.
+// Two Logics with the same seed get the same events and must return the same
+// commands, byte for byte. Whatever the events are, every chain must cover
+// the model exactly once, no request may be settled twice in one tick, and no
+// request that was forwarded here may be forwarded again.
 func TestSameEventsSameCommands(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		one, two := &core.Logic{ID: "i", Seed: 3}, &core.Logic{ID: "i", Seed: 3}
@@ -105,7 +107,7 @@
 		case domain.Forward:
 			id = c.Request
 			if hops[id] > 0 {
-				t.Fatalf("request %s came by forwarding and was forwarded", id)
+				t.Fatalf("request %s was forwarded here and forwarded again", id)
 			}
 		default:
 			continue
--- a/internal/route/core/rig_test.go
+++ b/internal/route/core/harness_test.go
@@ -12,7 +12,7 @@
 
 const testModel = "m"
 
-// harness drives a Logic by hand.
+// harness runs a Logic tick by tick with a simulated clock.
 type harness struct {
 	t            *testing.T
 	logic        *core.Logic
@@ -21,7 +21,7 @@
 }
 
 func newHarness(t *testing.T, target spec.Target, engines ...domain.Engine) *harness {
-	g := &harness{t: t, logic: &core.Logic{ID: "a", Seed: 1}, now: time.Second}
+	h := &harness{t: t, logic: &core.Logic{ID: "a", Seed: 1}, now: time.Second}
 	events := []domain.Event{domain.ConfigChanged{
 		Version: 1, Classes: []spec.Class{spec.NewModelClass("c", testModel, target)},
 		Teams: []spec.Team{spec.NewTeam("big", "big", 1), spec.NewTeam("small", "small", 1)},
@@ -29,29 +29,29 @@
 	for _, e := range engines {
 		events = append(events, domain.EngineReport{Engine: e})
 	}
-	g.tick(events...)
-	return g
+	h.tick(events...)
+	return h
 }
 
-func (g *harness) tick(events ...domain.Event) []domain.Command {
-	g.now += 20 * time.Millisecond
-	return g.logic.Tick(g.now, events)
+func (h *harness) tick(events ...domain.Event) []domain.Command {
+	h.now += 20 * time.Millisecond
+	return h.logic.Tick(h.now, events)
 }
 
-// tickFor ticks for d and returns all commands.
-func (g *harness) tickFor(d time.Duration) []domain.Command {
+// tickFor runs ticks for the duration d and returns all commands.
+func (h *harness) tickFor(d time.Duration) []domain.Command {
 	var out []domain.Command
-	for end := g.now + d; g.now < end; {
-		out = append(out, g.tick()...)
+	for end := h.now + d; h.now < end; {
+		out = append(out, h.tick()...)
 	}
 	return out
 }
 
-func (g *harness) newRequest(team spec.TeamID) domain.RequestArrived {
-	g.requestCount++
+func (h *harness) newRequest(team spec.TeamID) domain.RequestArrived {
+	h.requestCount++
 	return domain.RequestArrived{
-		Request: spec.RequestID(fmt.Sprint(g.requestCount)), Team: team, Class: "c", Model: testModel,
-		PromptTokens: 32, MaxTokens: 50, Fingerprint: uint64(100 + g.requestCount),
+		Request: spec.RequestID(fmt.Sprint(h.requestCount)), Team: team, Class: "c", Model: testModel,
+		PromptTokens: 32, MaxTokens: 50, Fingerprint: uint64(100 + h.requestCount),
 	}
 }
 
@@ -73,12 +73,13 @@
 	return domain.Refuse{}, false
 }
 
-// mustStart sends a and wants it started at once.
-func (g *harness) mustStart(a domain.RequestArrived) domain.Start {
-	g.t.Helper()
-	s, ok := findStart(g.tick(a), a.Request)
+// mustStart sends the request and fails the test unless it starts in the same
+// tick.
+func (h *harness) mustStart(a domain.RequestArrived) domain.Start {
+	h.t.Helper()
+	s, ok := findStart(h.tick(a), a.Request)
 	if !ok {
-		g.t.Fatalf("request %s: got no start, want one at once", a.Request)
+		h.t.Fatalf("request %s: got no start, want one at once", a.Request)
 	}
 	return s
 }
--- a/internal/route/core/queue.go
+++ b/internal/route/core/queue.go
@@ -9,11 +9,11 @@
 	"fulmarwick/internal/route/fair"
 )
 
-// purgeInterval is how often the whole queue is looked through for requests that
-// others went ahead of.
+// purgeInterval is how often the whole queue is searched for requests that
+// can no longer meet their target because others went ahead of them.
 const purgeInterval = 100 * time.Millisecond
 
-// modelQueue is what waits for engines of one model.
+// modelQueue holds the requests that wait for engines of one model.
 type modelQueue struct {
 	fair      fair.Queue
 	nextPurge time.Duration
@@ -30,8 +30,9 @@
 	return q
 }
 
-// serveQueues starts what has room now, and refuses what cannot start in time
-// any more: waiting on would only make its caller wait for a refusal.
+// serveQueues starts the queued requests for which there is free capacity and
+// refuses those that can no longer start in time, since waiting longer would
+// only delay the refusal.
 func (l *Logic) serveQueues() {
 	for _, model := range l.modelOrder {
 		q := l.queues[model]
@@ -57,34 +58,35 @@
 	}
 }
 
-// startQueued starts from the front what has room. A request for which only
-// engines too slow for it have room is passed over, a few at a time, so that
-// one with a shorter prompt can use them.
+// startQueued starts requests from the head of the queue while there is
+// capacity. It passes over a request if only engines that are too slow for it
+// are free, a few in each tick, so that a request with a shorter prompt can
+// use those engines.
 func (l *Logic) startQueued(q *modelQueue) {
-	var passed []*fair.Item
-	for len(passed) < maxPassedOver {
+	var passedOver []*fair.Item
+	for len(passedOver) < maxPassedOver {
 		it := q.fair.Head()
 		if it == nil {
 			break
 		}
-		verdict := l.tryHead(q, it)
-		if verdict == headLacksCapacity {
+		result := l.tryHead(q, it)
+		if result == headLacksCapacity {
 			break
 		}
-		if verdict == headTooSlow {
+		if result == headTooSlow {
 			q.fair.Remove(it)
-			passed = append(passed, it)
+			passedOver = append(passedOver, it)
 		}
 	}
-	for _, it := range passed {
+	for _, it := range passedOver {
 		q.fair.Push(it)
 	}
 }
 
-// maxPassedOver is how many requests are passed over in a tick.
+// maxPassedOver is how many requests are passed over in one tick.
 const maxPassedOver = 4
 
-// headResult says what became of the request at the front.
+// headResult is the outcome for the request at the head of the queue.
 type headResult int
 
 const (
@@ -94,7 +96,7 @@
 )
 
 func (l *Logic) tryHead(q *modelQueue, it *fair.Item) headResult {
-	w := &l.state
+	state := &l.state
 	r := it.Request
 	choice, ok := l.chooseChain(r, q)
 	if !ok {
@@ -102,16 +104,16 @@
 		l.refuseQueued(it, domain.ReasonNoEngine, uncoveredRetryAfter)
 		return headSettled
 	}
-	if w.Now() > it.LatestStart {
+	if state.Now() > it.LatestStart {
 		q.fair.Remove(it)
-		l.refuseQueued(it, domain.ReasonOverload, w.Now()-it.LatestStart)
+		l.refuseQueued(it, domain.ReasonOverload, state.Now()-it.LatestStart)
 		return headSettled
 	}
 	if !choice.Fits {
 		return headLacksCapacity
 	}
-	est := admit.Estimate{Elapsed: w.Now() - r.ArrivedAt(), Plan: choice.Plan}
-	if _, late := admit.TargetMiss(r.Class().Target(), l.margins.ForClass(r.Class()), est); late {
+	estimate := admit.Estimate{Elapsed: state.Now() - r.ArrivedAt(), Plan: choice.Plan}
+	if _, late := admit.TargetMiss(r.Class().Target(), l.margins.ForClass(r.Class()), estimate); late {
 		return headTooSlow
 	}
 	q.fair.Remove(it)
@@ -120,6 +122,6 @@
 	return headSettled
 }
 
-func (l *Logic) refuseQueued(it *fair.Item, reason domain.Reason, over time.Duration) {
-	l.forwardOrRefuse(it.Request, reason, over, it.TokenRate)
+func (l *Logic) refuseQueued(it *fair.Item, reason domain.Reason, delay time.Duration) {
+	l.forwardOrRefuse(it.Request, reason, delay, it.TokenRate)
 }
--- a/internal/route/core/resume.go
+++ b/internal/route/core/resume.go
@@ -11,35 +11,38 @@
 )
 
 const (
-	// resumedUtilizationLimit is how full an engine may be for a request that runs
-	// already: its work only moves, and refusing it would waste what is done.
+	// resumedUtilizationLimit is the utilization up to which engines may take
+	// a request that already ran. Its work only moves to another engine, and
+	// refusing it would waste the work done so far.
 	resumedUtilizationLimit = 2.0
-	// maxUncoveredWait is how long a request that runs already waits for engines
-	// that cover its model to come back.
+	// maxUncoveredWait is how long a request that already ran waits for
+	// engines to cover its model again.
 	maxUncoveredWait = 10 * time.Second
-	// maxSuspectWait is how long a suspect may wait for an engine of its own.
+	// maxSuspectWait is how long a suspect may wait for an engine without
+	// another suspect.
 	maxSuspectWait = 60 * time.Second
-	// assignedEngineWait is how long a suspect waits for an engine of this instance's
-	// part before it takes any without a suspect of this instance.
+	// assignedEngineWait is how long a suspect waits for an engine that is
+	// assigned to this instance. After that it may use any engine without
+	// another suspect of this instance.
 	assignedEngineWait = 1500 * time.Millisecond
 )
 
-// heldRequest is a request that waits for an engine that may run it, ahead of the
-// queues.
+// heldRequest is a request that waits, ahead of the queues, for an engine
+// that may run it.
 type heldRequest struct {
 	request   *domain.Request
 	heldSince time.Duration
 }
 
-// decideResumed decides on a request that ran before, here or at another instance,
-// or that is a suspect.
+// decideResumed decides on a request that already ran, here or at another
+// instance, or that is a poison suspect.
 func (l *Logic) decideResumed(r *domain.Request) {
-	w := &l.state
+	state := &l.state
 	if r.Attempt() > 0 && !l.retryBudget.AllowRetry(r) {
-		w.Refuse(r, domain.ReasonRetriesExhausted, l.retryAfter(r))
+		state.Refuse(r, domain.ReasonRetriesExhausted, l.retryAfter(r))
 		return
 	}
-	h := &heldRequest{request: r, heldSince: w.Now()}
+	h := &heldRequest{request: r, heldSince: state.Now()}
 	if !l.tryStart(h) {
 		l.held = append(l.held, h)
 	}
@@ -62,23 +65,24 @@
 	}
 }
 
-// tryStart settles the request, or reports false if it must wait.
+// tryStart starts, forwards or refuses the request. It returns false if the
+// request must wait.
 func (l *Logic) tryStart(h *heldRequest) bool {
-	w := &l.state
+	state := &l.state
 	r := h.request
-	ask := pick.Query{MaxUtilization: resumedUtilizationLimit, RemainingTokens: l.remainingTokens(r)}
-	waited := w.Now() - h.heldSince
-	verdict := l.suspects.Evaluate(w.Now(), r)
+	query := pick.Query{MaxUtilization: resumedUtilizationLimit, RemainingTokens: l.remainingTokens(r)}
+	waited := state.Now() - h.heldSince
+	verdict := l.suspects.Evaluate(state.Now(), r)
 	switch verdict {
 	case poison.VerdictCulprit:
-		w.Refuse(r, domain.ReasonPoison, 0)
+		state.Refuse(r, domain.ReasonPoison, 0)
 		return true
 	case poison.VerdictWait:
 		return l.refuseAfterWait(r, waited, maxSuspectWait)
 	case poison.VerdictIsolate:
-		ask.AllowsSuspect = l.suspectFilter(r, waited < assignedEngineWait+poison.RestartDelay(r))
+		query.AllowsSuspect = l.suspectFilter(r, waited < assignedEngineWait+poison.RestartDelay(r))
 	}
-	choice, ok := l.Chooser.Choose(w, r, ask)
+	choice, ok := l.Chooser.Choose(state, r, query)
 	if !ok && verdict == poison.VerdictIsolate {
 		return l.refuseAfterWait(r, waited, maxSuspectWait)
 	}
@@ -87,32 +91,33 @@
 	}
 	l.startRun(r, choice)
 	if verdict == poison.VerdictIsolate {
-		l.suspects.StartProbation(w.Now(), r, choice.Plan.NewEngines)
+		l.suspects.StartProbation(state.Now(), r, choice.Plan.NewEngines)
 	}
 	return true
 }
 
-// handleUncovered settles a request whose model no engines cover here, or reports
-// false if it waits for them to come back.
+// handleUncovered forwards or refuses a request whose model no engines cover
+// here. It returns false if the request waits for engines to come back.
 func (l *Logic) handleUncovered(r *domain.Request, waited time.Duration) bool {
-	// A request that its caller resumes here has nothing running here. Without
-	// this a data centre without engines of the model, whose answers all come
-	// from others, could resume none of them.
-	if c := l.chooseRemoteCentre(r, 0); c != nil {
-		l.state.Forward(r, c.Instance())
+	// A request that its caller resumes at this instance has nothing running
+	// here. Without forwarding, a data centre without engines for the model,
+	// whose answers all come from other data centres, could resume none of
+	// them.
+	if remote := l.chooseRemoteCentre(r, 0); remote != nil {
+		l.state.Forward(r, remote.Instance())
 		return true
 	}
-	most := maxUncoveredWait
+	maxWait := maxUncoveredWait
 	if r.Arrival().Hops > 0 {
-		// One that was forwarded here can go elsewhere sooner than engines
-		// return.
-		most = 0
+		// A request that was forwarded here can be sent elsewhere sooner than
+		// engines return.
+		maxWait = 0
 	}
-	return l.refuseAfterWait(r, waited, most)
+	return l.refuseAfterWait(r, waited, maxWait)
 }
 
-func (l *Logic) refuseAfterWait(r *domain.Request, waited, most time.Duration) bool {
-	if waited < most {
+func (l *Logic) refuseAfterWait(r *domain.Request, waited, maxWait time.Duration) bool {
+	if waited < maxWait {
 		return false
 	}
 	l.state.Refuse(r, domain.ReasonNoEngine, uncoveredRetryAfter)
@@ -123,36 +128,39 @@
 	return max(1, l.margins.ExpectedTokens(r)-r.Tokens())
 }
 
-// suspectFilter says where a suspect may run: where no other suspect of this instance
-// is on probation, and on this instance's part of the engines, so that two
-// instances do not try suspects on the same engine at once.
-func (l *Logic) suspectFilter(r *domain.Request, part bool) func(spec.UpstreamID) bool {
-	if !part {
+// suspectFilter returns a filter for the engines on which a suspect may run.
+// They must have no other suspect of this instance on probation. If
+// onlyAssigned is set they must also be assigned to this instance, so that
+// two instances do not try suspects on the same engine at once.
+func (l *Logic) suspectFilter(r *domain.Request, onlyAssigned bool) func(spec.UpstreamID) bool {
+	if !onlyAssigned {
 		return func(engine spec.UpstreamID) bool { return l.suspects.HasNoOtherSuspect(engine, r) }
 	}
-	mine := l.assignedEngines(r.Arrival().Model)
-	return func(engine spec.UpstreamID) bool { return mine[engine] && l.suspects.HasNoOtherSuspect(engine, r) }
+	assigned := l.assignedEngines(r.Arrival().Model)
+	return func(engine spec.UpstreamID) bool { return assigned[engine] && l.suspects.HasNoOtherSuspect(engine, r) }
 }
 
-// assignedEngines deals the engines of each range of a model out among the instances
-// known, in the order of their names, engines that are down included: so all
-// instances deal alike while an engine's death spreads.
+// assignedEngines returns the engines of a model that are assigned to this
+// instance. The engines of each layer range are assigned round-robin to the
+// known instances in order of their IDs. Dead engines are included, so that
+// all instances compute the same assignment while the news of an engine
+// failure spreads.
 func (l *Logic) assignedEngines(model spec.ModelName) map[spec.UpstreamID]bool {
 	ids := append([]spec.InstanceID{l.ID}, l.state.Peers()...)
 	sort.Slice(ids, func(i, j int) bool { return ids[i] < ids[j] })
-	own := sort.Search(len(ids), func(i int) bool { return ids[i] >= l.ID })
-	dealt := map[spec.Layers]int{}
-	out := map[spec.UpstreamID]bool{}
+	position := sort.Search(len(ids), func(i int) bool { return ids[i] >= l.ID })
+	counts := map[spec.Layers]int{}
+	assigned := map[spec.UpstreamID]bool{}
 	for _, e := range l.state.Engines().Rows() {
-		for _, h := range e.Loaded {
-			if h.Model != model {
+		for _, loaded := range e.Loaded {
+			if loaded.Model != model {
 				continue
 			}
-			if dealt[h.Layers]%len(ids) == own {
-				out[e.ID] = true
+			if counts[loaded.Layers]%len(ids) == position {
+				assigned[e.ID] = true
 			}
-			dealt[h.Layers]++
+			counts[loaded.Layers]++
 		}
 	}
-	return out
+	return assigned
 }
--- a/internal/route/core/tick_test.go
+++ b/internal/route/core/tick_test.go
@@ -10,9 +10,10 @@
 	"fulmarwick/internal/route/domain"
 )
 
-// BenchmarkTick is the cost of a tick that takes the report of one engine, one
-// arrival and one end, among many engines; and of one in which nothing
-// changed. Four ranges per model, 1 model per 120 engines and at most 5.
+// BenchmarkTick measures a tick with the report of one engine, one arrival
+// and one finished request among many engines, and an idle tick in which
+// nothing changed. There are four layer ranges per model and one model per
+// 120 engines, at most 5.
 func BenchmarkTick(b *testing.B) {
 	for _, n := range []int{33, 600, 6000} {
 		l := &core.Logic{ID: "a", Seed: 1}
