--- a/internal/route/domain/domain.go
+++ b/internal/route/domain/domain.go
@@ -6,7 +6,9 @@
 	"fulmarwick/internal/base/spec"
 )
 
-// RoutingState is all that the routing logic of one instance knows.
+// RoutingState is everything that the routing logic of one instance knows:
+// engines, requests, peers, configuration and duties. It also collects the
+// commands of the current tick.
 type RoutingState struct {
 	now            time.Duration
 	engines        Engines
@@ -22,109 +24,112 @@
 	commands       []Command
 }
 
-// Now is the time of the running tick, on a clock that only goes forward.
-func (w *RoutingState) Now() time.Duration { return w.now }
+// Now returns the time of the current tick, on a monotonic clock.
+func (state *RoutingState) Now() time.Duration { return state.now }
 
-// Engines is the table of engines.
-func (w *RoutingState) Engines() *Engines { return &w.engines }
+// Engines returns the table of engines.
+func (state *RoutingState) Engines() *Engines { return &state.engines }
 
-// Requests is the table of requests.
-func (w *RoutingState) Requests() *Requests { return &w.requests }
+// Requests returns the table of requests.
+func (state *RoutingState) Requests() *Requests { return &state.requests }
 
-// Class returns the class in force under name.
-func (w *RoutingState) Class(name spec.ClassName) (spec.Class, bool) {
-	c, ok := w.classes[name]
+// Class returns the configured class with this name.
+func (state *RoutingState) Class(name spec.ClassName) (spec.Class, bool) {
+	c, ok := state.classes[name]
 	return c, ok
 }
 
-// Team returns the team in force under id.
-func (w *RoutingState) Team(id spec.TeamID) (spec.Team, bool) {
-	t, ok := w.teams[id]
+// Team returns the configured team with this ID.
+func (state *RoutingState) Team(id spec.TeamID) (spec.Team, bool) {
+	t, ok := state.teams[id]
 	return t, ok
 }
 
-// Version is the configuration version in force.
-func (w *RoutingState) Version() uint64 { return w.version }
+// Version returns the configuration version in force.
+func (state *RoutingState) Version() uint64 { return state.version }
 
-// Duties are those that this instance holds under a lease.
-func (w *RoutingState) Duties() Duties { return w.duties }
+// Duties returns the duties that this instance holds under a lease.
+func (state *RoutingState) Duties() Duties { return state.duties }
 
-// BeginTick starts a tick at now.
-func (w *RoutingState) BeginTick(now time.Duration) {
-	w.now = now
-	w.commands = nil
+// BeginTick starts a tick at time now and clears the commands of the previous
+// tick.
+func (state *RoutingState) BeginTick(now time.Duration) {
+	state.now = now
+	state.commands = nil
 }
 
-// Commands returns what the systems asked for in this tick.
-func (w *RoutingState) Commands() []Command { return w.commands }
+// Commands returns the commands emitted in this tick.
+func (state *RoutingState) Commands() []Command { return state.commands }
 
-// Emit adds a command that concerns no request.
-func (w *RoutingState) Emit(c Command) { w.commands = append(w.commands, c) }
+// Emit adds a command that does not settle a request.
+func (state *RoutingState) Emit(c Command) { state.commands = append(state.commands, c) }
 
-// TakeChangedEngines takes the engines whose own load changed since the last call; an
-// engine may come twice.
-func (w *RoutingState) TakeChangedEngines() []*Engine {
-	t := w.changedEngines
-	w.changedEngines = nil
-	return t
+// TakeChangedEngines returns the engines whose load by this instance changed
+// since the last call. An engine may occur more than once.
+func (state *RoutingState) TakeChangedEngines() []*Engine {
+	engines := state.changedEngines
+	state.changedEngines = nil
+	return engines
 }
 
-// Start settles a request by running it by plan under a new attempt. The
-// times say how long the wire waits before a stage counts as lost.
-func (w *RoutingState) Start(r *Request, plan Plan, prio int, patience, prefill time.Duration) {
-	w.releaseEngines(r)
+// Start settles a request by starting it with plan as a new attempt. The
+// timeouts say how long a step may take before its stage counts as lost.
+func (state *RoutingState) Start(r *Request, plan Plan, priority int, stepTimeout, prefillTimeout time.Duration) {
+	state.releaseEngines(r)
 	r.attempt++
 	r.awaitsRestart = false
 	r.plan = plan
-	r.startedAt = w.now
+	r.startedAt = state.now
 	r.tokensAtStart = r.tokens
-	w.chargeEngines(r)
-	w.Emit(Start{
+	state.chargeEngines(r)
+	state.Emit(Start{
 		Request: r.arrival.Request, Attempt: r.attempt, Chain: plan.Chain, Depth: plan.Depth,
-		Priority: prio, StepTimeout: patience, PrefillTimeout: prefill,
+		Priority: priority, StepTimeout: stepTimeout, PrefillTimeout: prefillTimeout,
 	})
 }
 
-// Refuse settles a request by its final refusal and forgets it.
-func (w *RoutingState) Refuse(r *Request, reason Reason, after time.Duration) {
-	w.Emit(Refuse{Request: r.arrival.Request, Reason: reason, RetryAfter: after, Ran: r.attempt > 0})
-	w.removeRequest(r)
+// Refuse settles a request with a final refusal and removes it.
+func (state *RoutingState) Refuse(r *Request, reason Reason, retryAfter time.Duration) {
+	state.Emit(Refuse{Request: r.arrival.Request, Reason: reason, RetryAfter: retryAfter, Ran: r.attempt > 0})
+	state.removeRequest(r)
 }
 
-// Forward settles a request by having the instance to run it.
-func (w *RoutingState) Forward(r *Request, to spec.InstanceID) {
-	w.Emit(Forward{Request: r.arrival.Request, To: to})
-	w.removeRequest(r)
+// Forward settles a request by forwarding it to another instance and removes
+// it.
+func (state *RoutingState) Forward(r *Request, to spec.InstanceID) {
+	state.Emit(Forward{Request: r.arrival.Request, To: to})
+	state.removeRequest(r)
 }
 
-func (w *RoutingState) removeRequest(r *Request) {
-	w.releaseEngines(r)
+func (state *RoutingState) removeRequest(r *Request) {
+	state.releaseEngines(r)
 	r.ended = true
-	delete(w.requests.index, r.arrival.Request)
+	delete(state.requests.index, r.arrival.Request)
 }
 
-func (w *RoutingState) chargeEngines(r *Request) {
-	for i, s := range r.plan.Chain {
-		e := w.engines.Get(s.Engine())
+func (state *RoutingState) chargeEngines(r *Request) {
+	for i, stage := range r.plan.Chain {
+		e := state.engines.Get(stage.Engine())
 		if e == nil {
 			continue
 		}
-		draw := int64(0)
+		demand := int64(0)
 		if i < len(r.plan.StageDemands) {
-			draw = r.plan.StageDemands[i]
+			demand = r.plan.StageDemands[i]
 		}
 		e.localRequests++
-		kv := int64(r.MaxKVTokens())
-		e.addLocalLoad(draw, kv)
-		r.charges = append(r.charges, charge{engine: e, demand: draw, kvTokens: kv})
-		w.changedEngines = append(w.changedEngines, e)
+		kvTokens := int64(r.MaxKVTokens())
+		e.addLocalLoad(demand, kvTokens)
+		r.charges = append(r.charges, charge{engine: e, demand: demand, kvTokens: kvTokens})
+		state.changedEngines = append(state.changedEngines, e)
 	}
-	w.adjustTokenRate(r.arrival.Model, r.plan.TokenTime, 1)
+	state.adjustTokenRate(r.arrival.Model, r.plan.TokenTime, 1)
 }
 
-// releaseEngines takes back what charge added, from the same rows: an engine that
-// was removed and came back is another row and owes nothing.
-func (w *RoutingState) releaseEngines(r *Request) {
+// releaseEngines subtracts what chargeEngines added, from the same rows. An
+// engine that was removed and came back has a new row, which was never
+// charged.
+func (state *RoutingState) releaseEngines(r *Request) {
 	if len(r.charges) == 0 {
 		return
 	}
@@ -134,24 +139,25 @@
 		for _, g := range c.engine.groups {
 			g.recordFreed(c.engine)
 		}
-		w.changedEngines = append(w.changedEngines, c.engine)
+		state.changedEngines = append(state.changedEngines, c.engine)
 	}
-	w.adjustTokenRate(r.arrival.Model, r.plan.TokenTime, -1)
+	state.adjustTokenRate(r.arrival.Model, r.plan.TokenTime, -1)
 	r.charges = nil
 	r.plan = Plan{Version: r.plan.Version}
 }
 
-func (w *RoutingState) adjustTokenRate(model spec.ModelName, token time.Duration, sign int64) {
-	if w.tokenRates == nil {
-		w.tokenRates = map[spec.ModelName]int64{}
+func (state *RoutingState) adjustTokenRate(model spec.ModelName, tokenTime time.Duration, sign int64) {
+	if state.tokenRates == nil {
+		state.tokenRates = map[spec.ModelName]int64{}
 	}
-	w.tokenRates[model] += sign * milliTokens * int64(time.Second) / int64(max(token, time.Microsecond))
+	state.tokenRates[model] += sign * milliTokens * int64(time.Second) / int64(max(tokenTime, time.Microsecond))
 }
 
+// milliTokens is the number of units of tokenRates per token.
 const milliTokens = 1000
 
-// TokenRate is how many tokens a second this instance's requests of the model make
-// as predicted.
-func (w *RoutingState) TokenRate(model spec.ModelName) float64 {
-	return float64(w.tokenRates[model]) / milliTokens
+// TokenRate returns the predicted rate of this instance's running requests of
+// the model, in tokens per second.
+func (state *RoutingState) TokenRate(model spec.ModelName) float64 {
+	return float64(state.tokenRates[model]) / milliTokens
 }
--- a/internal/route/domain/engine.go
+++ b/internal/route/domain/engine.go
@@ -6,18 +6,19 @@
 	"fulmarwick/internal/base/spec"
 )
 
-// LoadedRange is a layer range of one version of a model that an engine has loaded.
+// LoadedRange is a layer range of one version of a model that an engine has
+// loaded.
 type LoadedRange struct {
 	Model   spec.ModelName
 	Version string
 	Depth   int
 	Layers  spec.Layers
-	// Width is the bytes of one hidden value between layers.
+	// Width is the size in bytes of one hidden value between layers.
 	Width int
 }
 
-// Engine is a row of the engine table. The exported fields are what the
-// engine reports; they lag.
+// Engine is a row of the engine table. The exported fields come from the
+// engine's last report and lag behind its real state.
 type Engine struct {
 	ID         spec.UpstreamID
 	DataCentre spec.DataCentre
@@ -27,37 +28,43 @@
 	LayerTime time.Duration
 	// Slots is how many requests the engine batches at once.
 	Slots int
-	// LayerCapacity is in layers, Cache and Cached in KV tokens.
+	// LayerCapacity is in layers.
 	LayerCapacity int
-	KVCapacity    int
-	KVUsed        int
-	Queued        int
-	Active        int
-	// ReportedHopTime is the time of one hop to the engine.
+	// KVCapacity and KVUsed are in KV tokens.
+	KVCapacity int
+	KVUsed     int
+	Queued     int
+	Active     int
+	// ReportedHopTime is the time of one network hop to the engine, as
+	// reported.
 	ReportedHopTime time.Duration
-	// Bandwidth of the link to the engine is in bytes a second; zero is
-	// unbounded.
+	// Bandwidth is that of the link to the engine in bytes per second; zero
+	// is unlimited.
 	Bandwidth int64
-	// Incarnation changes when the engine restarts; zero if it does not tell.
+	// Incarnation changes when the engine restarts; zero if the engine does
+	// not report one.
 	Incarnation uint64
-	// Seq orders the reports of one incarnation: a lower number is ignored.
+	// Seq orders the reports of one incarnation; a report with a lower number
+	// than the last is ignored.
 	Seq uint64
 
 	state State
-	// localRequests is how many requests of this instance run on the engine.
+	// localRequests is the number of requests of this instance that run on
+	// the engine.
 	localRequests int
 	load          load
 	hop           linkState
 	cooldown      cooldown
-	// deadAt is when the engine was last marked down.
+	// deadAt is when the engine was last marked dead.
 	deadAt time.Duration
 	groups []*Group
 }
 
-// State is how routing sees the engine.
+// State returns the state of the engine as routing sees it.
 func (e *Engine) State() State { return e.state }
 
-// LocalRequests is how many requests of this instance use the engine.
+// LocalRequests returns the number of requests of this instance that use the
+// engine.
 func (e *Engine) LocalRequests() int { return e.localRequests }
 
 // Usable reports whether new work may go to the engine at now.
@@ -65,17 +72,19 @@
 	return e.state == StateServing && now >= e.cooldown.until
 }
 
-// FindLoaded returns the engine's hold that covers layers of the model version.
+// FindLoaded returns the engine's loaded range that covers the layers of the
+// model version.
 func (e *Engine) FindLoaded(model spec.ModelName, version string, layers spec.Layers) (LoadedRange, bool) {
-	for _, h := range e.Loaded {
-		if h.Model == model && h.Version == version && h.Layers.Covers(layers) {
-			return h, true
+	for _, loaded := range e.Loaded {
+		if loaded.Model == model && loaded.Version == version && loaded.Layers.Covers(layers) {
+			return loaded, true
 		}
 	}
 	return LoadedRange{}, false
 }
 
-// cooldown is how long new work avoids an engine that failed without dying.
+// cooldown is the period in which an engine that failed without dying gets no
+// new work.
 type cooldown struct {
 	until    time.Duration
 	failures int
@@ -86,9 +95,9 @@
 	maxCooldown = 32 * time.Second
 )
 
-// StartCooldown keeps new work off the engine for a time that doubles with each strike
-// in a row, so that an engine that fails now and then is tried less and less
-// and never in step with its recovery.
+// StartCooldown keeps new work off the engine for a time that doubles with
+// each consecutive failure. An engine that fails now and then is thus tried
+// less and less often, and not in step with its recovery.
 func (e *Engine) StartCooldown(now time.Duration) {
 	if now < e.cooldown.until {
 		return
@@ -98,7 +107,7 @@
 	e.cooldown.until = now + wait
 }
 
-// ResetFailures forgets the strikes of an engine that finished work.
+// ResetFailures clears the failure count after the engine completed work.
 func (e *Engine) ResetFailures() { e.cooldown.failures = 0 }
 
 func sameRanges(a, b []LoadedRange) bool {
--- a/internal/route/domain/engines.go
+++ b/internal/route/domain/engines.go
@@ -7,9 +7,9 @@
 	"fulmarwick/internal/base/spec"
 )
 
-// deadReportHold is how long an engine that died stays out although reports of it
-// arrive: they may have been under way when it died, and believing one would
-// send work to a dead engine until the next death notice.
+// deadReportHold is how long reports of a dead engine are ignored. They may
+// have been in transit when it died, and accepting one would send work to a
+// dead engine until the next notice of its death.
 const deadReportHold = time.Second
 
 // Engines is the table of engines in order of ID.
@@ -19,13 +19,14 @@
 	index Index
 }
 
-// Rows are all engines in order of ID; the caller must not change the slice.
+// Rows returns all engines in order of ID. The caller must not change the
+// slice.
 func (t *Engines) Rows() []*Engine { return t.rows }
 
 // Get returns the engine, or nil if it is not known.
 func (t *Engines) Get(id spec.UpstreamID) *Engine { return t.byID[id] }
 
-// Index finds the engines of a model.
+// Index returns the index that finds the engines of a model.
 func (t *Engines) Index() *Index { return &t.index }
 
 func (t *Engines) applyReport(now time.Duration, report Engine) {
@@ -42,8 +43,8 @@
 		if now < e.deadAt+deadReportHold {
 			return
 		}
-		// Engines that tell no incarnation count their reports from one
-		// again after a restart.
+		// Engines that report no incarnation restart their sequence numbers
+		// from one after a restart.
 		restarted = restarted || report.Seq < e.Seq
 	}
 	if !restarted && report.Seq <= e.Seq {
@@ -53,21 +54,21 @@
 }
 
 func (t *Engines) update(e, report *Engine, restarted bool) {
-	moved := !sameRanges(e.Loaded, report.Loaded) || e.LayerTime != report.LayerTime || e.Slots != report.Slots
+	changed := !sameRanges(e.Loaded, report.Loaded) || e.LayerTime != report.LayerTime || e.Slots != report.Slots
 	state := e.state
-	// A leaving engine that still reports is leaving still: only a restart or
-	// its removal from the list ends that, else a late report of before the
-	// signal would bring new work back.
+	// A leaving engine that still reports is still leaving. Only a restart or
+	// its removal from the list ends that state. Otherwise a late report from
+	// before the signal would direct new work to it again.
 	if restarted || state == StateDead {
 		state = StateServing
 	}
-	if moved || state != e.state {
+	if changed || state != e.state {
 		t.index.removeEngine(e)
 	}
 	report.state, report.localRequests, report.load = state, e.localRequests, e.load
 	report.hop, report.cooldown, report.deadAt, report.groups = e.hop, e.cooldown, e.deadAt, e.groups
 	*e = *report
-	if moved || len(e.groups) == 0 {
+	if changed || len(e.groups) == 0 {
 		t.index.addEngine(e)
 	}
 	e.updateUnexplained()
@@ -99,17 +100,17 @@
 	t.rows = append(t.rows[:at], t.rows[at+1:]...)
 }
 
-func (t *Engines) setState(now time.Duration, id spec.UpstreamID, s State) {
+func (t *Engines) setState(now time.Duration, id spec.UpstreamID, state State) {
 	e := t.byID[id]
 	if e == nil {
 		return
 	}
-	if s == StateDead {
+	if state == StateDead {
 		e.deadAt = now
 	}
-	if e.state == s || (e.state == StateLeaving && s == StateDead) {
+	if e.state == state || (e.state == StateLeaving && state == StateDead) {
 		return
 	}
-	e.state = s
+	e.state = state
 	t.index.removeEngine(e)
 }
--- a/internal/route/domain/enum.go
+++ b/internal/route/domain/enum.go
@@ -4,10 +4,11 @@
 //go:generate stringer -type=Reason -linecomment -output=reason_string.go
 //go:generate stringer -type=State -linecomment -output=state_string.go
 
-// Cause says how a stage was lost.
+// Cause is the way in which a stage was lost.
 type Cause int
 
-// The causes.
+// The causes. CauseLeaving is also what a full engine answers; with
+// CauseStateLost the engine lost only the state of the request.
 const (
 	CauseBroken    Cause = iota // broken
 	CauseTimeout                // timeout
@@ -16,10 +17,10 @@
 	CauseStateLost              // state
 )
 
-// Reason says why a request was refused.
+// Reason is why a request was refused.
 type Reason int
 
-// The reasons; their strings are the stable codes that callers see.
+// The reasons. Their strings are stable codes that are sent to callers.
 const (
 	ReasonNone             Reason = iota // none
 	ReasonOverload                       // overload
@@ -34,7 +35,7 @@
 // State is the state of an engine as routing sees it.
 type State int
 
-// The states.
+// The engine states.
 const (
 	StateServing State = iota // serving
 	StateLeaving              // leaving
--- a/internal/route/domain/event.go
+++ b/internal/route/domain/event.go
@@ -6,84 +6,93 @@
 	"fulmarwick/internal/base/spec"
 )
 
-// Event is something that happened outside and that the logic must know.
+// Event is an input to the routing logic: something that happened outside and
+// affects routing.
 type Event interface{ event() }
 
-// RequestArrived tells that a caller asks for model work.
+// RequestArrived reports a new request of a caller for a model.
 type RequestArrived struct {
 	Request spec.RequestID
 	Team    spec.TeamID
 	Class   spec.ClassName
 	Model   spec.ModelName
-	// PromptTokens and Limit are tokens: the estimated prompt and the most to make.
+	// PromptTokens is the estimated length of the prompt.
 	PromptTokens int
-	MaxTokens    int
-	// BlockHashes are chained hashes of the prompt's blocks, first block first.
+	// MaxTokens is the maximum number of tokens to generate.
+	MaxTokens int
+	// BlockHashes are the chained hashes of the prompt's blocks, first block
+	// first.
 	BlockHashes []uint64
-	// Fingerprint identifies the same request when its caller sends it again.
+	// Fingerprint identifies the same request when its caller sends it again;
+	// zero if there is none.
 	Fingerprint uint64
-	// ReceivedTokens is how many tokens the caller already has, after a resume.
+	// ReceivedTokens is the number of tokens that the caller of a resumed
+	// request already has.
 	ReceivedTokens int
-	// Hops is how often another instance forwarded the request: 0 or 1.
+	// Hops is how many times another instance forwarded the request: 0 or 1.
 	Hops int
 }
 
-// RequestProgress tells how many tokens a request has made. It is sent now and then,
-// never once per token.
+// RequestProgress reports how many tokens a request has generated. It is sent
+// from time to time, never once per token.
 type RequestProgress struct {
 	Request spec.RequestID
 	Tokens  int
 }
 
-// StageLost tells that a stage of a running request failed.
+// StageLost reports that a stage of a running request failed.
 type StageLost struct {
 	Request spec.RequestID
 	Attempt uint32
 	Engine  spec.UpstreamID
 	Cause   Cause
-	// Tokens is how many tokens the request has made; what is rebuilt and
-	// where a poison suspect died follow from it.
+	// Tokens is the number of tokens that the request has generated. It
+	// determines what is rebuilt and at which point a poison suspect crashed
+	// its engine.
 	Tokens int
 }
 
-// RequestFinished tells that a request ended, for whatever reason.
+// RequestFinished reports that a request ended, for whatever reason.
 type RequestFinished struct {
 	Request spec.RequestID
 	Tokens  int
-	// FirstToken and Gap are the first-token time and the longest gap; zero if none.
+	// FirstToken is the time to the first token; zero if there was none.
 	FirstToken time.Duration
+	// LongestGap is the longest time between tokens; zero if there was none.
 	LongestGap time.Duration
 	TotalTime  time.Duration
 	OK         bool
 }
 
-// RequestCanceled tells that the caller went away.
+// RequestCanceled reports that the caller disconnected or canceled the
+// request.
 type RequestCanceled struct {
 	Request spec.RequestID
 }
 
-// EngineReport carries an engine's report.
+// EngineReport carries an engine's report about itself.
 type EngineReport struct {
 	Engine Engine
 }
 
-// EngineDead tells that an engine does not answer, or died with its state.
+// EngineDead reports that an engine does not answer or that it died and lost
+// its state.
 type EngineDead struct {
 	Engine spec.UpstreamID
 }
 
-// EngineLeaving tells that an engine takes no new work.
+// EngineLeaving reports that an engine accepts no new work.
 type EngineLeaving struct {
 	Engine spec.UpstreamID
 }
 
-// EngineRemoved tells that an engine was removed from the platform's list.
+// EngineRemoved reports that an engine was removed from the platform's list.
 type EngineRemoved struct {
 	Engine spec.UpstreamID
 }
 
-// HopMeasured reports how long hops to an engine took since the last report,
-// without the engine's own time.
+// HopMeasured reports the measured time of hops to an engine since the last
+// such event, without the engine's own processing time.
 type HopMeasured struct {
 	Engine spec.UpstreamID
 	P50    time.Duration
@@ -91,20 +100,21 @@
 	Count  int
 }
 
-// ConfigChanged replaces the classes and teams in force.
+// ConfigChanged replaces the configured classes and teams.
 type ConfigChanged struct {
 	Version uint64
 	Classes []spec.Class
 	Teams   []spec.Team
 }
 
-// PeersChanged tells which other instances of the data centre live.
+// PeersChanged replaces the list of live peers: the other instances of the
+// data centre.
 type PeersChanged struct {
 	Peers []spec.InstanceID
 }
 
-// PeerLoad tells what another instance has in flight on an engine, as its
-// OwnLoad gave it.
+// PeerLoad reports the load of another instance's requests on an engine, as
+// announced by its LocalLoad command.
 type PeerLoad struct {
 	Peer           spec.InstanceID
 	Engine         spec.UpstreamID
@@ -112,50 +122,55 @@
 	LayerTokenRate int
 }
 
-// PeerRemoved forgets all that another instance reported.
+// PeerRemoved removes another instance and everything that it reported.
 type PeerRemoved struct {
 	Peer spec.InstanceID
 }
 
-// SuspectReported carries a poison fingerprint that another instance reported.
+// SuspectReported carries a poison suspect that another instance reported.
+// Zero crashes clear the suspect.
 type SuspectReported struct {
 	Fingerprint uint64
-	// Crashes is how many engines died while running it, fleet-wide.
+	// Crashes is the number of engines that crashed while running the
+	// request, fleet-wide.
 	Crashes int
-	// Engine is the last that died; "" if not known.
+	// Engine is the last engine that crashed; "" if not known.
 	Engine spec.UpstreamID
 }
 
-// TeamUsage tells the fleet-wide use of a heavy team, in tokens a second.
+// TeamUsage reports the fleet-wide usage of a heavy team, in tokens per
+// second.
 type TeamUsage struct {
 	Team spec.TeamID
 	Rate float64
 }
 
-// CacheReport carries cache events of an engine. A Seq that does not follow the
-// last one shows a gap.
+// CacheReport carries prefix cache events of an engine. A Seq that does not
+// directly follow the last one means that events were lost.
 type CacheReport struct {
 	Engine  spec.UpstreamID
 	Seq     uint64
 	Added   []uint64
 	Removed []uint64
-	// Reset says that the lists are the whole content at Seq.
+	// Reset says that the lists are the complete cache content at Seq.
 	Reset bool
 }
 
-// CentreCapacity tells what another data centre can still take of a model.
+// CentreCapacity reports the free capacity for a model that another data
+// centre offers.
 type CentreCapacity struct {
 	DataCentre spec.DataCentre
 	Model      spec.ModelName
-	// Instance is one there that takes forwarded requests.
+	// Instance is an instance there that accepts forwarded requests.
 	Instance spec.InstanceID
-	// FreeRate is in tokens a second; zero or less means nothing.
+	// FreeRate is in tokens per second; zero or less means no free capacity.
 	FreeRate float64
 }
 
-// Duties tells which duties this instance holds under a lease.
+// Duties reports which duties this instance holds under a lease.
 type Duties struct {
-	// PlansPlacement is the planning of the placement in the data centre.
+	// PlansPlacement is set while the instance plans the placement of the
+	// data centre.
 	PlansPlacement bool
 }
 
--- a/internal/route/domain/group.go
+++ b/internal/route/domain/group.go
@@ -7,13 +7,13 @@
 	"fulmarwick/internal/base/spec"
 )
 
-// Layers is what the engines of the group hold.
+// Layers returns the layers that the engines of the group have loaded.
 func (g *Group) Layers() spec.Layers { return g.layers }
 
-// Width is the bytes of one hidden value.
+// Width returns the size in bytes of one hidden value between layers.
 func (g *Group) Width() int { return g.width }
 
-// Engines are the group's engines in order of ID.
+// Engines returns the group's engines in order of ID.
 func (g *Group) Engines() []*Engine { return g.engines }
 
 // Contains reports whether the engine is in the group.
@@ -26,17 +26,19 @@
 	return false
 }
 
-// RecentlyFreed are engines of the group on which work ended lately; some may be nil.
+// RecentlyFreed returns engines of the group on which requests ended
+// recently. Entries may be nil.
 func (g *Group) RecentlyFreed() []*Engine { return g.recentlyFreed[:] }
 
-// Sample draws an engine with a probability in proportion to its capacity, so
-// that a slow engine among fast ones is not drawn more than it can take.
+// Sample returns a random engine, with a probability in proportion to its
+// capacity, so that a slow engine among fast ones is not chosen more often
+// than it can handle.
 func (g *Group) Sample(r *rand.Rand) *Engine {
 	if g.cumulativeStale {
 		g.updateCumulative()
 	}
-	at := r.Int64N(g.cumulative[len(g.cumulative)-1])
-	i := sort.Search(len(g.cumulative), func(i int) bool { return g.cumulative[i] > at })
+	point := r.Int64N(g.cumulative[len(g.cumulative)-1])
+	i := sort.Search(len(g.cumulative), func(i int) bool { return g.cumulative[i] > point })
 	return g.engines[i]
 }
 
--- a/internal/route/domain/hop.go
+++ b/internal/route/domain/hop.go
@@ -2,10 +2,11 @@
 
 import "time"
 
-// linkState follows the link to an engine. A link is left when it was bad in
-// several reports in a row and taken back only after more good ones, with a
-// band between the two limits in which nothing changes; without the band a
-// link that sits near one limit would move all its work at each report.
+// linkState tracks the quality of the link to an engine. A link becomes slow
+// after several bad reports in a row and recovers only after a larger number
+// of good ones. Between the two limits nothing changes. Without this
+// hysteresis a link close to one limit would move all its work at each
+// report.
 type linkState struct {
 	baseline    time.Duration
 	smoothed    time.Duration
@@ -24,7 +25,8 @@
 	recoveredAfterReports = 5
 )
 
-// HopTime is the time of one hop to the engine as measured, else as reported.
+// HopTime returns the measured time of one hop to the engine, or the reported
+// time if there is no measurement.
 func (e *Engine) HopTime() time.Duration {
 	if e.hop.smoothed > 0 {
 		return e.hop.smoothed
@@ -39,22 +41,23 @@
 	if ev.Count <= 0 || ev.P50 <= 0 {
 		return
 	}
-	h := &e.hop
-	if h.smoothed == 0 {
-		h.smoothed = ev.P50
-		h.baseline = max(ev.P50, minBaseline)
+	link := &e.hop
+	if link.smoothed == 0 {
+		link.smoothed = ev.P50
+		link.baseline = max(ev.P50, minBaseline)
 	}
-	// Up at once and down slowly: a link that got worse costs each token.
-	if ev.P50 > h.smoothed {
-		h.smoothed = (h.smoothed + ev.P50) / 2
+	// Increases are applied faster than decreases, because a link that got
+	// slower delays every token.
+	if ev.P50 > link.smoothed {
+		link.smoothed = (link.smoothed + ev.P50) / 2
 	} else {
-		h.smoothed = (3*h.smoothed + ev.P50) / 4
+		link.smoothed = (3*link.smoothed + ev.P50) / 4
 	}
 	if e.ReportedHopTime > 0 {
-		h.baseline = max(e.ReportedHopTime, minBaseline)
+		link.baseline = max(e.ReportedHopTime, minBaseline)
 	}
-	h.baseline = max(min(h.baseline, ev.P50), minBaseline)
-	h.classify(ev.P50)
+	link.baseline = max(min(link.baseline, ev.P50), minBaseline)
+	link.classify(ev.P50)
 }
 
 func (h *linkState) classify(p50 time.Duration) {
--- a/internal/route/domain/hop_test.go
+++ b/internal/route/domain/hop_test.go
@@ -7,17 +7,18 @@
 	"fulmarwick/internal/route/domain"
 )
 
-// A link degrades: after two bad reports the engine counts as slow. It hovers
-// around the limit, then heals. New work leaves it once and comes back once;
-// a single bad report and the hovering change nothing.
+// A link degrades, hovers around the limit and then recovers. The engine must
+// count as slow after two bad reports and as fast again after five good ones.
+// A single bad report and the hovering must change nothing, so that new work
+// moves away once and back once.
 func TestSlowLinkStateChangesOnce(t *testing.T) {
-	w := &domain.RoutingState{}
-	w.Apply(domain.EngineReport{Engine: domain.Engine{ID: "e", ReportedHopTime: time.Millisecond, Seq: 1}})
-	e := w.Engines().Get("e")
+	state := &domain.RoutingState{}
+	state.Apply(domain.EngineReport{Engine: domain.Engine{ID: "e", ReportedHopTime: time.Millisecond, Seq: 1}})
+	e := state.Engines().Get("e")
 	changes, last := 0, false
 	report := func(ms ...int) {
 		for _, m := range ms {
-			w.Apply(domain.HopMeasured{Engine: "e", P50: time.Duration(m) * time.Millisecond, Count: 9})
+			state.Apply(domain.HopMeasured{Engine: "e", P50: time.Duration(m) * time.Millisecond, Count: 9})
 			if e.HasSlowLink() != last {
 				changes++
 				last = e.HasSlowLink()
@@ -38,6 +39,6 @@
 	}
 	report(1, 1, 1, 1, 1)
 	if e.HasSlowLink() || changes != 2 {
-		t.Errorf("healed: got slow %v after %d changes, want not slow after 2", e.HasSlowLink(), changes)
+		t.Errorf("recovered: got slow %v after %d changes, want not slow after 2", e.HasSlowLink(), changes)
 	}
 }
--- a/internal/route/domain/index.go
+++ b/internal/route/domain/index.go
@@ -6,15 +6,15 @@
 	"fulmarwick/internal/base/spec"
 )
 
-// Index finds the engines of a model by the layer ranges that they hold. It
-// changes only when an engine's holds, speed or state do, so that choosing
-// among thousands of engines never reads them all.
+// Index finds the engines of a model by their loaded layer ranges. It changes
+// only when an engine's loaded ranges, speed or state change, so that
+// choosing among thousands of engines never scans them all.
 type Index struct {
 	models     map[spec.ModelName][]*Model
 	modelNames []spec.ModelName
 }
 
-// Model is one version of a model as serving engines hold it.
+// Model is one version of a model as loaded by serving engines.
 type Model struct {
 	name    spec.ModelName
 	version string
@@ -23,7 +23,8 @@
 	bounds  []int
 }
 
-// Group is the serving engines that hold just the same layers of a model.
+// Group is the set of serving engines that have exactly the same layers of a
+// model loaded.
 type Group struct {
 	model           *Model
 	layers          spec.Layers
@@ -39,36 +40,41 @@
 
 const maxRecentlyFreed = 4
 
-// Versions are the versions of the model that engines hold, in order.
+// Versions returns the versions of the model that engines have loaded, in
+// order.
 func (x *Index) Versions(name spec.ModelName) []*Model { return x.models[name] }
 
-// ModelNames are the models that engines ever held, in order of appearance.
+// ModelNames returns all models that engines ever had loaded, in order of
+// appearance.
 func (x *Index) ModelNames() []spec.ModelName { return x.modelNames }
 
-// Name is the model's name.
+// Name returns the model's name.
 func (m *Model) Name() spec.ModelName { return m.name }
 
-// Version is the version that the groups hold.
+// Version returns the version of the model.
 func (m *Model) Version() string { return m.version }
 
-// Depth is the number of layers.
+// Depth returns the number of layers of the model.
 func (m *Model) Depth() int { return m.depth }
 
-// Groups are the groups in order of first and last layer.
+// Groups returns the groups in order of first and last layer.
 func (m *Model) Groups() []*Group { return m.groups }
 
-// Bounds are the layers where some group begins or ends, in order. With costs
-// linear in layers a best chain hands over only at these.
+// Bounds returns, in order, the layers at which a group begins or ends. As
+// costs are linear in the number of layers, a best chain changes engines only
+// at these layers.
 func (m *Model) Bounds() []int { return m.bounds }
 
-// Capacity estimates how many tokens a second the engines can make: for each
-// stretch between bounds what the groups over it could give, and the least.
+// Capacity estimates how many tokens per second the engines can generate. It
+// is the lowest, over all stretches between two bounds, of the summed
+// capacity of the groups that cover the stretch.
 func (m *Model) Capacity() float64 {
 	return m.minOverLayers(func(g *Group) int64 { return g.capacity })
 }
 
-// UsedRate estimates how many tokens a second the engines make now. An engine
-// that holds several models counts its whole draw for each.
+// UsedRate estimates how many tokens per second the engines generate now. An
+// engine that has several models loaded counts its whole demand for each of
+// them.
 func (m *Model) UsedRate() float64 {
 	sum := int64(0)
 	for _, g := range m.groups {
@@ -77,41 +83,41 @@
 	return float64(max(0, sum)) / float64(max(1, m.depth))
 }
 
-// FreeRate estimates how many more tokens a second the engines can make when they
-// are used up to the part limit of their capacity.
+// FreeRate estimates how many more tokens per second the engines can generate
+// if they are used up to the fraction limit of their capacity.
 func (m *Model) FreeRate(limit float64) float64 {
 	return m.minOverLayers(func(g *Group) int64 { return int64(limit*float64(g.capacity)) - g.demand })
 }
 
-func (m *Model) minOverLayers(of func(*Group) int64) float64 {
-	best := -1.0
+func (m *Model) minOverLayers(value func(*Group) int64) float64 {
+	lowest := -1.0
 	for i := 0; i+1 < len(m.bounds); i++ {
 		at := m.bounds[i]
 		sum := 0.0
 		for _, g := range m.groups {
 			if g.layers.Has(at) {
-				sum += float64(of(g)) / float64(g.layers.Len())
+				sum += float64(value(g)) / float64(g.layers.Len())
 			}
 		}
-		if best < 0 || sum < best {
-			best = sum
+		if lowest < 0 || sum < lowest {
+			lowest = sum
 		}
 	}
-	if best < 0 || len(m.bounds) == 0 || m.bounds[0] != 0 || m.bounds[len(m.bounds)-1] != m.depth {
+	if lowest < 0 || len(m.bounds) == 0 || m.bounds[0] != 0 || m.bounds[len(m.bounds)-1] != m.depth {
 		return 0
 	}
-	return best
+	return lowest
 }
 
 func (x *Index) addEngine(e *Engine) {
 	if e.state != StateServing {
 		return
 	}
-	for _, h := range e.Loaded {
-		if h.Layers.Len() == 0 {
+	for _, loaded := range e.Loaded {
+		if loaded.Layers.Len() == 0 {
 			continue
 		}
-		g := x.ensureModel(h).ensureGroup(h)
+		g := x.ensureModel(loaded).ensureGroup(loaded)
 		g.addEngine(e)
 		e.groups = append(e.groups, g)
 	}
@@ -127,23 +133,23 @@
 	e.groups = nil
 }
 
-func (x *Index) ensureModel(h LoadedRange) *Model {
+func (x *Index) ensureModel(loaded LoadedRange) *Model {
 	if x.models == nil {
 		x.models = map[spec.ModelName][]*Model{}
 	}
-	all, seen := x.models[h.Model]
+	versions, seen := x.models[loaded.Model]
 	if !seen {
-		x.modelNames = append(x.modelNames, h.Model)
+		x.modelNames = append(x.modelNames, loaded.Model)
 	}
-	at := sort.Search(len(all), func(i int) bool { return all[i].version >= h.Version })
-	if at < len(all) && all[at].version == h.Version {
-		return all[at]
+	at := sort.Search(len(versions), func(i int) bool { return versions[i].version >= loaded.Version })
+	if at < len(versions) && versions[at].version == loaded.Version {
+		return versions[at]
 	}
-	m := &Model{name: h.Model, version: h.Version, depth: h.Depth}
-	all = append(all, nil)
-	copy(all[at+1:], all[at:])
-	all[at] = m
-	x.models[h.Model] = all
+	m := &Model{name: loaded.Model, version: loaded.Version, depth: loaded.Depth}
+	versions = append(versions, nil)
+	copy(versions[at+1:], versions[at:])
+	versions[at] = m
+	x.models[loaded.Model] = versions
 	return m
 }
 
@@ -159,24 +165,24 @@
 	if len(m.groups) > 0 {
 		return
 	}
-	all := x.models[m.name]
-	for i, o := range all {
+	versions := x.models[m.name]
+	for i, o := range versions {
 		if o == m {
-			x.models[m.name] = append(all[:i], all[i+1:]...)
+			x.models[m.name] = append(versions[:i], versions[i+1:]...)
 			return
 		}
 	}
 }
 
-func (m *Model) ensureGroup(h LoadedRange) *Group {
+func (m *Model) ensureGroup(loaded LoadedRange) *Group {
 	at := sort.Search(len(m.groups), func(i int) bool {
 		l := m.groups[i].layers
-		return l.From() > h.Layers.From() || (l.From() == h.Layers.From() && l.To() >= h.Layers.To())
+		return l.From() > loaded.Layers.From() || (l.From() == loaded.Layers.From() && l.To() >= loaded.Layers.To())
 	})
-	if at < len(m.groups) && m.groups[at].layers == h.Layers {
+	if at < len(m.groups) && m.groups[at].layers == loaded.Layers {
 		return m.groups[at]
 	}
-	g := &Group{model: m, layers: h.Layers, width: h.Width}
+	g := &Group{model: m, layers: loaded.Layers, width: loaded.Width}
 	m.groups = append(m.groups, nil)
 	copy(m.groups[at+1:], m.groups[at:])
 	m.groups[at] = g
--- a/internal/route/domain/peer.go
+++ b/internal/route/domain/peer.go
@@ -6,33 +6,34 @@
 	"fulmarwick/internal/base/spec"
 )
 
-// peers is what other instances told.
+// peers is what other instances of the data centre announced.
 type peers struct {
 	loads map[spec.InstanceID]map[spec.UpstreamID]peerLoad
 	ids   []spec.InstanceID
-	// listed is set once a PeersSet named the peers.
+	// listed is set once a PeersChanged event named the peers.
 	listed bool
 }
 
-// peerLoad is what one peer has on one engine.
+// peerLoad is the load that one peer announced for one engine.
 type peerLoad struct {
 	demand int64
 	active int
 }
 
-// Peers are the other instances of the data centre: those of the last
-// PeersSet, or without one those that told their load, in order of hearing.
-func (w *RoutingState) Peers() []spec.InstanceID { return w.peers.ids }
+// Peers returns the other instances of the data centre. They come from the
+// last PeersChanged event or, if there was none, from the announced loads in
+// order of arrival.
+func (state *RoutingState) Peers() []spec.InstanceID { return state.peers.ids }
 
-func (w *RoutingState) applyPeers(ev PeersChanged) {
-	w.peers.listed = true
-	w.peers.ids = append([]spec.InstanceID(nil), ev.Peers...)
+func (state *RoutingState) applyPeers(ev PeersChanged) {
+	state.peers.listed = true
+	state.peers.ids = append([]spec.InstanceID(nil), ev.Peers...)
 }
 
-// applyPeerLoad takes what a peer has in flight. The load of an engine that is not
-// known yet is kept for its first report.
-func (w *RoutingState) applyPeerLoad(ev PeerLoad) {
-	p := &w.peers
+// applyPeerLoad applies the load that a peer announced. The load of an engine
+// that is not known yet is stored until its first report.
+func (state *RoutingState) applyPeerLoad(ev PeerLoad) {
+	p := &state.peers
 	if p.loads == nil {
 		p.loads = map[spec.InstanceID]map[spec.UpstreamID]peerLoad{}
 	}
@@ -44,106 +45,110 @@
 			p.ids = append(p.ids, ev.Peer)
 		}
 	}
-	now := peerLoad{demand: int64(max(0, ev.LayerTokenRate)), active: max(0, ev.Active)}
-	if e := w.engines.Get(ev.Engine); e != nil {
-		e.replacePeerLoad(now, loads[ev.Engine])
+	load := peerLoad{demand: int64(max(0, ev.LayerTokenRate)), active: max(0, ev.Active)}
+	if e := state.engines.Get(ev.Engine); e != nil {
+		e.replacePeerLoad(load, loads[ev.Engine])
 	}
-	if now == (peerLoad{}) {
+	if load == (peerLoad{}) {
 		delete(loads, ev.Engine)
 		return
 	}
-	loads[ev.Engine] = now
+	loads[ev.Engine] = load
 }
 
-// applyEngineReport takes a report. A new engine starts with what peers told of it
-// before.
-func (w *RoutingState) applyEngineReport(ev EngineReport) {
-	known := w.engines.Get(ev.Engine.ID) != nil
-	w.engines.applyReport(w.now, ev.Engine)
-	if known {
+// applyEngineReport applies an engine report. A new engine starts with the
+// load that peers announced for it earlier.
+func (state *RoutingState) applyEngineReport(ev EngineReport) {
+	exists := state.engines.Get(ev.Engine.ID) != nil
+	state.engines.applyReport(state.now, ev.Engine)
+	if exists {
 		return
 	}
-	e := w.engines.Get(ev.Engine.ID)
-	// The sums are of integers, so the order of the map does not show.
-	for _, loads := range w.peers.loads {
-		if l, ok := loads[e.ID]; ok {
-			e.replacePeerLoad(l, peerLoad{})
+	e := state.engines.Get(ev.Engine.ID)
+	// The sums are integers, so the iteration order of the map has no effect.
+	for _, loads := range state.peers.loads {
+		if load, ok := loads[e.ID]; ok {
+			e.replacePeerLoad(load, peerLoad{})
 		}
 	}
 }
 
-// removePeer forgets a peer. The sums are of integers, so the order of the map
-// does not show.
-func (w *RoutingState) removePeer(id spec.InstanceID) {
-	for engine, d := range w.peers.loads[id] {
-		if e := w.engines.Get(engine); e != nil {
-			e.replacePeerLoad(peerLoad{}, d)
+// removePeer removes a peer and its load. The sums are integers, so the
+// iteration order of the map has no effect.
+func (state *RoutingState) removePeer(id spec.InstanceID) {
+	for engine, load := range state.peers.loads[id] {
+		if e := state.engines.Get(engine); e != nil {
+			e.replacePeerLoad(peerLoad{}, load)
 		}
 	}
-	delete(w.peers.loads, id)
-	for i, o := range w.peers.ids {
-		if o == id {
-			w.peers.ids = append(w.peers.ids[:i], w.peers.ids[i+1:]...)
+	delete(state.peers.loads, id)
+	for i, peer := range state.peers.ids {
+		if peer == id {
+			state.peers.ids = append(state.peers.ids[:i], state.peers.ids[i+1:]...)
 			break
 		}
 	}
-	w.removeCentreInstance(id)
+	state.removeCentreInstance(id)
 }
 
-// removeEngine forgets an engine and what peers told of it.
-func (w *RoutingState) removeEngine(id spec.UpstreamID) {
-	w.engines.remove(id)
-	for _, loads := range w.peers.loads {
+// removeEngine removes an engine and the load that peers announced for it.
+func (state *RoutingState) removeEngine(id spec.UpstreamID) {
+	state.engines.remove(id)
+	for _, loads := range state.peers.loads {
 		delete(loads, id)
 	}
 }
 
-// RemoteCentre is what one instance of another data centre can still take.
+// RemoteCentre is the capacity that one instance of another data centre
+// offers for a model.
 type RemoteCentre struct {
 	report     CentreCapacity
 	reportedAt time.Duration
 	reserved   float64
 }
 
-// Instance is who takes forwarded requests there.
+// Instance returns the instance there that accepts forwarded requests.
 func (c *RemoteCentre) Instance() spec.InstanceID { return c.report.Instance }
 
-// FreeRate is what is left of it, in tokens a second, after what was forwarded.
+// FreeRate returns the free capacity in tokens per second, less the rate of
+// the requests forwarded since the report.
 func (c *RemoteCentre) FreeRate() float64 { return c.report.FreeRate - c.reserved }
 
-// ReportedAt is when the sum came.
+// ReportedAt returns when the capacity was reported.
 func (c *RemoteCentre) ReportedAt() time.Duration { return c.reportedAt }
 
-// Reserve notes that a request drawing rate tokens a second was forwarded.
+// Reserve subtracts the rate of a forwarded request, in tokens per second,
+// from the free capacity.
 func (c *RemoteCentre) Reserve(rate float64) { c.reserved += rate }
 
-// RemoteCentres are the other data centres' sums for a model, in order of hearing.
-func (w *RoutingState) RemoteCentres(model spec.ModelName) []*RemoteCentre {
-	return w.remoteCentres[model]
+// RemoteCentres returns the capacities that other data centres offer for a
+// model, in order of first report.
+func (state *RoutingState) RemoteCentres(model spec.ModelName) []*RemoteCentre {
+	return state.remoteCentres[model]
 }
 
-func (w *RoutingState) applyCentreCapacity(ev CentreCapacity) {
-	if w.remoteCentres == nil {
-		w.remoteCentres = map[spec.ModelName][]*RemoteCentre{}
+func (state *RoutingState) applyCentreCapacity(ev CentreCapacity) {
+	if state.remoteCentres == nil {
+		state.remoteCentres = map[spec.ModelName][]*RemoteCentre{}
 	}
-	all := w.remoteCentres[ev.Model]
-	for _, c := range all {
+	centres := state.remoteCentres[ev.Model]
+	for _, c := range centres {
 		if c.report.DataCentre == ev.DataCentre && c.report.Instance == ev.Instance {
-			*c = RemoteCentre{report: ev, reportedAt: w.now}
+			*c = RemoteCentre{report: ev, reportedAt: state.now}
 			return
 		}
 	}
-	w.remoteCentres[ev.Model] = append(all, &RemoteCentre{report: ev, reportedAt: w.now})
+	state.remoteCentres[ev.Model] = append(centres, &RemoteCentre{report: ev, reportedAt: state.now})
 }
 
-func (w *RoutingState) removeCentreInstance(id spec.InstanceID) {
-	for model, all := range w.remoteCentres {
-		keep := all[:0]
-		for _, c := range all {
+func (state *RoutingState) removeCentreInstance(id spec.InstanceID) {
+	for model, centres := range state.remoteCentres {
+		kept := centres[:0]
+		for _, c := range centres {
 			if c.report.Instance != id {
-				keep = append(keep, c)
+				kept = append(kept, c)
 			}
 		}
-		w.remoteCentres[model] = keep
+		state.remoteCentres[model] = kept
 	}
 }
--- a/internal/route/domain/request.go
+++ b/internal/route/domain/request.go
@@ -6,7 +6,8 @@
 	"fulmarwick/internal/base/spec"
 )
 
-// Request is a row of the request table.
+// Request is a row of the request table: a request in progress on this
+// instance.
 type Request struct {
 	arrival   RequestArrived
 	class     spec.Class
@@ -14,106 +15,116 @@
 	tokens    int
 	attempt   uint32
 	plan      Plan
-	// startedAt is when the last Start was given, and from how many tokens.
-	startedAt     time.Duration
+	// startedAt is the time of the last Start.
+	startedAt time.Duration
+	// tokensAtStart is the number of tokens generated before the last Start.
 	tokensAtStart int
-	// awaitsRestart is set from a loss to the next start.
+	// awaitsRestart is set from the loss of a stage until the next start.
 	awaitsRestart bool
 	// due is set while the request waits for a decision.
 	due   bool
 	ended bool
 	// completed is set when the request ended with its whole answer.
 	completed bool
-	// failedEngines are the engines that failed under this request, last the last.
+	// failedEngines are the engines that failed while running this request,
+	// the latest last.
 	failedEngines []spec.UpstreamID
 	lossCause     Cause
 	engineDied    bool
-	// charges is what the request added to the draw of engines.
+	// charges is the load that the request added to engines.
 	charges []charge
 }
 
+// charge is the load that a request added to one engine.
 type charge struct {
 	engine   *Engine
 	demand   int64
 	kvTokens int64
 }
 
-// Plan is a chosen chain with what was predicted for it.
+// Plan is a chosen chain with its predicted times and demands.
 type Plan struct {
 	Chain   spec.Chain
 	Depth   int
 	Version string
-	// StageDemands is per stage what the request takes of its engine, in
-	// layer-tokens a second.
+	// StageDemands is the demand of each stage on its engine, in layer-tokens
+	// per second.
 	StageDemands []int64
-	// First, Token and Whole are the predicted times from the start to the
-	// next token, of each later token, and to the end.
+	// FirstTokenTime, TokenTime and TotalTime are the predicted times from
+	// the start to the next token, for each later token, and from the start
+	// to the end.
 	FirstTokenTime time.Duration
 	TokenTime      time.Duration
 	TotalTime      time.Duration
-	// MaxStepTime and Prefill are the longest predicted step of one stage, for a
-	// token and for a stage without state.
-	MaxStepTime    time.Duration
+	// MaxStepTime is the predicted time of the longest step of one stage for
+	// a token.
+	MaxStepTime time.Duration
+	// MaxPrefillTime is the same for a stage without state.
 	MaxPrefillTime time.Duration
-	// NewEngines are the engines of stages that the request did not have before.
+	// NewEngines are the engines of the stages that the request did not have
+	// before.
 	NewEngines []spec.UpstreamID
-	// CacheHitShare is the part of the prompt's work that cached prefixes save.
+	// CacheHitShare is the fraction of the prompt's work that cached prefixes
+	// save.
 	CacheHitShare float64
 }
 
-// Arrival is the event with which the request came.
+// Arrival returns the event with which the request arrived.
 func (r *Request) Arrival() RequestArrived { return r.arrival }
 
-// Class is the class of the request.
+// Class returns the class of the request.
 func (r *Request) Class() spec.Class { return r.class }
 
-// ArrivedAt is when the request came, on the clock of Tick.
+// ArrivedAt returns the time of arrival, on the clock of RoutingState.Now.
 func (r *Request) ArrivedAt() time.Duration { return r.arrivedAt }
 
-// Tokens is how many tokens the request was last known to have made.
+// Tokens returns the last known number of generated tokens.
 func (r *Request) Tokens() int { return r.tokens }
 
-// Attempt is the number of the last Start; zero before the first.
+// Attempt returns the number of the last Start; zero before the first.
 func (r *Request) Attempt() uint32 { return r.attempt }
 
-// Plan is what the last Start ran.
+// Plan returns the plan of the last Start.
 func (r *Request) Plan() Plan { return r.plan }
 
-// MaxKVTokens is how many KV tokens the request may come to take on an engine.
+// MaxKVTokens returns the maximum number of KV tokens that the request may
+// take on an engine.
 func (r *Request) MaxKVTokens() int { return r.arrival.PromptTokens + r.arrival.MaxTokens }
 
-// Chain is the chain of the last Start.
+// Chain returns the chain of the last Start.
 func (r *Request) Chain() spec.Chain { return r.plan.Chain }
 
-// StartedAt is when the last Start was given.
+// StartedAt returns the time of the last Start.
 func (r *Request) StartedAt() time.Duration { return r.startedAt }
 
-// TokensAtStart is how many tokens the request had made at the last Start.
+// TokensAtStart returns the number of tokens generated before the last Start.
 func (r *Request) TokensAtStart() int { return r.tokensAtStart }
 
-// FailedEngines are the engines that failed under this request.
+// FailedEngines returns the engines that failed while running this request.
 func (r *Request) FailedEngines() []spec.UpstreamID { return r.failedEngines }
 
-// LossCause is how the last engine was lost.
+// LossCause returns how the last lost stage was lost.
 func (r *Request) LossCause() Cause { return r.lossCause }
 
-// EngineDied reports whether the last lost engine died, rather than failed only
-// this request.
+// EngineDied reports whether the engine of the last lost stage died, rather
+// than failed only this request.
 func (r *Request) EngineDied() bool { return r.engineDied }
 
-// Ended reports whether the request ended; a system that kept it must drop it.
+// Ended reports whether the request ended. A component that still holds an
+// ended request must drop it.
 func (r *Request) Ended() bool { return r.ended }
 
 // Completed reports whether the request ended with its whole answer.
 func (r *Request) Completed() bool { return r.completed }
 
-// AwaitsRestart reports whether the request lost a stage and was not started since.
+// AwaitsRestart reports whether the request lost a stage and was not started
+// again since.
 func (r *Request) AwaitsRestart() bool { return r.awaitsRestart }
 
-// Avoids reports whether the engine failed under this request.
+// Avoids reports whether the engine failed while running this request.
 func (r *Request) Avoids(id spec.UpstreamID) bool {
-	for _, l := range r.failedEngines {
-		if l == id {
+	for _, failed := range r.failedEngines {
+		if failed == id {
 			return true
 		}
 	}
@@ -126,25 +137,25 @@
 	due   []*Request
 }
 
-// Get returns the request, or nil if it is not in progress.
+// Get returns the request with this ID, or nil if it is not in progress.
 func (t *Requests) Get(id spec.RequestID) *Request { return t.index[id] }
 
-// Len is how many requests are in progress.
+// Len returns the number of requests in progress.
 func (t *Requests) Len() int { return len(t.index) }
 
-// TakeDue takes the requests that wait for a decision, oldest first. Whoever
-// takes them must settle each or keep it.
+// TakeDue removes and returns the requests that wait for a decision, oldest
+// first. The caller must settle each of them or keep it.
 func (t *Requests) TakeDue() []*Request {
 	due := t.due
 	t.due = nil
-	live := due[:0]
+	pending := due[:0]
 	for _, r := range due {
 		if r.due && !r.ended {
 			r.due = false
-			live = append(live, r)
+			pending = append(pending, r)
 		}
 	}
-	return live
+	return pending
 }
 
 func (t *Requests) add(r *Request) {
@@ -163,5 +174,5 @@
 	t.due = append(t.due, r)
 }
 
-// Requeue puts a request back among those due, for the next tick.
+// Requeue makes a request due for a decision again, for the next tick.
 func (t *Requests) Requeue(r *Request) { t.addDue(r) }
