--- a/internal/route/poison/poison.go
+++ b/internal/route/poison/poison.go
@@ -1,12 +1,13 @@
-// Package poison finds the request that kills the engines that run it, and
-// keeps it from more than two of them.
+// Package poison finds requests that crash the engines that run them, and
+// keeps each from crashing more than two.
 //
-// It imports base/spec and route/domain. Package core tells it of deaths and
-// asks it before each start.
+// It imports base/spec and route/domain. Package core reports crashes to it
+// and asks it before each start.
 //
-// All that ran on an engine that died are suspects. A suspect runs again only
-// where no other suspect is on probation, so that a second death names it. It
-// is cleared by the first token past the point where it was.
+// Every request that ran on a crashed engine becomes a suspect. A suspect
+// runs again only on engines where no other suspect is on probation, so that
+// a second crash identifies it. It is cleared by the first token past the
+// point where it was at the crash.
 package poison
 
 import (
@@ -17,31 +18,36 @@
 )
 
 const (
-	// culpritCrashes is how many engines a request may kill.
+	// culpritCrashes is the number of engine crashes after which a request is
+	// refused.
 	culpritCrashes = 2
-	// SuspectTTL is how long a fingerprint is remembered.
+	// SuspectTTL is how long a fingerprint is kept after its last crash.
 	SuspectTTL = 10 * time.Minute
-	// peerProbationWait is how long a request waits here while another instance has
-	// the same one on probation.
+	// peerProbationWait is how long a request waits here after another
+	// instance reported it, as it may be on probation there.
 	peerProbationWait = 2 * time.Second
-	// noProgressDelay is how long a suspect that made no token waits before it runs
-	// again: its second run may end in milliseconds, and its caller could send
-	// it to an instance that has not heard of the first death.
+	// noProgressDelay is how long a suspect that generated no token waits
+	// before it runs again. Its second run may crash in milliseconds, and its
+	// caller could then send it to an instance that has not yet received the
+	// report of the first crash.
 	noProgressDelay = 400 * time.Millisecond
-	// minProbation ends a probation of which no progress is told, and clearTimes
-	// the same as a multiple of the predicted time.
-	minProbation    = 2 * time.Second
+	// minProbation is the shortest time after which a probation without
+	// reported progress ends.
+	minProbation = 2 * time.Second
+	// probationFactor is the same limit as a multiple of the predicted time
+	// to the first token. The longer of the two applies.
 	probationFactor = 6
-	// maxSuspects bounds the fingerprints remembered.
+	// maxSuspects bounds the number of fingerprints kept.
 	maxSuspects = 4096
 )
 
-// Verdict says what may be done with a request.
+// Verdict says whether and how a request may run.
 type Verdict int
 
 //go:generate stringer -type=Verdict -linecomment -output=verdict_string.go
 
-// The verdicts.
+// The verdicts: run anywhere, run without another suspect on the same engine,
+// wait, or refuse.
 const (
 	VerdictAllow   Verdict = iota // free
 	VerdictIsolate                // solo
@@ -49,7 +55,8 @@
 	VerdictCulprit                // guilty
 )
 
-// Tracker remembers suspects and who is on probation where.
+// Tracker tracks suspects and which of them are on probation on which
+// engines. The zero value is ready to use.
 type Tracker struct {
 	suspects          map[uint64]*suspect
 	insertionOrder    []uint64
@@ -57,19 +64,21 @@
 	probations        []*probation
 }
 
-// suspect is a fingerprint that ran on an engine that died.
+// suspect is the record of a fingerprint that ran on a crashed engine.
 type suspect struct {
 	engines   []spec.UpstreamID
 	crashes   int
 	lastCrash time.Duration
-	// reportedAt is when another instance told of it; runs is set while a request
-	// with it is on probation here.
+	// reportedAt is when another instance last reported the suspect.
 	reportedAt time.Duration
 	reported   bool
-	running    *domain.Request
+	// running is the request with this fingerprint that is on probation here,
+	// or nil.
+	running *domain.Request
 }
 
-// probation is a request on probation.
+// probation is one attempt of a suspect that is being watched for another
+// crash.
 type probation struct {
 	request *domain.Request
 	engines []spec.UpstreamID
@@ -77,20 +86,21 @@
 	until   time.Duration
 }
 
-// RecordCrash counts the death of engine against the request, once per engine, and
-// warns the other instances. Only a stage that was new in the attempt counts:
-// a stage that was kept had run all of the request before and lived.
-func (b *Tracker) RecordCrash(w *domain.RoutingState, r *domain.Request, engine spec.UpstreamID) {
-	p := r.Arrival().Fingerprint
-	if p == 0 {
+// RecordCrash counts the crash of engine against the request, once per
+// engine, and reports it to the other instances. Call it only for a stage
+// that was new in the attempt: a stage that was kept had run all of the
+// request before and survived.
+func (t *Tracker) RecordCrash(state *domain.RoutingState, r *domain.Request, engine spec.UpstreamID) {
+	fingerprint := r.Arrival().Fingerprint
+	if fingerprint == 0 {
 		return
 	}
-	s := b.ensureSuspect(w.Now(), p)
-	s.lastCrash = w.Now()
+	s := t.ensureSuspect(state.Now(), fingerprint)
+	s.lastCrash = state.Now()
 	if !s.addEngine(engine) {
 		return
 	}
-	w.Emit(domain.ReportSuspect{Fingerprint: p, Crashes: s.crashes, Engine: engine})
+	state.Emit(domain.ReportSuspect{Fingerprint: fingerprint, Crashes: s.crashes, Engine: engine})
 }
 
 func (s *suspect) addEngine(engine spec.UpstreamID) bool {
@@ -106,16 +116,16 @@
 	return true
 }
 
-// ApplyPeerReport takes what another instance found. No crashes means that the request
-// was cleared there.
-func (b *Tracker) ApplyPeerReport(now time.Duration, ev domain.SuspectReported) {
+// ApplyPeerReport applies the report of another instance. Zero crashes mean
+// that the suspect was cleared there.
+func (t *Tracker) ApplyPeerReport(now time.Duration, ev domain.SuspectReported) {
 	if ev.Crashes <= 0 {
-		if s := b.suspects[ev.Fingerprint]; s != nil && s.crashes < culpritCrashes && s.running == nil {
-			b.evict(ev.Fingerprint)
+		if s := t.suspects[ev.Fingerprint]; s != nil && s.crashes < culpritCrashes && s.running == nil {
+			t.evict(ev.Fingerprint)
 		}
 		return
 	}
-	s := b.ensureSuspect(now, ev.Fingerprint)
+	s := t.ensureSuspect(now, ev.Fingerprint)
 	s.lastCrash = now
 	if ev.Engine != "" {
 		s.addEngine(ev.Engine)
@@ -125,34 +135,36 @@
 	s.reported = true
 }
 
-// Evaluate says what may be done with a request that is about to start.
-func (b *Tracker) Evaluate(now time.Duration, r *domain.Request) Verdict {
-	s := b.suspects[r.Arrival().Fingerprint]
+// Evaluate returns the verdict for a request that is about to start.
+func (t *Tracker) Evaluate(now time.Duration, r *domain.Request) Verdict {
+	s := t.suspects[r.Arrival().Fingerprint]
 	switch {
 	case s == nil || now-s.lastCrash > SuspectTTL || s.crashes == 0:
 		return VerdictAllow
 	case s.crashes >= culpritCrashes:
 		return VerdictCulprit
-	case b.mustWait(now, s, r):
+	case t.mustWait(now, s, r):
 		return VerdictWait
 	}
 	return VerdictIsolate
 }
 
 // mustWait reports whether the suspect must wait before it runs again.
-func (b *Tracker) mustWait(now time.Duration, s *suspect, r *domain.Request) bool {
+func (t *Tracker) mustWait(now time.Duration, s *suspect, r *domain.Request) bool {
 	if s.running != nil && s.running != r && !s.running.Ended() {
 		return true
 	}
 	if r.Attempt() > 0 {
 		return now-s.lastCrash < RestartDelay(r)
 	}
-	// Another instance may have it on probation now: two at once could kill
-	// two more engines before either hears of the other.
+	// Another instance may have it on probation now. Two probations at once
+	// could crash two more engines before either instance receives the report
+	// of the other.
 	return s.reported && now-s.reportedAt < peerProbationWait
 }
 
-// RestartDelay is how long a suspect that runs here waits after the death.
+// RestartDelay returns how long a suspect that ran here waits after the
+// crash.
 func RestartDelay(r *domain.Request) time.Duration {
 	if r.Tokens() > r.TokensAtStart() {
 		return 0
@@ -160,68 +172,69 @@
 	return noProgressDelay
 }
 
-// HasNoOtherSuspect reports whether engine has no other suspect on probation.
-func (b *Tracker) HasNoOtherSuspect(engine spec.UpstreamID, r *domain.Request) bool {
-	on := b.probationByEngine[engine]
-	return on == nil || on == r || on.Ended()
+// HasNoOtherSuspect reports whether no suspect other than r is on probation
+// on engine.
+func (t *Tracker) HasNoOtherSuspect(engine spec.UpstreamID, r *domain.Request) bool {
+	other := t.probationByEngine[engine]
+	return other == nil || other == r || other.Ended()
 }
 
-// StartProbation puts a suspect that starts now on probation on the stages that are new
-// to it.
-func (b *Tracker) StartProbation(now time.Duration, r *domain.Request, fresh []spec.UpstreamID) {
-	b.endProbation(r)
-	if b.probationByEngine == nil {
-		b.probationByEngine = map[spec.UpstreamID]*domain.Request{}
+// StartProbation puts a suspect that starts now on probation on the engines
+// that are new to it.
+func (t *Tracker) StartProbation(now time.Duration, r *domain.Request, newEngines []spec.UpstreamID) {
+	t.endProbation(r)
+	if t.probationByEngine == nil {
+		t.probationByEngine = map[spec.UpstreamID]*domain.Request{}
 	}
-	wait := max(minProbation, probationFactor*r.Plan().FirstTokenTime)
-	b.probations = append(b.probations, &probation{request: r, engines: fresh, attempt: r.Attempt(), until: now + wait})
-	for _, e := range fresh {
-		b.probationByEngine[e] = r
+	duration := max(minProbation, probationFactor*r.Plan().FirstTokenTime)
+	t.probations = append(t.probations, &probation{request: r, engines: newEngines, attempt: r.Attempt(), until: now + duration})
+	for _, e := range newEngines {
+		t.probationByEngine[e] = r
 	}
-	if s := b.suspects[r.Arrival().Fingerprint]; s != nil {
+	if s := t.suspects[r.Arrival().Fingerprint]; s != nil {
 		s.running = r
 	}
 }
 
 // HandleStageLoss ends the probation of a request that lost a stage.
-func (b *Tracker) HandleStageLoss(r *domain.Request) { b.endProbation(r) }
+func (t *Tracker) HandleStageLoss(r *domain.Request) { t.endProbation(r) }
 
-func (b *Tracker) ensureSuspect(now time.Duration, print uint64) *suspect {
-	if s := b.suspects[print]; s != nil {
+func (t *Tracker) ensureSuspect(now time.Duration, fingerprint uint64) *suspect {
+	if s := t.suspects[fingerprint]; s != nil {
 		return s
 	}
-	if b.suspects == nil {
-		b.suspects = map[uint64]*suspect{}
+	if t.suspects == nil {
+		t.suspects = map[uint64]*suspect{}
 	}
-	if len(b.insertionOrder) >= maxSuspects {
-		b.evict(b.insertionOrder[0])
+	if len(t.insertionOrder) >= maxSuspects {
+		t.evict(t.insertionOrder[0])
 	}
 	s := &suspect{lastCrash: now}
-	b.suspects[print] = s
-	b.insertionOrder = append(b.insertionOrder, print)
+	t.suspects[fingerprint] = s
+	t.insertionOrder = append(t.insertionOrder, fingerprint)
 	return s
 }
 
-func (b *Tracker) evict(print uint64) {
-	delete(b.suspects, print)
-	for i, p := range b.insertionOrder {
-		if p == print {
-			b.insertionOrder = append(b.insertionOrder[:i], b.insertionOrder[i+1:]...)
+func (t *Tracker) evict(fingerprint uint64) {
+	delete(t.suspects, fingerprint)
+	for i, p := range t.insertionOrder {
+		if p == fingerprint {
+			t.insertionOrder = append(t.insertionOrder[:i], t.insertionOrder[i+1:]...)
 			return
 		}
 	}
 }
 
-// evictExpired drops the oldest fingerprints once their time is over.
-func (b *Tracker) evictExpired(now time.Duration) {
-	for len(b.insertionOrder) > 0 {
-		s := b.suspects[b.insertionOrder[0]]
+// evictExpired removes the oldest fingerprints whose SuspectTTL is over.
+func (t *Tracker) evictExpired(now time.Duration) {
+	for len(t.insertionOrder) > 0 {
+		s := t.suspects[t.insertionOrder[0]]
 		if now-s.lastCrash <= SuspectTTL {
 			return
 		}
-		b.evict(b.insertionOrder[0])
+		t.evict(t.insertionOrder[0])
 	}
 }
 
-// Len is how many fingerprints are remembered.
-func (b *Tracker) Len() int { return len(b.insertionOrder) }
+// Len returns the number of fingerprints kept.
+func (t *Tracker) Len() int { return len(t.insertionOrder) }
--- a/internal/route/poison/probation.go
+++ b/internal/route/poison/probation.go
@@ -2,43 +2,45 @@
 
 import "fulmarwick/internal/route/domain"
 
-// Run clears the suspects that got past the point where they were.
-func (b *Tracker) Run(w *domain.RoutingState) {
-	now := w.Now()
-	for _, t := range append([]*probation(nil), b.probations...) {
+// Run clears the suspects that generated a token past the point of the crash,
+// completed, or outlasted their probation. It also evicts expired
+// fingerprints.
+func (t *Tracker) Run(state *domain.RoutingState) {
+	now := state.Now()
+	for _, p := range append([]*probation(nil), t.probations...) {
 		switch {
-		case t.request.Ended() && !t.request.Completed():
-			b.endProbation(t.request)
-		case t.request.Ended() || t.request.Tokens() > t.request.TokensAtStart() || now >= t.until:
-			b.endProbation(t.request)
-			b.clearSuspect(w, t.request.Arrival().Fingerprint)
+		case p.request.Ended() && !p.request.Completed():
+			t.endProbation(p.request)
+		case p.request.Ended() || p.request.Tokens() > p.request.TokensAtStart() || now >= p.until:
+			t.endProbation(p.request)
+			t.clearSuspect(state, p.request.Arrival().Fingerprint)
 		}
 	}
-	b.evictExpired(now)
+	t.evictExpired(now)
 }
 
-func (b *Tracker) clearSuspect(w *domain.RoutingState, print uint64) {
-	if s := b.suspects[print]; s != nil && s.crashes < culpritCrashes {
-		b.evict(print)
-		w.Emit(domain.ReportSuspect{Fingerprint: print})
+func (t *Tracker) clearSuspect(state *domain.RoutingState, fingerprint uint64) {
+	if s := t.suspects[fingerprint]; s != nil && s.crashes < culpritCrashes {
+		t.evict(fingerprint)
+		state.Emit(domain.ReportSuspect{Fingerprint: fingerprint})
 	}
 }
 
-func (b *Tracker) endProbation(r *domain.Request) {
-	keep := b.probations[:0]
-	for _, t := range b.probations {
-		if t.request != r {
-			keep = append(keep, t)
+func (t *Tracker) endProbation(r *domain.Request) {
+	kept := t.probations[:0]
+	for _, p := range t.probations {
+		if p.request != r {
+			kept = append(kept, p)
 			continue
 		}
-		for _, e := range t.engines {
-			if b.probationByEngine[e] == r {
-				delete(b.probationByEngine, e)
+		for _, e := range p.engines {
+			if t.probationByEngine[e] == r {
+				delete(t.probationByEngine, e)
 			}
 		}
 	}
-	b.probations = keep
-	if s := b.suspects[r.Arrival().Fingerprint]; s != nil && s.running == r {
+	t.probations = kept
+	if s := t.suspects[r.Arrival().Fingerprint]; s != nil && s.running == r {
 		s.running = nil
 	}
 }
