--- a/internal/route/retry/retry.go
+++ b/internal/route/retry/retry.go
@@ -1,9 +1,9 @@
-// Package retry says whether a request that lost a stage may go on, and how
-// long the wire waits for a step before it counts the stage as lost.
+// Package retry decides whether a request that lost a stage may be started
+// again, and how long a step may take before its stage counts as lost.
 //
-// It imports base and route/domain. Package core
-// calls it at each start and loss. Calls that may not be repeated are never
-// here: they go to plain services through the ledger.
+// It imports base and route/domain. Package core calls it at each start and
+// loss. Calls that must not be repeated never get here: they go to plain
+// services through state/ledger.
 package retry
 
 import (
@@ -14,29 +14,32 @@
 )
 
 const (
-	// maxAttempts bounds the chains tried for one request.
+	// maxAttempts bounds the number of starts of one request.
 	maxAttempts = 8
-	// retriesPerRequest is the part of a retry that each first start earns its class;
-	// bankMost is the most that a class may save up.
+	// retriesPerRequest is the fraction of a retry that each first start adds
+	// to the budget of its class.
 	retriesPerRequest = 0.1
-	maxBalance        = 20
+	// maxBalance is the largest budget that a class can save up.
+	maxBalance = 20
 )
 
-// Budget limits retries per class. A loss by death, leaving or lost state
-// rebuilds only the lost range and is bounded per request. A timeout or a
-// refusal may come from overload, where trying again adds load to what is full
-// already; those draw on a bank that first starts fill by a tenth each, so
-// that retries never add more than a tenth to the load.
+// Budget limits retries per class. A retry after a death, a leaving engine or
+// lost state rebuilds only the lost range and is bounded per request. A
+// timeout or a refusal may come from overload, where a retry adds load to
+// engines that are full already. These retries are taken from a balance to
+// which each first start adds a tenth, so that retries never add more than a
+// tenth to the load in the long run.
 type Budget struct {
 	balances map[spec.ClassName]float64
 }
 
-// RecordRequest notes a first start of the class.
+// RecordRequest adds the share of a first start to the budget of the class.
 func (b *Budget) RecordRequest(class spec.ClassName) {
 	b.balances[class] = min(b.balance(class)+retriesPerRequest, maxBalance)
 }
 
-// AllowRetry reports whether the request, which lost a stage, may start again.
+// AllowRetry reports whether the request, which lost a stage, may start
+// again, and takes the retry from the budget if needed.
 func (b *Budget) AllowRetry(r *domain.Request) bool {
 	if r.Attempt() >= maxAttempts {
 		return false
@@ -52,12 +55,13 @@
 	return true
 }
 
-// RetainClasses drops the banks of classes that are no longer in force.
+// RetainClasses removes the balances of classes that are no longer
+// configured.
 func (b *Budget) RetainClasses(classes []spec.Class) {
 	kept := map[spec.ClassName]float64{}
 	for _, c := range classes {
-		if have, ok := b.balances[c.Name()]; ok {
-			kept[c.Name()] = have
+		if balance, ok := b.balances[c.Name()]; ok {
+			kept[c.Name()] = balance
 		}
 	}
 	b.balances = kept
@@ -73,9 +77,10 @@
 	return b.balances[class]
 }
 
-// Timeouts is how long the wire waits for a step.
+// Timeouts says how long a step may take before its stage counts as lost.
 type Timeouts struct {
-	// Step is for one token, Prefill for the first step of a new stage.
-	Step    time.Duration
+	// Step is the timeout for one token.
+	Step time.Duration
+	// Prefill is the timeout for the first step of a new stage.
 	Prefill time.Duration
 }
