--- a/internal/route/place/bench_test.go
+++ b/internal/route/place/bench_test.go
@@ -10,7 +10,7 @@
 	"fulmarwick/internal/route/place"
 )
 
-// kind is a sort of accelerator.
+// kind is a type of accelerator.
 type kind struct {
 	name   string
 	count  int
@@ -21,7 +21,7 @@
 	hop    time.Duration
 }
 
-// deployment is a deployment to plan for.
+// deployment is a set of engines and models to plan for.
 type deployment struct {
 	name   string
 	goal   place.Goal
@@ -29,7 +29,8 @@
 	models []place.Model
 }
 
-// fiveKinds kinds of accelerators whose links differ a hundredfold.
+// fiveKinds returns five types of accelerators whose link bandwidths differ by
+// a factor of a hundred.
 func fiveKinds(times int) []kind {
 	return []kind{
 		{"h200", 6 * times, 20 * time.Microsecond, 32, 40, 10 << 30, 20 * time.Microsecond},
@@ -51,7 +52,7 @@
 		{"t4", 10, 250 * time.Microsecond, 4, 6, 100 << 20, time.Millisecond},
 	}
 	medium := []place.Model{{Name: "levy-13b", Version: "1", Depth: 40, Width: 10 << 10, Demand: 1}}
-	// Hardly more than two layers' room for each layer of the model.
+	// The memory is hardly more than two times what the model's layers need.
 	scarce := []kind{
 		{"l40s", 8, 60 * time.Microsecond, 16, 5, 1 << 30, 100 * time.Microsecond},
 		{"a10", 12, 110 * time.Microsecond, 8, 3, 500 << 20, 200 * time.Microsecond},
@@ -87,14 +88,15 @@
 	return out
 }
 
-func setLoaded(engines []*domain.Engine, holds [][]domain.LoadedRange) {
+func setLoaded(engines []*domain.Engine, ranges [][]domain.LoadedRange) {
 	for i, e := range engines {
-		e.Loaded = holds[i]
+		e.Loaded = ranges[i]
 	}
 }
 
-// BenchmarkPlan plans from nothing and gives the rate over the bound, that of
-// the even split, and the time.
+// BenchmarkPlan plans from scratch. It reports the rate, the rate relative to
+// the bound, that of the even split relative to the bound, and the number of
+// loaded layers.
 func BenchmarkPlan(b *testing.B) {
 	for _, s := range deployments() {
 		b.Run(s.name, func(b *testing.B) {
@@ -113,11 +115,11 @@
 	}
 }
 
-// disruption is something that calls for another plan.
+// disruption is an event that requires a new plan.
 type disruption struct {
 	name  string
 	apply func(s *sim, second int)
-	// startsEven starts from the even split.
+	// startsEven starts the simulation from the even split.
 	startsEven bool
 }
 
@@ -153,17 +155,18 @@
 	}
 }
 
-// BenchmarkReplan starts from the even split, or has the fastest engine or two
-// die, or its link degrade, or another of its kind join, and gives the least
-// rate over the bound in the half minute after, that when all moves are done,
-// what they cost, and the longest run of the planner.
+// BenchmarkReplan starts from the even split, or applies a disruption to a
+// planned placement: engines die, a link degrades, or an engine joins. It
+// reports the lowest rate relative to the bound in the following half minute,
+// the rate after all moves, the number of moves and loaded layers, the time
+// until the last move is done, and the longest run of the planner.
 func BenchmarkReplan(b *testing.B) {
 	for _, st := range deployments() {
 		planned := place.Plan(st.goal, st.engines(), st.models).Placement
 		for _, c := range disruptions() {
 			b.Run(st.name+"/"+c.name, func(b *testing.B) {
 				var s *sim
-				var least float64
+				var lowest float64
 				var after place.Result
 				for b.Loop() {
 					engines := st.engines()
@@ -179,18 +182,18 @@
 						s.run(20 * time.Second)
 					}
 					s.moves, s.loadedLayers, s.longestRun = 0, 0, 0
-					began := s.now
-					least = 1
+					start := s.now
+					lowest = 1
 					for second := range 180 {
 						c.apply(s, second)
 						if second < 30 && second > 0 || second == 0 && !c.startsEven {
 							now := s.evaluate(st.models)
-							least = min(least, now.Rate/now.Bound)
+							lowest = min(lowest, now.Rate/now.Bound)
 						}
 						s.run(time.Second)
 					}
 					after = s.evaluate(st.models)
-					s.lastReadyAt -= began
+					s.lastReadyAt -= start
 				}
 				if c.name == "death" {
 					engines := st.engines()
@@ -198,7 +201,7 @@
 					even := place.Evaluate(engines[1:], st.models)
 					b.ReportMetric(even.Rate/even.Bound, "even-of-bound")
 				}
-				b.ReportMetric(least, "least-of-bound")
+				b.ReportMetric(lowest, "least-of-bound")
 				b.ReportMetric(after.Rate/after.Bound, "after-of-bound")
 				b.ReportMetric(float64(s.moves), "moves")
 				b.ReportMetric(float64(s.loadedLayers), "layers-loaded")
--- a/internal/route/place/bound.go
+++ b/internal/route/place/bound.go
@@ -1,10 +1,10 @@
 package place
 
-// rateBound is a rate that no placement can pass. At rate r a layer of model m is
-// run demand*r times a second, by whoever holds it: a unit with room for n
-// layers so runs at most n times the largest such number, never more than its
-// link brings, and never more than its own speed. What all units run so must
-// be what all layers need.
+// rateBound returns an upper bound on the rate of any placement. At rate r,
+// each layer of model m runs demand*r times a second in total. A unit with
+// memory for n layers therefore runs at most n times the largest such number,
+// limited by its link and by its own speed. All units together must run what
+// all layers need.
 func (p *problem) rateBound() float64 {
 	if p.cachedBound < 0 {
 		p.cachedBound = p.computeRateBound()
@@ -37,7 +37,7 @@
 	return high
 }
 
-// maxWork is what all units can run at the rate.
+// maxWork returns how much work all units together can run at the rate.
 func (p *problem) maxWork(rate float64) float64 {
 	sum := 0.0
 	for _, u := range p.units {
@@ -46,26 +46,26 @@
 	return sum
 }
 
-// unitMaxWork is what the unit's memory lets it run: the layers with the most to do
-// first.
+// unitMaxWork returns how much work the memory and the link of a unit let it
+// run at the rate. It fills the memory with the layers that have the most work.
 func (p *problem) unitMaxWork(u unit, rate float64) float64 {
-	left := u.memory
+	free := u.memory
 	sum := 0.0
 	used := make([]bool, len(p.models))
-	for left > 0 {
-		best, top := -1, 0.0
+	for free > 0 {
+		best, topRate := -1, 0.0
 		for m := range p.models {
-			if d := min(rate*p.models[m].Demand, p.linkRate(u, m)); !used[m] && d > top {
-				best, top = m, d
+			if d := min(rate*p.models[m].Demand, p.linkRate(u, m)); !used[m] && d > topRate {
+				best, topRate = m, d
 			}
 		}
 		if best < 0 {
 			break
 		}
 		used[best] = true
-		n := min(left, p.models[best].Depth)
-		sum += float64(n) * top
-		left -= n
+		n := min(free, p.models[best].Depth)
+		sum += float64(n) * topRate
+		free -= n
 	}
 	return sum
 }
--- a/internal/route/place/change.go
+++ b/internal/route/place/candidates.go
@@ -7,10 +7,11 @@
 	"slices"
 )
 
-// candidates are changes that bring a unit to layers that hold the rate back
-// or lack holders: those with the most to give for the fewest loads.
+// candidates returns changes that bring a unit to bottleneck layers or to
+// layers that lack holders. The changes with the highest gain for each loaded
+// layer come first.
 func (s *search) candidates() []change {
-	goals := s.layersInNeed()
+	needed := s.layersInNeed()
 	counts := s.problem.holderCounts(s.layout)
 	seen := map[string]bool{}
 	var out []change
@@ -23,7 +24,7 @@
 			continue
 		}
 		seen[key] = true
-		out = append(out, s.bestWindows(u, goals, counts)...)
+		out = append(out, s.bestWindows(u, needed, counts)...)
 	}
 	slices.SortStableFunc(out, func(a, b change) int {
 		if a.missing != b.missing {
@@ -34,7 +35,8 @@
 	return out[:min(len(out), maxCandidates)]
 }
 
-// layersInNeed marks the layers that need somebody.
+// layersInNeed marks the layers that lack holders. If no layer does, it marks
+// the bottleneck layers.
 func (s *search) layersInNeed() [][]bool {
 	out := make([][]bool, len(s.problem.models))
 	for m, model := range s.problem.models {
@@ -56,8 +58,8 @@
 	return out
 }
 
-// bestWindows are the best changes of one unit for each model.
-func (s *search) bestWindows(u int, goals [][]bool, counts [][]int) []change {
+// bestWindows returns the best change of one unit for each model.
+func (s *search) bestWindows(u int, needed [][]bool, counts [][]int) []change {
 	var out []change
 	unit := s.problem.units[u]
 	for m, model := range s.problem.models {
@@ -67,7 +69,7 @@
 		}
 		var best change
 		for from := 0; from <= model.Depth-n; from += s.problem.windowStride(m, from, n) {
-			c, ok := s.proposeWindow(u, span{model: m, from: from, to: from + n}, goals[m], counts)
+			c, ok := s.proposeWindow(u, span{model: m, from: from, to: from + n}, needed[m], counts)
 			if ok && (best.spans == nil || c.missing < best.missing || c.missing == best.missing && c.score > best.score) {
 				best = c
 			}
@@ -79,11 +81,13 @@
 	return out
 }
 
-// proposeWindow weighs a window by what the unit could run of the layers in need.
-func (s *search) proposeWindow(u int, w span, goal []bool, counts [][]int) (change, bool) {
+// proposeWindow scores a window by how much work of the needed layers the unit
+// could run. It returns false if the window holds no needed layer or changes
+// nothing.
+func (s *search) proposeWindow(u int, w span, needed []bool, counts [][]int) (change, bool) {
 	hits := 0
 	for at := w.from; at < w.to; at++ {
-		if goal[at] {
+		if needed[at] {
 			hits++
 		}
 	}
@@ -103,7 +107,8 @@
 	}, true
 }
 
-// missingDelta is how many more holders are missing after a change.
+// missingDelta returns by how much a change raises the number of missing
+// holders.
 func (s *search) missingDelta(counts [][]int, from, to []span) int {
 	cost := func(n int) int {
 		c := max(0, s.problem.minHolders-n)
@@ -118,7 +123,7 @@
 	return d
 }
 
-// forEachLayerNotIn calls f for the layers that are in a and not in b.
+// forEachLayerNotIn calls f for each layer that is in a and not in b.
 func forEachLayerNotIn(a, b []span, f func(model, layer int)) {
 	for _, s := range a {
 		for at := s.from; at < s.to; at++ {
@@ -129,24 +134,25 @@
 	}
 }
 
-// spansWithWindow is what the unit holds when the window comes to it: the rest of its
-// room keeps what it held of other models.
+// spansWithWindow returns the spans of the unit after it loads the window. The
+// remaining memory keeps layers of other models that the unit holds already.
 func (p *problem) spansWithWindow(u int, held []span, w span) []span {
 	out := []span{w}
-	room := p.units[u].memory - w.len()
+	free := p.units[u].memory - w.len()
 	for _, s := range held {
 		if s.model == w.model {
 			continue
 		}
-		if n := min(room, s.len()); n > 0 {
+		if n := min(free, s.len()); n > 0 {
 			out = append(out, span{model: s.model, from: s.from, to: s.from + n})
-			room -= n
+			free -= n
 		}
 	}
 	return sortSpans(out)
 }
 
-// signature is equal for units that are alike and hold the same.
+// signature returns the same string for units with equal resources and equal
+// spans.
 func (p *problem) signature(u int, spans []span) string {
 	unit := p.units[u]
 	b := make([]byte, 0, 64)
--- a/internal/route/place/catalog.go
+++ b/internal/route/place/catalog.go
@@ -6,7 +6,8 @@
 	"fulmarwick/internal/route/domain"
 )
 
-// catalog is the models to serve, kept when no engine holds them any more.
+// catalog holds the models to serve. A model stays in it when no engine holds
+// the model any more.
 type catalog struct {
 	tracked        []Model
 	smoothedDemand []float64
@@ -14,12 +15,15 @@
 }
 
 const (
-	// demandSmoothing is the weight of a new demand against the old.
+	// demandSmoothing is the weight of a new demand sample against the old
+	// average.
 	demandSmoothing = 0.02
-	// minDemandShare is the part of all demand that a model counts with at least,
-	// since one that nobody can ask for shows no demand.
+	// minDemandShare is the least share of the total demand that a model is
+	// planned with. A model that no engine serves gets no requests and so shows
+	// no demand.
 	minDemandShare = 0.05
-	// demandSteps is how finely a shift of demand is noticed.
+	// demandSteps is the number of steps into which demand shares are rounded.
+	// Smaller shifts don't cause a new plan.
 	demandSteps = 10
 )
 
@@ -38,7 +42,7 @@
 	}
 }
 
-// largestVersion is the version that can serve most.
+// largestVersion returns the version with the most capacity.
 func largestVersion(versions []*domain.Model) *domain.Model {
 	var best *domain.Model
 	for _, v := range versions {
@@ -73,7 +77,7 @@
 	c.tracked[i] = m
 }
 
-// normalizedModels are the catalog with demands that add up to one.
+// normalizedModels returns the catalog with demands that add up to one.
 func (c *catalog) normalizedModels() []Model {
 	out := slices.Clone(c.tracked)
 	sum := 0.0
@@ -94,7 +98,7 @@
 	return out
 }
 
-// demandOrOne is the demand that was given, if any.
+// demandOrOne returns the configured demand, or 1 if there is none.
 func demandOrOne(d float64) float64 {
 	if d <= 0 {
 		return 1
@@ -102,7 +106,8 @@
 	return d
 }
 
-// quantizedDemands is the demands as whole steps, so that only a real shift shows.
+// quantizedDemands returns the demands rounded to whole steps, so that small
+// shifts don't change the digest.
 func (c *catalog) quantizedDemands() []int {
 	var out []int
 	for _, m := range c.normalizedModels() {
--- a/internal/route/place/enum.go
+++ b/internal/route/place/enum.go
@@ -2,20 +2,20 @@
 
 //go:generate stringer -type=Goal -linecomment -output=goal_string.go
 
-// Goal says what a deployment weighs more.
+// Goal is what the placement of a deployment optimizes for.
 type Goal int
 
 // The goals.
 const (
-	// Throughput goes for the most tokens a second; each layer is held once
-	// at least.
+	// Throughput aims for the most tokens a second. Each layer has at least one
+	// holder.
 	Throughput Goal = iota // throughput
-	// Recovery keeps each layer on two engines at least, so that after one
-	// death a whole chain stands without any loading.
+	// Recovery keeps each layer on at least two engines, so that after the
+	// death of one engine a complete chain exists without loading weights.
 	Recovery // recovery
 )
 
-// minHolders is how many engines must hold each layer.
+// minHolders returns how many engines must hold each layer.
 func (g Goal) minHolders() int {
 	if g == Recovery {
 		return 2
--- a/internal/route/place/flow.go
+++ b/internal/route/place/flow.go
@@ -2,10 +2,10 @@
 
 import "math"
 
-// unbounded is a capacity that never binds.
+// unbounded is a capacity that never limits the flow.
 const unbounded = math.MaxFloat64 / 4
 
-// network is a flow network for Dinic's algorithm with real capacities.
+// network is a flow network for Dinic's algorithm with real-valued capacities.
 type network struct {
 	firstEdge   []int
 	nextEdge    []int
@@ -34,7 +34,8 @@
 	return s[:n]
 }
 
-// addEdge adds an edge and its reverse and returns its number.
+// addEdge adds an edge and its reverse edge and returns the index of the edge.
+// The reverse edge has the index with the lowest bit flipped.
 func (n *network) addEdge(from, to int, capacity float64) int {
 	id := len(n.edgeTarget)
 	n.edgeTarget = append(n.edgeTarget, to, from)
@@ -44,8 +45,8 @@
 	return id
 }
 
-// maxFlow raises the flow from s to t until it is at its maximum and returns what
-// it added. Amounts below eps count as none.
+// maxFlow augments the flow from s to t to its maximum and returns how much it
+// added. Amounts of at most eps count as zero.
 func (n *network) maxFlow(s, t int) float64 {
 	total := 0.0
 	for n.buildLevels(s, t) {
@@ -61,8 +62,9 @@
 	return total
 }
 
-// buildLevels sets the levels from s; false if t cannot be reached. A node that
-// cannot be reached has level -1: the levels are the minimum cut then.
+// buildLevels sets the distance of each node from s in the residual network. It
+// returns false if t is unreachable. Unreachable nodes have level -1, so the
+// levels then describe the minimum cut.
 func (n *network) buildLevels(s, t int) bool {
 	for i := range n.level {
 		n.level[i] = -1
--- a/internal/route/place/match.go
+++ b/internal/route/place/match.go
@@ -2,8 +2,9 @@
 
 import "slices"
 
-// matchUnits gives the parts of a layout to those units of the same make that hold
-// most of them already, so that a fresh layout costs few loads.
+// matchUnits permutes a new layout among interchangeable units. Each unit gets
+// the part of which it holds the most layers already, so that the new layout
+// needs few loads.
 func (p *problem) matchUnits(now, fresh layout) layout {
 	out := make(layout, len(fresh))
 	done := make([]bool, len(fresh))
@@ -15,33 +16,35 @@
 			out[i] = now[i]
 			continue
 		}
-		var same []int
+		var group []int
 		for k := i; k < len(p.units); k++ {
 			if !done[k] && interchangeable(p.units[i], p.units[k]) {
-				same = append(same, k)
+				group = append(group, k)
 				done[k] = true
 			}
 		}
-		assignParts(now, fresh, out, same)
+		assignParts(now, fresh, out, group)
 	}
 	return out
 }
 
-// interchangeable units can take each other's place.
+// interchangeable reports whether two units have equal resources, so that
+// either can take the spans of the other.
 func interchangeable(a, b unit) bool {
 	return !a.fixed && !b.fixed && a.rate == b.rate && a.linkBandwidth == b.linkBandwidth && a.memory == b.memory
 }
 
-// pair is a unit and a part of the fresh layout with the layers it has of it.
+// pair is a unit with a part of the new layout and the number of layers of that
+// part that the unit already holds.
 type pair struct {
 	unit, part int
 	keptLayers int
 }
 
-func assignParts(now, fresh, out layout, same []int) {
+func assignParts(now, fresh, out layout, group []int) {
 	var pairs []pair
-	for _, u := range same {
-		for _, part := range same {
+	for _, u := range group {
+		for _, part := range group {
 			kept := 0
 			for _, s := range fresh[part] {
 				kept += overlapLen(now[u], s)
--- a/internal/route/place/naive.go
+++ b/internal/route/place/naive.go
@@ -2,21 +2,21 @@
 
 import "fulmarwick/internal/route/domain"
 
-// EvenSplit is the naive placement: each model is cut into the fewest equal parts
-// that fit the smallest engine, and the engines take the parts in turn by
-// their order, whatever their speed or link. It is the baseline of the
-// measurements.
+// EvenSplit is a naive placement that serves as the baseline of benchmarks. It
+// splits each model into the fewest equal parts that fit the smallest engine
+// and assigns the parts to the engines round-robin, regardless of speed and
+// links.
 func EvenSplit(engines []*domain.Engine, models []Model) [][]domain.LoadedRange {
 	p := newProblem(Throughput, engines, models)
-	room := 0
+	minMemory := 0
 	for _, u := range p.units {
-		if room == 0 || u.memory < room {
-			room = u.memory
+		if minMemory == 0 || u.memory < minMemory {
+			minMemory = u.memory
 		}
 	}
 	var parts []span
 	for m, model := range models {
-		n := (model.Depth + room - 1) / max(1, room)
+		n := (model.Depth + minMemory - 1) / max(1, minMemory)
 		for i := range n {
 			parts = append(parts, span{model: m, from: i * model.Depth / n, to: (i + 1) * model.Depth / n})
 		}
--- a/internal/route/place/place_test.go
+++ b/internal/route/place/place_test.go
@@ -26,9 +26,9 @@
 	return out
 }
 
-func drawEngines(t *rapid.T, most int) []*domain.Engine {
+func drawEngines(t *rapid.T, maxEngines int) []*domain.Engine {
 	var out []*domain.Engine
-	for i := range rapid.IntRange(1, most).Draw(t, "engines") {
+	for i := range rapid.IntRange(1, maxEngines).Draw(t, "engines") {
 		out = append(out, &domain.Engine{
 			ID:            spec.UpstreamID(fmt.Sprintf("e%02d", i)),
 			LayerTime:     time.Duration(rapid.IntRange(1, 100).Draw(t, "layer")) * time.Microsecond,
@@ -40,37 +40,37 @@
 	return out
 }
 
-// minHolders is how many holders the layer with the fewest has.
-func minHolders(m place.Model, holds [][]domain.LoadedRange) int {
-	least := -1
+// minHolders returns the number of holders of the layer with the fewest.
+func minHolders(m place.Model, placement [][]domain.LoadedRange) int {
+	fewest := -1
 	for at := range m.Depth {
 		n := 0
-		for _, list := range holds {
+		for _, list := range placement {
 			for _, h := range list {
 				if h.Model == m.Name && h.Version == m.Version && h.Layers.Has(at) {
 					n++
 				}
 			}
 		}
-		if least < 0 || n < least {
-			least = n
+		if fewest < 0 || n < fewest {
+			fewest = n
 		}
 	}
-	return least
+	return fewest
 }
 
-// Whenever the engines' memory can hold all layers, the plan does; it never
-// gives an engine more than fits, nor one layer twice, and its rate is no
-// higher than the bound.
+// Tests that the plan covers all layers whenever the engines' memory suffices.
+// No engine may get more layers than fit or the same layer twice, and the rate
+// must not exceed the bound.
 func TestPlanCoversLayersWithinMemory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		models := drawModels(t)
 		engines := drawEngines(t, 12)
 		goal := rapid.SampledFrom([]place.Goal{place.Throughput, place.Recovery}).Draw(t, "goal")
 		r := place.Plan(goal, engines, models)
-		room, depth := 0, 0
+		memory, depth := 0, 0
 		for i, e := range engines {
-			room += e.LayerCapacity
+			memory += e.LayerCapacity
 			if got := layerCount(r.Placement[i]); got > e.LayerCapacity {
 				t.Errorf("got %d layers on %s, want at most %d", got, e.ID, e.LayerCapacity)
 			}
@@ -86,8 +86,8 @@
 			depth += m.Depth
 		}
 		for _, m := range models {
-			if got := minHolders(m, r.Placement); room >= depth && got < 1 {
-				t.Errorf("got a layer of %s without holder, want none: %d of room for %d layers", m.Name, room, depth)
+			if got := minHolders(m, r.Placement); memory >= depth && got < 1 {
+				t.Errorf("got a layer of %s without a holder, want none: memory for %d of %d layers", m.Name, memory, depth)
 			}
 		}
 		if r.Rate > r.Bound*(1+1e-6) {
@@ -96,8 +96,8 @@
 	})
 }
 
-// The shares are a flow: no engine runs more than its speed, and each layer of
-// each model gets its part of the rate.
+// Tests that the shares form a valid flow: no engine runs more than its speed
+// allows, and each layer of each model gets the work that the rate requires.
 func TestSharesFormValidFlow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		models := drawModels(t)
@@ -111,8 +111,8 @@
 			work[s.Engine] += s.Rate * float64(s.Layers.Len())
 		}
 		for _, e := range engines {
-			if got, most := work[e.ID], float64(e.Capacity()); got > most*(1+1e-6) {
-				t.Errorf("got %g layer-tokens a second on %s, want at most %g", got, e.ID, most)
+			if got, capacity := work[e.ID], float64(e.Capacity()); got > capacity*(1+1e-6) {
+				t.Errorf("got %g layer-tokens a second on %s, want at most %g", got, e.ID, capacity)
 			}
 		}
 		for _, m := range models {
@@ -131,16 +131,17 @@
 	})
 }
 
-// The rate against a computation by hand: layer 1 has the slow engine only.
+// Compares the rate with one computed by hand. Only the slow engine b holds
+// layer 1.
 func TestRateOfKnownPlacement(t *testing.T) {
 	models := []place.Model{{Name: "m", Version: "1", Depth: 2, Demand: 1}}
-	hold := func(from, to int) []domain.LoadedRange {
+	loaded := func(from, to int) []domain.LoadedRange {
 		return []domain.LoadedRange{{Model: "m", Version: "1", Depth: 2, Layers: spec.NewLayers(from, to)}}
 	}
 	engines := []*domain.Engine{
-		{ID: "a", LayerTime: time.Millisecond, Slots: 3, LayerCapacity: 1, Loaded: hold(0, 1)},
-		{ID: "b", LayerTime: time.Millisecond, Slots: 1, LayerCapacity: 2, Loaded: hold(0, 2)},
-		{ID: "c", LayerTime: time.Millisecond, Slots: 2, LayerCapacity: 1, Loaded: hold(0, 1)},
+		{ID: "a", LayerTime: time.Millisecond, Slots: 3, LayerCapacity: 1, Loaded: loaded(0, 1)},
+		{ID: "b", LayerTime: time.Millisecond, Slots: 1, LayerCapacity: 2, Loaded: loaded(0, 2)},
+		{ID: "c", LayerTime: time.Millisecond, Slots: 2, LayerCapacity: 1, Loaded: loaded(0, 1)},
 	}
 	r := place.Evaluate(engines, models)
 	if r.Rate < 999 || r.Rate > 1001 {
@@ -151,9 +152,9 @@
 	}
 }
 
-// A caller's chain stays whole while the placement changes: engines die, come
-// back empty and ignore orders while weights load. No order may leave a layer
-// without a holder that had one; only a death may.
+// Guards against broken chains while the placement changes. Engines die, return
+// empty and ignore orders while weights load. No order may take away the last
+// holder of a layer; only the death of an engine may.
 func TestMovesKeepEveryLayerServed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		models := drawModels(t)
@@ -179,13 +180,13 @@
 			}
 			s.run(time.Duration(rapid.IntRange(1, 40).Draw(t, "seconds")) * time.Second)
 			if s.lostLayer != "" {
-				t.Fatalf("got layer %s without a holder by an order, want one", s.lostLayer)
+				t.Fatalf("got layer %s without a holder after an order, want one", s.lostLayer)
 			}
 		}
 	})
 }
 
-// The same world gives the same orders.
+// Tests that the same routing state leads to the same orders.
 func TestPlannerIsDeterministic(t *testing.T) {
 	run := func() []domain.LoadedRange {
 		st := deployments()[0]
@@ -209,9 +210,9 @@
 	}
 }
 
-// Callers of Coral Coast see no break when an engine dies at night: each layer
-// has a second holder already, and the planner finds a third for those that
-// lost one.
+// With the recovery goal, the death of any one engine must leave a complete
+// chain, since each layer has a second holder. Within two minutes of a death,
+// the planner must have found a new second holder for each layer that lost one.
 func TestRecoveryKeepsTwoHolders(t *testing.T) {
 	st := deployments()[1]
 	engines := st.engines()
@@ -221,7 +222,7 @@
 	for i := range s.engines {
 		s.kill(i)
 		if got := s.evaluate(st.models).Rate; got <= 0 {
-			t.Fatalf("got no whole chain after the death of %s, want one", s.engines[i].row.ID)
+			t.Fatalf("got no complete chain after the death of %s, want one", s.engines[i].row.ID)
 		}
 		s.engines[i].dead = false
 		s.run(2 * time.Second)
@@ -233,9 +234,9 @@
 	}
 }
 
-// Callers wait in long queues: the death of a fast engine left one layer to a
-// slow one. So much is lost that the planner does not wait for things to
-// settle, although no layer is without a holder.
+// Guards against long queues after the death of a fast engine leaves one layer
+// to a slow engine. The loss of rate is so large that the planner must not wait
+// for the settle time, although every layer still has a holder.
 func TestLargeLossSkipsSettleTime(t *testing.T) {
 	st := deployments()[3]
 	engines := st.engines()
@@ -244,17 +245,17 @@
 	s.run(20 * time.Second)
 	s.kill(0)
 	if got := s.evaluate(st.models); got.Rate == 0 || got.Rate > 0.3*got.Bound {
-		t.Fatalf("got rate %g of %g after the death, want some, and little", got.Rate, got.Bound)
+		t.Fatalf("got rate %g of %g after the death, want a low rate above 0", got.Rate, got.Bound)
 	}
 	s.run(5 * time.Second)
 	if s.moves == 0 {
-		t.Error("got no order within 5 s, want one: settling takes 10 s")
+		t.Error("got no order within 5 s, want one: the settle time is 10 s")
 	}
 }
 
-// The operator sees no weights load back and forth. An engine that dies and
-// returns every few seconds, with its weights, takes no layer's last holder
-// away; nothing is worth a load.
+// Guards against weights that are loaded back and forth. An engine dies and
+// returns with its weights every few seconds. No layer loses its last holder,
+// so nothing justifies a load.
 func TestFlappingEngineTriggersNoLoads(t *testing.T) {
 	for _, st := range deployments()[:4] {
 		engines := st.engines()
@@ -274,26 +275,27 @@
 	}
 }
 
-// Callers see most of the speed while a plan is carried out, although nobody
-// said how fast the weight store is: a tenth of the engines loads at once.
+// Guards against a large loss of speed while a plan is carried out and the rate
+// of the weight store is unknown. Only a tenth of the engines may load at once.
 func TestConcurrentLoadsAreLimited(t *testing.T) {
 	st := deployments()[3]
 	engines := st.engines()
 	setLoaded(engines, place.EvenSplit(engines, st.models))
 	s := newSim(st.goal, 1, engines)
 	s.planner.LoadRate = 0
-	most := 0
+	maxLoading := 0
 	for range 120 {
 		s.run(time.Second)
-		most = max(most, s.planner.Status().Loading)
+		maxLoading = max(maxLoading, s.planner.Status().Loading)
 	}
-	if want := len(engines) / 10; most != want {
-		t.Errorf("got up to %d engines loading at once, want %d", most, want)
+	if want := len(engines) / 10; maxLoading != want {
+		t.Errorf("got up to %d engines loading at once, want %d", maxLoading, want)
 	}
 }
 
-// The instance lost the duty in the midst of a plan: it must order nothing
-// more, for the next holder orders now.
+// Guards against two instances that send orders at once. An instance that loses
+// the duty in the middle of a plan must send no more orders, since the next
+// holder of the duty sends its own.
 func TestNoOrdersWithoutDuty(t *testing.T) {
 	st := deployments()[0]
 	engines := st.engines()
@@ -301,7 +303,7 @@
 	s := newSim(st.goal, 1, engines)
 	s.run(20 * time.Second)
 	if s.moves == 0 {
-		t.Fatal("got no order while the duty was held, want some")
+		t.Fatal("got no order while the instance had the duty, want some")
 	}
 	before := s.moves
 	s.w.Apply(domain.Duties{})
@@ -311,8 +313,9 @@
 	}
 }
 
-// A new version is wanted while callers use the old one. The old one stays
-// whole until all layers of the new one are served, and then goes.
+// A new version is wanted while callers use the old one. The old version must
+// stay complete until all layers of the new one are served, and is dropped only
+// then.
 func TestVersionChangeKeepsServing(t *testing.T) {
 	st := deployments()[0]
 	engines := st.engines()
--- a/internal/route/place/plan.go
+++ b/internal/route/place/plan.go
@@ -7,36 +7,41 @@
 	"fulmarwick/internal/route/domain"
 )
 
-// minRebuildGain is how much better a fresh layout must be than the present one
-// improved, since it costs far more loads.
+// minRebuildGain is by how much a layout from scratch must beat the improved
+// current layout, since it needs far more loads.
 const minRebuildGain = 0.05
 
-// maxPruneLoss is the part of the rate that may go for fewer moves.
+// maxPruneLoss is the share of the rate that may be given up for fewer moves.
 const maxPruneLoss = 0.01
 
-// job finds a layout for a problem, a bounded piece of work per step. It first
-// improves the present layout, and weighs others when that does not suffice.
+// job finds a layout for a problem in steps of bounded work. It first improves
+// the current layout. It searches from other layouts only if that doesn't
+// suffice.
 type job struct {
 	problem        *problem
 	current        layout
 	currentValue   evaluation
 	currentMissing int
-	// localSearch improves the present layout; nil if that hardly exists. tried are
-	// all searches so far.
+	// localSearch improves the current layout. It is nil if most units hold
+	// nothing.
 	localSearch *search
-	searches    []*search
-	started     bool
-	done        bool
-	// target is the result, with its value, missing holders and the units to
-	// change, most gain first.
-	target        layout
-	targetValue   evaluation
+	// searches are all searches so far, including localSearch.
+	searches []*search
+	started  bool
+	done     bool
+	// target is the resulting layout.
+	target      layout
+	targetValue evaluation
+	// targetMissing is the number of missing holders of target.
 	targetMissing int
-	changeOrder   []int
-	// pruneCandidates are changes that may prove needless, floor the rate to keep.
+	// changeOrder is the units to change, highest gain first.
+	changeOrder []int
+	// pruneCandidates are the changed units that have not been checked yet for
+	// whether the rate needs their change.
 	pruneCandidates []int
-	minRate         float64
-	pruner          solver
+	// minRate is the least rate that pruning must keep.
+	minRate float64
+	pruner  solver
 }
 
 func newJob(p *problem, now layout) *job {
@@ -79,15 +84,16 @@
 			holding++
 		}
 	}
-	// Improving a layout that hardly exists one unit at a time takes long and
-	// saves no loads.
+	// Improving a mostly empty layout one unit at a time takes long and saves
+	// no loads.
 	if 2*holding >= len(j.current) {
 		j.localSearch = newSearch(j.problem, j.problem.fillEmptyUnits(j.current))
 		j.searches = append(j.searches, j.localSearch)
 	}
 }
 
-// startNextSearch begins the next search if those so far leave much to be wished.
+// startNextSearch starts another search if the result so far is not good
+// enough. It returns false if no further search is needed.
 func (j *job) startNextSearch() bool {
 	if s := j.bestSearch(); s != nil && s.missing == 0 && s.value.rate >= (1-minRebuildGain)*s.rateBound {
 		return false
@@ -111,8 +117,9 @@
 	return true
 }
 
-// bestSearch is the best search: the fewest missing holders, then the rate; a later
-// one must be clearly better, for it costs more loads.
+// bestSearch returns the best search: the one with the fewest missing holders,
+// then the highest rate. A later search must be better by minRebuildGain, since
+// it needs more loads.
 func (j *job) bestSearch() *search {
 	var best *search
 	for _, s := range j.searches {
@@ -124,8 +131,8 @@
 	return best
 }
 
-// selectTarget takes the best layout and sets out to do without its changes one by
-// one, those worth least first.
+// selectTarget takes the best layout as the target and prepares the pruning of
+// its changes, the least valuable first.
 func (j *job) selectTarget() {
 	best := j.bestSearch()
 	if best == nil {
@@ -138,27 +145,28 @@
 	j.minRate = max(j.currentValue.rate, (1-maxPruneLoss)*best.value.rate)
 }
 
-// prune takes back a change that the rate can do without.
+// prune reverts one change if the rate stays high enough without it.
 func (j *job) prune() {
 	u := j.pruneCandidates[len(j.pruneCandidates)-1]
 	j.pruneCandidates = j.pruneCandidates[:len(j.pruneCandidates)-1]
 	if len(j.current[u]) == 0 {
 		return
 	}
-	want := j.target[u]
+	changed := j.target[u]
 	j.target[u] = j.current[u]
 	v := j.pruner.solve(j.target)
 	if v.rate < j.minRate || j.problem.missingHolders(j.target) > j.targetMissing {
-		j.target[u] = want
+		j.target[u] = changed
 		return
 	}
 	j.targetValue = v
 	j.changeOrder = slices.DeleteFunc(j.changeOrder, func(o int) bool { return o == u })
 }
 
-// orderedChanges are the units whose spans differ: for an improved layout in the
-// order of its steps, else those that give layers without holders first and
-// then the most speed for the fewest loads.
+// orderedChanges returns the units whose spans differ from the current layout.
+// For an improved layout they are in the order of the search steps. Otherwise
+// units that give holders to uncovered layers come first, then those with the
+// highest speed for each load.
 func (j *job) orderedChanges(s *search) []int {
 	var out []int
 	add := func(u int) {
@@ -181,36 +189,38 @@
 		add(u)
 	}
 	counts := j.problem.holderCounts(j.current)
-	worth := func(u int) float64 {
-		gives := 0
+	priority := func(u int) float64 {
+		uncovered := 0
 		forEachLayerNotIn(j.target[u], j.current[u], func(m, at int) {
 			if counts[m][at] == 0 {
-				gives++
+				uncovered++
 			}
 		})
-		return float64(gives)*1e9 + j.problem.units[u].rate/float64(4+layersToLoad(j.current[u], j.target[u]))
+		return float64(uncovered)*1e9 + j.problem.units[u].rate/float64(4+layersToLoad(j.current[u], j.target[u]))
 	}
-	slices.SortStableFunc(out, func(a, b int) int { return cmp.Compare(worth(b), worth(a)) })
+	slices.SortStableFunc(out, func(a, b int) int { return cmp.Compare(priority(b), priority(a)) })
 	return out
 }
 
-// Result is a placement with what it is worth.
+// Result is a placement with its evaluation.
 type Result struct {
-	// Placement are by engine, in the order given.
+	// Placement is the ranges for each engine, in the order in which the
+	// engines were given.
 	Placement [][]domain.LoadedRange
-	// Rate is the multiple of the demands that it serves, Bound one that no
-	// placement passes.
-	Rate  float64
+	// Rate is the multiple of the demands that the placement serves.
+	Rate float64
+	// Bound is an upper bound on the rate of any placement.
 	Bound float64
-	// LoadedLayers is how many layers change hands, Moves on how many engines.
-	LoadedLayers   int
+	// LoadedLayers is how many layers the engines must load.
+	LoadedLayers int
+	// ChangedEngines is how many engines must load layers.
 	ChangedEngines int
-	// Shares are what each engine runs at that rate.
+	// Shares is how much of each segment of layers each engine runs at Rate.
 	Shares []Share
 }
 
-// Plan finds a placement for the engines in one go. It is what a Planner
-// finds over many ticks; benches and tools call it.
+// Plan finds a placement for the engines in one call. The result is what a
+// Planner finds over many ticks. Benchmarks and tools use it.
 func Plan(goal Goal, engines []*domain.Engine, models []Model) Result {
 	p := newProblem(goal, engines, models)
 	j := newJob(p, p.currentLayout(engines))
@@ -225,7 +235,7 @@
 	return out
 }
 
-// Evaluate is what the present placement of the engines is worth.
+// Evaluate returns the evaluation of the current placement of the engines.
 func Evaluate(engines []*domain.Engine, models []Model) Result {
 	p := newProblem(Throughput, engines, models)
 	now := p.currentLayout(engines)
--- a/internal/route/place/planner.go
+++ b/internal/route/place/planner.go
@@ -15,38 +15,48 @@
 	defaultSettleTime     = 10 * time.Second
 	defaultPlanCooldown   = time.Minute
 
-	// earlyCheckDelay is when an early look is taken at what a change cost, and hurry
-	// how many times the rate a plan must give to be carried out then.
-	earlyCheckDelay   = 2 * time.Second
+	// earlyCheckDelay is how long after a change an early check determines how
+	// much rate was lost.
+	earlyCheckDelay = 2 * time.Second
+	// earlyPlanMinRatio is how many times the current rate a plan must reach to
+	// be carried out after an early check.
 	earlyPlanMinRatio = 1.5
 
-	// A plan for stepUnits engines pauses once for stepPause after each step;
-	// one for fewer does as many more steps in a run.
+	// unitsPerStep is the number of engines for which a run of the planner does
+	// one step. A plan for more engines pauses after each step, a plan for fewer
+	// does proportionally more steps in one run.
 	unitsPerStep = 120
-	stepPause    = 20 * time.Millisecond
+	// stepPause is the pause after a step for each unitsPerStep engines.
+	stepPause = 20 * time.Millisecond
 )
 
-// Planner keeps the placement near the best and emits domain.LoadLayers while this
-// instance has the duty. Set the exported fields before the first Run.
+// Planner keeps the placement close to the best and emits domain.LoadLayers
+// while this instance has the placement duty. Set the exported fields before
+// the first Run.
 type Planner struct {
 	Goal Goal
-	// LoadRate of the weight store in layers a second; zero is unknown: then a
-	// tenth of the engines may load at once.
+	// LoadRate is the rate of the weight store in layers a second. Zero means
+	// unknown; then only the limit of a tenth of the engines loading at once
+	// applies.
 	LoadRate float64
-	// DataCentre limits the plan to engines of one data centre; "" is all.
+	// DataCentre limits the plan to the engines of one data centre. An empty
+	// value means all engines.
 	DataCentre spec.DataCentre
-	// Models are the versions wanted; nil keeps, for each model that engines
-	// report, the version that can serve most.
+	// Models are the wanted versions. If it is nil, the planner keeps the
+	// version with the most capacity of each model that engines report.
 	Models []Model
-	// MinGain is the least relative gain for which engines are changed that lack
-	// nothing; zero is 0.05.
+	// MinGain is the least relative gain in rate for which engines that hold
+	// layers are changed, unless the plan reduces the number of missing
+	// holders. Zero means 0.05.
 	MinGain float64
-	// ReviewInterval is the time between two reviews (zero is 1 s), Settle how long the
-	// engines must have stood unchanged before a plan (10 s) unless layers
-	// have no holder, and Rest the time between two plans for gain only (60 s).
+	// ReviewInterval is the time between two reviews. Zero means 1 s.
 	ReviewInterval time.Duration
-	SettleTime     time.Duration
-	PlanCooldown   time.Duration
+	// SettleTime is how long the engines must be unchanged before a plan,
+	// unless layers have no holder. Zero means 10 s.
+	SettleTime time.Duration
+	// PlanCooldown is the time between two plans that only gain rate. Zero
+	// means 60 s.
+	PlanCooldown time.Duration
 
 	nextReview   time.Duration
 	nextStep     time.Duration
@@ -63,29 +73,30 @@
 	shares       []Share
 }
 
-// Status is what operators see of the placement.
+// Status describes the placement for operators.
 type Status struct {
-	// Rate and Bound are multiples of the demand; for one model, tokens a
-	// second. Target is the rate when all moves are done.
+	// Rate and Bound are multiples of the demand; for a single model, tokens a
+	// second. Target is the expected rate after all moves are done.
 	Rate, Bound, Target float64
-	// MissingHolders is how many holders the layers lack; a layer without any counts
-	// a thousand.
+	// MissingHolders is how many holders the layers lack in total. A layer
+	// without any holder adds another thousand.
 	MissingHolders int
-	// Waiting and Loading are engines yet to be ordered and ordered; Stuck are
-	// those whose orders were not followed.
+	// Waiting is the number of engines whose order is not sent yet, Loading
+	// that of engines with a pending order, Stuck that of engines that did not
+	// carry out their orders.
 	Waiting, Loading, Stuck int
 }
 
-// Status is as of the last review.
+// Status returns the status as of the last review.
 func (p *Planner) Status() Status { return p.status }
 
-// Shares are what each engine runs of each stretch of layers at the best rate
-// of the present placement, as of the last plan. Routing may use them as
-// weights. The caller must not change them.
+// Shares returns how much of each segment of layers each engine runs at the
+// best rate of the current placement, as of the last plan. Routing may use the
+// shares as weights. The caller must not modify them.
 func (p *Planner) Shares() []Share { return p.shares }
 
-// Run reviews the placement now and then. A tick does a bounded piece of a
-// plan, so that planning for many engines holds up no request.
+// Run reviews the placement at intervals. Each call does a bounded part of a
+// plan, so that planning for many engines delays no request.
 func (p *Planner) Run(w *domain.RoutingState) {
 	if !w.Duties().PlansPlacement {
 		p.reset()
@@ -102,9 +113,9 @@
 	p.review(w)
 }
 
-// continueJob does a few steps of the plan under way for a small site, one for a
-// large one. Steps for many engines take some milliseconds and are spread out,
-// unless layers have no holder.
+// continueJob runs the next steps of the current plan: several for a small
+// site, one for a large one. Steps for many engines take some milliseconds
+// each, so there are pauses between them unless layers have no holder.
 func (p *Planner) continueJob(w *domain.RoutingState) {
 	if w.Now() < p.nextStep {
 		return
@@ -121,7 +132,7 @@
 	}
 }
 
-// reset forgets all plans: whoever has the duty now makes its own, from what
+// reset discards all plans. The instance that has the duty now plans from what
 // engines report.
 func (p *Planner) reset() {
 	p.job, p.rollout, p.lastDigest, p.planDue = nil, rollout{}, 0, false
@@ -142,21 +153,21 @@
 	p.rollout.cancelUnsafe(w, p.Goal, engines, models)
 	prob := p.buildProblem(w.Now(), engines, models)
 	now := p.expectedLayout(prob, engines)
-	lack := prob.missingHolders(now)
-	p.status.MissingHolders, p.status.Waiting = lack, len(p.rollout.queue)
+	missing := prob.missingHolders(now)
+	p.status.MissingHolders, p.status.Waiting = missing, len(p.rollout.queue)
 	p.status.Loading, p.status.Stuck = p.rollout.loadingCount(), p.rollout.stuckCount(w.Now())
 	p.detectChanges(w.Now(), prob, now)
 	switch {
 	case len(engines) == 0 || len(models) == 0:
-	case p.shouldPlan(w.Now(), lack):
+	case p.shouldPlan(w.Now(), missing):
 		p.startJob(prob, now, engines)
 	default:
 		p.rollout.dispatch(w, p.Goal, engines, models, p.LoadRate)
 	}
 }
 
-// plannableEngines are those that can be planned with, in order of ID. A leaving
-// engine gets nothing more and a dead one holds nothing.
+// plannableEngines returns the engines that can get layers, ordered by ID. An
+// engine that is leaving gets no more layers, and a dead one holds none.
 func (p *Planner) plannableEngines(w *domain.RoutingState) []*domain.Engine {
 	var out []*domain.Engine
 	for _, e := range w.Engines().Rows() {
@@ -175,7 +186,8 @@
 	return prob
 }
 
-// expectedLayout is what the engines hold when the orders under way are followed.
+// expectedLayout returns what the engines hold once the pending orders are
+// carried out.
 func (p *Planner) expectedLayout(prob *problem, engines []*domain.Engine) layout {
 	out := prob.currentLayout(engines)
 	for i, e := range engines {
@@ -186,27 +198,31 @@
 	return out
 }
 
-// detectChanges notices when the engines, what they hold, or the demands changed.
+// detectChanges marks a plan as due when the engines, their layers or the
+// demands changed.
 func (p *Planner) detectChanges(now time.Duration, prob *problem, l layout) {
-	if sum := prob.digest(l, p.catalog.quantizedDemands()); sum != p.lastDigest {
-		p.lastDigest, p.changedAt, p.planDue, p.earlyChecked = sum, now, true, false
+	if digest := prob.digest(l, p.catalog.quantizedDemands()); digest != p.lastDigest {
+		p.lastDigest, p.changedAt, p.planDue, p.earlyChecked = digest, now, true, false
 	}
 }
 
-// shouldPlan reports whether a plan is due: at once if layers have no holder, else
-// when things settled, and for mere gain only when the last plan is done and
-// some time ago. Without these waits an engine that comes and goes would have
-// weights loaded back and forth. Before that, one early look tells whether so
-// much was lost that waiting costs more.
-func (p *Planner) shouldPlan(now time.Duration, lack int) bool {
-	rested := p.plannedAt == 0 || now >= p.plannedAt+defaultIfZero(p.PlanCooldown, defaultPlanCooldown)
+// shouldPlan reports whether to plan now. It plans at once if layers have no
+// holder, and otherwise after the settle time. A plan that only gains rate must
+// also wait until the last plan is carried out and its cooldown is over.
+// Without these waits, an engine that repeatedly leaves and returns would cause
+// weights to be loaded back and forth.
+//
+// Before the settle time ends, one early check determines whether so much rate
+// was lost that waiting costs more.
+func (p *Planner) shouldPlan(now time.Duration, missing int) bool {
+	cooledDown := p.plannedAt == 0 || now >= p.plannedAt+defaultIfZero(p.PlanCooldown, defaultPlanCooldown)
 	switch {
 	case !p.planDue:
 		return false
-	case lack >= noHolderPenalty:
+	case missing >= noHolderPenalty:
 		return true
 	case p.isSettled(now):
-		return lack > 0 || rested && p.rollout.isIdle()
+		return missing > 0 || cooledDown && p.rollout.isIdle()
 	case p.earlyChecked || now < p.changedAt+earlyCheckDelay:
 		return false
 	}
@@ -220,7 +236,7 @@
 
 func (p *Planner) startJob(prob *problem, l layout, engines []*domain.Engine) {
 	p.planDue = false
-	// What is left of an older plan was meant for engines that changed.
+	// The remaining moves of an older plan no longer match the engines.
 	p.rollout.queue = nil
 	p.job = newJob(prob, l)
 	p.engineIDs = p.engineIDs[:0]
@@ -229,7 +245,8 @@
 	}
 }
 
-// applyResult takes the layout found if it is worth its loads.
+// applyResult queues the moves to the new layout if its gain justifies the
+// loads.
 func (p *Planner) applyResult(w *domain.RoutingState) {
 	j := p.job
 	p.job = nil
@@ -245,8 +262,8 @@
 	}
 	order := j.changeOrder
 	if j.targetMissing >= j.currentMissing && j.targetValue.rate < j.currentValue.rate*(1+gain) {
-		// Engines that hold nothing are given something all the same: that
-		// takes nothing away, and idle hardware costs as much as busy.
+		// Engines that hold nothing still get layers. This removes no
+		// holder, and idle hardware costs as much as busy hardware.
 		order = slices.DeleteFunc(order, func(u int) bool { return len(j.current[u]) > 0 })
 	} else {
 		p.status.Target = j.targetValue.rate
--- a/internal/route/place/problem.go
+++ b/internal/route/place/problem.go
@@ -9,40 +9,44 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Model is a model version that shall be served.
+// Model is a model version to serve.
 type Model struct {
 	Name    spec.ModelName
 	Version string
 	Depth   int
-	// Width is the bytes of one hidden value.
+	// Width is the number of bytes of the hidden state of one token.
 	Width int
-	// Demand is in tokens a second. Rates are found as multiples of it, so
-	// for a single model 1 makes the rate tokens a second. A Planner takes it
-	// as long as it sees no demand.
+	// Demand is in tokens a second. Rates are multiples of it: with a single
+	// model of demand 1, the rate is in tokens a second. A Planner uses it
+	// until it sees actual demand.
 	Demand float64
 }
 
-// degradedRateFactor is the part of its speed that an engine behind a degraded link
-// counts with: routing avoids it, yet it is better than nothing.
+// degradedRateFactor is the share of its speed that an engine behind a degraded
+// link is planned with. Routing avoids such an engine, but it is better than
+// none.
 const degradedRateFactor = 0.05
 
-// maxGridParts is into how many parts a model is cut at most: ranges begin and
-// end at multiples of a part, which keeps the boundaries few for routing.
+// maxGridParts limits the number of parts into which a model is split. Ranges
+// begin and end at multiples of a part. This keeps the number of boundaries
+// small for routing.
 const maxGridParts = 24
 
-// unit is an engine as planning sees it.
+// unit is an engine as the planner sees it.
 type unit struct {
 	id spec.UpstreamID
-	// rate is in layer-tokens a second, link in bytes a second (zero is
-	// unbounded), memory in layers.
-	rate          float64
+	// rate is in layer-tokens a second.
+	rate float64
+	// linkBandwidth is in bytes a second; zero means unbounded.
 	linkBandwidth float64
-	memory        int
-	// fixed units keep what they hold.
+	// memory is in layers.
+	memory int
+	// fixed units keep their layers.
 	fixed bool
 }
 
-// span is a range of layers of a model by its number.
+// span is a range of layers of the model with the given index in
+// problem.models.
 type span struct {
 	model    int
 	from, to int
@@ -50,7 +54,7 @@
 
 func (s span) len() int { return s.to - s.from }
 
-// layout is what each unit holds.
+// layout is the spans that each unit holds.
 type layout [][]span
 
 func (l layout) clone() layout {
@@ -61,33 +65,34 @@
 	return out
 }
 
-// problem is the engines and models to plan for.
+// problem is the set of engines and models to plan for.
 type problem struct {
 	units      []unit
 	models     []Model
 	gridStep   []int
 	minHolders int
-	// cachedBound is the bound once it is known; negative before.
+	// cachedBound is the rate bound. It is negative until it is computed.
 	cachedBound float64
 }
 
 func newProblem(goal Goal, engines []*domain.Engine, models []Model) *problem {
 	p := &problem{models: models, minHolders: goal.minHolders(), cachedBound: -1}
-	room, layers := 0, 0
+	memory, layers := 0, 0
 	for _, e := range engines {
 		p.units = append(p.units, newUnit(e))
-		room += p.units[len(p.units)-1].memory
+		memory += p.units[len(p.units)-1].memory
 	}
 	for _, m := range models {
 		layers += m.Depth
 	}
 	for _, m := range models {
-		grid := max(1, m.Depth/maxGridParts)
-		if room < 2*p.minHolders*layers {
-			// What a grid leaves unused could be needed to hold all layers.
-			grid = 1
+		step := max(1, m.Depth/maxGridParts)
+		if memory < 2*p.minHolders*layers {
+			// The memory that rounding to a grid leaves unused may be needed to
+			// hold all layers.
+			step = 1
 		}
-		p.gridStep = append(p.gridStep, grid)
+		p.gridStep = append(p.gridStep, step)
 	}
 	return p
 }
@@ -98,7 +103,8 @@
 		u.rate *= degradedRateFactor
 	}
 	if u.memory == 0 {
-		// An engine that does not tell its memory can hold what it holds.
+		// The engine doesn't report its memory: assume just enough for the
+		// layers that it holds.
 		for _, h := range e.Loaded {
 			u.memory += h.Layers.Len()
 		}
@@ -106,7 +112,7 @@
 	return u
 }
 
-// currentLayout is what the engines hold of the models.
+// currentLayout returns the layers of the models that the engines report.
 func (p *problem) currentLayout(engines []*domain.Engine) layout {
 	out := make(layout, len(engines))
 	for i, e := range engines {
@@ -144,7 +150,7 @@
 	return spans
 }
 
-// toLoadedRanges turns spans into what an engine is ordered to hold.
+// toLoadedRanges converts spans to the ranges of a load order.
 func (p *problem) toLoadedRanges(spans []span) []domain.LoadedRange {
 	out := make([]domain.LoadedRange, 0, len(spans))
 	for _, s := range spans {
@@ -157,8 +163,8 @@
 	return out
 }
 
-// linkRate is the most tokens a second of the model that the unit's link carries:
-// each brings one hidden value.
+// linkRate returns how many tokens a second of the model the link of the unit
+// can carry. Each token transfers one hidden state.
 func (p *problem) linkRate(u unit, model int) float64 {
 	w := float64(p.models[model].Width)
 	if u.linkBandwidth <= 0 || w <= 0 {
@@ -167,7 +173,8 @@
 	return u.linkBandwidth / w
 }
 
-// layersToLoad is how many layers the unit must load to go from one set to another.
+// layersToLoad returns how many layers a unit must load to change from one set
+// of spans to another.
 func layersToLoad(from, to []span) int {
 	n := 0
 	for _, t := range to {
@@ -176,7 +183,8 @@
 	return n
 }
 
-// overlapLen is how many layers of s are in spans, which do not overlap.
+// overlapLen returns how many layers of s are in spans. The spans must not
+// overlap each other.
 func overlapLen(spans []span, s span) int {
 	n := 0
 	for _, o := range spans {
@@ -187,7 +195,7 @@
 	return n
 }
 
-// holderCounts is how many units hold each layer of each model.
+// holderCounts returns how many units hold each layer of each model.
 func (p *problem) holderCounts(l layout) [][]int {
 	out := make([][]int, len(p.models))
 	for i, m := range p.models {
@@ -203,11 +211,13 @@
 	return out
 }
 
-// noHolderPenalty is what a layer without any holder counts among those missing.
+// noHolderPenalty is added to the count of missing holders for each layer
+// without any holder.
 const noHolderPenalty = 1000
 
-// missingHolders is how many holders the layers of wanted models lack in all. A
-// layer that nobody holds counts far more than one that lacks its second.
+// missingHolders returns how many holders the layers of all models lack in
+// total. A layer without any holder counts far more than a layer that lacks its
+// second holder.
 func (p *problem) missingHolders(l layout) int {
 	n := 0
 	for _, layers := range p.holderCounts(l) {
@@ -221,7 +231,8 @@
 	return n
 }
 
-// digest changes when the units, what they hold or the demands do.
+// digest returns a hash that changes when the units, their layers or the
+// demands change.
 func (p *problem) digest(l layout, demands []int) uint64 {
 	h := xxhash.New()
 	for u, unit := range p.units {
--- a/internal/route/place/search.go
+++ b/internal/route/place/search.go
@@ -1,18 +1,21 @@
 package place
 
 const (
-	// maxCandidates is how many changes are weighed for one step of the search.
+	// maxCandidates is how many changes are evaluated for one step of the
+	// search.
 	maxCandidates = 12
-	// minStepGain is the least relative gain for which one engine is changed.
+	// minStepGain is the least relative gain in rate for which one engine is
+	// changed.
 	minStepGain = 0.004
-	// sufficientBoundShare ends the search: the rest is not worth a load.
+	// sufficientBoundShare is the share of the rate bound at which the search
+	// ends. The remaining gain doesn't justify a load.
 	sufficientBoundShare = 0.985
-	// maxSearchSteps bounds the changes of one search.
+	// maxSearchSteps limits the number of changes of one search.
 	maxSearchSteps = 400
 )
 
-// search improves a layout one unit at a time. Each step weighs one change, so
-// that a tick's work is bounded.
+// search improves a layout one unit at a time. Each step evaluates one change,
+// so that the work of a tick is bounded.
 type search struct {
 	problem    *problem
 	solver     solver
@@ -27,11 +30,11 @@
 	bestChange change
 	bestValue  evaluation
 	hasBest    bool
-	// changeOrder is the units in the order in which they were changed.
+	// changeOrder is the changed units in the order of the changes.
 	changeOrder []int
 }
 
-// change gives a unit another set of spans.
+// change replaces the spans of a unit.
 type change struct {
 	unit    int
 	spans   []span
@@ -43,7 +46,7 @@
 	return &search{problem: p, solver: solver{problem: p}, layout: from.clone(), rateBound: p.rateBound()}
 }
 
-// step does one solve at most.
+// step evaluates at most one layout.
 func (s *search) step() {
 	switch {
 	case !s.started:
@@ -62,7 +65,8 @@
 	}
 }
 
-// findCandidates finds changes worth weighing; none ends the search.
+// findCandidates collects the changes to evaluate next. The search is done if
+// there are none.
 func (s *search) findCandidates() {
 	s.hasBest = false
 	s.remaining = nil
@@ -83,7 +87,8 @@
 	}
 }
 
-// isBetter compares by missing holders, then by the gain for each load.
+// isBetter compares a change with the best one so far: by missing holders, then
+// by the gain for each load.
 func (s *search) isBetter(c change, v evaluation) bool {
 	if c.missing != s.bestChange.missing {
 		return c.missing < s.bestChange.missing
@@ -96,7 +101,7 @@
 	if g <= 0 {
 		return g
 	}
-	// A small change that gains a little less is preferred to a large one.
+	// Prefer a small change to a large one with slightly more gain.
 	return g / (4 + float64(layersToLoad(s.layout[c.unit], c.spans)))
 }
 
--- a/internal/route/place/sim_test.go
+++ b/internal/route/place/sim_test.go
@@ -12,8 +12,9 @@
 
 const tick = 20 * time.Millisecond
 
-// sim is engines that follow orders in virtual time: what an order does not
-// name goes at once, the rest comes from a store of a given rate.
+// sim simulates engines that carry out load orders in virtual time. Ranges that
+// an order doesn't name are dropped at once. The others are loaded from a
+// weight store with a given rate.
 type sim struct {
 	w            domain.RoutingState
 	planner      place.Planner
@@ -24,11 +25,13 @@
 	moves        int
 	loadedLayers int
 	lastReadyAt  time.Duration
-	// longestRun is the most time that one run of the planner took.
+	// longestRun is the longest duration of one run of the planner.
 	longestRun time.Duration
-	// lostLayer names a layer that an order left without a holder; must not be.
+	// lostLayer names a layer that an order left without a holder. It must stay
+	// empty.
 	lostLayer string
-	// wantedVersions is the version in force; other versions may go once it is whole.
+	// wantedVersions is the wanted version of each model. Other versions may be
+	// dropped once it is completely served.
 	wantedVersions map[spec.ModelName]string
 }
 
@@ -50,7 +53,8 @@
 	return s
 }
 
-// run ticks for a while and reports every engine's state each second.
+// run runs ticks for the duration d and reports the state of every engine each
+// second.
 func (s *sim) run(d time.Duration) {
 	for end := s.now + d; s.now < end; s.now += tick {
 		s.w.BeginTick(s.now)
@@ -61,9 +65,9 @@
 				s.w.Apply(domain.EngineReport{Engine: e.row})
 			}
 		}
-		began := time.Now()
+		start := time.Now()
 		s.planner.Run(&s.w)
-		s.longestRun = max(s.longestRun, time.Since(began))
+		s.longestRun = max(s.longestRun, time.Since(start))
 		for _, c := range s.w.Commands() {
 			if p, ok := c.(domain.LoadLayers); ok {
 				s.applyOrder(p)
@@ -111,7 +115,7 @@
 	}
 }
 
-// recordLostLayers notes layers that an order left without a holder.
+// recordLostLayers records a layer that an order left without a holder.
 func (s *sim) recordLostLayers(before map[string]int) {
 	after := s.holderCounts()
 	for _, key := range sortedKeys(before) {
@@ -130,8 +134,8 @@
 	return out
 }
 
-// isSuperseded reports whether the layer is of an old version whose successor is
-// whole.
+// isSuperseded reports whether the layer belongs to an old version and the
+// wanted version is completely served.
 func (s *sim) isSuperseded(key string, after map[string]int) bool {
 	var model, version string
 	var layer, depth int
@@ -170,7 +174,8 @@
 	s.w.Apply(domain.EngineDead{Engine: s.engines[i].row.ID})
 }
 
-// evaluate is what the living engines are worth as the world sees them.
+// evaluate returns the evaluation of the serving engines according to the
+// routing state.
 func (s *sim) evaluate(models []place.Model) place.Result {
 	var rows []*domain.Engine
 	for _, e := range s.w.Engines().Rows() {
@@ -181,9 +186,9 @@
 	return place.Evaluate(rows, models)
 }
 
-func layerCount(holds []domain.LoadedRange) int {
+func layerCount(ranges []domain.LoadedRange) int {
 	n := 0
-	for _, h := range holds {
+	for _, h := range ranges {
 		n += h.Layers.Len()
 	}
 	return n
--- a/internal/route/place/value.go
+++ b/internal/route/place/solver.go
@@ -7,21 +7,23 @@
 )
 
 const (
-	// relativeTolerance ends the search for the rate.
+	// relativeTolerance is the relative precision at which the search for the
+	// rate ends.
 	relativeTolerance = 1e-9
-	// maxCutIterations bounds it; each cut lowers the rate, and few are needed.
+	// maxCutIterations limits the search for the rate. Each cut lowers the
+	// rate, and few cuts are needed.
 	maxCutIterations = 60
 )
 
-// evaluation is what a layout is worth.
+// evaluation is the rate of a layout and what limits it.
 type evaluation struct {
-	// rate is the multiple of the demands that it can serve.
+	// rate is the multiple of the demands that the layout can serve.
 	rate float64
-	// bottlenecks are the stretches that hold the rate back; idle says which units
-	// could do more.
+	// bottlenecks are the segments that limit the rate.
 	bottlenecks []span
-	underused   []bool
-	// shares are what each unit runs of each stretch at that rate, in
+	// underused marks the units that could run more work.
+	underused []bool
+	// shares is how much of each segment each unit runs at that rate, in
 	// layer-tokens a second.
 	shares []unitShare
 }
@@ -32,7 +34,7 @@
 	work float64
 }
 
-// solver finds rates; it keeps its buffers.
+// solver computes the rates of layouts. It reuses its buffers.
 type solver struct {
 	problem   *problem
 	net       network
@@ -40,16 +42,17 @@
 	unitEdges []unitEdge
 }
 
-// unitEdge is the edge from a unit to a stretch that it holds.
+// unitEdge is the network edge from a unit to a segment that it holds.
 type unitEdge struct {
 	unit int
 	span
 	edge int
 }
 
-// solve finds the highest rate at which every stretch gets what it needs. It
-// starts above it; each minimum cut that is too small names stretches and all
-// that can serve them, hence a lower rate, until the flow fits.
+// solve finds the highest rate at which every segment gets the work it needs.
+// It starts at an upper bound. While the flow is too small, the minimum cut
+// names a set of segments and the total capacity of the units that can serve
+// them. This gives a lower rate for the next iteration.
 func (s *solver) solve(l layout) evaluation {
 	s.splitSegments(l)
 	out := evaluation{rate: s.problem.rateBound(), underused: make([]bool, len(s.problem.units))}
@@ -72,8 +75,8 @@
 	return out
 }
 
-// splitSegments sets the stretches of the layout: between two neighbours the holders
-// are the same.
+// splitSegments splits the models into segments, at each layer where a span
+// begins or ends. All layers of a segment have the same holders.
 func (s *solver) splitSegments(l layout) {
 	s.segments = s.segments[:0]
 	for m, model := range s.problem.models {
@@ -93,8 +96,9 @@
 	}
 }
 
-// buildNetwork makes the network: 0 is the source, 1 the sink, then the units, then
-// the stretches. It returns what the stretches need at the rate.
+// buildNetwork builds the flow network: node 0 is the source, node 1 the sink,
+// followed by the units and then the segments. It returns the total work that
+// the segments need at the rate.
 func (s *solver) buildNetwork(l layout, rate float64) float64 {
 	first := 2 + len(s.problem.units)
 	s.net.reset(first + len(s.segments))
@@ -118,7 +122,7 @@
 }
 
 func (s *solver) connectUnit(u int, sp span, first int) {
-	pass := s.problem.linkRate(s.problem.units[u], sp.model)
+	linkRate := s.problem.linkRate(s.problem.units[u], sp.model)
 	at, _ := slices.BinarySearchFunc(s.segments, sp, func(st, sp span) int {
 		if st.model != sp.model {
 			return st.model - sp.model
@@ -128,55 +132,56 @@
 	for ; at < len(s.segments) && s.segments[at].model == sp.model && s.segments[at].to <= sp.to; at++ {
 		st := s.segments[at]
 		capacity := unbounded
-		if pass < unbounded {
-			capacity = pass * float64(st.len())
+		if linkRate < unbounded {
+			capacity = linkRate * float64(st.len())
 		}
 		edge := s.net.addEdge(2+u, first+at, capacity)
 		s.unitEdges = append(s.unitEdges, unitEdge{unit: u, span: st, edge: edge})
 	}
 }
 
-// rateFromCut reads the minimum cut and returns the rate that it allows.
+// rateFromCut reads the bottlenecks and the underused units from the minimum
+// cut and returns the rate that the cut allows.
 func (s *solver) rateFromCut(out *evaluation) float64 {
 	first := 2 + len(s.problem.units)
-	room, per := 0.0, 0.0
+	capacity, demand := 0.0, 0.0
 	out.bottlenecks = out.bottlenecks[:0]
 	for i, st := range s.segments {
 		if s.net.level[first+i] < 0 {
-			per += s.problem.models[st.model].Demand * float64(st.len())
+			demand += s.problem.models[st.model].Demand * float64(st.len())
 			out.bottlenecks = append(out.bottlenecks, st)
 		}
 	}
 	for u, unit := range s.problem.units {
 		out.underused[u] = s.net.level[2+u] >= 0
 		if !out.underused[u] {
-			room += unit.rate
+			capacity += unit.rate
 			continue
 		}
 		for e := s.net.firstEdge[2+u]; e >= 0; e = s.net.nextEdge[e] {
 			if e%2 == 0 && s.net.level[s.net.edgeTarget[e]] < 0 {
-				room += s.net.residual[e] + s.net.residual[e^1]
+				capacity += s.net.residual[e] + s.net.residual[e^1]
 			}
 		}
 	}
-	if per == 0 {
+	if demand == 0 {
 		return 0
 	}
-	return room / per
+	return capacity / demand
 }
 
-// readShares reads what each unit runs.
+// readShares reads from the flow how much work each unit runs on each segment.
 func (s *solver) readShares() []unitShare {
 	var out []unitShare
-	for _, in := range s.unitEdges {
-		if f := s.net.residual[in.edge^1]; f > s.net.eps {
-			out = append(out, unitShare{unit: in.unit, span: in.span, work: f})
+	for _, e := range s.unitEdges {
+		if f := s.net.residual[e.edge^1]; f > s.net.eps {
+			out = append(out, unitShare{unit: e.unit, span: e.span, work: f})
 		}
 	}
 	return out
 }
 
-// Share is how much of a stretch of layers an engine runs at the best rate.
+// Share is how much of a segment of layers an engine runs at the best rate.
 type Share struct {
 	Engine  spec.UpstreamID
 	Model   spec.ModelName
