--- a/internal/route/pick/cache.go
+++ b/internal/route/pick/cache.go
@@ -9,23 +9,25 @@
 )
 
 const (
-	// DefaultMaxBlocks bounds the prompt blocks remembered; with at most
-	// holdersMost engines each this is about 4 MB.
+	// DefaultMaxBlocks limits the number of tracked prompt blocks. With at most
+	// maxBlockHolders engines each, this takes about 4 MB.
 	DefaultMaxBlocks = 16384
-	maxBlockHolders  = 8
-	// localEntryTTL is how long own history counts for an engine that tells no
-	// cache events.
+	// maxBlockHolders limits the number of engines tracked for one block.
+	maxBlockHolders = 8
+	// localEntryTTL is how long a prompt that this instance sent counts as
+	// cached on an engine whose cache events are missing.
 	localEntryTTL = 2 * time.Minute
-	// BlockTokens is how many prompt tokens a block covers, as package entry
-	// cuts them.
+	// BlockTokens is how many prompt tokens a block covers. Package entry
+	// splits prompts into blocks of this size.
 	BlockTokens = 64
 )
 
-// Cache remembers which engines have the KV of which prompt blocks, from what
-// was sent to them and from their cache events. Memory is bounded: the block
-// used longest ago goes first.
+// Cache tracks which engines have the KV of which prompt blocks cached. It
+// learns this from the prompts sent to the engines and from their cache events.
+// Its memory is bounded: the least recently used block is evicted first.
 type Cache struct {
-	// MaxBlocks bounds the blocks remembered; zero is DefaultBlocks.
+	// MaxBlocks limits the number of tracked blocks. Zero means
+	// DefaultMaxBlocks.
 	MaxBlocks int
 
 	blocks    map[uint64]*list.Element
@@ -34,14 +36,14 @@
 	lastEpoch uint64
 }
 
-// feed follows the cache events of an engine.
+// feed tracks the sequence of cache events of an engine.
 type feed struct {
 	seq uint64
-	// synced is set while no event was missed since the last whole list.
+	// synced is true while no event was missed since the last complete list.
 	synced   bool
 	received bool
-	// epoch changes when all that was known of the engine became doubtful;
-	// entries of other epochs count no more.
+	// epoch changes when the known cache content of the engine becomes
+	// unreliable. Entries of older epochs are invalid.
 	epoch uint64
 }
 
@@ -57,13 +59,13 @@
 	reported   bool
 }
 
-// cachedPrefix is an engine with some of a prompt.
+// cachedPrefix is an engine that has the first tokens of a prompt cached.
 type cachedPrefix struct {
 	engine *domain.Engine
 	tokens int
 }
 
-// RecordPrompt notes that a prompt went through an engine.
+// RecordPrompt records that a prompt was sent to an engine.
 func (c *Cache) RecordPrompt(now time.Duration, engine spec.UpstreamID, blocks []uint64) {
 	f := c.feedOf(engine)
 	for _, b := range blocks {
@@ -71,15 +73,16 @@
 	}
 }
 
-// ApplyEvent takes cache events. After a gap nothing known of the engine before is
-// trusted, since a missed event may have removed it; until a whole list comes
-// only what is sent to the engine after the gap counts.
+// ApplyEvent applies a cache event. After a gap in the sequence, all earlier
+// entries of the engine are invalid, since a missed event may have removed
+// them. Until a complete list arrives, only prompts sent to the engine after
+// the gap count.
 func (c *Cache) ApplyEvent(now time.Duration, ev domain.CacheReport) {
 	f := c.feedOf(ev.Engine)
 	if f.received && ev.Seq <= f.seq {
 		return
 	}
-	// The first event of all shows the whole content so far.
+	// The event with sequence number 1 lists the complete cache content so far.
 	f.synced = f.synced || (!f.received && ev.Seq == 1)
 	gap := f.received && ev.Seq != f.seq+1
 	f.received = true
@@ -103,17 +106,18 @@
 	}
 }
 
-// RemoveEngine forgets what an engine had: it died or was removed. Its entries count
-// no more, since a later life of it starts at an epoch of its own.
+// RemoveEngine discards the state of an engine that died or was removed. Its
+// entries become invalid, since the engine gets a new epoch if it returns.
 func (c *Cache) RemoveEngine(engine spec.UpstreamID) { delete(c.feeds, engine) }
 
-// invalidate ends the trust in all that is known of an engine.
+// invalidate makes all earlier entries of an engine invalid.
 func (c *Cache) invalidate(f *feed) {
 	c.lastEpoch++
 	f.epoch = c.lastEpoch
 }
 
-// longestPrefixes returns the engines with the longest cached prefixes of a prompt.
+// longestPrefixes returns the engines with the longest cached prefixes of a
+// prompt.
 func (c *Cache) longestPrefixes(w *domain.RoutingState, blocks []uint64) []cachedPrefix {
 	var out []cachedPrefix
 	for i := len(blocks) - 1; i >= 0 && len(out) < maxCachedEngines; i-- {
@@ -151,7 +155,7 @@
 	return h.reported || f.synced || now-h.recordedAt < localEntryTTL
 }
 
-// Len is how many blocks are remembered.
+// Len returns the number of tracked blocks.
 func (c *Cache) Len() int { return c.lru.Len() }
 
 func (c *Cache) feedOf(engine spec.UpstreamID) *feed {
--- a/internal/route/pick/cache_test.go
+++ b/internal/route/pick/cache_test.go
@@ -10,7 +10,8 @@
 	"fulmarwick/internal/route/pick"
 )
 
-// cacheFixture is a world with two engines that each hold the whole model.
+// cacheFixture is a routing state with two engines that each hold the whole
+// model.
 type cacheFixture struct {
 	w      *domain.RoutingState
 	cache  *pick.Cache
@@ -19,26 +20,27 @@
 }
 
 func newCacheFixture() *cacheFixture {
-	g := &cacheFixture{w: &domain.RoutingState{}, cache: &pick.Cache{}}
-	g.picker = &pick.Picker{Rand: rand.New(rand.NewPCG(1, 1)), Cache: g.cache}
-	g.w.BeginTick(time.Second)
+	f := &cacheFixture{w: &domain.RoutingState{}, cache: &pick.Cache{}}
+	f.picker = &pick.Picker{Rand: rand.New(rand.NewPCG(1, 1)), Cache: f.cache}
+	f.w.BeginTick(time.Second)
 	for _, id := range []string{"a", "b"} {
-		g.w.Apply(domain.EngineReport{Engine: newEngine(id, 0, 8)})
+		f.w.Apply(domain.EngineReport{Engine: newEngine(id, 0, 8)})
 	}
-	return g
+	return f
 }
 
-// choose returns the engine for a prompt of ten blocks.
-func (g *cacheFixture) choose(t *testing.T, blocks []uint64) (spec.UpstreamID, float64) {
+// choose returns the engine chosen for a prompt of ten blocks, and its share of
+// cached work.
+func (f *cacheFixture) choose(t *testing.T, blocks []uint64) (spec.UpstreamID, float64) {
 	t.Helper()
-	g.lastID++
-	id := spec.RequestID(rune('0' + g.lastID))
-	g.w.Apply(domain.RequestArrived{Request: id, Model: model, PromptTokens: 640, MaxTokens: 10, BlockHashes: blocks})
-	due := g.w.Requests().TakeDue()
+	f.lastID++
+	id := spec.RequestID(rune('0' + f.lastID))
+	f.w.Apply(domain.RequestArrived{Request: id, Model: model, PromptTokens: 640, MaxTokens: 10, BlockHashes: blocks})
+	due := f.w.Requests().TakeDue()
 	if len(due) != 1 {
 		t.Fatalf("due: got %d, want 1", len(due))
 	}
-	c, ok := g.picker.Choose(g.w, due[0], pick.Query{MaxUtilization: 1, RemainingTokens: 10})
+	c, ok := f.picker.Choose(f.w, due[0], pick.Query{MaxUtilization: 1, RemainingTokens: 10})
 	if !ok {
 		t.Fatal("no chain")
 	}
@@ -63,39 +65,40 @@
 	}
 }
 
-// A cache event is lost. What was known of the engine may be gone, so callers
-// with that prompt are not drawn to it; what was sent to it later counts, and
-// a whole list makes its events count again.
+// Guards against routing by outdated cache content after a cache event is lost.
+// After the gap, earlier entries of the engine must not count, since the engine
+// may have evicted them. Prompts sent to it after the gap count, and a complete
+// list makes its events count again.
 func TestEventGapInvalidatesCacheUntilReset(t *testing.T) {
 	g := newCacheFixture()
 	now := g.w.Now()
-	known := func() bool {
+	cached := func() bool {
 		_, hit := g.choose(t, prompt)
 		return hit > 0
 	}
 	g.cache.ApplyEvent(now, domain.CacheReport{Engine: "b", Seq: 1, Added: prompt})
-	if !known() {
-		t.Error("after the first event: want the prompt known")
+	if !cached() {
+		t.Error("after the first event: want the prompt cached")
 	}
 	g.cache.ApplyEvent(now, domain.CacheReport{Engine: "b", Seq: 3, Added: prompt})
-	if known() {
-		t.Error("after a gap: want nothing known")
+	if cached() {
+		t.Error("after a gap: want nothing cached")
 	}
 	g.cache.RecordPrompt(now, "b", prompt)
-	if !known() {
-		t.Error("after own work later than the gap: want the prompt known")
+	if !cached() {
+		t.Error("after a prompt sent since the gap: want it cached")
 	}
 	g.cache.ApplyEvent(now, domain.CacheReport{Engine: "b", Seq: 4, Removed: prompt})
-	if known() {
-		t.Error("after its removal: want nothing known")
+	if cached() {
+		t.Error("after its removal: want nothing cached")
 	}
 	g.cache.ApplyEvent(now, domain.CacheReport{Engine: "b", Seq: 5, Added: prompt, Reset: true})
-	if !known() {
-		t.Error("after the whole list: want the prompt known")
+	if !cached() {
+		t.Error("after the complete list: want the prompt cached")
 	}
 	g.cache.RemoveEngine("b")
-	if known() {
-		t.Error("after the engine died: want nothing known")
+	if cached() {
+		t.Error("after the engine died: want nothing cached")
 	}
 }
 
--- a/internal/route/pick/cost.go
+++ b/internal/route/pick/cost.go
@@ -9,13 +9,18 @@
 )
 
 const (
-	// Penalties put a chain that breaks a wish behind all that do not, and
-	// still let it be found if there is no other.
+	// The penalties rank chains that violate a constraint after all others, but
+	// such a chain is still found if there is no other.
+	//
+	// noCapacityPenalty applies to engines without capacity for the request.
 	noCapacityPenalty = time.Hour
-	slowPenalty       = 10 * time.Second
-	// fullLoadWaitFactor is the wait over the work at full use, waitOver how much it
-	// grows with use above that.
+	// slowPenalty applies to engines behind a slow link.
+	slowPenalty = 10 * time.Second
+	// fullLoadWaitFactor is the ratio of waiting time to work at full
+	// utilization.
 	fullLoadWaitFactor = 0.25
+	// overloadWaitFactor is how much that ratio grows with utilization above
+	// full.
 	overloadWaitFactor = 0.6
 )
 
@@ -24,14 +29,15 @@
 	engine *domain.Engine
 	layers spec.Layers
 	width  int
-	// cachedPositions is how many prompt positions the engine has cached.
+	// cachedPositions is how many prompt positions the engine has in its KV
+	// cache.
 	cachedPositions int
-	// kept is set for a stage that the request has already: it runs just
-	// these layers and needs no rebuild.
+	// kept marks a stage that the request has already. The engine runs exactly
+	// these layers, and its KV state needs no rebuild.
 	kept bool
 }
 
-// cost is the predicted time of one stage.
+// cost is the predicted cost of one stage.
 type cost struct {
 	firstTokenTime time.Duration
 	tokenTime      time.Duration
@@ -39,24 +45,25 @@
 	lacksCapacity  bool
 }
 
-// predictCost predicts what n layers on the offer cost the request.
+// predictCost predicts the cost for the request of running n layers on the
+// candidate.
 func (c *selection) predictCost(o *candidate, n int) cost {
 	e := o.engine
-	draw := int64(float64(n) / c.typicalTokenTime.Seconds())
+	demand := int64(float64(n) / c.typicalTokenTime.Seconds())
 	if o.kept {
-		draw = 0
+		demand = 0
 	}
-	use := float64(e.Demand()+draw) / float64(e.Capacity())
-	work := time.Duration(float64(time.Duration(n)*e.PositiveLayerTime()) * loadSlowdown(use, e.Slots))
+	utilization := float64(e.Demand()+demand) / float64(e.Capacity())
+	work := time.Duration(float64(time.Duration(n)*e.PositiveLayerTime()) * loadSlowdown(utilization, e.Slots))
 	hop := e.HopTime()
 	out := cost{tokenTime: work + hop + transferTime(o, 1)}
 	out.firstTokenTime = out.tokenTime
 	if !o.kept {
-		run := max(1, c.positions-o.cachedPositions)
-		out.firstTokenTime = work*chunkCount(run) + hop + transferTime(o, run)
+		positions := max(1, c.positions-o.cachedPositions)
+		out.firstTokenTime = work*chunkCount(positions) + hop + transferTime(o, positions)
 	}
 	out.rank = out.firstTokenTime + time.Duration(c.query.RemainingTokens)*out.tokenTime
-	out.lacksCapacity = !o.kept && (use > c.query.MaxUtilization || !e.HasKVMemory(int64(c.r.MaxKVTokens())))
+	out.lacksCapacity = !o.kept && (utilization > c.query.MaxUtilization || !e.HasKVMemory(int64(c.r.MaxKVTokens())))
 	if out.lacksCapacity {
 		out.rank += noCapacityPenalty
 	}
@@ -66,7 +73,8 @@
 	return out
 }
 
-// transferTime is the time that the hidden values of positions take on the link.
+// transferTime returns how long the link takes to transfer the hidden states of
+// the positions.
 func transferTime(o *candidate, positions int) time.Duration {
 	if o.engine.Bandwidth <= 0 || o.layers.From() == 0 {
 		return 0
@@ -75,15 +83,17 @@
 	return time.Duration(bytes / float64(o.engine.Bandwidth) * float64(time.Second))
 }
 
-// loadSlowdown is how much longer a step takes on an engine with this use than
-// alone. Up to full it grows with the chance that all slots are taken at once,
-// which is less the more slots there are; above, requests share what there is.
-// The factors fit the closed set of requests that admission lets in; an open
-// queue's formula has no end at full use.
-func loadSlowdown(use float64, slots int) float64 {
-	if use <= 0 {
+// loadSlowdown returns by what factor a step takes longer on an engine with
+// this utilization than on an idle one. Up to full utilization, it grows with
+// the probability that all slots are taken at once, which is lower the more
+// slots there are. Beyond that, requests share the capacity.
+//
+// The factors fit a closed system, since admission limits the number of
+// requests. The formula for an open queue diverges at full utilization.
+func loadSlowdown(utilization float64, slots int) float64 {
+	if utilization <= 0 {
 		return 1
 	}
 	power := math.Sqrt(2 * float64(max(1, slots)+1))
-	return 1 + fullLoadWaitFactor*math.Pow(min(use, 1), power) + overloadWaitFactor*max(0, use-1)
+	return 1 + fullLoadWaitFactor*math.Pow(min(utilization, 1), power) + overloadWaitFactor*max(0, utilization-1)
 }
--- a/internal/route/pick/doc.go
+++ b/internal/route/pick/doc.go
@@ -1,8 +1,9 @@
-// Package pick chooses the chain of engines for a request by predicted finish.
+// Package pick chooses the chain of engines for a request by the predicted time
+// to finish it.
 //
 // It imports base/spec and route/domain. Package core calls it for requests
-// that were admitted or whose stage was lost. RoundRobin and Least are naive
-// choosers that tests and benches compare with.
+// that were admitted and for requests that lost a stage. RoundRobin and
+// LeastLoaded are naive choosers that tests and benchmarks compare with.
 package pick
 
 import (
@@ -12,34 +13,37 @@
 	"fulmarwick/internal/route/domain"
 )
 
-// ChunkPositions is how many prompt positions an engine is taken to run in the time of
-// one token. What it really is shows in the first-token times, from which
-// admission learns its margin.
+// ChunkPositions is how many prompt positions an engine is assumed to process
+// in the time of one token. Differences from the actual number show in the
+// first-token times, from which admission learns its margin.
 const ChunkPositions = 32
 
-// Query is what a chain is wanted for.
+// Query describes the requirements on a chain.
 type Query struct {
-	// MaxUtilization is the part of an engine's capacity up to which it takes new work.
+	// MaxUtilization is the share of an engine's capacity up to which it takes
+	// new work.
 	MaxUtilization float64
-	// RemainingTokens is how many tokens are expected still.
+	// RemainingTokens is the expected number of tokens still to generate.
 	RemainingTokens int
-	// Solo, if set, tells where a poison suspect may run.
+	// AllowsSuspect, if set, reports whether a request that is suspected of
+	// crashing engines may run on the engine.
 	AllowsSuspect func(engine spec.UpstreamID) bool
 }
 
-// Choice is a chain with whether its engines have room for it.
+// Choice is a chain and whether its engines have the capacity for it.
 type Choice struct {
 	Plan domain.Plan
 	Fits bool
 }
 
-// Chooser chooses chains.
+// Chooser chooses a chain for a request.
 type Chooser interface {
-	// Choose reports false if no set of usable engines covers the model.
-	Choose(w *domain.RoutingState, r *domain.Request, ask Query) (Choice, bool)
+	// Choose returns false if no set of usable engines covers the model.
+	Choose(w *domain.RoutingState, r *domain.Request, query Query) (Choice, bool)
 }
 
-// prefillPositions is how many positions a stage without state must run first.
+// prefillPositions returns how many positions a stage without KV state must
+// process first.
 func prefillPositions(r *domain.Request) int { return r.Arrival().PromptTokens + r.Tokens() }
 
 func chunkCount(positions int) time.Duration {
--- a/internal/route/pick/herd_test.go
+++ b/internal/route/pick/herd_test.go
@@ -21,10 +21,10 @@
 	}
 }
 
-// herdSim is many instances that read the same late reports and hear nothing of
-// each other.
+// herdSim simulates many instances that read the same delayed reports and get
+// no information from each other.
 type herdSim struct {
-	worlds       []*domain.RoutingState
+	states       []*domain.RoutingState
 	choosers     []pick.Chooser
 	engines      []domain.Engine
 	inFlight     map[spec.UpstreamID]int
@@ -43,105 +43,105 @@
 
 const (
 	stepTime        = 20 * time.Millisecond
-	requestSteps    = 50 // steps that a request takes
-	reportSteps     = 50 // steps between reports
+	requestSteps    = 50 // number of steps that a request takes
+	reportSteps     = 50 // number of steps between reports
 	meanUtilization = 0.7
 	engineSlots     = 8
 )
 
 func newHerdSim(instances, engines int, chooser func(i int) pick.Chooser) *herdSim {
-	c := &herdSim{inFlight: map[spec.UpstreamID]int{}, completions: map[int][]completion{}}
+	s := &herdSim{inFlight: map[spec.UpstreamID]int{}, completions: map[int][]completion{}}
 	for i := range engines {
-		c.engines = append(c.engines, newEngine(fmt.Sprintf("e%04d", i), 0, 8))
+		s.engines = append(s.engines, newEngine(fmt.Sprintf("e%04d", i), 0, 8))
 	}
 	for i := range instances {
 		w := &domain.RoutingState{}
 		w.BeginTick(0)
 		w.Apply(domain.ConfigChanged{Version: 1, Classes: []spec.Class{spec.NewModelClass("c", model, spec.Target{})}})
-		c.worlds = append(c.worlds, w)
-		c.choosers = append(c.choosers, chooser(i))
+		s.states = append(s.states, w)
+		s.choosers = append(s.choosers, chooser(i))
 	}
-	return c
+	return s
 }
 
-// run simulates steps and returns the 99th percentile of the use of engines
-// and the part of requests that wait for a slot.
-func (c *herdSim) run(steps int) (p99, waiting float64) {
+// run simulates the steps. It returns the 99th percentile of the engines'
+// utilization and the share of requests that wait for a slot.
+func (s *herdSim) run(steps int) (p99, waiting float64) {
 	r := rand.New(rand.NewPCG(5, 5))
-	perStep := meanUtilization * engineSlots * float64(len(c.engines)) / requestSteps
-	owed := 0.0
+	perStep := meanUtilization * engineSlots * float64(len(s.engines)) / requestSteps
+	due := 0.0
 	for n := range steps {
-		for _, e := range c.completions[n] {
-			c.inFlight[e.engine]--
-			c.worlds[e.instance].Apply(domain.RequestFinished{Request: e.request, OK: true})
+		for _, e := range s.completions[n] {
+			s.inFlight[e.engine]--
+			s.states[e.instance].Apply(domain.RequestFinished{Request: e.request, OK: true})
 		}
-		delete(c.completions, n)
+		delete(s.completions, n)
 		if n%reportSteps == 0 {
-			c.report(n)
+			s.report(n)
 		}
-		for owed += perStep; owed >= 1; owed-- {
-			c.send(n, r.IntN(len(c.worlds)))
+		for due += perStep; due >= 1; due-- {
+			s.send(n, r.IntN(len(s.states)))
 		}
 		if n > 2*reportSteps {
-			for _, e := range c.engines {
-				c.utilizations = append(c.utilizations, float64(c.inFlight[e.ID])/engineSlots)
-				c.totalWaiting += max(0, c.inFlight[e.ID]-engineSlots)
-				c.totalRunning += c.inFlight[e.ID]
+			for _, e := range s.engines {
+				s.utilizations = append(s.utilizations, float64(s.inFlight[e.ID])/engineSlots)
+				s.totalWaiting += max(0, s.inFlight[e.ID]-engineSlots)
+				s.totalRunning += s.inFlight[e.ID]
 			}
 		}
 	}
-	sort.Float64s(c.utilizations)
-	return c.utilizations[len(c.utilizations)*99/100], float64(c.totalWaiting) / float64(c.totalRunning)
+	sort.Float64s(s.utilizations)
+	return s.utilizations[len(s.utilizations)*99/100], float64(s.totalWaiting) / float64(s.totalRunning)
 }
 
-func (c *herdSim) report(n int) {
-	for i := range c.engines {
-		e := &c.engines[i]
+func (s *herdSim) report(n int) {
+	for i := range s.engines {
+		e := &s.engines[i]
 		e.Seq++
-		e.Active = min(c.inFlight[e.ID], engineSlots)
-		e.Queued = c.inFlight[e.ID] - e.Active
-		for _, w := range c.worlds {
+		e.Active = min(s.inFlight[e.ID], engineSlots)
+		e.Queued = s.inFlight[e.ID] - e.Active
+		for _, w := range s.states {
 			w.BeginTick(time.Duration(n) * stepTime)
 			w.Apply(domain.EngineReport{Engine: *e})
 		}
 	}
 }
 
-func (c *herdSim) send(n, on int) {
-	w := c.worlds[on]
+func (s *herdSim) send(n, instance int) {
+	w := s.states[instance]
 	w.BeginTick(time.Duration(n) * stepTime)
-	c.lastID++
-	id := spec.RequestID(fmt.Sprint(c.lastID))
+	s.lastID++
+	id := spec.RequestID(fmt.Sprint(s.lastID))
 	w.Apply(domain.RequestArrived{Request: id, Class: "c", Model: model, PromptTokens: 32, MaxTokens: 100})
 	for _, r := range w.Requests().TakeDue() {
-		choice, ok := c.choosers[on].Choose(w, r, pick.Query{MaxUtilization: 1, RemainingTokens: 100})
+		choice, ok := s.choosers[instance].Choose(w, r, pick.Query{MaxUtilization: 1, RemainingTokens: 100})
 		if !ok {
 			continue
 		}
 		w.Start(r, choice.Plan, 0, 0, 0)
 		engine := choice.Plan.Chain[0].Engine()
-		c.inFlight[engine]++
-		c.completions[n+requestSteps] = append(c.completions[n+requestSteps], completion{instance: on, request: id, engine: engine})
+		s.inFlight[engine]++
+		s.completions[n+requestSteps] = append(s.completions[n+requestSteps], completion{instance: instance, request: id, engine: engine})
 	}
 }
 
-func newPicker(tries int) func(i int) pick.Chooser {
+func newPicker(samples int) func(i int) pick.Chooser {
 	return func(i int) pick.Chooser {
-		return &pick.Picker{Rand: rand.New(rand.NewPCG(uint64(i), 9)), Samples: tries}
+		return &pick.Picker{Rand: rand.New(rand.NewPCG(uint64(i), 9)), Samples: samples}
 	}
 }
 
 func newLeastLoaded(int) pick.Chooser { return pick.LeastLoaded{} }
 
-// Instances that all read the same report of a second ago must not all send to
-// the engine that looked best in it: callers there would wait behind each
-// other while other engines idle.
+// Guards against herding: instances that read the same report, up to a second
+// old, all send to the engine that looked best in it. Requests would wait there
+// while other engines are idle.
 func TestInstancesDoNotHerd(t *testing.T) {
 	for _, size := range []struct{ instances, engines int }{{4, 30}, {90, 150}} {
 		_, got := newHerdSim(size.instances, size.engines, newPicker(0)).run(300)
 		_, naive := newHerdSim(size.instances, size.engines, newLeastLoaded).run(300)
 		if got > 0.1 || got > naive/5 {
-			t.Errorf("%d instances: got %.3f of the requests waiting, want at most 0.1 and a fifth of the naive %.3f", size.instances, got, naive)
+			t.Errorf("%d instances: got %.3f of the requests waiting, want at most 0.1 and a fifth of the %.3f of LeastLoaded", size.instances, got, naive)
 		}
 	}
 }
--- a/internal/route/pick/pick.go
+++ b/internal/route/pick/pick.go
@@ -9,31 +9,38 @@
 )
 
 const (
-	// DefaultSamples is how many engines of a group are drawn and compared.
+	// DefaultSamples is how many engines of a group are sampled and compared.
 	DefaultSamples = 2
-	// maxFullScan is the size of a group that is read whole when none of the
-	// engines drawn has room; of a larger one wideTries are drawn.
-	maxFullScan      = 32
-	wideSamples      = 16
+	// maxFullScan is the largest group of which all engines are considered when
+	// none of the sampled engines has capacity.
+	maxFullScan = 32
+	// wideSamples is how many engines of a larger group are sampled in that
+	// case.
+	wideSamples = 16
+	// maxCachedEngines limits the engines that are considered for their cached
+	// prompt prefix.
 	maxCachedEngines = 4
 )
 
-// Picker chooses among a few engines per layer range, drawn at random in
-// proportion to their capacity, by predicted finish. Drawing keeps instances
-// that read the same late report from all choosing the engine that looks best
-// in it. Set the exported fields before use.
+// Picker compares a few engines per layer range by the predicted time to
+// finish. The engines are sampled at random in proportion to their capacity.
+// Sampling prevents instances that read the same old report from all choosing
+// the engine that looks best in it. Set the exported fields before use.
 type Picker struct {
-	// Rand is the instance's own seeded source; required.
+	// Rand is the random source of this instance, with its own seed. It is
+	// required.
 	Rand *rand.Rand
-	// Cache is what engines have of prompt prefixes; nil knows nothing.
+	// Cache tracks which engines have which prompt prefixes cached. If it is
+	// nil, no prefix counts as cached.
 	Cache *Cache
-	// Samples is how many engines are drawn per range; zero is DefaultTries.
+	// Samples is how many engines are sampled per range. Zero means
+	// DefaultSamples.
 	Samples int
 
 	tokenTimes map[spec.ModelName]time.Duration
 }
 
-// selection is the state of one choice.
+// selection is the state of one call to Choose.
 type selection struct {
 	*Picker
 	w                *domain.RoutingState
@@ -44,11 +51,12 @@
 	cached           []cachedPrefix
 }
 
-// Choose returns the chain with the least predicted finish that covers one
-// version of the model. A request that made tokens stays on its version and
-// keeps the stages that live, unless rebuilding them elsewhere is faster.
-func (p *Picker) Choose(w *domain.RoutingState, r *domain.Request, ask Query) (Choice, bool) {
-	c := &selection{Picker: p, w: w, r: r, query: ask, positions: prefillPositions(r)}
+// Choose returns the chain with the least predicted time to finish that covers
+// one version of the model. A request that has generated tokens stays on its
+// version. It keeps its remaining stages unless rebuilding their KV state on
+// other engines is faster.
+func (p *Picker) Choose(w *domain.RoutingState, r *domain.Request, query Query) (Choice, bool) {
+	c := &selection{Picker: p, w: w, r: r, query: query, positions: prefillPositions(r)}
 	if p.Cache != nil {
 		c.cached = p.Cache.longestPrefixes(w, r.Arrival().BlockHashes)
 	}
@@ -58,9 +66,9 @@
 			continue
 		}
 		c.typicalTokenTime = p.estimateTokenTime(m)
-		got, cost, ok := c.searchVersion(m)
+		choice, cost, ok := c.searchVersion(m)
 		if ok && (!found || cost < rank) {
-			best, rank, found = got, cost, true
+			best, rank, found = choice, cost, true
 		}
 	}
 	if found {
@@ -69,30 +77,31 @@
 	return best, found
 }
 
-// searchVersion searches one version, first among few engines and then, if those
-// have no room, among more.
+// searchVersion searches the chains of one version. It considers few engines
+// first, and more if those lack capacity.
 func (c *selection) searchVersion(m *domain.Model) (Choice, time.Duration, bool) {
-	tries := c.Samples
-	if tries == 0 {
-		tries = DefaultSamples
+	samples := c.Samples
+	if samples == 0 {
+		samples = DefaultSamples
 	}
-	got, rank, ok := c.search(m, c.candidates(m, tries, false))
-	if ok && got.Fits {
-		return got, rank, true
+	choice, rank, ok := c.search(m, c.candidates(m, samples, false))
+	if ok && choice.Fits {
+		return choice, rank, true
 	}
 	return c.search(m, c.candidates(m, wideSamples, true))
 }
 
-func (c *selection) candidates(m *domain.Model, tries int, wide bool) []candidate {
+func (c *selection) candidates(m *domain.Model, samples int, wide bool) []candidate {
 	out := c.keptStages(m)
 	for _, g := range m.Groups() {
-		c.addGroupCandidates(g, tries, wide, &out)
+		c.addGroupCandidates(g, samples, wide, &out)
 	}
 	return out
 }
 
-// keptStages are the stages of the request that live still. Those of a leaving
-// engine stay: it finishes what runs on it.
+// keptStages returns the stages of the request whose engines are not dead.
+// Stages on a leaving engine count, since it finishes the requests that it
+// runs.
 func (c *selection) keptStages(m *domain.Model) []candidate {
 	if c.r.Attempt() == 0 {
 		return nil
@@ -110,11 +119,11 @@
 	return out
 }
 
-// addGroupCandidates adds the best engine of those drawn and the best of those that have
-// some of the prompt cached.
-func (c *selection) addGroupCandidates(g *domain.Group, tries int, wide bool, out *[]candidate) {
+// addGroupCandidates adds the best of the sampled engines and the best of the
+// engines that have a part of the prompt cached.
+func (c *selection) addGroupCandidates(g *domain.Group, samples int, wide bool, out *[]candidate) {
 	cold, warm := bestCandidate{selection: c, group: g}, bestCandidate{selection: c, group: g}
-	c.sampleEngines(g, tries, wide, func(e *domain.Engine) { cold.consider(e, 0) })
+	c.sampleEngines(g, samples, wide, func(e *domain.Engine) { cold.consider(e, 0) })
 	for _, h := range c.cached {
 		if g.Contains(h.engine) {
 			warm.consider(h.engine, h.tokens)
@@ -127,7 +136,8 @@
 	}
 }
 
-// bestCandidate keeps the offer of a group with the least predicted finish.
+// bestCandidate keeps the candidate of a group with the least predicted time to
+// finish.
 type bestCandidate struct {
 	selection *selection
 	group     *domain.Group
@@ -135,31 +145,31 @@
 	rank      time.Duration
 }
 
-func (b *bestCandidate) consider(e *domain.Engine, hit int) {
+func (b *bestCandidate) consider(e *domain.Engine, cachedPositions int) {
 	if e == nil || !b.selection.usable(e) {
 		return
 	}
-	o := candidate{engine: e, layers: b.group.Layers(), width: b.group.Width(), cachedPositions: hit}
+	o := candidate{engine: e, layers: b.group.Layers(), width: b.group.Width(), cachedPositions: cachedPositions}
 	rank := b.selection.predictCost(&o, o.layers.Len()).rank
 	if b.candidate.engine == nil || rank < b.rank {
 		b.candidate, b.rank = o, rank
 	}
 }
 
-func (c *selection) sampleEngines(g *domain.Group, tries int, wide bool, take func(*domain.Engine)) {
+func (c *selection) sampleEngines(g *domain.Group, samples int, wide bool, visit func(*domain.Engine)) {
 	engines := g.Engines()
-	if len(engines) <= tries || (wide && len(engines) <= maxFullScan) {
+	if len(engines) <= samples || (wide && len(engines) <= maxFullScan) {
 		for _, e := range engines {
-			take(e)
+			visit(e)
 		}
 		return
 	}
-	for range tries {
-		take(g.Sample(c.Rand))
+	for range samples {
+		visit(g.Sample(c.Rand))
 	}
 	if wide {
 		for _, e := range g.RecentlyFreed() {
-			take(e)
+			visit(e)
 		}
 	}
 }
@@ -171,7 +181,8 @@
 	return c.query.AllowsSuspect == nil || c.query.AllowsSuspect(e.ID)
 }
 
-// estimateTokenTime is the time that a token of the model usually takes.
+// estimateTokenTime returns the typical time of a token of the model. Before
+// the first choice it estimates the time from the first engine of each group.
 func (p *Picker) estimateTokenTime(m *domain.Model) time.Duration {
 	if t := p.tokenTimes[m.Name()]; t > 0 {
 		return t
--- a/internal/route/pick/search.go
+++ b/internal/route/pick/search.go
@@ -8,33 +8,34 @@
 	"fulmarwick/internal/route/domain"
 )
 
-// step is the best way found to a layer boundary.
+// step is the best path found to a layer boundary.
 type step struct {
 	reachable      bool
 	rank           time.Duration
 	firstTokenTime time.Duration
 	tokenTime      time.Duration
-	// maxStepTime and longFirst are the longest step of one stage so far.
-	maxStepTime    time.Duration
+	// maxStepTime is the longest token time of one stage so far.
+	maxStepTime time.Duration
+	// maxPrefillTime is the longest first-token time of one stage so far.
 	maxPrefillTime time.Duration
 	prev           int
 	candidate      *candidate
 	lacksCapacity  bool
 }
 
-// search is a shortest path over the layer boundaries: an engine that holds
-// [from, to) may run from any boundary within it to any later one, so
-// overlaps are trimmed.
-func (c *selection) search(m *domain.Model, offers []candidate) (Choice, time.Duration, bool) {
-	bounds := c.boundaries(m, offers)
+// search finds a shortest path over the layer boundaries. An engine that holds
+// [from, to) may run from any boundary within the range to any later one, so
+// overlapping ranges are trimmed.
+func (c *selection) search(m *domain.Model, candidates []candidate) (Choice, time.Duration, bool) {
+	bounds := c.boundaries(m, candidates)
 	best := make([]step, len(bounds))
 	best[0].reachable = bounds[0] == 0
 	for i := range bounds {
 		if !best[i].reachable {
 			continue
 		}
-		for k := range offers {
-			c.extend(best, bounds, i, &offers[k])
+		for k := range candidates {
+			c.extend(best, bounds, i, &candidates[k])
 		}
 	}
 	last := len(bounds) - 1
@@ -44,11 +45,11 @@
 	return c.buildChoice(m, best, bounds), best[last].rank, true
 }
 
-// boundaries are the boundaries of the model with those of kept stages, which may
-// come from an earlier layout.
-func (c *selection) boundaries(m *domain.Model, offers []candidate) []int {
+// boundaries returns the layer boundaries of the model together with those of
+// kept stages, which may come from an earlier layout.
+func (c *selection) boundaries(m *domain.Model, candidates []candidate) []int {
 	out := append([]int(nil), m.Bounds()...)
-	for _, o := range offers {
+	for _, o := range candidates {
 		if !o.kept {
 			break
 		}
@@ -67,22 +68,22 @@
 	return uniq
 }
 
-func (c *selection) extend(best []step, bounds []int, i int, o *candidate) {
-	at := bounds[i]
-	if !o.layers.Has(at) || (o.kept && o.layers.From() != at) {
+func (c *selection) extend(best []step, bounds []int, i int, cand *candidate) {
+	from := bounds[i]
+	if !cand.layers.Has(from) || (cand.kept && cand.layers.From() != from) {
 		return
 	}
-	for j := i + 1; j < len(bounds) && bounds[j] <= o.layers.To(); j++ {
-		if o.kept && bounds[j] != o.layers.To() {
+	for j := i + 1; j < len(bounds) && bounds[j] <= cand.layers.To(); j++ {
+		if cand.kept && bounds[j] != cand.layers.To() {
 			continue
 		}
-		cost := c.predictCost(o, bounds[j]-at)
+		cost := c.predictCost(cand, bounds[j]-from)
 		rank := best[i].rank + cost.rank
 		if best[j].reachable && best[j].rank <= rank {
 			continue
 		}
 		best[j] = step{
-			reachable: true, rank: rank, prev: i, candidate: o,
+			reachable: true, rank: rank, prev: i, candidate: cand,
 			firstTokenTime: best[i].firstTokenTime + cost.firstTokenTime, tokenTime: best[i].tokenTime + cost.tokenTime,
 			maxStepTime: max(best[i].maxStepTime, cost.tokenTime), maxPrefillTime: max(best[i].maxPrefillTime, cost.firstTokenTime),
 			lacksCapacity: best[i].lacksCapacity || cost.lacksCapacity,
--- a/internal/route/pick/search_test.go
+++ b/internal/route/pick/search_test.go
@@ -12,8 +12,9 @@
 	"pgregory.net/rapid"
 )
 
-// cheapestTokenTime is the naive side: the least time for a token over all chains that
-// hand over at any layer.
+// cheapestTokenTime is a naive reference. It returns the least time for a token
+// over all chains, which may switch engines at any layer, or a negative value
+// if no chain covers the model.
 func cheapestTokenTime(engines []domain.Engine, depth int) time.Duration {
 	best := make([]time.Duration, depth+1)
 	for at := 1; at <= depth; at++ {
@@ -34,8 +35,9 @@
 	return best[depth]
 }
 
-// On idle engines with any ranges and speeds, the search over boundaries finds
-// a chain that covers the model once wherever there is one, and the cheapest.
+// On idle engines with any ranges and speeds, the search over boundaries must
+// find a chain that covers each layer once whenever there is one, and it must
+// find the cheapest.
 func TestSearchFindsTheCheapestChain(t *testing.T) {
 	const depth = 8
 	rapid.Check(t, func(t *rapid.T) {
@@ -70,8 +72,8 @@
 	})
 }
 
-// Two versions of a model stand side by side while one replaces the other. A
-// chain never mixes them, and an answer that began on one stays on it.
+// Two versions of a model are served while one replaces the other. A chain must
+// never mix them, and an answer must stay on the version on which it began.
 func TestVersionsAreNeverMixed(t *testing.T) {
 	w := &domain.RoutingState{}
 	w.BeginTick(0)
@@ -94,11 +96,11 @@
 	w.Start(r, c.Plan, 0, 0, 0)
 	add("new2", "2", 4, 8, time.Millisecond)
 	w.Apply(domain.StageLost{Request: "r", Attempt: 1, Engine: c.Plan.Chain[0].Engine(), Cause: domain.CauseStateLost})
-	again, ok := p.Choose(w, r, pick.Query{MaxUtilization: 1, RemainingTokens: 10})
-	if !ok || again.Plan.Version != "1" {
-		t.Errorf("got %v %v, want version 1 still", again.Plan, ok)
+	replanned, ok := p.Choose(w, r, pick.Query{MaxUtilization: 1, RemainingTokens: 10})
+	if !ok || replanned.Plan.Version != "1" {
+		t.Errorf("got %v %v, want version 1 still", replanned.Plan, ok)
 	}
-	if again.Plan.Chain.Uses("new2") {
-		t.Error("got an engine of version 2 in it")
+	if replanned.Plan.Chain.Uses("new2") {
+		t.Error("got an engine of version 2 in the chain, want none")
 	}
 }
