--- a/internal/route/admit/admit.go
+++ b/internal/route/admit/admit.go
@@ -1,8 +1,8 @@
-// Package admit says whether a request can meet the target of its class, and
-// if not, when its caller should try again.
+// Package admit decides whether a request can meet the target of its class and,
+// if not, when its caller should retry.
 //
-// It imports base and route/domain. Package core asks
-// it at arrival and again before each start from the queue.
+// It imports base and route/domain. Package core calls it when a request
+// arrives and again before each start from the queue.
 package admit
 
 import (
@@ -12,57 +12,59 @@
 	"fulmarwick/internal/route/domain"
 )
 
-// DefaultMaxWait is how long a request whose class has no limit on the first token
-// or the whole answer may wait.
+// DefaultMaxWait is how long a request may wait if its class limits neither the
+// first token nor the whole answer.
 const DefaultMaxWait = 30 * time.Second
 
-// Estimate is what is predicted for a request.
+// Estimate is the prediction for a request.
 type Estimate struct {
-	// Elapsed is the time since it came, Wait how long it must wait still.
-	Elapsed       time.Duration
+	// Elapsed is the time since the request arrived.
+	Elapsed time.Duration
+	// RemainingWait is how long the request must still wait.
 	RemainingWait time.Duration
 	Plan          domain.Plan
 }
 
-// TargetMiss returns by how much the estimate misses the target, and false if it
-// holds. The margin widens what was predicted so that the class's percentage
-// of requests holds it.
+// TargetMiss returns by how much the estimate misses the target, and false if
+// the estimate meets it. The margin scales the prediction up so that the
+// percentage of requests that the class requires meets the target.
 func TargetMiss(target spec.Target, m Margin, e Estimate) (time.Duration, bool) {
-	before := e.Elapsed + e.RemainingWait
+	delay := e.Elapsed + e.RemainingWait
 	first := scaleDuration(e.Plan.FirstTokenTime, m.First)
 	token := scaleDuration(e.Plan.TokenTime, m.Token)
-	whole := first + scaleDuration(e.Plan.TotalTime-e.Plan.FirstTokenTime, m.Token)
-	over := time.Duration(0)
+	total := first + scaleDuration(e.Plan.TotalTime-e.Plan.FirstTokenTime, m.Token)
+	excess := time.Duration(0)
 	if limit := target.FirstEvent(); limit > 0 {
-		over = max(over, before+first-limit)
+		excess = max(excess, delay+first-limit)
 	}
 	if limit := target.TotalTime(); limit > 0 {
-		over = max(over, before+whole-limit)
+		excess = max(excess, delay+total-limit)
 	}
 	if target.FirstEvent() == 0 && target.TotalTime() == 0 {
-		over = max(over, before-DefaultMaxWait)
+		excess = max(excess, delay-DefaultMaxWait)
 	}
 	if limit := target.Gap(); limit > 0 && token > limit {
-		over = max(over, token-limit)
+		excess = max(excess, token-limit)
 	}
-	return over, over > 0
+	return excess, excess > 0
 }
 
-// LatestStart is when a request that came at must start for the target to hold.
-func LatestStart(target spec.Target, m Margin, at time.Duration, plan domain.Plan) time.Duration {
-	last := at + DefaultMaxWait
+// LatestStart returns the latest time at which a request that arrived at
+// arrivedAt can start and still meet the target.
+func LatestStart(target spec.Target, m Margin, arrivedAt time.Duration, plan domain.Plan) time.Duration {
+	latest := arrivedAt + DefaultMaxWait
 	first := scaleDuration(plan.FirstTokenTime, m.First)
 	if limit := target.FirstEvent(); limit > 0 {
-		last = min(last, at+limit-first)
+		latest = min(latest, arrivedAt+limit-first)
 	}
 	if limit := target.TotalTime(); limit > 0 {
-		last = min(last, at+limit-first-scaleDuration(plan.TotalTime-plan.FirstTokenTime, m.Token))
+		latest = min(latest, arrivedAt+limit-first-scaleDuration(plan.TotalTime-plan.FirstTokenTime, m.Token))
 	}
-	return last
+	return latest
 }
 
-func scaleDuration(d time.Duration, by float64) time.Duration {
-	return time.Duration(float64(d) * by)
+func scaleDuration(d time.Duration, factor float64) time.Duration {
+	return time.Duration(float64(d) * factor)
 }
 
 const (
@@ -70,9 +72,9 @@
 	maxRetryAfter = time.Minute
 )
 
-// RetryAfter is what a refused caller is told to wait: the time by which the target
-// was missed, spread by a draw in [0, 1) so that callers refused together do
-// not come back together.
-func RetryAfter(over time.Duration, draw float64) time.Duration {
-	return min(scaleDuration(max(over, minRetryAfter), 1+draw/2), maxRetryAfter)
+// RetryAfter returns how long a rejected caller should wait before it retries.
+// This is the time by which the target was missed, with jitter from a random
+// number in [0, 1), so that callers rejected together don't retry together.
+func RetryAfter(excess time.Duration, random float64) time.Duration {
+	return min(scaleDuration(max(excess, minRetryAfter), 1+random/2), maxRetryAfter)
 }
--- a/internal/route/admit/admit_test.go
+++ b/internal/route/admit/admit_test.go
@@ -14,7 +14,7 @@
 
 func TestTargetMiss(t *testing.T) {
 	plan := domain.Plan{FirstTokenTime: time.Second, TokenTime: 10 * time.Millisecond, TotalTime: 3 * time.Second}
-	plain := admit.Margin{First: 1, Token: 1}
+	noMargin := admit.Margin{First: 1, Token: 1}
 	tests := []struct {
 		name   string
 		target spec.Target
@@ -22,23 +22,24 @@
 		wait   time.Duration
 		want   time.Duration
 	}{
-		{"holds", spec.NewTarget(2*time.Second, 0, 0, 95), plain, time.Second, 0},
-		{"waits too long", spec.NewTarget(2*time.Second, 0, 0, 95), plain, 1500 * time.Millisecond, 500 * time.Millisecond},
+		{"holds", spec.NewTarget(2*time.Second, 0, 0, 95), noMargin, time.Second, 0},
+		{"waits too long", spec.NewTarget(2*time.Second, 0, 0, 95), noMargin, 1500 * time.Millisecond, 500 * time.Millisecond},
 		{"margin", spec.NewTarget(2*time.Second, 0, 0, 95), admit.Margin{First: 2.5, Token: 1}, 0, 500 * time.Millisecond},
-		{"whole", spec.NewTarget(0, 0, 3*time.Second, 95), plain, time.Second, time.Second},
-		{"gap", spec.NewTarget(0, 8*time.Millisecond, 0, 95), plain, 0, 2 * time.Millisecond},
-		{"no limit waits long", spec.NewTarget(0, 0, 0, 95), plain, 20 * time.Second, 0},
-		{"no limit ends", spec.NewTarget(0, 0, 0, 95), plain, 31 * time.Second, time.Second},
+		{"whole", spec.NewTarget(0, 0, 3*time.Second, 95), noMargin, time.Second, time.Second},
+		{"gap", spec.NewTarget(0, 8*time.Millisecond, 0, 95), noMargin, 0, 2 * time.Millisecond},
+		{"no limit waits long", spec.NewTarget(0, 0, 0, 95), noMargin, 20 * time.Second, 0},
+		{"no limit ends", spec.NewTarget(0, 0, 0, 95), noMargin, 31 * time.Second, time.Second},
 	}
 	for _, test := range tests {
-		got, late := admit.TargetMiss(test.target, test.margin, admit.Estimate{RemainingWait: test.wait, Plan: plan})
-		if got != test.want || late != (test.want > 0) {
-			t.Errorf("%s: got %v %v, want %v", test.name, got, late, test.want)
+		got, missed := admit.TargetMiss(test.target, test.margin, admit.Estimate{RemainingWait: test.wait, Plan: plan})
+		if got != test.want || missed != (test.want > 0) {
+			t.Errorf("%s: got %v %v, want %v", test.name, got, missed, test.want)
 		}
 	}
 }
 
-// burstyFlows are teams that burst independently to four times their low rate.
+// burstyFlows returns flows of teams that switch independently between a low
+// rate and four times that rate.
 func burstyFlows(n int, seed uint64, bins int) []admit.Flow {
 	r := rand.New(rand.NewPCG(seed, 0))
 	out := make([]admit.Flow, n)
@@ -67,48 +68,50 @@
 	}
 }
 
-// shareInTime is the part of the tokens that a first-come queue at rate would start
-// within limit.
+// shareInTime returns the share of the tokens that a first-come, first-served
+// queue with the given rate would start within the limit.
 func shareInTime(flows []admit.Flow, rate float64, limit time.Duration) float64 {
-	queue, good, all := 0.0, 0.0, 0.0
+	queue, inTime, total := 0.0, 0.0, 0.0
 	for b := range flows[0].Bins {
 		sum := 0.0
 		for _, f := range flows {
 			sum += f.Bins[b]
 		}
-		all += sum
-		room := max(0, rate*limit.Seconds()-queue)
-		good += min(sum, room)
+		total += sum
+		capacity := max(0, rate*limit.Seconds()-queue)
+		inTime += min(sum, capacity)
 		queue = max(0, queue+sum-rate*flows[0].BinWidth.Seconds())
 	}
-	return good / all
+	return inTime / total
 }
 
-// servedPerRequest is what the decision per request makes of all flows: tokens that
-// would wait longer than the limit are refused, the others are served.
+// servedPerRequest returns how many tokens of all flows are served with the
+// decision per request. Tokens that would wait longer than the limit are
+// rejected, all others are served.
 func servedPerRequest(flows []admit.Flow, rate float64, limit time.Duration) float64 {
-	queue, good := 0.0, 0.0
+	queue, served := 0.0, 0.0
 	for b := range flows[0].Bins {
 		sum := 0.0
 		for _, f := range flows {
 			sum += f.Bins[b]
 		}
-		taken := min(sum, max(0, rate*limit.Seconds()-queue))
-		good += taken
-		queue = max(0, queue+taken-rate*flows[0].BinWidth.Seconds())
+		accepted := min(sum, max(0, rate*limit.Seconds()-queue))
+		served += accepted
+		queue = max(0, queue+accepted-rate*flows[0].BinWidth.Seconds())
 	}
-	return good
+	return served
 }
 
-// A rule that admits by the past must not let the future's callers wait: on
-// other draws of the same teams the target holds for what each rule admits.
+// Guards against rules that admit so many teams by their past demand that later
+// callers wait too long. On other random demand of the same teams, the target
+// must hold for the teams that each rule admits.
 func TestRulesMeetTarget(t *testing.T) {
 	const rate, limit = 2000.0, time.Second
 	past, future := burstyFlows(80, 1, 2400), burstyFlows(80, 2, 2400)
 	for _, rule := range []admit.Rule{admit.Headroom{FreeShare: 0.2}, admit.WorstCase{}, admit.StochasticBound{}} {
 		n := rule.AdmitCount(past, rate, limit, 95)
 		if n == 0 {
-			t.Errorf("%T: admits nobody", rule)
+			t.Errorf("%T: got no team admitted, want at least one", rule)
 			continue
 		}
 		if got := shareInTime(future[:n], rate, limit); got < 0.95 {
--- a/internal/route/admit/margin.go
+++ b/internal/route/admit/margin.go
@@ -9,24 +9,27 @@
 )
 
 const (
-	// initialMargin is the margin while too little was seen; leastBy and mostBy
-	// bound what is learnt.
+	// initialMargin is the margin until enough answers were seen.
 	initialMargin = 1.1
-	minMargin     = 0.9
-	maxMargin     = 3.0
-	// pastLengthWeight is the weight of the past in the usual length.
+	// minMargin is the lowest margin that is learned.
+	minMargin = 0.9
+	// maxMargin is the highest margin that is learned.
+	maxMargin = 3.0
+	// pastLengthWeight is the weight of the previous average in the average
+	// answer length. A new answer has the weight 1.
 	pastLengthWeight = 31
 )
 
-// Margin is what predictions are multiplied with.
+// Margin holds the factors by which predicted times are multiplied.
 type Margin struct {
 	First float64
 	Token float64
 }
 
-// Margins learns per class how far predictions were off, and how long answers
-// are. The quantile that is read is the percentage of the class's target: a
-// class that must hold for 99 of 100 gets more slack than one for 90.
+// Margins learns for each class how far predictions are off and how long
+// answers are. The margin is the quantile at the percentage of the class's
+// target. A class that must meet its target for 99 of 100 requests gets a
+// larger margin than one with 90.
 type Margins struct {
 	classes map[spec.ClassName]*classStats
 }
@@ -36,26 +39,26 @@
 	lengthShare              float64
 }
 
-// RecordAnswer notes a request that ran to its end on its first chain.
-func (s *Margins) RecordAnswer(r *domain.Request, ev domain.RequestFinished) {
+// RecordAnswer records a request that completed on its first chain.
+func (m *Margins) RecordAnswer(r *domain.Request, ev domain.RequestFinished) {
 	plan := r.Plan()
 	if ev.Tokens < 1 || plan.FirstTokenTime <= 0 || plan.TokenTime <= 0 {
 		return
 	}
-	c := s.statsOf(r.Arrival().Class)
+	c := m.statsOf(r.Arrival().Class)
 	first := ev.FirstToken - (r.StartedAt() - r.ArrivedAt())
 	c.firstRatios.Add(float64(first) / float64(plan.FirstTokenTime))
 	if ev.Tokens > 1 {
 		token := (ev.TotalTime - ev.FirstToken) / time.Duration(ev.Tokens-1)
 		c.tokenRatios.Add(float64(token) / float64(plan.TokenTime))
 	}
-	part := float64(ev.Tokens) / float64(max(1, r.Arrival().MaxTokens))
-	c.lengthShare = (pastLengthWeight*c.lengthShare + part) / (pastLengthWeight + 1)
+	share := float64(ev.Tokens) / float64(max(1, r.Arrival().MaxTokens))
+	c.lengthShare = (pastLengthWeight*c.lengthShare + share) / (pastLengthWeight + 1)
 }
 
-// ForClass is the margin of a class.
-func (s *Margins) ForClass(class spec.Class) Margin {
-	c := s.classes[class.Name()]
+// ForClass returns the margin of a class.
+func (m *Margins) ForClass(class spec.Class) Margin {
+	c := m.classes[class.Name()]
 	if c == nil {
 		return Margin{First: initialMargin, Token: initialMargin}
 	}
@@ -63,35 +66,36 @@
 	return Margin{First: learnedMargin(&c.firstRatios, percent), Token: learnedMargin(&c.tokenRatios, percent)}
 }
 
-// ExpectedTokens is how many tokens the request is expected to make.
-func (s *Margins) ExpectedTokens(r *domain.Request) int {
+// ExpectedTokens returns how many tokens the request is expected to generate.
+func (m *Margins) ExpectedTokens(r *domain.Request) int {
 	limit := r.Arrival().MaxTokens
-	c := s.classes[r.Arrival().Class]
+	c := m.classes[r.Arrival().Class]
 	if c == nil {
 		return max(1, limit)
 	}
 	return max(1, int(c.lengthShare*float64(limit)))
 }
 
-// KeepClasses drops what was learnt for classes that are no longer in force.
-func (s *Margins) KeepClasses(classes []spec.Class) {
+// KeepClasses discards what was learned for classes that are not in the current
+// configuration.
+func (m *Margins) KeepClasses(classes []spec.Class) {
 	kept := map[spec.ClassName]*classStats{}
 	for _, c := range classes {
-		if r := s.classes[c.Name()]; r != nil {
+		if r := m.classes[c.Name()]; r != nil {
 			kept[c.Name()] = r
 		}
 	}
-	s.classes = kept
+	m.classes = kept
 }
 
-func (s *Margins) statsOf(class spec.ClassName) *classStats {
-	if s.classes == nil {
-		s.classes = map[spec.ClassName]*classStats{}
+func (m *Margins) statsOf(class spec.ClassName) *classStats {
+	if m.classes == nil {
+		m.classes = map[spec.ClassName]*classStats{}
 	}
-	c := s.classes[class]
+	c := m.classes[class]
 	if c == nil {
 		c = &classStats{lengthShare: 1}
-		s.classes[class] = c
+		m.classes[class] = c
 	}
 	return c
 }
--- a/internal/route/admit/rule.go
+++ b/internal/route/admit/rule.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Flow is what a team asked for in past bins of equal length, in tokens.
+// Flow is the past demand of a team in tokens, in time bins of equal length.
 type Flow struct {
 	Bins []float64
 	// BinWidth is the length of a bin.
 	BinWidth time.Duration
 }
 
-// MeanRate is the mean tokens a second.
+// MeanRate returns the mean rate in tokens a second.
 func (f Flow) MeanRate() float64 {
 	sum := 0.0
 	for _, b := range f.Bins {
@@ -21,17 +21,20 @@
 	return sum / (float64(len(f.Bins)) * f.BinWidth.Seconds())
 }
 
-// Rule admits whole teams, as contracts would: it says how many of flows, in
-// order, may share rate tokens a second with delays of at most limit for
-// percent of 100. It is here for comparison with the decision per request; see
-// docs/notes/admission.md for the figures.
+// Rule admits whole teams, like a contract does. AdmitCount returns how many of
+// the flows, in the given order, may share rate tokens a second such that
+// percent of 100 delays are at most limit.
+//
+// Rules exist for comparison with the decision per request. The figures are in
+// docs/notes/admission.md.
 type Rule interface {
 	AdmitCount(flows []Flow, rate float64, limit time.Duration, percent float64) int
 }
 
-// Headroom admits while the sum of means leaves a part of the rate free.
+// Headroom admits flows while the sum of their mean rates leaves a share of the
+// rate free.
 type Headroom struct {
-	// FreeShare is the part that stays free, 0 to 1.
+	// FreeShare is the share of the rate that stays free, from 0 to 1.
 	FreeShare float64
 }
 
@@ -47,9 +50,9 @@
 	return len(flows)
 }
 
-// WorstCase admits while the sum of the largest bursts can be served within the
-// limit, as a deterministic network calculus would: all teams may burst at
-// once.
+// WorstCase admits flows while the sum of their largest bursts can be served
+// within the limit, like a deterministic network calculus: all teams may burst
+// at once.
 type WorstCase struct{}
 
 // AdmitCount implements Rule.
@@ -65,24 +68,27 @@
 	return len(flows)
 }
 
-// maxBacklog is the largest burst of a flow above a rate: how far a queue served
-// at it would grow.
+// maxBacklog returns the largest burst of a flow above a rate: the longest
+// queue when the flow is served at that rate.
 func maxBacklog(f Flow, rate float64) float64 {
-	queue, most := 0.0, 0.0
+	queue, longest := 0.0, 0.0
 	for _, b := range f.Bins {
 		queue = max(0, queue+b-rate*f.BinWidth.Seconds())
-		most = max(most, queue)
+		longest = max(longest, queue)
 	}
-	return most
+	return longest
 }
 
-// StochasticBound admits while a stochastic bound on the delay of the sum of independent
-// bursty flows holds. It follows SNC-Meister (Zhu, Berger, Harchol-Balter,
-// SoCC 2016, sections 3.2 and 4.3): each flow is a Markov modulated process of
-// a low and a high phase, fitted to its past. With transitions Q and the
-// moment generating functions E of a bin in each phase, rho is the logarithm
-// of the spectral radius of E Q over theta, the rho of independent flows add
-// up, and for a service of R tokens a bin (table 1)
+// StochasticBound admits flows while a stochastic bound on the delay of the sum
+// of independent bursty flows meets the limit. It follows SNC-Meister (Zhu,
+// Berger, Harchol-Balter, SoCC 2016, sections 3.2 and 4.3). Each flow is
+// modelled as a Markov-modulated process with a low and a high phase, fitted to
+// its past.
+//
+// Let Q be the transition matrix and E the diagonal matrix of the moment
+// generating functions of a bin in each phase. Then rho is the logarithm of the
+// spectral radius of E Q, divided by theta. The rho of independent flows add
+// up. For a service of R tokens a bin (table 1):
 //
 //	delay = min over theta of -1/(theta R) log((1-p) (1 - exp(theta (rho-R)))) bins
 type StochasticBound struct{}
@@ -91,9 +97,11 @@
 	minTheta    = 1e-5
 	maxTheta    = 0.2
 	thetaFactor = 1.15
-	// smoothingBins is the bins over which a phase is told, and highTimes how far
-	// above the mean the high one is.
-	smoothingBins   = 8
+	// smoothingBins is the number of bins over which the demand is averaged to
+	// determine the phase.
+	smoothingBins = 8
+	// highPhaseFactor is how many times the mean the average must exceed to
+	// count as the high phase.
 	highPhaseFactor = 1.25
 )
 
@@ -118,7 +126,7 @@
 	return len(flows)
 }
 
-// delayBound is the bound in bins that holds with probability p.
+// delayBound returns the delay bound, in bins, that holds with probability p.
 func delayBound(theta, rho, rate, p float64) float64 {
 	if rho >= rate {
 		return math.Inf(1)
@@ -126,17 +134,19 @@
 	return -math.Log((1-p)*(1-math.Exp(theta*(rho-rate)))) / (theta * rate)
 }
 
-// phaseModel is a flow as a process that switches between two phases.
+// phaseModel models a flow as a process that switches between two phases.
 type phaseModel struct {
+	// bins are the bins of the flow in each phase.
 	bins [2][]float64
-	// leaveProbability is the probability of leaving each phase from bin to bin.
+	// leaveProbability is the probability of leaving each phase from one bin to
+	// the next.
 	leaveProbability [2]float64
 }
 
 func fitPhases(f Flow) *phaseModel {
 	p := &phaseModel{}
 	mean := f.MeanRate() * f.BinWidth.Seconds()
-	var moves, stays [2]float64
+	var switches, stays [2]float64
 	last := -1
 	for i, b := range f.Bins {
 		from, to := max(0, i-smoothingBins/2), min(len(f.Bins), i+smoothingBins/2)
@@ -150,22 +160,22 @@
 		}
 		p.bins[phase] = append(p.bins[phase], b)
 		if last >= 0 && last != phase {
-			moves[last]++
+			switches[last]++
 		} else if last >= 0 {
 			stays[last]++
 		}
 		last = phase
 	}
 	for k := range p.leaveProbability {
-		if all := moves[k] + stays[k]; all > 0 {
-			p.leaveProbability[k] = moves[k] / all
+		if total := switches[k] + stays[k]; total > 0 {
+			p.leaveProbability[k] = switches[k] / total
 		}
 	}
 	return p
 }
 
-// rho is the logarithm of the spectral radius of E Q over theta, in tokens a
-// bin.
+// rho returns the logarithm of the spectral radius of E Q divided by theta, in
+// tokens a bin.
 func (p *phaseModel) rho(theta float64) float64 {
 	low, high := momentGeneratingFunc(p.bins[0], theta), momentGeneratingFunc(p.bins[1], theta)
 	a, b := low*(1-p.leaveProbability[0]), low*p.leaveProbability[0]
@@ -174,7 +184,7 @@
 	return math.Log((trace+math.Sqrt(max(0, trace*trace-4*det)))/2) / theta
 }
 
-// momentGeneratingFunc is the mean of exp(theta x).
+// momentGeneratingFunc returns the mean of exp(theta x).
 func momentGeneratingFunc(xs []float64, theta float64) float64 {
 	if len(xs) == 0 {
 		return 1
