--- a/internal/route/fair/fair_test.go
+++ b/internal/route/fair/fair_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-// newRequests makes a request per team name, in order.
+// newRequests returns one request per team name, in order.
 func newRequests(teams ...string) []*domain.Request {
 	w := &domain.RoutingState{}
 	w.BeginTick(0)
@@ -26,7 +26,7 @@
 	return &fair.Item{Request: r, Cost: 100, Charge: 100, LatestStart: latest}
 }
 
-// serve takes n requests from the queue and counts them per team.
+// serve starts up to n requests from the queue and counts them per team.
 func serve(q *fair.Queue, n int) map[spec.TeamID]int {
 	out := map[spec.TeamID]int{}
 	for range n {
@@ -56,7 +56,7 @@
 		t.Errorf("got %v of 40, want 20 each", got)
 	}
 	if got := serve(q, 200); got["big"] != 80 {
-		t.Errorf("rest: got %v, want 80 of the large team", got)
+		t.Errorf("remaining requests: got %v, want 80 of the large team", got)
 	}
 }
 
@@ -94,7 +94,7 @@
 	w.BeginTick(2 * time.Minute)
 	rates.Run(w)
 	if got := rates.TeamCount(); got != 0 {
-		t.Errorf("teams followed: got %d, want 0", got)
+		t.Errorf("teams tracked: got %d, want 0", got)
 	}
 }
 
@@ -110,16 +110,17 @@
 	}
 }
 
-// Whatever is pushed and taken: every request comes out once, and no team that
-// waits throughout gets more than two requests less than another.
+// Tests that every pushed request is returned once, in whatever order requests
+// are pushed and served. Among teams that have waiting requests throughout, no
+// team may be served more than two requests more than another.
 func TestQueueIsFairAndLosesNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := rapid.SliceOfN(rapid.SampledFrom([]string{"a", "b", "c"}), 1, 60).Draw(t, "teams")
 		q := &fair.Queue{}
-		left := map[spec.TeamID]int{}
+		waiting := map[spec.TeamID]int{}
 		for i, r := range newRequests(names...) {
 			q.Push(newItem(r, time.Duration(rapid.IntRange(0, 1000).Draw(t, "latest")+i)))
-			left[r.Arrival().Team]++
+			waiting[r.Arrival().Team]++
 		}
 		served := map[spec.TeamID]int{}
 		for range names {
@@ -128,15 +129,15 @@
 			team := it.Request.Arrival().Team
 			q.ChargeTeam(team, it.Charge)
 			served[team]++
-			left[team]--
-			for other, n := range left {
+			waiting[team]--
+			for other, n := range waiting {
 				if n > 0 && served[team] > served[other]+2 {
 					t.Fatalf("team %s: got %d served, want at most 2 more than %d of %s", team, served[team], served[other], other)
 				}
 			}
 		}
 		if q.Len() != 0 || q.Head() != nil {
-			t.Fatalf("got %d left, want none", q.Len())
+			t.Fatalf("got %d requests left, want none", q.Len())
 		}
 	})
 }
--- a/internal/route/fair/flow.go
+++ b/internal/route/fair/flow.go
@@ -9,10 +9,10 @@
 
 func (q *Queue) virtualStart(f *flow) float64 { return max(q.virtualTime, f.virtualFinish) }
 
-// insertIndex is where a request with this latest start goes: after those that must
-// start no later.
-func (f *flow) insertIndex(latest time.Duration) int {
-	return sort.Search(len(f.items), func(i int) bool { return f.items[i].LatestStart > latest })
+// insertIndex returns where to insert a request with this latest start: after
+// all requests with the same or an earlier one.
+func (f *flow) insertIndex(latestStart time.Duration) int {
+	return sort.Search(len(f.items), func(i int) bool { return f.items[i].LatestStart > latestStart })
 }
 
 func (q *Queue) removeAt(f *flow, i int) {
@@ -45,8 +45,9 @@
 	return f
 }
 
-// dropIdleTeams forgets teams that are idle: their finish lies behind the virtual time
-// and is worth nothing. Small teams so cost no memory between requests.
+// dropIdleTeams drops idle teams. Their virtual finish is not after the virtual
+// time and has no effect any more. Small teams therefore use no memory between
+// requests.
 func (q *Queue) dropIdleTeams() {
 	if len(q.flows) < max(minCleanupTeams, 2*q.teamsAfterCleanup) {
 		return
@@ -59,5 +60,5 @@
 	q.teamsAfterCleanup = len(q.flows)
 }
 
-// TeamCount is how many teams are remembered.
+// TeamCount returns the number of tracked teams.
 func (q *Queue) TeamCount() int { return len(q.flows) }
--- a/internal/route/fair/queue.go
+++ b/internal/route/fair/queue.go
@@ -1,5 +1,5 @@
-// Package fair orders the requests that wait for engines so that the burst of
-// one team delays no other, and follows how much each team uses.
+// Package fair orders the requests that wait for engines so that a burst of one
+// team doesn't delay other teams, and tracks how much each team uses.
 //
 // It imports base/spec and route/domain. Package core keeps one Queue per model
 // and one Rates.
@@ -13,35 +13,42 @@
 )
 
 const (
-	// MaxQueued bounds the requests that wait, and with them the memory.
+	// MaxQueued limits the number of waiting requests and thereby the memory of
+	// the queue.
 	MaxQueued = 2048
-	// minCleanupTeams is how many teams are kept before idle ones are dropped.
+	// minCleanupTeams is how many teams are tracked before idle ones are
+	// dropped.
 	minCleanupTeams = 64
-	// quantumTokens is how far, in tokens, a team may be ahead of the virtual time
-	// and still compete by deadline: about one usual request.
+	// quantumTokens is by how many tokens the virtual start of a team may be
+	// ahead of the virtual time while the team still competes by deadline. It
+	// is about one typical request.
 	quantumTokens = 32
 )
 
-// Item is a request that waits.
+// Item is a waiting request.
 type Item struct {
 	Request *domain.Request
-	// Cost is in tokens through the whole model; Charge is what the team is
-	// charged for it.
-	Cost   float64
+	// Cost is the work of the request, in tokens through the whole model.
+	Cost float64
+	// Charge is how many tokens the team is charged for the request.
 	Charge float64
-	// TokenRate is the tokens a second that it makes once it runs.
+	// TokenRate is how many tokens a second the request generates once it runs.
 	TokenRate float64
-	// LatestStart is when the request must start to meet its target.
+	// LatestStart is the latest time at which the request can start and still
+	// meet its target.
 	LatestStart time.Duration
 	seq         uint64
 }
 
-// Queue is start-time fair queueing over cost in tokens, with deadlines among
-// equals. Each team has a virtual start, the later of the queue's virtual time
-// and the end of what it was charged for. A team that asks for less than its
-// share starts at the virtual time, a team with a backlog after it. Of the
-// teams within a quantum of the virtual time the one with the earliest latest
-// start goes first, and so does, within a team, the request.
+// Queue implements start-time fair queueing over costs in tokens, combined with
+// deadlines. The virtual start of a team is the later of the queue's virtual
+// time and the virtual finish of the requests that it was charged for. The
+// virtual start of a team that uses less than its share is the virtual time.
+// That of a team with a backlog is later.
+//
+// Among the teams whose virtual start is within a quantum of the virtual time,
+// the team with the earliest latest start is served first. Within a team, the
+// request with the earliest latest start is served first.
 type Queue struct {
 	virtualTime       float64
 	flows             map[spec.TeamID]*flow
@@ -51,7 +58,7 @@
 	lastSeq           uint64
 }
 
-// flow is a team's part of the queue.
+// flow is the part of the queue that belongs to one team.
 type flow struct {
 	team          spec.TeamID
 	virtualFinish float64
@@ -60,7 +67,7 @@
 	queuedCharge  float64
 }
 
-// Len is how many requests wait.
+// Len returns the number of waiting requests.
 func (q *Queue) Len() int { return q.length }
 
 // ChargeTeam charges a team for a request that starts.
@@ -72,10 +79,10 @@
 	q.dropIdleTeams()
 }
 
-// Advance moves the virtual time on by what tokens of service give each team.
-// Without it the virtual time would stand still while each request is of
-// another team, and no team would ever count as idle. A team that waits is
-// never overtaken.
+// Advance moves the virtual time forward by the share of each team in the given
+// tokens of service. Without it, the virtual time would not move while each
+// request is from a different team, and no team would ever count as idle. The
+// virtual time never passes the virtual start of a team with waiting requests.
 func (q *Queue) Advance(tokens float64) {
 	if len(q.flows) == 0 {
 		return
@@ -87,8 +94,8 @@
 	q.virtualTime = next
 }
 
-// AheadOfShare is how far a team is ahead of its share: what it was charged beyond the
-// virtual time, and its backlog.
+// AheadOfShare returns how far a team is ahead of its share: its charges beyond
+// the virtual time plus the charges of its waiting requests.
 func (q *Queue) AheadOfShare(team spec.TeamID) float64 {
 	f := q.flows[team]
 	if f == nil {
@@ -97,7 +104,7 @@
 	return max(0, f.virtualFinish-q.virtualTime) + f.queuedCharge
 }
 
-// Push lets a request wait.
+// Push adds a request to the queue.
 func (q *Queue) Push(it *Item) {
 	f := q.flowOf(it.Request.Arrival().Team)
 	q.lastSeq++
@@ -114,7 +121,7 @@
 	q.length++
 }
 
-// Head returns the request to start next, or nil.
+// Head returns the request to start next, or nil if none waits.
 func (q *Queue) Head() *Item {
 	f := q.nextFlow()
 	if f == nil {
@@ -123,7 +130,8 @@
 	return f.items[0]
 }
 
-// Remove removes a request that waits; if it starts, Began follows.
+// Remove removes a waiting request. If the request starts, the caller must call
+// ChargeTeam as well.
 func (q *Queue) Remove(it *Item) {
 	f := q.flows[it.Request.Arrival().Team]
 	for i, o := range f.items {
@@ -134,7 +142,8 @@
 	}
 }
 
-// nextFlow is the team to serve, after requests that ended were dropped.
+// nextFlow returns the team to serve next. It first drops requests that have
+// ended from the head of each team.
 func (q *Queue) nextFlow() *flow {
 	for i := 0; i < len(q.active); {
 		f := q.active[i]
@@ -155,8 +164,8 @@
 
 func (q *Queue) flowBefore(a, b *flow) bool {
 	x, y := q.virtualStart(a), q.virtualStart(b)
-	near := q.virtualTime + quantumTokens
-	if x <= near && y <= near {
+	quantumEnd := q.virtualTime + quantumTokens
+	if x <= quantumEnd && y <= quantumEnd {
 		return a.items[0].before(b.items[0])
 	}
 	if x != y {
@@ -172,14 +181,15 @@
 	return it.seq < o.seq
 }
 
-// CostAhead is the cost in tokens that goes before a request of team that must
-// start by latest: what its team has with an earlier start, and what the
-// others may have until their virtual start passes that of the request.
+// CostAhead returns the cost, in tokens, that is served before a request of the
+// team with the given latest start. This is the cost of the team's own requests
+// with an earlier start, and the cost that other teams may be served before
+// their virtual start passes that of the request.
 func (q *Queue) CostAhead(team spec.TeamID, latest time.Duration) float64 {
 	return q.costAhead(q.flows[team], latest)
 }
 
-// CostAheadOfNewTeam is Ahead for a team that has used nothing.
+// CostAheadOfNewTeam is like CostAhead for a team that has used nothing.
 func (q *Queue) CostAheadOfNewTeam(latest time.Duration) float64 { return q.costAhead(nil, latest) }
 
 func (q *Queue) costAhead(f *flow, latest time.Duration) float64 {
@@ -191,24 +201,25 @@
 			start += it.Charge
 		}
 	}
-	near := q.virtualTime + quantumTokens
+	quantumEnd := q.virtualTime + quantumTokens
 	for _, o := range q.active {
 		if o == f {
 			continue
 		}
-		until := start - q.virtualStart(o)
-		if start <= near && o.items[0].LatestStart > latest {
-			until = 0
+		lead := start - q.virtualStart(o)
+		if start <= quantumEnd && o.items[0].LatestStart > latest {
+			lead = 0
 		}
-		if until > 0 {
-			sum += min(o.queuedCost, until*o.queuedCost/o.queuedCharge)
+		if lead > 0 {
+			sum += min(o.queuedCost, lead*o.queuedCost/o.queuedCharge)
 		}
 	}
 	return sum
 }
 
-// RemoveUnmeetable takes out the requests that will not start in time if rate tokens a
-// second drain the queue.
+// RemoveUnmeetable removes and returns the requests that can't start in time if
+// the queue is served at rate tokens a second. It also removes requests that
+// have ended, but doesn't return them.
 func (q *Queue) RemoveUnmeetable(now time.Duration, rate float64) []*Item {
 	var out []*Item
 	for _, f := range append([]*flow(nil), q.active...) {
--- a/internal/route/fair/rates.go
+++ b/internal/route/fair/rates.go
@@ -10,26 +10,34 @@
 )
 
 const (
-	// decayTime is over how long use is smoothed.
+	// decayTime is the time constant with which use decays exponentially.
 	decayTime = 5 * time.Second
-	// reportInterval is how often use is told to other instances.
+	// reportInterval is the time between two reports of use to other instances.
 	reportInterval = time.Second
-	// reportTTL is how long a told rate counts.
+	// reportTTL is how long a reported rate is valid.
 	reportTTL = 10 * time.Second
-	// maxHeavyTeams is how many teams are told; heavyLeast is the tokens a second
-	// below which a team never is.
-	maxHeavyTeams   = 16
-	minHeavyRate    = 50
-	minTrackedRate  = 0.5
+	// maxHeavyTeams is how many teams with high use are reported.
+	maxHeavyTeams = 16
+	// minHeavyRate is the least rate, in tokens a second, at which a team
+	// counts as a heavy team.
+	minHeavyRate = 50
+	// minTrackedRate is the least rate, in tokens a second, at which a team is
+	// tracked. It is also the least local rate in ChargeFactor.
+	minTrackedRate = 0.5
+	// minReportChange is the least relative change of a rate that is reported
+	// before the previous report gets old.
 	minReportChange = 0.1
-	// nearLimitDivisor is the part of its limit below which a team's use is not told.
+	// nearLimitDivisor divides the limit of a team. Use above the result is
+	// reported even if the team is not heavy.
 	nearLimitDivisor = 16
-	// maxChargeFactor bounds how much the use elsewhere weighs.
+	// maxChargeFactor limits the effect of use on other instances on the
+	// charge.
 	maxChargeFactor = 32
 )
 
-// Rates follows the tokens that each active team uses, here and fleet-wide.
-// A team idle for a few spans costs nothing.
+// Rates tracks the tokens that each active team uses, on this instance and in
+// the whole fleet. A team that is idle for a few multiples of decayTime uses no
+// memory.
 type Rates struct {
 	teams      map[spec.TeamID]*teamRate
 	rows       []*teamRate
@@ -46,14 +54,15 @@
 	sentAt     time.Duration
 }
 
-// RecordUse notes that a request of the team with this cost in tokens started.
+// RecordUse records that a request of the team with this cost in tokens
+// started.
 func (s *Rates) RecordUse(now time.Duration, team spec.TeamID, tokens float64) {
 	r := s.get(team)
 	r.decay(now)
 	r.localRate += tokens / decayTime.Seconds()
 }
 
-// ApplyReport takes the fleet-wide use of a team.
+// ApplyReport applies a report of the fleet-wide use of a team.
 func (s *Rates) ApplyReport(now time.Duration, ev domain.TeamUsage) {
 	r := s.get(ev.Team)
 	r.decay(now)
@@ -61,9 +70,10 @@
 	r.receivedAt = now
 }
 
-// ChargeFactor is how many times its own use here the team uses fleet-wide, at
-// least 1: tokens that it asks for here are charged so many times, which makes
-// the fairness that of the fleet and not of the instance.
+// ChargeFactor returns the ratio of the fleet-wide use of the team to its use
+// on this instance, at least 1. The tokens of its requests are charged times
+// this factor, which makes the queue fair across the fleet instead of only on
+// this instance.
 func (s *Rates) ChargeFactor(now time.Duration, team spec.TeamID) float64 {
 	r := s.teams[team]
 	if r == nil || r.fleetRate == 0 || now-r.receivedAt > reportTTL {
@@ -73,9 +83,10 @@
 	return min(max(1, r.fleetRate/max(r.localRate, minTrackedRate)), maxChargeFactor)
 }
 
-// LimitDelay is how long a team above its limit must wait until its use has faded to
-// the limit; zero if it may ask now. Use elsewhere counts as last told; a team
-// may use what its limit gives over rateSpan at once.
+// LimitDelay returns how long a team above its limit must wait until its use
+// has decayed to the limit, or zero if it may send a request now. Use on other
+// instances counts as last reported. A team may use what its limit allows over
+// decayTime at once.
 func (s *Rates) LimitDelay(now time.Duration, team spec.TeamID, limit float64) time.Duration {
 	r := s.teams[team]
 	if r == nil || limit <= 0 {
@@ -92,7 +103,8 @@
 	return time.Duration(math.Log(use/limit) * float64(decayTime))
 }
 
-// Run tells the use of the heavy teams where it changed.
+// Run reports the use of the heavy teams and of the teams near their limit if
+// it changed.
 func (s *Rates) Run(w *domain.RoutingState) {
 	now := w.Now()
 	if now < s.nextReport {
@@ -101,17 +113,17 @@
 	s.nextReport = now + reportInterval
 	s.dropIdleTeams(now)
 	for i, r := range s.sortedByUse() {
-		tell := 0.0
+		reported := 0.0
 		if i < maxHeavyTeams && r.localRate >= minHeavyRate || r.isNearLimit(w) {
-			tell = r.localRate
+			reported = r.localRate
 		}
-		r.report(w, tell)
+		r.report(w, reported)
 	}
 }
 
-// isNearLimit reports whether the team uses so much of its limit here that its use
-// over the fleet may pass it. Without it many instances could each give a small
-// limit in full.
+// isNearLimit reports whether the team uses so much of its limit on this
+// instance that its fleet-wide use may exceed the limit. Without this check,
+// each of many instances could allow the full amount of a small limit.
 func (r *teamRate) isNearLimit(w *domain.RoutingState) bool {
 	t, ok := w.Team(r.team)
 	return ok && t.Limit() > 0 && r.localRate > t.Limit()/nearLimitDivisor
@@ -121,8 +133,8 @@
 	if rate == 0 && r.sentRate == 0 {
 		return
 	}
-	old := w.Now()-r.sentAt >= reportTTL/2
-	if math.Abs(rate-r.sentRate) <= minReportChange*r.sentRate && !old {
+	stale := w.Now()-r.sentAt >= reportTTL/2
+	if math.Abs(rate-r.sentRate) <= minReportChange*r.sentRate && !stale {
 		return
 	}
 	r.sentRate = rate
@@ -141,18 +153,18 @@
 	return rows
 }
 
-// dropIdleTeams drops teams that are idle and of which nothing is told.
+// dropIdleTeams drops teams that are idle and whose use is not being reported.
 func (s *Rates) dropIdleTeams(now time.Duration) {
-	keep := s.rows[:0]
+	kept := s.rows[:0]
 	for _, r := range s.rows {
 		r.decay(now)
 		if r.localRate < minTrackedRate && r.sentRate == 0 && now-r.receivedAt > reportTTL {
 			delete(s.teams, r.team)
 			continue
 		}
-		keep = append(keep, r)
+		kept = append(kept, r)
 	}
-	s.rows = keep
+	s.rows = kept
 }
 
 func (s *Rates) get(team spec.TeamID) *teamRate {
@@ -176,5 +188,5 @@
 	r.decayedAt = now
 }
 
-// TeamCount is how many teams are followed.
+// TeamCount returns the number of tracked teams.
 func (s *Rates) TeamCount() int { return len(s.rows) }
