--- a/internal/fleet/node/api.go
+++ b/internal/fleet/node/api.go
@@ -1,9 +1,10 @@
-// Package node is the deterministic logic of one instance among the others:
-// membership, spreading of news, duties and watches. Like route/core it is
-// driven by Tick alone: no I/O, clock, goroutine or global randomness.
+// Package node is the deterministic logic of one instance in the fleet:
+// membership, gossip, assignment of duties and engine watches. Like route/core
+// it is driven by Tick alone: it does no I/O and uses no clock, goroutine or
+// global randomness.
 //
 // It imports base/news, base/spec and its sibling packages of the fleet.
-// Package peer of the wire carries its messages; the daemon drives it.
+// Package wire/peer transports its messages; the daemon drives it.
 package node
 
 import (
@@ -11,27 +12,31 @@
 	"fulmarwick/internal/base/spec"
 )
 
-// Peer is an instance as the platform's list or the settings name it.
+// Peer is another instance, as listed by the platform or the settings.
 type Peer struct {
 	ID         spec.InstanceID
 	DataCentre spec.DataCentre
-	// URL is where its peer endpoint answers.
+	// URL is the address of its peer endpoint.
 	URL string
-	// Version is that of its row in the roster; zero if it has none.
+	// Version is the version of its row in the roster, or zero if it has
+	// none.
 	Version uint64
-	// Passive says that it takes no duties and no forwarded requests: it still
-	// catches up, or is on its way out. Only Members fills it.
+	// Passive reports that the instance accepts no duties and no forwarded
+	// requests, because it is still catching up or is stopping. Only
+	// Members sets it.
 	Passive bool
 }
 
-// Event is something that happened outside.
+// Event is an input of the logic.
 type Event interface{ event() }
 
-// DiscoveryList tells who should be there, by the platform's lagging list and the
-// settings. It is a hint: an instance missing from it is not dead.
+// DiscoveryList gives the instances that should exist, from the settings and
+// from the platform's list, which lags. It is a hint: an instance missing from
+// it is not considered dead.
 type DiscoveryList struct {
 	Peers []Peer
-	// Engines are the engines of the own data centre, to be watched.
+	// Engines are the engines of the local data centre that must be
+	// watched.
 	Engines []spec.UpstreamID
 }
 
@@ -41,45 +46,49 @@
 	Data []byte
 }
 
-// ConnectionLost tells that a connection to another instance broke or could not be
-// made.
+// ConnectionLost reports that a connection to another instance broke or could
+// not be established.
 type ConnectionLost struct {
 	Peer spec.InstanceID
 }
 
-// Publish spreads an item. Origin and Stamp are filled in. An item of KindLoad or
-// KindRate is added to those of the others and comes back to them as
-// EngineLoad and TeamUse. An item that still counts must be said again before
-// its Life is over; saying it unchanged costs nothing before half of it.
+// Publish spreads an item to the other instances. The logic sets Origin and
+// Stamp. Items of KindLoad and KindRate are not sent as they are: they are
+// added to the values of the other instances, and the totals come back as
+// PeerEngineLoad and TeamUsage. An item that is still valid must be published
+// again before its Life is over; publishing it unchanged costs nothing in the
+// first half of its Life.
 type Publish struct {
 	Item news.Item
 }
 
-// TokensUsed tells that a team used tokens here. The heaviest teams are found among
-// all by a bounded sketch.
+// TokensUsed reports that a team used tokens on this instance. A bounded
+// sketch finds the heaviest of all teams.
 type TokensUsed struct {
 	Team   spec.TeamID
 	Tokens int
 }
 
-// SetDuties tells which duties there are; it replaces the former ones.
+// SetDuties replaces the list of duties.
 type SetDuties struct {
 	Duties []DutySpec
 }
 
-// DutySpec is a duty and among whom it is spread: the own data centre or all
-// that can be reached.
+// DutySpec is a duty and the instances it may be assigned to: those of the
+// local data centre, or all that can be reached.
 type DutySpec struct {
 	Name  string
 	Scope news.Scope
 }
 
-// Stop begins the graceful stop: duties and watches pass on. HandedOver tells
-// when that is done; the instance goes on speaking with the others.
+// Stop begins the graceful stop: other instances take over the duties and
+// watches. HandedOver reports when that is done; until Leave the instance
+// keeps exchanging messages with its peers.
 type Stop struct{}
 
-// Leave ends the graceful stop once nothing is in progress: the others are
-// told before this instance falls silent. Done tells when they know.
+// Leave ends the graceful stop once no work is in progress: the instance
+// announces that it leaves before it stops sending. Left reports when the
+// peers know.
 type Leave struct{}
 
 func (DiscoveryList) event()  {}
@@ -91,69 +100,70 @@
 func (Stop) event()           {}
 func (Leave) event()          {}
 
-// Command is something that the logic wants done outside.
+// Command is an action that the logic asks its driver to carry out.
 type Command interface{ command() }
 
-// Send gives a message to another instance; it may be lost.
+// Send sends a message to another instance. The message may be lost.
 type Send struct {
 	To   spec.InstanceID
 	URL  string
 	Data []byte
 }
 
-// Deliver hands over an item of another instance that is new here.
+// Deliver passes on an item of another instance that was not known here.
 type Deliver struct {
 	Item news.Item
 }
 
-// ExpirePeer tells that the items of an instance count no more: it died, left or
-// restarted.
+// ExpirePeer reports that the items of an instance are no longer valid,
+// because it died, left or restarted.
 type ExpirePeer struct {
 	Peer spec.InstanceID
 }
 
-// Watch tells which engines this instance reads the reports of from now on.
+// Watch sets the engines whose reports this instance reads from now on.
 type Watch struct {
 	Engines []spec.UpstreamID
-	// Primary are those of Engines of which it also tells the others; for the
-	// rest it stands by.
+	// Primary are the engines in Engines whose reports this instance also
+	// publishes. For the others it is the backup.
 	Primary []spec.UpstreamID
 }
 
-// Duty tells whether this instance should hold a duty, by rendezvous over the
-// live ones; it acts only once it also holds the duty's lease.
+// Duty reports whether a duty is assigned to this instance, by rendezvous
+// hashing over the live instances. The instance acts only once it also holds
+// the lease of the duty.
 type Duty struct {
 	Name     string
 	Assigned bool
 }
 
-// TeamUsage tells the use of a heavy team over the fleet, the own use among it,
-// in tokens a second.
+// TeamUsage is the usage of a heavy team over the fleet, the local usage
+// included, in tokens per second.
 type TeamUsage struct {
 	Team spec.TeamID
 	Rate float64
 }
 
-// PeerEngineLoad tells what all other instances of the data centre have in flight
-// on an engine.
+// PeerEngineLoad is the work that all other instances of the data centre have
+// in flight on an engine.
 type PeerEngineLoad struct {
 	Engine spec.UpstreamID
 	Active int
 	Tokens int
 }
 
-// Members tells which other instances live, after each change.
+// Members lists the other live instances. It is emitted after each change.
 type Members struct {
 	Peers []Peer
 }
 
-// HandedOver tells that duties and watches passed on after Stop.
+// HandedOver reports that duties and watches were handed over after Stop.
 type HandedOver struct{}
 
-// Left tells that the others know of the end after Quit.
+// Left reports that the peers know that this instance left, after Leave.
 type Left struct{}
 
-// Ready tells that this instance knows what its peers know, so that it may
+// Ready reports that this instance has the state of its peers, so that it may
 // take decisions.
 type Ready struct{}
 
--- a/internal/fleet/node/watch.go
+++ b/internal/fleet/node/assign.go
@@ -12,10 +12,10 @@
 	"fulmarwick/internal/fleet/rank"
 )
 
-// watchersPerEngine is how many instances read each engine's reports.
+// watchersPerEngine is how many instances read the reports of each engine.
 const watchersPerEngine = 2
 
-// assignments are the engines and duties of this instance.
+// assignments holds the engines and duties assigned to this instance.
 type assignments struct {
 	version   uint64
 	dirty     bool
@@ -32,7 +32,7 @@
 	w.dirty = true
 }
 
-// tickAssignments spreads watches and duties anew when the members changed.
+// tickAssignments assigns watches and duties again when the members changed.
 func (l *Logic) tickAssignments() {
 	l.updateReachability()
 	w := &l.assignments
@@ -60,70 +60,72 @@
 
 func (l *Logic) assignEngines() {
 	w := &l.assignments
-	// During the hand-over the old watches are kept, so that the first polls
-	// of the new watchers are done before the last ones here.
+	// During the hand-over the old watches are kept, so that the new
+	// watchers have polled once before this instance stops.
 	if l.drain.Phase() == drain.PhaseHandingOver {
 		return
 	}
-	able := l.activeInstances(l.Local.DataCentre)
-	var engines, first []spec.UpstreamID
+	active := l.activeInstances(l.Local.DataCentre)
+	var engines, primary []spec.UpstreamID
 	for _, e := range l.discovered.engines {
-		top := rank.Top("watch/"+string(e), able, watchersPerEngine)
+		top := rank.Top("watch/"+string(e), active, watchersPerEngine)
 		if at := slices.Index(top, l.Local.ID); at >= 0 {
 			engines = append(engines, e)
 			if at == 0 {
-				first = append(first, e)
+				primary = append(primary, e)
 			}
 		}
 	}
 	if l.drain.Stopping() {
-		engines, first = nil, nil
+		engines, primary = nil, nil
 	}
-	if w.reported && slices.Equal(engines, w.engines) && slices.Equal(first, w.primary) {
+	if w.reported && slices.Equal(engines, w.engines) && slices.Equal(primary, w.primary) {
 		return
 	}
-	w.reported, w.engines, w.primary = true, engines, first
-	l.emit(Watch{Engines: engines, Primary: first})
+	w.reported, w.engines, w.primary = true, engines, primary
+	l.emit(Watch{Engines: engines, Primary: primary})
 }
 
-// assignDuties tells which duties begin or end here. Two instances may both
-// hold one for a moment: its lease decides.
+// assignDuties reports which duties are assigned to this instance and which no
+// longer are. Two instances may both be assigned a duty for a moment; its
+// lease decides.
 func (l *Logic) assignDuties() {
 	w := &l.assignments
 	if w.assigned == nil {
 		w.assigned = map[string]bool{}
 	}
-	var gone []string
-	for name, mine := range w.assigned {
-		if mine && !slices.ContainsFunc(w.dutySpecs, func(d DutySpec) bool { return d.Name == name }) {
-			gone = append(gone, name)
+	var removed []string
+	for name, assigned := range w.assigned {
+		if assigned && !slices.ContainsFunc(w.dutySpecs, func(d DutySpec) bool { return d.Name == name }) {
+			removed = append(removed, name)
 		}
 	}
-	slices.SortFunc(gone, cmp.Compare[string])
-	for _, name := range gone {
+	slices.SortFunc(removed, cmp.Compare[string])
+	for _, name := range removed {
 		l.setDuty(name, false)
 	}
 	for _, d := range w.dutySpecs {
-		mine := l.join.ready && !l.drain.Stopping() && rank.IsFirst("duty/"+d.Name, l.dutyCandidates(d.Scope), l.Local.ID)
-		l.setDuty(d.Name, mine)
+		assigned := l.join.ready && !l.drain.Stopping() && rank.IsFirst("duty/"+d.Name, l.dutyCandidates(d.Scope), l.Local.ID)
+		l.setDuty(d.Name, assigned)
 	}
 }
 
-func (l *Logic) setDuty(name string, mine bool) {
-	if l.assignments.assigned[name] != mine {
-		l.assignments.assigned[name] = mine
-		l.emit(Duty{Name: name, Assigned: mine})
+func (l *Logic) setDuty(name string, assigned bool) {
+	if l.assignments.assigned[name] != assigned {
+		l.assignments.assigned[name] = assigned
+		l.emit(Duty{Name: name, Assigned: assigned})
 	}
 }
 
-// dutyCandidates are the instances among which a duty of the scope is spread.
+// dutyCandidates returns the instances to which a duty of the scope may be
+// assigned.
 func (l *Logic) dutyCandidates(scope news.Scope) []spec.InstanceID {
 	if scope == news.ScopeCentre {
 		return l.activeInstances(l.Local.DataCentre)
 	}
-	cut := map[spec.DataCentre]bool{}
+	unreachable := map[spec.DataCentre]bool{}
 	for _, c := range l.remoteCentres.rows {
-		cut[c.centre] = c.unreachable
+		unreachable[c.centre] = c.unreachable
 	}
-	return l.members.LiveMembers(func(r proto.Record) bool { return !r.Passive && !cut[r.DataCentre] })
+	return l.members.LiveMembers(func(r proto.Record) bool { return !r.Passive && !unreachable[r.DataCentre] })
 }
--- a/internal/fleet/node/measure_test.go
+++ b/internal/fleet/node/bench_test.go
@@ -12,7 +12,7 @@
 	"fulmarwick/internal/fleet/node"
 )
 
-// fleetSize is a fleet that is measured.
+// fleetSize is the size of a benchmarked fleet.
 type fleetSize struct {
 	instances, centres, engines int
 	teams                       int
@@ -24,9 +24,10 @@
 
 func (s fleetSize) String() string { return fmt.Sprintf("instances=%d", s.instances) }
 
-// publishWork makes every instance say once a second what a busy one says: the load
-// of the engines that it speaks for, its own work on every engine of its data
-// centre, its use by heavy teams and the room for each of five models.
+// publishWork makes every instance publish once a second what a busy one
+// publishes: the load of the engines that it is the primary watcher of, its
+// own work on every engine of its data centre, its usage by heavy teams and
+// the free KV memory for each of five models.
 func (f *fleet) publishWork(teams int) {
 	for i, x := range f.instances {
 		if !x.up || (f.now/tickInterval+time.Duration(i))%(time.Second/tickInterval) != 0 {
@@ -55,7 +56,7 @@
 
 func teamName(t int) string { return fmt.Sprintf("%064d", t) }
 
-// teamRate falls with the rank of a team, as use does.
+// teamRate falls with the rank of a team, as real usage does.
 func teamRate(t int) float64 { return 1000 / float64(1+t) }
 
 func (f *fleet) publishFor(x *instance, kind news.Kind, key string, scope news.Scope, life int64, body any) {
@@ -66,7 +67,7 @@
 	x.events = append(x.events, node.Publish{Item: item})
 }
 
-// runWork lets d pass with every instance at work.
+// runWork advances the virtual time by d with every instance at work.
 func (f *fleet) runWork(d time.Duration, teams int) {
 	for end := f.now + d; f.now < end; {
 		f.publishWork(teams)
@@ -82,9 +83,9 @@
 	return float64(m.HeapAlloc)
 }
 
-// BenchmarkFleetLogic measures what the fleet logic costs one instance at work.
-// Bytes are counted with 70 for TLS, TCP and IP on each message, and both
-// ways; processor time is that of the logic with its codec.
+// BenchmarkFleetLogic measures the cost of the fleet logic per instance at
+// work. Bytes are counted in both directions, with 70 per message for TLS, TCP
+// and IP. Processor time is that of the logic with its codec.
 func BenchmarkFleetLogic(b *testing.B) {
 	for _, s := range fleetSizes() {
 		b.Run(s.String(), func(b *testing.B) {
@@ -113,25 +114,26 @@
 }
 
 func (f *fleet) reportControl(b *testing.B, d time.Duration) {
-	var sum, most, msgs, cpu, mostCPU float64
+	var sum, maxRate, msgs, cpu, maxCPU float64
 	for _, x := range f.instances {
 		total := float64(x.bytesSent+x.bytesReceived) / d.Seconds() / 1024
 		sum += total
-		most = max(most, total)
+		maxRate = max(maxRate, total)
 		msgs += float64(x.messagesSent+x.messagesReceived) / d.Seconds()
 		cpu += x.cpuTime.Seconds() / d.Seconds() * 100
-		mostCPU = max(mostCPU, x.cpuTime.Seconds()/d.Seconds()*100)
+		maxCPU = max(maxCPU, x.cpuTime.Seconds()/d.Seconds()*100)
 	}
 	n := float64(len(f.instances))
 	b.ReportMetric(sum/n, "KB/s")
-	b.ReportMetric(most, "KB/s-max")
+	b.ReportMetric(maxRate, "KB/s-max")
 	b.ReportMetric(msgs/n, "msgs/s")
 	b.ReportMetric(cpu/n, "%core")
-	b.ReportMetric(mostCPU, "%core-max")
+	b.ReportMetric(maxCPU, "%core-max")
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkPropagation measures how long news take to reach all, at work.
+// BenchmarkPropagation measures how long items take to reach all instances at
+// work.
 func BenchmarkPropagation(b *testing.B) {
 	for _, s := range fleetSizes() {
 		b.Run(s.String(), func(b *testing.B) {
@@ -148,8 +150,8 @@
 	}
 }
 
-// reportSpread says ten items one after another and reports how long the
-// instances that should know took.
+// reportSpread publishes ten items one after another and reports how long they
+// took to reach the instances of their scope.
 func (f *fleet) reportSpread(b *testing.B, s fleetSize, name string, kind news.Kind, scope news.Scope) {
 	var took []time.Duration
 	for i := range 10 {
@@ -177,8 +179,9 @@
 	b.ReportMetric(float64(took[len(took)-1].Milliseconds()), name+"-max-ms")
 }
 
-// BenchmarkDetection measures how long a death takes to be known to its data
-// centre, and what is suspected or told dead falsely in two minutes before.
+// BenchmarkDetection measures how long a death takes to be known in the data
+// centre, and how many false suspicions and false deaths are reported in the
+// two minutes before.
 func BenchmarkDetection(b *testing.B) {
 	for _, s := range []fleetSize{{4, 1, 30, 10}, {36, 1, 60, 10}} {
 		for _, loss := range []float64{0, 0.05, 0.2} {
@@ -201,13 +204,13 @@
 	b.ReportMetric(float64(f.suspicions()-before)/float64(s.instances)/2*60, "false-suspicions/instance-hour")
 	b.ReportMetric(float64(f.expiryCount())/float64(s.instances)/2*60, "false-deaths-told/instance-hour")
 	var took []time.Duration
-	for _, silent := range []bool{false, true} {
+	for _, unresponsive := range []bool{false, true} {
 		for i := range 10 {
-			took = append(took, f.timeDeathDetection(f.instances[i%s.instances], silent))
+			took = append(took, f.timeDeathDetection(f.instances[i%s.instances], unresponsive))
 		}
 		slices.Sort(took)
 		name := "crash"
-		if silent {
+		if unresponsive {
 			name = "power-loss"
 		}
 		b.ReportMetric(float64(took[len(took)/2].Milliseconds()), name+"-p50-ms")
@@ -216,10 +219,11 @@
 	}
 }
 
-// timeDeathDetection ends an instance, waits until the others of its data centre know, and
-// starts it again. A silent one does not even break its connections.
-func (f *fleet) timeDeathDetection(x *instance, silent bool) time.Duration {
-	f.keepsConnections = silent
+// timeDeathDetection kills an instance, waits until the others of its data
+// centre know, and starts it again. If unresponsive is set, its connections
+// stay open.
+func (f *fleet) timeDeathDetection(x *instance, unresponsive bool) time.Duration {
+	f.keepsConnections = unresponsive
 	for _, p := range f.instances {
 		delete(p.expiredAt, x.self.ID)
 	}
--- a/internal/fleet/node/call.go
+++ b/internal/fleet/node/call.go
@@ -8,9 +8,10 @@
 	"fulmarwick/internal/fleet/proto"
 )
 
-// Times of a call that waits for its answer. A call to a neighbour is sent
-// again, then others are asked to call too, and only then is the neighbour
-// under suspicion: one lost message or one bad link convicts nobody.
+// Timeouts of a call that waits for its answer. A call to a neighbour is first
+// sent again, then other instances are asked to probe the neighbour too, and
+// only then is the neighbour suspected. So one lost message or one bad link
+// alone does not lead to a suspicion.
 const (
 	retryAfter           = 300 * time.Millisecond
 	indirectProbeAfter   = 600 * time.Millisecond
@@ -23,20 +24,22 @@
 	sweepInterval        = time.Minute
 )
 
-// purpose says why a call was made.
+// purpose is the reason for a call.
 type purpose int
 
 const (
-	// purposeExchange watches a neighbour and exchanges news with it.
+	// purposeExchange checks that a neighbour is alive and exchanges items
+	// with it.
 	purposeExchange purpose = iota
-	// purposeIndirectProbe calls on behalf of another instance.
+	// purposeIndirectProbe is a probe on behalf of another instance.
 	purposeIndirectProbe
-	// purposeBestEffort looks for an instance not known as alive, or one of another
-	// data centre; no answer proves nothing.
+	// purposeBestEffort contacts an instance that is not known to be
+	// alive, or one of another data centre. A missing answer causes no
+	// suspicion.
 	purposeBestEffort
 )
 
-// stage is how far an unanswered call got.
+// stage is how far an unanswered call has escalated.
 type stage int
 
 const (
@@ -46,11 +49,11 @@
 	stageDegraded
 )
 
-// calls are the unanswered calls.
+// calls holds the unanswered calls.
 type calls struct {
 	lastID uint64
 	rows   []*call
-	// lastSeen is when anything came from an instance.
+	// lastSeen is when the last message of each instance arrived.
 	lastSeen map[spec.InstanceID]time.Duration
 	sweptAt  time.Duration
 }
@@ -61,14 +64,16 @@
 	purpose purpose
 	stage   stage
 	sentAt  time.Duration
-	// For a relay, who asked and under which number.
+	// requester and requesterCallID are the instance that asked for an
+	// indirect probe and the ID of its call.
 	requester       spec.InstanceID
 	requesterCallID uint64
-	// announcesStop says that the message told of the own stop.
+	// announcesStop reports that the message announced the stop of this
+	// instance.
 	announcesStop bool
 }
 
-// openCall notes a call and returns it; nil if too many are open.
+// openCall records a call and returns it, or nil if too many are open.
 func (l *Logic) openCall(to spec.InstanceID, why purpose) *call {
 	c := &l.calls
 	if len(c.rows) >= maxCalls {
@@ -80,7 +85,7 @@
 	return row
 }
 
-// startExchange calls to with the own digest.
+// startExchange sends a call with the local digest.
 func (l *Logic) startExchange(to spec.InstanceID, why purpose) {
 	c := l.openCall(to, why)
 	if c == nil {
@@ -94,8 +99,9 @@
 	m.Records = append(m.Records, l.members.Local)
 }
 
-// sendProbe repeats a call without the digest. One that tells of the own stop
-// tells it again, since its answer counts as having heard.
+// sendProbe sends a call again without the digest. A call that announces the
+// stop of this instance repeats the announcement, since any answer to the call
+// counts as its acknowledgement.
 func (l *Logic) sendProbe(c *call) {
 	m := l.messageForCall(c.to)
 	m.CallID = c.id
@@ -104,20 +110,21 @@
 	}
 }
 
-// probeFor calls a third instance for another.
-func (l *Logic) probeFor(target, from spec.InstanceID, num uint64) {
+// probeFor probes a third instance on behalf of another one.
+func (l *Logic) probeFor(target, from spec.InstanceID, callID uint64) {
 	if target == l.Local.ID || !l.members.IsLive(target) {
 		return
 	}
 	if c := l.openCall(target, purposeIndirectProbe); c != nil {
-		c.requester, c.requesterCallID = from, num
+		c.requester, c.requesterCallID = from, callID
 		l.sendProbe(c)
 	}
 }
 
-// completeCall ends a call. It returns nil if none with the number is open.
-func (l *Logic) completeCall(num uint64) *call {
-	at := slices.IndexFunc(l.calls.rows, func(c *call) bool { return c.id == num })
+// completeCall closes the call with the given ID and returns it, or nil if
+// there is none. An answered indirect probe is acknowledged to its requester.
+func (l *Logic) completeCall(callID uint64) *call {
+	at := slices.IndexFunc(l.calls.rows, func(c *call) bool { return c.id == callID })
 	if at < 0 {
 		return nil
 	}
@@ -129,15 +136,15 @@
 	return c
 }
 
-// tickCalls moves on the calls that wait.
+// tickCalls advances the calls that wait for an answer.
 func (l *Logic) tickCalls() {
 	l.sweepContacts()
-	strained := l.isDegraded()
+	degraded := l.isDegraded()
 	l.calls.rows = slices.DeleteFunc(slices.Clone(l.calls.rows), func(c *call) bool {
 		if c.purpose != purposeExchange {
 			return l.tickBestEffortCall(c)
 		}
-		return l.tickExchangeCall(c, strained)
+		return l.tickExchangeCall(c, degraded)
 	})
 }
 
@@ -156,10 +163,12 @@
 	return false
 }
 
-// tickExchangeCall reports whether the call to a neighbour is over.
-func (l *Logic) tickExchangeCall(c *call, strained bool) bool {
+// tickExchangeCall advances a call to a neighbour and reports whether it is
+// over.
+func (l *Logic) tickExchangeCall(c *call, degraded bool) bool {
 	if l.calls.lastSeen[c.to] > c.sentAt || !l.members.IsLive(c.to) {
-		// Its words arrive, so it lives even if its answer was lost.
+		// The neighbour sends messages, so it is alive even if its
+		// answer was lost.
 		return l.now-c.sentAt >= suspectAfter
 	}
 	waited := l.now - c.sentAt
@@ -170,7 +179,7 @@
 	case c.stage == stageRetried && waited >= indirectProbeAfter:
 		l.requestIndirectProbes(c)
 	case c.stage == stageIndirect && waited >= suspectAfter:
-		if strained {
+		if degraded {
 			c.stage = stageDegraded
 			return false
 		}
@@ -183,7 +192,8 @@
 	return false
 }
 
-// requestIndirectProbes has other instances call the one that does not answer.
+// requestIndirectProbes asks other instances to probe the one that does not
+// answer.
 func (l *Logic) requestIndirectProbes(c *call) {
 	c.stage = stageIndirect
 	l.sendProbe(c)
@@ -199,8 +209,8 @@
 	}
 }
 
-// sweepContacts forgets when those were heard or missed that are long gone, so that the
-// names of replaced instances do not pile up.
+// sweepContacts drops old contact and cooldown times, so that the names of
+// replaced instances do not accumulate.
 func (l *Logic) sweepContacts() {
 	if l.now-l.calls.sweptAt < sweepInterval {
 		return
@@ -218,8 +228,9 @@
 	}
 }
 
-// isDegraded reports whether most neighbours do not answer at once. Then the
-// fault is more likely here, as Lifeguard has it, and suspicions wait longer.
+// isDegraded reports whether most neighbours fail to answer at the same time.
+// Then the fault is more likely local, as in Lifeguard, and suspicions wait
+// longer.
 func (l *Logic) isDegraded() bool {
 	failing := 0
 	for _, c := range l.calls.rows {
@@ -235,14 +246,15 @@
 		l.stats.Suspected++
 	}
 	l.members.Suspect(l.now, id)
-	// It hears of it too, to refute.
+	// Send the suspicion to the suspect itself, so that it can refute it.
 	if rec, ok := l.members.Get(id); ok {
 		m := l.messageFor(id)
 		m.Records = append(m.Records, rec)
 	}
 }
 
-// handleConnectionLost takes a broken connection as a reason to ask at once, not as a proof.
+// handleConnectionLost treats a broken connection as a reason to request
+// indirect probes at once, not as proof of death.
 func (l *Logic) handleConnectionLost(id spec.InstanceID) {
 	if !l.exchanges.has(id) || !l.members.IsLive(id) {
 		return
--- a/internal/fleet/node/listed.go
+++ b/internal/fleet/node/discovery.go
@@ -8,7 +8,8 @@
 	"fulmarwick/internal/base/spec"
 )
 
-// discoveryList is the platform's list and the settings, in order of ID.
+// discoveryList holds the instances from the platform's list and the settings,
+// in order of ID.
 type discoveryList struct {
 	peers    []listedPeer
 	received bool
@@ -20,20 +21,21 @@
 	lastListed time.Duration
 }
 
-// handleDiscoveryList takes a list. It lags and may come back empty, so it removes no member,
-// and a name only after it was missing for long from lists that had others.
-// Without that the names of all instances ever replaced would be looked for,
-// and one that is only cut off hardly ever.
+// handleDiscoveryList applies a list. A list lags and may be empty by mistake,
+// so it removes no member. A name is dropped only after it was missing for
+// listedTTL from lists that were not empty. If names were never dropped, this
+// instance would call all instances ever replaced, and hardly ever one that is
+// only cut off.
 func (l *Logic) handleDiscoveryList(ev DiscoveryList) {
 	l.discovered.received = true
-	some := false
+	nonEmpty := false
 	for _, p := range ev.Peers {
 		if p.ID != l.Local.ID && p.ID != "" {
 			l.discovered.add(p, l.now)
-			some = true
+			nonEmpty = true
 		}
 	}
-	if some {
+	if nonEmpty {
 		l.discovered.peers = slices.DeleteFunc(l.discovered.peers, func(p listedPeer) bool { return l.now-p.lastListed > listedTTL })
 	}
 	engines := slices.Clone(ev.Engines)
@@ -47,7 +49,8 @@
 
 const (
 	maxListedPeers = 4096
-	// listedTTL is how long a name counts that the list does not give any more.
+	// listedTTL is how long a name is kept that the list no longer
+	// contains.
 	listedTTL = 2 * time.Hour
 )
 
--- a/internal/fleet/node/meet.go
+++ b/internal/fleet/node/exchange.go
@@ -12,15 +12,18 @@
 const (
 	// exchangeInterval is the time between two exchanges with one neighbour.
 	exchangeInterval = time.Second
-	// joinDiscoveryInterval and seekSlow are the times between two tries to find instances
-	// that are listed but not known as alive, before and after Ready.
+	// joinDiscoveryInterval is the time between two attempts, before
+	// Ready, to contact instances that are listed but not known to be
+	// alive.
 	joinDiscoveryInterval = 300 * time.Millisecond
-	discoveryInterval     = 3 * time.Second
-	// joinDiscoveryCount is how many are tried at once before Ready.
+	// discoveryInterval is the same time after Ready.
+	discoveryInterval = 3 * time.Second
+	// joinDiscoveryCount is how many instances each attempt contacts
+	// before Ready.
 	joinDiscoveryCount = 3
 )
 
-// exchanges are the regular exchanges with the neighbours.
+// exchanges holds the regular exchanges with the neighbours.
 type exchanges struct {
 	rows    []scheduledExchange
 	version uint64
@@ -43,7 +46,8 @@
 	return slices.ContainsFunc(m.rows, func(r scheduledExchange) bool { return r.id == id })
 }
 
-// recordCaller notes that an instance of the own data centre made an exchange.
+// recordCaller records that an instance of the local data centre started an
+// exchange.
 func (m *exchanges) recordCaller(id spec.InstanceID, now time.Duration) {
 	for i := range m.callers {
 		if m.callers[i].id == id {
@@ -54,7 +58,7 @@
 	m.callers = append(m.callers, caller{id: id, lastCall: now})
 }
 
-// tickExchanges makes the exchanges that are due.
+// tickExchanges starts the exchanges that are due.
 func (l *Logic) tickExchanges() {
 	m := &l.exchanges
 	m.callers = slices.DeleteFunc(m.callers, func(c caller) bool { return l.now-c.lastCall > callerTTL })
@@ -72,8 +76,9 @@
 	l.tickDiscovery()
 }
 
-// updateNeighbours follows the neighbours that the member table gives. A new one is
-// met at a random moment, so that exchanges spread over time.
+// updateNeighbours applies a change of the neighbours in the member table. The
+// first exchange with a new neighbour is at a random moment, so that exchanges
+// spread over time.
 func (l *Logic) updateNeighbours() {
 	old := l.exchanges.rows
 	l.exchanges.rows = nil
@@ -86,8 +91,9 @@
 	}
 }
 
-// tickDiscovery calls instances that are listed but not known as alive: the
-// first contact of a new instance, and the way back after a cut.
+// tickDiscovery calls instances that are listed but not known to be alive. It
+// makes the first contact of a new instance and restores contact after a
+// network partition.
 func (l *Logic) tickDiscovery() {
 	if l.now < l.exchanges.nextAttempt {
 		return
@@ -111,13 +117,14 @@
 	}
 }
 
-// jitter is d with up to a tenth more or less.
+// jitter returns d changed by up to a tenth in either direction.
 func (l *Logic) jitter(d time.Duration) time.Duration {
 	return d*9/10 + time.Duration(l.Rand.Int64N(int64(d)/5))
 }
 
-// pushTargets are whom news are pushed to: the neighbours, those that have this
-// one as neighbour, and for a gateway its partners in other data centres.
+// pushTargets returns the instances to which items are pushed: the neighbours,
+// the instances that have this one as a neighbour, and for a gateway its
+// partners in other data centres.
 func (l *Logic) pushTargets() []spec.InstanceID {
 	var out []spec.InstanceID
 	for _, r := range l.exchanges.rows {
@@ -131,8 +138,8 @@
 	return append(out, l.remoteCentres.partners()...)
 }
 
-// inLocalCentre reports whether an instance is of the own data centre; an unknown one
-// is not, so it gets nothing that should stay inside.
+// inLocalCentre reports whether an instance is in the local data centre. An
+// unknown instance is not, so it gets no centre-scoped items.
 func (l *Logic) inLocalCentre(id spec.InstanceID) bool {
 	if rec, ok := l.members.Get(id); ok {
 		return rec.DataCentre == l.Local.DataCentre
@@ -140,7 +147,7 @@
 	return l.discovered.centreOf(id) == l.Local.DataCentre
 }
 
-// scope is the least scope of what goes to an instance.
+// scope returns the least scope of items that may be sent to an instance.
 func (l *Logic) scope(id spec.InstanceID) news.Scope {
 	if l.inLocalCentre(id) {
 		return news.ScopeCentre
@@ -148,8 +155,8 @@
 	return news.ScopeFleet
 }
 
-// activeInstances returns the instances of a data centre that take duties; if there
-// are none yet, all of them.
+// activeInstances returns the instances of a data centre that take duties, or
+// all its live instances if none takes duties yet.
 func (l *Logic) activeInstances(centre spec.DataCentre) []spec.InstanceID {
 	ids := l.members.LiveMembers(func(r proto.Record) bool { return r.DataCentre == centre && !r.Passive })
 	if len(ids) > 0 {
--- a/internal/fleet/node/fleet_test.go
+++ b/internal/fleet/node/fleet_test.go
@@ -12,10 +12,11 @@
 	"fulmarwick/internal/fleet/node"
 )
 
-// tickInterval is the grid of the virtual time.
+// tickInterval is the step of the virtual time.
 const tickInterval = 20 * time.Millisecond
 
-// fleet hands messages between the logic of many instances in virtual time.
+// fleet simulates many instances in virtual time and carries the messages
+// between them.
 type fleet struct {
 	t          testing.TB
 	now        time.Duration
@@ -23,13 +24,15 @@
 	instances  []*instance
 	index      map[spec.InstanceID]*instance
 	deliveries map[time.Duration][]delivery
-	// loss is the share of messages lost; cut loses all that it accepts.
+	// loss is the share of messages lost. linkDown drops all messages for
+	// which it returns true.
 	loss     float64
 	linkDown func(from, to *instance) bool
-	// keepsConnections is whether dead instances leave connections open.
+	// keepsConnections is whether the connections of dead instances stay
+	// open.
 	keepsConnections bool
-	// maxDelay is the longest delay of a message within a data centre; between
-	// data centres it is far.
+	// maxDelay is the longest delay of a message within a data centre,
+	// maxRemoteDelay the longest between data centres.
 	maxDelay, maxRemoteDelay time.Duration
 	// idleInterval is the time between two ticks without an event.
 	idleInterval time.Duration
@@ -44,12 +47,14 @@
 	data  []byte
 }
 
-// instance is one instance with what its logic asked for.
+// instance is one simulated instance with its logic and the state from the
+// commands of the logic.
 type instance struct {
 	self   node.Peer
 	logic  *node.Logic
 	events []node.Event
-	// up is false for one that died, held true for one that is paused.
+	// up is false for an instance that died. It stays true while the
+	// instance is paused.
 	up, paused  bool
 	starts      int
 	readyAt     time.Duration
@@ -63,7 +68,7 @@
 	members     []node.Peer
 	handedOver  bool
 	left        bool
-	// What it sent and got, and the processor time of its logic.
+	// Traffic in both directions, and the processor time of the logic.
 	bytesSent, bytesReceived       int
 	messagesSent, messagesReceived int
 	cpuTime                        time.Duration
@@ -71,7 +76,8 @@
 	recording                      *recording
 }
 
-// recording is what an instance's logic was given and what it asked for.
+// recording holds the events given to the logic of an instance and the
+// commands it returned.
 type recording struct {
 	ticks []recordedTick
 }
@@ -82,7 +88,8 @@
 	commands []node.Command
 }
 
-// newFleet makes n instances over the data centres and lists all to all.
+// newFleet creates n instances spread over the data centres. The discovery
+// list of each contains all of them.
 func newFleet(t testing.TB, n, centres, engines int) *fleet {
 	f := &fleet{
 		t: t, rand: rand.New(rand.NewPCG(1, 2)), index: map[spec.InstanceID]*instance{},
@@ -114,7 +121,7 @@
 	return x
 }
 
-// start begins a life of an instance that knows nothing but the list.
+// start starts an instance that knows only the discovery list.
 func (f *fleet) start(x *instance) {
 	x.starts++
 	x.up, x.paused, x.handedOver, x.left, x.readyAt = true, false, false, false, 0
@@ -144,7 +151,7 @@
 	x.watch, x.duty = node.Watch{}, map[string]bool{}
 }
 
-// run lets d of virtual time pass.
+// run advances the virtual time by d.
 func (f *fleet) run(d time.Duration) {
 	for end := f.now + d; f.now < end; {
 		f.now += tickInterval
@@ -165,7 +172,8 @@
 	}
 }
 
-// runUntil runs until ok, at most d, and tells how long it took.
+// runUntil runs until ok returns true, for at most d, and returns how long it
+// took.
 func (f *fleet) runUntil(d time.Duration, what string, ok func() bool) time.Duration {
 	f.t.Helper()
 	for begin := f.now; f.now < begin+d; {
@@ -238,10 +246,10 @@
 		x.events = append(x.events, node.ConnectionLost{Peer: c.To})
 		return
 	}
-	lag := f.maxDelay
+	delay := f.maxDelay
 	if to.self.DataCentre != x.self.DataCentre {
-		lag = f.maxRemoteDelay
+		delay = f.maxRemoteDelay
 	}
-	at := f.now + tickInterval*time.Duration(1+f.rand.IntN(int(lag/tickInterval)))
+	at := f.now + tickInterval*time.Duration(1+f.rand.IntN(int(delay/tickInterval)))
 	f.deliveries[at] = append(f.deliveries[at], delivery{from: x.self.ID, to: to, start: to.starts, data: c.Data})
 }
--- a/internal/fleet/node/ask_test.go
+++ b/internal/fleet/node/helpers_test.go
@@ -10,7 +10,7 @@
 	"fulmarwick/internal/fleet/node"
 )
 
-// settle runs until all are ready and know all.
+// settle runs until all instances are ready and know each other.
 func (f *fleet) settle() {
 	f.t.Helper()
 	f.runUntil(30*time.Second, "settled fleet", func() bool {
@@ -44,7 +44,8 @@
 	return itemLabel(item)
 }
 
-// propagationTimes tells how long the item took to each of those that ok accepts.
+// propagationTimes returns how long the item took to reach each instance that
+// ok accepts.
 func (f *fleet) propagationTimes(from *instance, item string, ok func(*instance) bool) []time.Duration {
 	f.t.Helper()
 	begin := f.now
@@ -66,7 +67,7 @@
 	return func(x *instance) bool { return x.self.DataCentre == dc }
 }
 
-// expiryCount counts how often instances took others for gone.
+// expiryCount counts how often instances declared another one gone.
 func (f *fleet) expiryCount() int {
 	n := 0
 	for _, x := range f.instances {
@@ -75,7 +76,7 @@
 	return n
 }
 
-// suspicions counts how often instances began to suspect another.
+// suspicions counts how often instances started to suspect another one.
 func (f *fleet) suspicions() uint64 {
 	n := uint64(0)
 	for _, x := range f.instances {
--- a/internal/fleet/node/join_test.go
+++ b/internal/fleet/node/join_test.go
@@ -16,12 +16,13 @@
 	return node.DutySpec{Name: fmt.Sprintf("d%02d", i), Scope: news.ScopeFleet}
 }
 
-// dutyHolders lists "duty instance" for every duty held by those that ok accepts.
+// dutyHolders lists "duty instance" for every duty held by an instance that ok
+// accepts.
 func (f *fleet) dutyHolders(ok func(*instance) bool) []string {
 	var out []string
 	for _, x := range f.instances {
-		for name, mine := range x.duty {
-			if mine && x.up && ok(x) {
+		for name, assigned := range x.duty {
+			if assigned && x.up && ok(x) {
 				out = append(out, name+" "+string(x.self.ID))
 			}
 		}
@@ -30,29 +31,30 @@
 	return out
 }
 
-// countWatchers counts the watchers of each engine, and how many speak for it.
-func (f *fleet) countWatchers() (all, first map[spec.UpstreamID]int) {
-	all, first = map[spec.UpstreamID]int{}, map[spec.UpstreamID]int{}
+// countWatchers counts the watchers of each engine, and how many of them are
+// primary.
+func (f *fleet) countWatchers() (all, primary map[spec.UpstreamID]int) {
+	all, primary = map[spec.UpstreamID]int{}, map[spec.UpstreamID]int{}
 	for _, x := range f.instances {
 		for _, e := range x.watch.Engines {
 			all[e]++
 		}
 		for _, e := range x.watch.Primary {
-			first[e]++
+			primary[e]++
 		}
 	}
-	return all, first
+	return all, primary
 }
 
 func (f *fleet) checkWatchers(engines int) {
 	f.t.Helper()
-	all, first := f.countWatchers()
-	if len(all) != engines || len(first) != engines {
-		f.t.Errorf("got %d engines watched and %d spoken for, want %d", len(all), len(first), engines)
+	all, primary := f.countWatchers()
+	if len(all) != engines || len(primary) != engines {
+		f.t.Errorf("got %d engines watched and %d with a primary, want %d", len(all), len(primary), engines)
 	}
 	for e, n := range all {
-		if n != 2 || first[e] != 1 {
-			f.t.Errorf("got %d watchers and %d speakers of %s, want 2 and 1", n, first[e], e)
+		if n != 2 || primary[e] != 1 {
+			f.t.Errorf("got %d watchers and %d primaries of %s, want 2 and 1", n, primary[e], e)
 		}
 	}
 }
@@ -66,8 +68,8 @@
 	f.checkWatchers(30)
 }
 
-// A new instance joins while work is in flight. It takes no decision before it
-// knows what its peers know, and its duties are about one in n.
+// A new instance joins a fleet at work. It must not report Ready before it has
+// the items of its peers, and must take over about one in n of the duties.
 func TestJoinCatchesUpBeforeReady(t *testing.T) {
 	f := newFleet(t, 8, 1, 0)
 	for i := range 200 {
@@ -105,9 +107,10 @@
 	}
 }
 
-// All four instances are restarted one after another. Every duty and engine is
-// held but for the moments between a hand-over and the next holder, and
-// nobody counts a planned stop as a death before its goodbye.
+// All four instances are restarted one after another. Every duty and engine
+// must stay held, except for the moments between a hand-over and the next
+// holder. No peer may take the planned stop for a death before the instance
+// announced that it leaves.
 func TestRollingRestartKeepsDuties(t *testing.T) {
 	f := newFleet(t, 4, 2, 10)
 	for i := range 20 {
@@ -127,10 +130,10 @@
 			t.Errorf("got %d watches after the hand-over, want 0", got)
 		}
 		x.events = append(x.events, node.Leave{})
-		f.runUntil(3*time.Second, "goodbye", func() bool { return x.left })
+		f.runUntil(3*time.Second, "acknowledged leave", func() bool { return x.left })
 		for _, p := range f.instances {
 			if p != x && p.self.DataCentre == x.self.DataCentre && p.expiredAt[x.self.ID] == 0 {
-				t.Errorf("got no end of %s at %s once it was done, want one", x.self.ID, p.self.ID)
+				t.Errorf("got no expiry of %s at %s after it left, want one", x.self.ID, p.self.ID)
 			}
 		}
 		f.kill(x)
@@ -151,16 +154,16 @@
 	}
 	took := f.runUntil(20*time.Second, "ready", func() bool { return f.instances[0].readyAt != 0 })
 	if got, want := took, node.DefaultAloneTimeout; got < want {
-		t.Errorf("got ready after %v, want at least %v to look for others", got, want)
+		t.Errorf("got ready after %v, want at least %v to look for peers", got, want)
 	}
 	if got := len(f.instances[0].watch.Engines); got != 2 {
 		t.Errorf("got %d engines watched, want 2", got)
 	}
 }
 
-// The first instance of a data centre starts beside others that serve already.
-// It is ready as soon as it heard what spreads between data centres; waiting
-// for a second peer that nothing makes it meet would keep it out for longer.
+// The first instance of a data centre starts while other data centres already
+// serve. It must be ready as soon as it has the fleet-scoped items. Nothing
+// makes it contact a second peer, so waiting for one would delay it further.
 func TestFirstInstanceOfDataCentreIsReadySoon(t *testing.T) {
 	f := newFleet(t, 3, 2, 0)
 	late := f.instances[1]
@@ -172,9 +175,9 @@
 	f.runUntil(6*time.Second, "ready first instance", func() bool { return late.readyAt != 0 })
 }
 
-// Instances are replaced by others of new names for days. The names that the
-// list gave up are not looked for any more; those still listed are, although
-// the list came back empty in between.
+// Instances are replaced by others with new names for days. Names that left
+// the list must no longer be called. Listed names must still be called,
+// although the list was empty in between.
 func TestReplacedInstancesAreNoLongerCalled(t *testing.T) {
 	peers := func(from, to int) node.DiscoveryList {
 		var ev node.DiscoveryList
@@ -196,6 +199,6 @@
 		}
 	}
 	if len(called) != 15 || called["i10"] || !called["i47"] || !called["i59"] {
-		t.Errorf("got %d instances looked for, want the 15 listed", len(called))
+		t.Errorf("got %d instances called, want the 15 listed", len(called))
 	}
 }
--- a/internal/fleet/node/logic.go
+++ b/internal/fleet/node/logic.go
@@ -15,25 +15,27 @@
 )
 
 const (
-	// minPause is the time between two ticks that shows that this process did
-	// not run; whatever waited in the meantime proves nothing about others.
+	// minPause is the time between two ticks from which on this process is
+	// known to have been paused. Timeouts that passed in a pause prove
+	// nothing about other instances.
 	minPause = time.Second
-	// maxSketchTeams is how many teams the sketch of heavy teams counts.
+	// maxSketchTeams is the number of teams in the sketch of heavy teams.
 	maxSketchTeams = 4 * quota.MaxHeavyTeams
 )
 
-// Logic is one instance among the others. Set the exported fields before the
-// first Tick.
+// Logic is the state of one instance in the fleet. Set the exported fields
+// before the first Tick.
 type Logic struct {
-	// Local is the own instance.
+	// Local is this instance.
 	Local Peer
-	// StartTime tells restarts apart: seconds since 1970 at the start. A clock that
-	// went back is made up for by what the others remember.
+	// StartTime distinguishes restarts: the start of the process in
+	// seconds since 1970. If the clock went back over a restart, the
+	// records that peers hold of the former process correct it.
 	StartTime uint32
-	// Rand is a seeded source.
+	// Rand is a seeded random source.
 	Rand *rand.Rand
-	// AloneTimeout is how long to look for peers before this instance counts as the
-	// first; zero is DefaultAlone.
+	// AloneTimeout is how long to look for peers before this instance
+	// considers itself the first. Zero means DefaultAloneTimeout.
 	AloneTimeout time.Duration
 
 	initialized   bool
@@ -56,22 +58,24 @@
 	stats         Stats
 }
 
-// Stats counts what the logic met. All counts only grow.
+// Stats holds the counters of the logic. All except Items only grow.
 type Stats struct {
-	// Sent and SentBytes count messages out, Heard and HeardBytes those in;
-	// bytes are without the transport's own.
+	// Sent and SentBytes count outgoing messages, Received and
+	// ReceivedBytes incoming ones. The bytes are without the overhead of
+	// the transport.
 	Sent, SentBytes, Received, ReceivedBytes uint64
-	// Malformed counts messages that were refused.
+	// Malformed counts messages that were rejected.
 	Malformed uint64
-	// Suspected counts suspicions that began here.
+	// Suspected counts suspicions that this instance started.
 	Suspected uint64
-	// Pauses counts times that this process did not run.
+	// Pauses counts pauses of this process.
 	Pauses uint64
-	// Items is how many items are held now, Refused how many found no room.
+	// Items is how many items are held now, Refused how many were refused
+	// because the store was full.
 	Items, Refused int
 }
 
-// Stats returns the counts.
+// Stats returns the current counters.
 func (l *Logic) Stats() Stats {
 	s := l.stats
 	s.Items = l.items.ItemCount()
@@ -79,8 +83,8 @@
 	return s
 }
 
-// Tick takes events in and returns what is to be done. It is called at least
-// every 50 ms and whenever an event came.
+// Tick applies events and returns the commands to carry out. It is called at
+// least every 50 ms and whenever an event arrives.
 func (l *Logic) Tick(now time.Duration, events []Event) []Command {
 	l.commands = nil
 	if !l.initialized {
@@ -124,8 +128,9 @@
 	}
 }
 
-// handlePause forgives everyone after this process did not run for a while. Without
-// it, answers that wait unread would look like the death of all others.
+// handlePause drops the open calls and extends all suspicions after this
+// process was paused. Otherwise answers that wait unread would look like the
+// death of all other instances.
 func (l *Logic) handlePause(now time.Duration) {
 	if now-l.now < minPause {
 		return
@@ -158,7 +163,8 @@
 
 func (l *Logic) emit(c Command) { l.commands = append(l.commands, c) }
 
-// handleMemberChanges acts on what changed in the member table.
+// handleMemberChanges applies the changes of the member table to items and
+// shares.
 func (l *Logic) handleMemberChanges() {
 	for _, c := range l.members.TakeChanges() {
 		switch {
@@ -169,8 +175,8 @@
 			l.expire(c.ID, rec.StartTime)
 		}
 	}
-	if born := l.members.Local.StartTime; born != l.items.StartTime {
-		l.items.RestartStreams(l.now, born)
+	if startTime := l.members.Local.StartTime; startTime != l.items.StartTime {
+		l.items.RestartStreams(l.now, startTime)
 	}
 }
 
@@ -180,7 +186,7 @@
 	l.emit(ExpirePeer{Peer: id})
 }
 
-// publish spreads an item of the own instance.
+// publish publishes an item of this instance.
 func (l *Logic) publish(item news.Item) {
 	switch item.Kind {
 	case news.KindLoad, news.KindRate:
@@ -194,22 +200,23 @@
 			return
 		}
 	}
-	if item, fresh := l.items.Publish(l.now, item); fresh && gossip.Urgent(item.Kind) {
+	if item, isNew := l.items.Publish(l.now, item); isNew && gossip.Urgent(item.Kind) {
 		l.pushes.add(item, "")
 	}
 }
 
-// isHeadKnown reports whether the others were told of the version or a later
-// one already: at 360 instances each would else tell all the same.
+// isHeadKnown reports whether the fleet was already told of this version or a
+// later one. Without the check 360 instances would each publish the same
+// version.
 func (l *Logic) isHeadKnown(item news.Item) bool {
-	mine, ok := decodeHead(item)
+	local, ok := decodeHead(item)
 	if !ok {
 		return true
 	}
 	known := false
 	l.items.Each(news.KindHead, func(other news.Item) {
 		head, ok := decodeHead(other)
-		known = known || ok && head.Version >= mine.Version
+		known = known || ok && head.Version >= local.Version
 	})
 	return known
 }
--- a/internal/fleet/node/member_test.go
+++ b/internal/fleet/node/member_test.go
@@ -18,10 +18,10 @@
 	}
 }
 
-// Callers of a dead instance come to another one. Its neighbours get no
-// answer, ask others to call it, suspect it and agree; all then forget what
-// it had in flight, because those loads would keep work off engines for
-// nothing.
+// An instance dies and its callers go to another one. Its neighbours get no
+// answer, request indirect probes, suspect it and agree. All others must
+// expire it, because the loads it had in flight would otherwise keep work off
+// engines for nothing.
 func TestDeathIsDetectedByAll(t *testing.T) {
 	for _, n := range []int{4, 36} {
 		f := newFleet(t, n, 1, 6)
@@ -33,15 +33,15 @@
 		})
 		f.run(5 * time.Second)
 		if got := f.expiryCount(); got != n-1 {
-			t.Errorf("got %d deaths told, want %d", got, n-1)
+			t.Errorf("got %d deaths reported, want %d", got, n-1)
 		}
 		t.Logf("%d instances: death known to all after %v", n, took)
 	}
 }
 
-// Nobody sees anything: one instance hears the others but its words to one
-// of them are lost. That one asks others to call, they get answers, and no
-// death is told.
+// All messages from one instance to another are lost, while all other links
+// work. The receiver requests indirect probes, they are answered, and no death
+// may be reported.
 func TestOneWayLossCausesNoFalseDeaths(t *testing.T) {
 	f := newFleet(t, 8, 1, 0)
 	f.settle()
@@ -62,9 +62,9 @@
 	}
 }
 
-// An instance is paused, held for dead by the others, and wakes believing
-// that nothing happened. It suspects nobody, hears of its death, raises its
-// incarnation and is back with all.
+// An instance is paused and declared dead by the others. After the pause it
+// must suspect nobody. It learns that it was declared dead, raises its
+// incarnation and must be live for all again.
 func TestPausedInstanceRejoins(t *testing.T) {
 	f := newFleet(t, 8, 1, 0)
 	f.settle()
@@ -72,27 +72,27 @@
 	x.paused = true
 	f.run(30 * time.Second)
 	if got := f.expiryCount(); got != 7 {
-		t.Errorf("got %d deaths told of the paused one, want 7", got)
+		t.Errorf("got %d deaths reported of the paused instance, want 7", got)
 	}
 	x.paused = false
-	f.runUntil(10*time.Second, "return of the paused one", func() bool {
+	f.runUntil(10*time.Second, "return of the paused instance", func() bool {
 		return !slices.ContainsFunc(f.instances, func(x *instance) bool { return len(x.members) != 7 })
 	})
 	if x.expiryCount != 0 {
-		t.Errorf("got %d deaths told by the paused one, want 0", x.expiryCount)
+		t.Errorf("got %d deaths reported by the paused instance, want 0", x.expiryCount)
 	}
 }
 
-// Two regions lose each other for an hour. Each goes on by itself and tells no
-// death of the other; both take up a new configuration in the meantime only
-// where it was said; joined again, the news and the dead of that hour reach
-// the other side.
+// Two regions are partitioned for an hour. Each goes on by itself and may not
+// declare instances of the other dead. A new configuration published during
+// the partition spreads on its own side only. Once the partition heals, the
+// configuration and the deaths of that hour must reach the other side.
 func TestPartitionedRegionsMergeAgain(t *testing.T) {
 	f := newFleet(t, 8, 4, 0)
 	f.settle()
 	f.idleInterval = 25 * tickInterval
-	left := func(x *instance) bool { return x.self.DataCentre < centreName(2) }
-	f.linkDown = func(a, b *instance) bool { return left(a) != left(b) }
+	inLeftRegion := func(x *instance) bool { return x.self.DataCentre < centreName(2) }
+	f.linkDown = func(a, b *instance) bool { return inLeftRegion(a) != inLeftRegion(b) }
 	f.run(20 * time.Second)
 	if got := f.expiryCount(); got != 0 {
 		t.Errorf("got %d deaths after the cut, want 0", got)
@@ -109,9 +109,9 @@
 	})
 }
 
-// A data centre is cut off. The others hand its fleet-wide duties to
-// instances they can reach, and give them back after; leases keep two holders
-// from acting at once.
+// A data centre is cut off. The others must assign its fleet-wide duties to
+// instances they can reach and assign them back afterwards. Leases keep two
+// holders from acting at the same time.
 func TestUnreachableCentreLosesFleetDuties(t *testing.T) {
 	f := newFleet(t, 9, 3, 0)
 	for i := range 12 {
@@ -122,10 +122,10 @@
 	}
 	f.settle()
 	before := f.dutyHolders(anyInstance)
-	away := func(x *instance) bool { return x.self.DataCentre == centreName(1) }
-	f.linkDown = func(a, b *instance) bool { return away(a) != away(b) }
+	isCutOff := func(x *instance) bool { return x.self.DataCentre == centreName(1) }
+	f.linkDown = func(a, b *instance) bool { return isCutOff(a) != isCutOff(b) }
 	f.run(20 * time.Second)
-	if got := f.dutyHolders(func(x *instance) bool { return !away(x) }); len(got) != 12 {
+	if got := f.dutyHolders(func(x *instance) bool { return !isCutOff(x) }); len(got) != 12 {
 		t.Errorf("got %d duties held on the larger side, want 12", len(got))
 	}
 	f.linkDown = nil
--- a/internal/fleet/node/hear.go
+++ b/internal/fleet/node/message.go
@@ -9,8 +9,8 @@
 	"fulmarwick/internal/fleet/proto"
 )
 
-// handleMessage takes a message from another instance. The transport vouches for who
-// sent it.
+// handleMessage processes a message from another instance. The transport has
+// authenticated the sender.
 func (l *Logic) handleMessage(ev Received) {
 	l.stats.Received++
 	l.stats.ReceivedBytes += uint64(len(ev.Data))
@@ -60,24 +60,25 @@
 	}
 }
 
-// replyToExchange gives what the caller lacks and asks for what it has more.
+// replyToExchange sends what the caller lacks and requests what the caller has
+// and this instance lacks.
 func (l *Logic) replyToExchange(from spec.InstanceID, m *proto.Message) {
 	out := l.messageForAck(from)
 	out.AckID = m.CallID
 	out.Ready = l.join.ready
-	records, all := l.members.DifferingRecords(m.Checksums, maxRecordBytes, l.randomStart())
+	records, allRecords := l.members.DifferingRecords(m.Checksums, maxRecordBytes, l.randomStart())
 	if len(records) > 0 {
 		out.Records = append(out.Records, records...)
 		out.Checksums = l.members.Checksums()
 	}
 	scope := l.scope(from)
-	blocks, whole := l.items.Delta(l.now, scope, m.Watermarks, l.budget.deltaLimit(), l.randomStart())
+	blocks, complete := l.items.Delta(l.now, scope, m.Watermarks, l.budget.deltaLimit(), l.randomStart())
 	out.Blocks = append(out.Blocks, blocks...)
 	out.Wants = l.items.Wants(m.Watermarks)
-	out.Complete = whole && all
+	out.Complete = complete && allRecords
 }
 
-// handleAck takes the answer to an own call.
+// handleAck processes the answer to a call of this instance.
 func (l *Logic) handleAck(from spec.InstanceID, m *proto.Message) {
 	if m.AckID != 0 {
 		if c := l.completeCall(m.AckID); c != nil && c.to == from {
@@ -94,7 +95,8 @@
 			out.Blocks = append(out.Blocks, blocks...)
 		}
 	}
-	// The answer to a call carries sums only if the tables differ.
+	// An answer to a call carries checksums only if the member tables
+	// differ.
 	if m.AckID != 0 && len(m.Checksums) > 0 {
 		if records, _ := l.members.DifferingRecords(m.Checksums, maxRecordBytes, l.randomStart()); len(records) > 0 {
 			out := l.messageFor(from)
@@ -103,10 +105,11 @@
 	}
 }
 
-// randomStart picks the stream to begin with, so that a small budget serves all.
+// randomStart picks the stream to begin with, so that all streams make
+// progress under a small byte budget.
 func (l *Logic) randomStart() int { return l.Rand.IntN(1 << 16) }
 
-// applyBlock takes a block of items and hands on what is new.
+// applyBlock applies a block of items and passes on those that are new.
 func (l *Logic) applyBlock(from spec.InstanceID, b *proto.Block) {
 	if b.Scope == news.ScopeCentre && !l.inLocalCentre(from) {
 		return
@@ -125,8 +128,9 @@
 	}
 }
 
-// detectRestart learns of a restart from the items of the new self, so that what
-// the former self told is forgotten before they are handed on.
+// detectRestart detects a restart of an instance by the later start time in
+// its items. The items of the former process are then dropped before the new
+// ones are delivered.
 func (l *Logic) detectRestart(b *proto.Block) {
 	rec, ok := l.members.Get(b.Origin)
 	if !ok || b.StartTime <= rec.StartTime || b.Origin == l.Local.ID {
@@ -141,7 +145,8 @@
 	l.handleMemberChanges()
 }
 
-// deliver hands an item of another instance to whom it concerns.
+// deliver passes an item of another instance to the part of the logic that
+// uses it, or to the driver.
 func (l *Logic) deliver(item news.Item) {
 	switch item.Kind {
 	case news.KindLoads:
--- a/internal/fleet/node/outbox.go
+++ b/internal/fleet/node/outbox.go
@@ -9,23 +9,25 @@
 )
 
 const (
-	// maxBytesPerSecond is what this instance sends at most over time. As much
-	// comes in on average, which keeps both together under 24 KB/s.
+	// maxBytesPerSecond bounds what this instance sends over time. About
+	// as much comes in, which keeps both directions together under 24
+	// KB/s.
 	maxBytesPerSecond = 11 << 10
-	// maxBurstBytes is how much may be saved up for a busy moment.
+	// maxBurstBytes is how many unused bytes the budget keeps for a burst.
 	maxBurstBytes = 16 << 10
 	// messageOverheadBytes is what TLS, TCP and IP add to a message.
 	messageOverheadBytes = 70
-	// minDeltaBytes and mostDelta bound the items in one answer. The least lets a
-	// busy instance still move on.
+	// minDeltaBytes is the least limit of the items in one answer. It lets
+	// a busy instance still make progress.
 	minDeltaBytes = 512
+	// maxDeltaBytes is the highest limit of the items in one answer.
 	maxDeltaBytes = 6 << 10
 	// maxRecordBytes bounds the member records in one answer, in bytes.
 	maxRecordBytes = 4 << 10
 )
 
-// budget is a token bucket of bytes. Answers and urgent items may overdraw
-// it; the rest waits until it is paid back.
+// budget is a token bucket of bytes. Answers and urgent items may overdraw it;
+// pushes wait until it is refilled.
 type budget struct {
 	availableBytes float64
 	refilledAt     time.Duration
@@ -36,20 +38,20 @@
 	b.refilledAt = now
 }
 
-// deltaLimit is how many bytes of items an answer may carry now.
+// deltaLimit returns how many bytes of items an answer may carry now.
 func (b *budget) deltaLimit() int {
 	return min(maxDeltaBytes, max(minDeltaBytes, int(b.availableBytes)))
 }
 
-// spend pays for a message. The debt has a bound: without one, the meeting of
-// a whole fleet at its start held items back for minutes.
+// spend subtracts the bytes of a message. The debt is bounded: without a
+// bound, the start of a whole fleet at once held items back for minutes.
 func (b *budget) spend(bytes int) {
 	b.availableBytes = max(b.availableBytes-float64(bytes), -maxBurstBytes)
 }
 
 func (b *budget) isExhausted() bool { return b.availableBytes <= -maxBurstBytes }
 
-// outbox gathers what goes to each instance in a tick into one message.
+// outbox merges the parts that go to an instance in one tick into one message.
 type outbox struct {
 	index map[spec.InstanceID]*outgoing
 	order []*outgoing
@@ -61,64 +63,65 @@
 	message proto.Message
 }
 
-// messageFor returns the message that goes to id in this tick. One message carries
-// one call and one answer at most.
+// messageFor returns the message that goes to id in this tick. A message
+// carries at most one call and one answer.
 func (l *Logic) messageFor(id spec.InstanceID) *proto.Message { return &l.outgoingFor(id).message }
 
 func (l *Logic) outgoingFor(id spec.InstanceID) *outgoing {
 	if l.outbox.index == nil {
 		l.outbox.index = map[spec.InstanceID]*outgoing{}
 	}
-	if w := l.outbox.index[id]; w != nil {
-		return w
+	if out := l.outbox.index[id]; out != nil {
+		return out
 	}
 	return l.newOutgoing(id)
 }
 
 func (l *Logic) newOutgoing(id spec.InstanceID) *outgoing {
-	w := &outgoing{to: id, url: l.peerURL(id)}
-	l.outbox.index[id] = w
-	l.outbox.order = append(l.outbox.order, w)
-	return w
+	out := &outgoing{to: id, url: l.peerURL(id)}
+	l.outbox.index[id] = out
+	l.outbox.order = append(l.outbox.order, out)
+	return out
 }
 
-// messageForCall returns a message to id that has no call yet, and answer one that has no
-// answer yet.
+// messageForCall returns a message to id that has no call yet.
 func (l *Logic) messageForCall(id spec.InstanceID) *proto.Message {
-	w := l.outgoingFor(id)
-	if w.message.CallID != 0 {
-		w = l.newOutgoing(id)
+	out := l.outgoingFor(id)
+	if out.message.CallID != 0 {
+		out = l.newOutgoing(id)
 	}
-	return &w.message
+	return &out.message
 }
 
+// messageForAck returns a message to id that has no answer yet.
 func (l *Logic) messageForAck(id spec.InstanceID) *proto.Message {
-	w := l.outgoingFor(id)
-	if w.message.AckID != 0 {
-		w = l.newOutgoing(id)
+	out := l.outgoingFor(id)
+	if out.message.AckID != 0 {
+		out = l.newOutgoing(id)
 	}
-	return &w.message
+	return &out.message
 }
 
-// flush sends the tick's messages.
+// flush sends the messages of the tick.
 func (l *Logic) flush() {
 	l.budget.refill(l.now)
 	l.flushPushes()
-	for _, w := range l.outbox.order {
-		data, err := proto.Encode(&w.message)
+	for _, out := range l.outbox.order {
+		data, err := proto.Encode(&out.message)
 		if err != nil || len(data) > proto.MaxMessageBytes {
 			continue
 		}
 		l.budget.spend(len(data) + messageOverheadBytes)
 		l.stats.Sent++
 		l.stats.SentBytes += uint64(len(data))
-		l.emit(Send{To: w.to, URL: w.url, Data: data})
+		l.emit(Send{To: out.to, URL: out.url, Data: data})
 	}
 	l.outbox.order = nil
 	clear(l.outbox.index)
 }
 
-// peerURL is where an instance answers, by its own word or the platform's list.
+// peerURL returns the address of an instance from its own record, or else from
+// the discovery list.
 func (l *Logic) peerURL(id spec.InstanceID) string {
 	if rec, ok := l.members.Get(id); ok && rec.URL != "" {
 		return rec.URL
@@ -126,7 +129,7 @@
 	return l.discovered.urlOf(id)
 }
 
-// pushes are the urgent items and member records of a tick.
+// pushes holds the urgent items of a tick.
 type pushes struct {
 	items []pushedItem
 }
@@ -136,14 +139,14 @@
 	from spec.InstanceID
 }
 
-// add queues an item for all neighbours but the one it came from.
+// add queues an item for all push targets except the instance it came from.
 func (p *pushes) add(i news.Item, from spec.InstanceID) {
 	p.items = append(p.items, pushedItem{item: i, from: from})
 }
 
-// flushPushes floods what is new: each instance passes on only what it had
-// not heard, so a push ends by itself. What does not fit the budget is left to
-// the exchanges.
+// flushPushes floods what is new. Each instance passes on only what it did not
+// know, so a flood ends by itself. If the budget is exhausted, the items are
+// left to the regular exchanges.
 func (l *Logic) flushPushes() {
 	records := l.members.TakeUpdates()
 	items := l.pushes.items
@@ -152,7 +155,7 @@
 		return
 	}
 	for _, id := range l.pushTargets() {
-		far := !l.inLocalCentre(id)
+		isRemote := !l.inLocalCentre(id)
 		for _, rec := range records {
 			if rec.ID != id || rec.State != proto.StateAlive {
 				m := l.messageFor(id)
@@ -160,7 +163,7 @@
 			}
 		}
 		for _, p := range items {
-			if p.from != id && (!far || p.item.Scope == news.ScopeFleet) {
+			if p.from != id && (!isRemote || p.item.Scope == news.ScopeFleet) {
 				l.pushItem(id, p.item)
 			}
 		}
--- a/internal/fleet/node/remote.go
+++ b/internal/fleet/node/remote.go
@@ -12,23 +12,29 @@
 )
 
 const (
-	// gatewaysPerCentre is how many instances of a data centre speak with the others;
-	// two, so that losing one cuts nothing off.
+	// gatewaysPerCentre is how many instances of a data centre exchange
+	// items with other data centres. With two, the loss of one cuts
+	// nothing off.
 	gatewaysPerCentre = 2
-	// remoteExchangeInterval is the time between two exchanges of a gateway with one
-	// other data centre. Urgent items are pushed and do not wait for it.
+	// remoteExchangeInterval is the time between two exchanges of a
+	// gateway with one other data centre. Urgent items are pushed and do
+	// not wait for it.
 	remoteExchangeInterval = 3 * time.Second
-	// partnerCooldown is how long a partner that did not answer is passed over.
+	// partnerCooldown is how long a partner that did not answer is
+	// skipped.
 	partnerCooldown = 10 * time.Second
-	// cutOffTimeout is the silence after which a data centre counts as cut off.
+	// cutOffTimeout is the time without messages after which a data centre
+	// is considered cut off.
 	cutOffTimeout = 8 * time.Second
-	// reachabilityInterval is the time between two looks at which data centres are cut.
+	// reachabilityInterval is the time between two checks which data
+	// centres are reachable.
 	reachabilityInterval = 500 * time.Millisecond
-	// reachabilityTTL is the life of a gateway's word on a data centre.
+	// reachabilityTTL is how long the report of a gateway on a data centre
+	// is valid.
 	reachabilityTTL = 15 * time.Second
 )
 
-// remoteCentres are the other data centres, in order of name.
+// remoteCentres holds the other data centres, in order of name.
 type remoteCentres struct {
 	rows                  []*remoteCentre
 	version               uint64
@@ -46,18 +52,19 @@
 	nextExchange time.Duration
 	lastSeen     time.Duration
 	reportedAt   time.Duration
-	// cutOff is what this gateway found, unreachable what all gateways say.
+	// cutOff is what this gateway found, unreachable what all gateways of
+	// the local data centre report.
 	cutOff      bool
 	unreachable bool
 }
 
-// isFirstGateway reports whether this instance is the first gateway, which alone
-// says the sums of its data centre.
+// isFirstGateway reports whether this instance is the first gateway. Only that
+// one publishes the memory sums of its data centre in a large fleet.
 func (l *Logic) isFirstGateway() bool {
 	return l.remoteCentres.isGateway && l.remoteCentres.gatewayRank == 0
 }
 
-// tickRemoteCentres makes a gateway's exchanges with other data centres.
+// tickRemoteCentres starts the exchanges of a gateway with other data centres.
 func (l *Logic) tickRemoteCentres() {
 	r := &l.remoteCentres
 	if r.version != l.members.Version() || r.listedCount != len(l.discovered.peers) {
@@ -76,18 +83,19 @@
 	}
 }
 
-// updateRemoteCentres finds the other data centres and whether this is a gateway.
+// updateRemoteCentres finds the other data centres and determines whether this
+// instance is a gateway.
 func (l *Logic) updateRemoteCentres() {
 	r := &l.remoteCentres
 	r.gateways = rank.Top(gatewayKey(l.Local.DataCentre), l.activeInstances(l.Local.DataCentre), gatewaysPerCentre)
 	r.gatewayRank = slices.Index(r.gateways, l.Local.ID)
-	was := r.isGateway
+	wasGateway := r.isGateway
 	r.isGateway = r.gatewayRank >= 0
 	l.members.Each(func(rec proto.Record) { l.addRemoteCentre(rec.DataCentre) })
 	for _, p := range l.discovered.peers {
 		l.addRemoteCentre(p.DataCentre)
 	}
-	if r.isGateway && !was {
+	if r.isGateway && !wasGateway {
 		for _, c := range r.rows {
 			c.lastSeen = l.now
 		}
@@ -110,8 +118,8 @@
 	}
 }
 
-// exchangeWithCentre makes an exchange with a gateway of another data centre, or with
-// whoever answers there.
+// exchangeWithCentre starts an exchange with a gateway of another data centre,
+// or with another listed instance there if none is known to be alive.
 func (l *Logic) exchangeWithCentre(c *remoteCentre) {
 	ids := l.activeInstances(c.centre)
 	if len(ids) == 0 {
@@ -137,7 +145,8 @@
 	return out
 }
 
-// partners are the instances that a gateway pushes to.
+// partners returns the instances in other data centres that a gateway pushes
+// to.
 func (r *remoteCentres) partners() []spec.InstanceID {
 	if !r.isGateway {
 		return nil
@@ -151,7 +160,7 @@
 	return out
 }
 
-// avoidPartner passes over an instance that did not answer.
+// avoidPartner skips an instance that did not answer for partnerCooldown.
 func (r *remoteCentres) avoidPartner(id spec.InstanceID, now time.Duration) {
 	if r.avoidUntil == nil {
 		r.avoidUntil = map[spec.InstanceID]time.Duration{}
@@ -159,7 +168,7 @@
 	r.avoidUntil[id] = now + partnerCooldown
 }
 
-// recordContact notes a word of another data centre.
+// recordContact records a message from another data centre.
 func (r *remoteCentres) recordContact(centre spec.DataCentre, now time.Duration) {
 	for _, c := range r.rows {
 		if c.centre == centre {
@@ -168,22 +177,23 @@
 	}
 }
 
-// reportReachability tells the own data centre whether the other one can be reached.
+// reportReachability publishes in the local data centre whether the other one
+// can be reached.
 func (l *Logic) reportReachability(c *remoteCentre) {
-	cut := l.now-c.lastSeen >= cutOffTimeout
-	if cut == c.cutOff && (!cut || l.now-c.reportedAt < reachabilityTTL/3) {
+	cutOff := l.now-c.lastSeen >= cutOffTimeout
+	if cutOff == c.cutOff && (!cutOff || l.now-c.reportedAt < reachabilityTTL/3) {
 		return
 	}
-	c.cutOff = cut
+	c.cutOff = cutOff
 	c.reportedAt = l.now
-	item, err := news.Make(news.KindReach, string(c.centre), news.ScopeCentre, reachabilityTTL.Milliseconds(), news.Reach{Cut: cut})
+	item, err := news.Make(news.KindReach, string(c.centre), news.ScopeCentre, reachabilityTTL.Milliseconds(), news.Reach{Cut: cutOff})
 	if err != nil {
 		return
 	}
 	_, _ = l.items.Publish(l.now, item)
 }
 
-// isReachable reports whether a data centre can be reached: one gateway that
+// isReachable reports whether a data centre can be reached. One gateway that
 // reaches it is enough.
 func (l *Logic) isReachable(centre spec.DataCentre) bool {
 	if centre == l.Local.DataCentre {
@@ -191,23 +201,23 @@
 	}
 	for _, id := range l.remoteCentres.gateways {
 		item, ok := l.items.Get(news.KindReach, id, string(centre))
-		var word news.Reach
-		if !ok || news.Decode(item, &word) != nil || !word.Cut {
+		var report news.Reach
+		if !ok || news.Decode(item, &report) != nil || !report.Cut {
 			return true
 		}
 	}
 	return false
 }
 
-// updateReachability follows which data centres can be reached.
+// updateReachability updates which data centres are reachable.
 func (l *Logic) updateReachability() {
 	if l.now < l.remoteCentres.nextReachabilityCheck {
 		return
 	}
 	l.remoteCentres.nextReachabilityCheck = l.now + reachabilityInterval
 	for _, c := range l.remoteCentres.rows {
-		if out := !l.isReachable(c.centre); out != c.unreachable {
-			c.unreachable = out
+		if unreachable := !l.isReachable(c.centre); unreachable != c.unreachable {
+			c.unreachable = unreachable
 			l.assignments.dirty = true
 		}
 	}
--- a/internal/fleet/node/share.go
+++ b/internal/fleet/node/share.go
@@ -13,12 +13,14 @@
 	"fulmarwick/internal/fleet/rank"
 )
 
-// Times of the sums.
+// Intervals and limits of shares and sums.
 const (
-	// Shares are told every shareMin in a small data centre and every shareMax
-	// in a large one, shareStep more for each instance there; rates likewise by
-	// the instances of the fleet. So few instances know more exactly, and many
-	// stay within their bytes.
+	// Shares are sent every minShareInterval in a small data centre and at
+	// most every maxShareInterval in a large one: the interval grows by
+	// shareIntervalPerInstance for each instance there. Rates are sent
+	// likewise, by the number of instances of the fleet. So small fleets
+	// have more precise data, and large ones stay within their byte
+	// budget.
 	minShareInterval         = 500 * time.Millisecond
 	shareIntervalPerInstance = 40 * time.Millisecond
 	maxShareInterval         = 2 * time.Second
@@ -27,18 +29,19 @@
 	maxRatesInterval         = 4 * time.Second
 	loadsTTL                 = 6 * time.Second
 	ratesTTL                 = 16 * time.Second
-	// instancesPerGroup is how many instances there are for each that adds up loads;
-	// it bounds what one of them receives.
+	// instancesPerGroup is how many instances there are for each
+	// aggregator of loads. It bounds what one aggregator receives.
 	instancesPerGroup = 4
-	// maxSmallFleet is up to how many instances all tell of their room.
+	// maxSmallFleet is the number of instances up to which all of them
+	// publish their free KV memory.
 	maxSmallFleet = 16
-	// maxMemorySums bounds the models whose sums are told.
+	// maxMemorySums bounds the models whose memory sums are published.
 	maxMemorySums = 256
-	// sketchHalfLife is the time in which old use fades to half.
+	// sketchHalfLife is the time in which old usage decays to half.
 	sketchHalfLife = 10 * time.Second
 )
 
-// shares is what instances use, told and heard.
+// shares holds the local usage and the usage reported by peers.
 type shares struct {
 	local      quota.LocalUsage
 	aggregator quota.Aggregator
@@ -46,16 +49,17 @@
 	sketch     quota.Sketch
 	nextShares time.Duration
 	nextRates  time.Duration
-	// reportedLoads is what was last told of an engine here, out what others use.
+	// reportedLoads is what this instance last reported per engine,
+	// peerLoads what its peers use.
 	reportedLoads map[spec.UpstreamID]proto.Load
 	peerLoads     map[spec.UpstreamID]PeerEngineLoad
-	// memorySums are the latest sums per model that the routing logic told.
+	// memorySums are the latest sums per model from the routing logic.
 	memorySums []news.Item
-	// groups are the engines whose sums were heard, by group.
+	// groups are the engines whose sums were received, by group.
 	groups map[string][]spec.UpstreamID
 }
 
-// setLocalUsage takes the own use from the routing logic.
+// setLocalUsage records the local usage that the routing logic published.
 func (l *Logic) setLocalUsage(item news.Item) {
 	if item.Kind == news.KindRate {
 		var r news.Rate
@@ -70,28 +74,29 @@
 	}
 }
 
-// tickShares tells the own use to those that add it up, and their sums on.
+// tickShares sends the local usage to the aggregators, and reports the
+// fleet-wide usage of teams to the driver.
 func (l *Logic) tickShares() {
 	s := &l.shares
 	if l.now < s.nextShares {
 		return
 	}
-	able := l.activeInstances(l.Local.DataCentre)
-	every := min(maxShareInterval, minShareInterval+time.Duration(len(able))*shareIntervalPerInstance)
-	s.nextShares = l.now + l.jitter(every)
-	l.tickSketch(every)
+	active := l.activeInstances(l.Local.DataCentre)
+	interval := min(maxShareInterval, minShareInterval+time.Duration(len(active))*shareIntervalPerInstance)
+	s.nextShares = l.now + l.jitter(interval)
+	l.tickSketch(interval)
 	s.local.Tick(l.now)
 	s.aggregator.Tick(l.now)
 	s.fleet.Tick(l.now)
-	l.sendUsage(able)
+	l.sendUsage(active)
 	for _, u := range s.fleet.ChangedTeams(l.now, &s.local) {
 		l.emit(TeamUsage{Team: u.Team, Rate: u.Rate})
 	}
 }
 
-// tickSketch makes rates of the heaviest teams of the sketch: decayed use over
-// the mean time that it lasts.
-func (l *Logic) tickSketch(passed time.Duration) {
+// tickSketch turns the heaviest teams of the sketch into rates: decayed usage
+// divided by its mean lifetime.
+func (l *Logic) tickSketch(elapsed time.Duration) {
 	s := &l.shares
 	mean := sketchHalfLife.Seconds() / math.Ln2
 	for _, c := range s.sketch.Top(quota.MaxHeavyTeams) {
@@ -99,10 +104,10 @@
 			s.local.SetRate(l.now, c.Team(), rate)
 		}
 	}
-	s.sketch.Decay(math.Exp2(-passed.Seconds() / sketchHalfLife.Seconds()))
+	s.sketch.Decay(math.Exp2(-elapsed.Seconds() / sketchHalfLife.Seconds()))
 }
 
-// outgoingShares are the shares of one tick, one per instance that adds up.
+// outgoingShares are the shares of one tick, one per aggregator.
 type outgoingShares struct {
 	receivers []spec.InstanceID
 	shares    []*proto.Share
@@ -117,63 +122,63 @@
 	return t.shares[len(t.shares)-1]
 }
 
-// sendUsage sends the own loads and, now and then, rates to those that add them
-// up, and says the sums that are added up here.
-func (l *Logic) sendUsage(able []spec.InstanceID) {
-	if len(able) == 0 {
+// sendUsage sends the local loads, and less often the rates, to their
+// aggregators, and publishes the sums that this instance aggregates.
+func (l *Logic) sendUsage(active []spec.InstanceID) {
+	if len(active) == 0 {
 		return
 	}
 	var out outgoingShares
-	groups := max(1, (len(able)+instancesPerGroup-1)/instancesPerGroup)
-	adders := l.orderAggregators(able)
-	var mine []string
+	groups := max(1, (len(active)+instancesPerGroup-1)/instancesPerGroup)
+	aggregators := l.orderAggregators(active)
+	var ownGroups []string
 	for i := range groups {
 		name := fmt.Sprintf("%d/%d", i, groups)
-		to := adders[(i+1)%len(adders)]
+		to := aggregators[(i+1)%len(aggregators)]
 		if to == l.Local.ID {
-			mine = append(mine, name)
+			ownGroups = append(ownGroups, name)
 		}
 		l.addLoads(out.shareFor(to), inGroup(name, groups))
 	}
-	rates := l.now >= l.shares.nextRates
-	if rates {
+	ratesDue := l.now >= l.shares.nextRates
+	if ratesDue {
 		l.shares.nextRates = l.now + min(maxRatesInterval, minRatesInterval+time.Duration(l.members.Len())*ratesIntervalPerInstance)
-		share := out.shareFor(adders[0])
+		share := out.shareFor(aggregators[0])
 		share.HasRates, share.Rates = true, l.shares.local.ReportRates()
 	}
 	l.sendShares(out)
-	for _, name := range mine {
+	for _, name := range ownGroups {
 		l.publishLoads(name, inGroup(name, groups))
 	}
-	if rates {
+	if ratesDue {
 		l.publishMemorySums()
 	}
-	if rates && adders[0] == l.Local.ID {
+	if ratesDue && aggregators[0] == l.Local.ID {
 		l.publishRates()
 	}
 }
 
-// orderAggregators orders the instances that add up: the first adds up the rates, the
-// next ones the groups of engines in turn. No instance has two of these parts
-// unless there are few, and the gateways, which have the most to carry
-// already, come last.
-func (l *Logic) orderAggregators(able []spec.InstanceID) []spec.InstanceID {
-	order := rank.Top("sums/"+string(l.Local.DataCentre), able, len(able))
-	isGate := func(id spec.InstanceID) bool { return slices.Contains(l.remoteCentres.gateways, id) }
-	gates := slices.DeleteFunc(slices.Clone(order), func(id spec.InstanceID) bool { return !isGate(id) })
-	return append(slices.DeleteFunc(order, isGate), gates...)
+// orderAggregators returns the aggregators in order: the first aggregates the
+// rates, the next ones the groups of engines in turn. An instance has two of
+// these roles only if there are few instances. The gateways come last, since
+// they already carry the most traffic.
+func (l *Logic) orderAggregators(active []spec.InstanceID) []spec.InstanceID {
+	order := rank.Top("sums/"+string(l.Local.DataCentre), active, len(active))
+	isGateway := func(id spec.InstanceID) bool { return slices.Contains(l.remoteCentres.gateways, id) }
+	gateways := slices.DeleteFunc(slices.Clone(order), func(id spec.InstanceID) bool { return !isGateway(id) })
+	return append(slices.DeleteFunc(order, isGateway), gateways...)
 }
 
 func inGroup(name string, groups int) func(spec.UpstreamID) bool {
 	return func(e spec.UpstreamID) bool { return loadGroup(e, groups) == name }
 }
 
-// addLoads puts the own loads of a group into a share. An empty share is sent
-// only to take back a former one.
+// addLoads adds the local loads of a group to a share. An empty share is sent
+// only to withdraw a former one.
 func (l *Logic) addLoads(share *proto.Share, in func(spec.UpstreamID) bool) {
 	loads := l.shares.local.Loads(in)
-	had := l.recordReportedLoads(in, loads)
-	share.HasLoads = share.HasLoads || had || len(loads) > 0
+	hadLoads := l.recordReportedLoads(in, loads)
+	share.HasLoads = share.HasLoads || hadLoads || len(loads) > 0
 	share.Loads = append(share.Loads, loads...)
 }
 
@@ -190,23 +195,23 @@
 	}
 }
 
-// recordReportedLoads notes what is told of a group and reports whether anything was
-// told before.
+// recordReportedLoads records the reported loads of a group and returns
+// whether any were reported before.
 func (l *Logic) recordReportedLoads(in func(spec.UpstreamID) bool, loads []proto.Load) bool {
-	had := false
-	told := l.shares.reportedLoads
-	if told == nil {
-		told = map[spec.UpstreamID]proto.Load{}
-		l.shares.reportedLoads = told
+	hadLoads := false
+	reported := l.shares.reportedLoads
+	if reported == nil {
+		reported = map[spec.UpstreamID]proto.Load{}
+		l.shares.reportedLoads = reported
 	}
-	for e := range told {
+	for e := range reported {
 		if in(e) {
-			had = true
-			delete(told, e)
+			hadLoads = true
+			delete(reported, e)
 		}
 	}
 	for _, load := range loads {
-		told[load.Engine] = load
+		reported[load.Engine] = load
 	}
-	return had
+	return hadLoads
 }
--- a/internal/fleet/node/stop.go
+++ b/internal/fleet/node/stop.go
@@ -7,11 +7,12 @@
 	"fulmarwick/internal/fleet/drain"
 )
 
-// leaveResendInterval is the time between two goodbyes to those that did not answer.
+// leaveResendInterval is the time between two leave announcements to instances
+// that did not answer.
 const leaveResendInterval = 200 * time.Millisecond
 
-// beginStop begins the graceful stop: the others spread its duties and watches
-// among themselves as soon as they hear.
+// beginStop begins the graceful stop: the other instances take over duties and
+// watches as soon as they learn of it.
 func (l *Logic) beginStop() {
 	if l.drain.Stopping() {
 		return
@@ -22,7 +23,8 @@
 	l.announceStop()
 }
 
-// leave says goodbye. Whoever does not hear it finds out by itself.
+// leave announces that this instance leaves. Instances that miss it rely on
+// failure detection.
 func (l *Logic) leave() {
 	if l.drain.Phase() >= drain.PhaseLeaving {
 		return
@@ -32,11 +34,12 @@
 	l.sendLeave()
 }
 
-// stopRecipients are the instances that watch this one and pass news on.
+// stopRecipients returns the instances that watch this one and pass the
+// announcement on.
 func (l *Logic) stopRecipients() []spec.InstanceID { return l.pushTargets() }
 
-// announceStop has each of them answer a call that tells of the stop, so that
-// this one knows that it was heard.
+// announceStop calls the recipients with a message that announces the stop.
+// Their answers show that they received it.
 func (l *Logic) announceStop() {
 	for _, id := range l.drain.Pending() {
 		l.startExchange(id, purposeBestEffort)
@@ -56,7 +59,7 @@
 	}
 }
 
-// tickDrain moves the stop on.
+// tickDrain advances the stop.
 func (l *Logic) tickDrain() {
 	if !l.drain.Stopping() {
 		return
--- a/internal/fleet/node/sums.go
+++ b/internal/fleet/node/sums.go
@@ -18,13 +18,13 @@
 	if err != nil {
 		return
 	}
-	if item, fresh := l.items.Publish(l.now, item); fresh {
+	if item, isNew := l.items.Publish(l.now, item); isNew {
 		l.handleLoads(item)
 	}
 }
 
-// setMemorySum keeps the latest sum of a model until sums are said again. They change
-// all the time, and 360 instances hear each one.
+// setMemorySum keeps the latest sum of a model until the sums are published
+// again. They change all the time, and up to 360 instances receive each one.
 func (s *shares) setMemorySum(item news.Item) {
 	at := slices.IndexFunc(s.memorySums, func(r news.Item) bool { return r.Key == item.Key })
 	switch {
@@ -35,8 +35,9 @@
 	}
 }
 
-// publishMemorySums says the sums. In a small fleet each instance tells its part of the
-// room; in a larger one a voice per data centre has to do for the others.
+// publishMemorySums publishes the sums. In a small fleet each instance
+// publishes its part of the free KV memory; in a larger one only one instance
+// per data centre does.
 func (l *Logic) publishMemorySums() {
 	if l.isFirstGateway() || l.members.Len() <= maxSmallFleet {
 		for _, item := range l.shares.memorySums {
@@ -52,7 +53,7 @@
 	if err != nil {
 		return
 	}
-	if item, fresh := l.items.Publish(l.now, item); fresh {
+	if item, isNew := l.items.Publish(l.now, item); isNew {
 		l.handleRates(item)
 	}
 }
@@ -64,8 +65,8 @@
 	}
 }
 
-// handleLoads passes on what others have in flight: the sum less what was told
-// of here.
+// handleLoads reports to the driver what other instances have in flight: the
+// sum without what this instance reported.
 func (l *Logic) handleLoads(item news.Item) {
 	var body news.Loads
 	if news.Decode(item, &body) != nil {
@@ -81,8 +82,8 @@
 	for _, sum := range body.Sums {
 		e := spec.UpstreamID(sum.Engine)
 		engines = append(engines, e)
-		told := s.reportedLoads[e]
-		l.emitPeerLoad(PeerEngineLoad{Engine: e, Active: max(0, sum.Active-told.Active), Tokens: max(0, sum.Tokens-told.Tokens)})
+		reported := s.reportedLoads[e]
+		l.emitPeerLoad(PeerEngineLoad{Engine: e, Active: max(0, sum.Active-reported.Active), Tokens: max(0, sum.Tokens-reported.Tokens)})
 	}
 	for _, e := range before {
 		if !slices.Contains(engines, e) {
@@ -92,8 +93,8 @@
 	s.keepGroup(item.Key, engines)
 }
 
-// keepGroup notes a group's engines and forgets groups of another number of
-// groups, which nobody adds up any more.
+// keepGroup records the engines of a group and drops groups from another group
+// count, which nobody aggregates any more.
 func (s *shares) keepGroup(name string, engines []spec.UpstreamID) {
 	_, count, _ := strings.Cut(name, "/")
 	for other := range s.groups {
@@ -116,7 +117,8 @@
 	l.emit(e)
 }
 
-// loadGroup names the engines whose loads one instance adds up.
+// loadGroup returns the name of the group of an engine. One instance
+// aggregates the loads of a group.
 func loadGroup(e spec.UpstreamID, groups int) string {
 	return fmt.Sprintf("%d/%d", xxhash.Sum64String(string(e))%uint64(groups), groups)
 }
--- a/internal/fleet/node/same_test.go
+++ b/internal/fleet/node/usage_test.go
@@ -15,9 +15,9 @@
 	"pgregory.net/rapid"
 )
 
-// The same events give the same commands, byte for byte, whatever happened: a
-// logic that ran among others under loss and restarts is run again from the
-// record of its events.
+// The logic must be deterministic: a logic that ran in a fleet under message
+// loss and restarts is run again from its recorded events and must return the
+// same commands.
 func TestSameEventsSameCommands(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		f := newFleet(t, rapid.IntRange(2, 6).Draw(r, "instances"), rapid.IntRange(1, 3).Draw(r, "centres"), 5)
@@ -40,22 +40,22 @@
 			}
 			f.runWork(time.Second, 5)
 		}
-		again := &node.Logic{Local: x.self, StartTime: x.startTime, Rand: rand.New(rand.NewPCG(0, uint64(x.starts)))}
-		for i, k := range x.recording.ticks {
-			if got := again.Tick(k.now, k.events); !reflect.DeepEqual(got, k.commands) {
-				r.Fatalf("got %v at tick %d, want %v", got, i, k.commands)
+		replayed := &node.Logic{Local: x.self, StartTime: x.startTime, Rand: rand.New(rand.NewPCG(0, uint64(x.starts)))}
+		for i, tick := range x.recording.ticks {
+			if got := replayed.Tick(tick.now, tick.events); !reflect.DeepEqual(got, tick.commands) {
+				r.Fatalf("got %v at tick %d, want %v", got, i, tick.commands)
 			}
 		}
 	})
 }
 
-// A heavy team sends to all instances. Each one knows what the team uses over
-// the fleet, so that its limit holds once and not once per instance; when an
-// instance joins or dies the figure follows.
+// A heavy team uses all instances. Each instance must know the usage of the
+// team over the fleet, so that the limit of the team applies once and not once
+// per instance. The figure must follow when an instance joins or dies.
 func TestTeamUsageIsKnownFleetWide(t *testing.T) {
 	f := newFleet(t, 4, 2, 2)
 	f.settle()
-	use := func() float64 {
+	measureUsage := func() float64 {
 		for range 10 {
 			for _, x := range f.instances {
 				if x.up {
@@ -66,22 +66,23 @@
 		}
 		return f.instances[0].teamRates["big"]
 	}
-	if got := use(); got != 1000 {
-		t.Errorf("got a use of %v, want 1000", got)
+	if got := measureUsage(); got != 1000 {
+		t.Errorf("got a usage of %v, want 1000", got)
 	}
 	f.kill(f.instances[1])
 	f.run(10 * time.Second)
-	if got := use(); got != 750 {
-		t.Errorf("got a use of %v after a death, want 750", got)
+	if got := measureUsage(); got != 750 {
+		t.Errorf("got a usage of %v after a death, want 750", got)
 	}
 	f.start(f.instances[1])
 	f.run(10 * time.Second)
-	if got := use(); got != 1000 {
-		t.Errorf("got a use of %v after a join, want 1000", got)
+	if got := measureUsage(); got != 1000 {
+		t.Errorf("got a usage of %v after a join, want 1000", got)
 	}
 }
 
-// The sketch finds a heavy team from single uses; nobody told of its rate.
+// The sketch must find a heavy team from single token counts, without a
+// published rate.
 func TestHeavyTeamIsFoundFromTokenCounts(t *testing.T) {
 	f := newFleet(t, 4, 1, 0)
 	f.settle()
@@ -92,12 +93,13 @@
 		f.run(100 * time.Millisecond)
 	}
 	if got := f.instances[0].teamRates["big"]; got < 300 || got > 450 {
-		t.Errorf("got a use of %v, want about 400 tokens a second", got)
+		t.Errorf("got a usage of %v, want about 400 tokens a second", got)
 	}
 }
 
-// Callers' work is in flight on an engine from three instances. The fourth
-// corrects the engine's late report by theirs, and forgets that of a dead one.
+// Four instances each have work in flight on an engine. Each must get the sum
+// of the other three, to correct the late report of the engine, and the work
+// of a dead instance must be dropped.
 func TestPeerLoadIsReportedAndExpires(t *testing.T) {
 	f := newFleet(t, 4, 1, 1)
 	f.settle()
@@ -118,9 +120,8 @@
 	}
 }
 
-// BenchmarkShare measures how far the fleet-wide use of a heavy team, as each
-// instance knows it, is from the truth while rates change and instances join
-// and die.
+// BenchmarkShare measures the error of the fleet-wide usage of a heavy team,
+// as each instance knows it, while rates change and instances join and die.
 func BenchmarkShare(b *testing.B) {
 	for _, s := range []fleetSize{{4, 3, 2, 1}, {360, 10, 2, 1}} {
 		for _, churn := range []bool{false, true} {
@@ -137,7 +138,7 @@
 	f := newFleet(b, s.instances, s.centres, s.engines)
 	f.settle()
 	rates := make([]float64, s.instances)
-	var off []float64
+	var errorPercents []float64
 	for second := range 60 {
 		if churn && second%10 == 5 {
 			f.kill(f.instances[second%s.instances])
@@ -145,7 +146,8 @@
 		}
 		total := 0.0
 		for i, x := range f.instances {
-			// A random walk of a tenth a second, as bursts of a large team give.
+			// A random walk of a tenth per second, like bursts of
+			// a large team.
 			rates[i] = max(10, min(200, rates[i]*(0.9+0.2*f.rand.Float64())+f.rand.Float64()))
 			total += rates[i]
 			f.publishFor(x, news.KindRate, "t", news.ScopeFleet, 5, news.Rate{Team: "big", Rate: rates[i]})
@@ -153,12 +155,12 @@
 		f.run(time.Second)
 		for _, x := range f.instances {
 			if second >= 20 && x.readyAt != 0 {
-				off = append(off, max(x.teamRates["big"]-total, total-x.teamRates["big"])/total*100)
+				errorPercents = append(errorPercents, max(x.teamRates["big"]-total, total-x.teamRates["big"])/total*100)
 			}
 		}
 	}
-	slices.Sort(off)
-	b.ReportMetric(off[len(off)/2], "%error-p50")
-	b.ReportMetric(off[len(off)*99/100], "%error-p99")
+	slices.Sort(errorPercents)
+	b.ReportMetric(errorPercents[len(errorPercents)/2], "%error-p50")
+	b.ReportMetric(errorPercents[len(errorPercents)*99/100], "%error-p99")
 	b.ReportMetric(0, "ns/op")
 }
