--- a/internal/fleet/member/sums.go
+++ b/internal/fleet/member/checksums.go
@@ -11,16 +11,18 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ChecksumBuckets is how many checksums stand for the whole table. Two tables differ
-// in few records, so only the buckets that differ are sent.
+// ChecksumBuckets is the number of checksums over the table. Two tables
+// usually differ in few records, so only the records of the buckets that
+// differ are sent.
 const ChecksumBuckets = 16
 
 const checksumBytes = 4
 
 func bucketOf(id spec.InstanceID) int { return int(xxhash.Sum64String(string(id)) % ChecksumBuckets) }
 
-// recordChecksum is the part of a record in its bucket's checksum. The dead have none, so
-// that instances which forgot them at different times do not differ.
+// recordChecksum returns the contribution of a record to the checksum of its
+// bucket. Dead members contribute nothing, so that tables do not differ when
+// instances drop them at different times.
 func recordChecksum(r *proto.Record) uint32 {
 	if !isLive(r) {
 		return 0
@@ -28,7 +30,7 @@
 	return r.Checksum()
 }
 
-// Checksums returns the checksums of the table.
+// Checksums returns the checksums of all buckets.
 func (t *Table) Checksums() []byte {
 	out := make([]byte, 0, ChecksumBuckets*checksumBytes)
 	for _, s := range t.checksums {
@@ -37,11 +39,12 @@
 	return out
 }
 
-// DifferingRecords returns the records of the buckets whose checksum is not the one in
-// sums, as many whole buckets as fit into limit bytes but at least one. Whole
-// is false if some did not fit. Start says at which bucket to begin: records
-// that are sent again and again must not keep out the rest.
-func (t *Table) DifferingRecords(sums []byte, limit, start int) (out []proto.Record, whole bool) {
+// DifferingRecords returns the records of the buckets whose checksum differs
+// from that in sums: as many whole buckets as fit into limit bytes, but at
+// least one. It returns complete as false if some did not fit. The search
+// begins at bucket start, so that records that are sent again and again do not
+// block the rest.
+func (t *Table) DifferingRecords(sums []byte, limit, start int) (out []proto.Record, complete bool) {
 	if len(sums) != ChecksumBuckets*checksumBytes {
 		return nil, true
 	}
@@ -63,18 +66,19 @@
 	return out, true
 }
 
-// suspicionTimeout is how long a suspect has when so many instances suspect it. It
-// falls with the logarithm of their number, as in Lifeguard.
+// suspicionTimeout returns how long a suspect has to refute the suspicion of
+// the given number of instances. The time falls with the logarithm of that
+// number, as in Lifeguard.
 func (t *Table) suspicionTimeout(suspecting int) time.Duration {
-	need := min(MaxConfirmations, t.centreLiveCount()-2)
-	if need <= 0 || suspecting > need {
+	needed := min(MaxConfirmations, t.centreLiveCount()-2)
+	if needed <= 0 || suspecting > needed {
 		return MinSuspicionTimeout
 	}
-	part := math.Log(float64(suspecting)) / math.Log(float64(need+1))
-	return MaxSuspicionTimeout - time.Duration(part*float64(MaxSuspicionTimeout-MinSuspicionTimeout))
+	fraction := math.Log(float64(suspecting)) / math.Log(float64(needed+1))
+	return MaxSuspicionTimeout - time.Duration(fraction*float64(MaxSuspicionTimeout-MinSuspicionTimeout))
 }
 
-// centreLiveCount counts the live instances of the own data centre.
+// centreLiveCount counts the live instances of the local data centre.
 func (t *Table) centreLiveCount() int {
 	n := 0
 	for _, r := range t.rows {
--- a/internal/fleet/member/ring.go
+++ b/internal/fleet/member/ring.go
@@ -9,14 +9,15 @@
 	"fulmarwick/internal/fleet/rank"
 )
 
-// RingCount is how many instances each one watches, and by how many each is
-// watched, however large its data centre is.
+// RingCount is how many instances each instance watches, and by how many it is
+// watched, regardless of the size of the data centre.
 const RingCount = 4
 
-// Neighbours returns the instances that the own one watches: its successor on
-// each of Rings hash rings of its data centre, or all if there are no more.
-// The rings make a graph in which news reach all in a few steps and no
-// instance has more than a handful of connections.
+// Neighbours returns the instances that this one watches: its successor on
+// each of RingCount hash rings of its data centre, or all instances there if
+// there are no more than RingCount. The rings form a graph in which items
+// reach all instances in a few steps and no instance has more than a handful
+// of connections.
 func (t *Table) Neighbours() []spec.InstanceID {
 	ids := t.LiveMembers(func(r proto.Record) bool {
 		return r.DataCentre == t.Local.DataCentre && r.ID != t.Local.ID
@@ -32,22 +33,22 @@
 	return out
 }
 
-// successor is the next of ids after the own instance on a ring, passing over
-// those taken already.
+// successor returns the next of ids after this instance on a ring, skipping
+// those in taken.
 func (t *Table) successor(ring string, ids, taken []spec.InstanceID) spec.InstanceID {
-	own := rank.Score(ring, t.Local.ID)
-	var best spec.InstanceID
-	var least uint64
+	localScore := rank.Score(ring, t.Local.ID)
+	var next spec.InstanceID
+	var minDistance uint64
 	for _, id := range ids {
 		if slices.Contains(taken, id) {
 			continue
 		}
-		// Unsigned subtraction is the way round the ring.
-		if way := rank.Score(ring, id) - own; best == "" || way < least {
-			best, least = id, way
+		// Unsigned subtraction gives the distance around the ring.
+		if distance := rank.Score(ring, id) - localScore; next == "" || distance < minDistance {
+			next, minDistance = id, distance
 		}
 	}
-	return best
+	return next
 }
 
 // LiveMembers returns the live instances that f accepts, in order of ID.
--- a/internal/fleet/member/suspect.go
+++ b/internal/fleet/member/suspect.go
@@ -8,8 +8,8 @@
 	"fulmarwick/internal/fleet/proto"
 )
 
-// Suspect notes that id did not answer. The suspicion spreads, and id is dead
-// after a time unless it refutes.
+// Suspect records that id did not answer. The suspicion spreads, and id is
+// declared dead after a time unless it refutes the suspicion.
 func (t *Table) Suspect(now time.Duration, id spec.InstanceID) {
 	r := t.index[id]
 	if r == nil || !isLive(&r.record) {
@@ -21,7 +21,7 @@
 	t.ApplyRecord(now, rec)
 }
 
-// Tick turns suspects whose time is over into dead ones.
+// Tick declares suspects dead whose time is over.
 func (t *Table) Tick(now time.Duration) {
 	t.now = now
 	for _, r := range slices.Clone(t.suspects) {
@@ -36,17 +36,18 @@
 	t.pruneDead()
 }
 
-// ExtendSuspicions gives all suspects more time: the own instance was paused, and
-// their answers wait unread.
+// ExtendSuspicions gives all suspects more time after this process was paused,
+// since their answers may wait unread.
 func (t *Table) ExtendSuspicions(now time.Duration) {
 	for _, r := range t.suspects {
 		r.deadAt = max(r.deadAt, now+MinSuspicionTimeout)
 	}
 }
 
-// updateSuspicion starts or ends the wait of a row by its state.
+// updateSuspicion starts or ends the suspicion timeout of a row according to
+// its state.
 func (t *Table) updateSuspicion(r *row) {
-	t.suspects = slices.DeleteFunc(t.suspects, func(w *row) bool { return w == r })
+	t.suspects = slices.DeleteFunc(t.suspects, func(other *row) bool { return other == r })
 	r.suspectedBy = nil
 	if r.record.State != proto.StateSuspect {
 		return
@@ -56,8 +57,9 @@
 	t.suspects = append(t.suspects, r)
 }
 
-// confirmSuspicion counts another instance that suspects the same incarnation. Each
-// one shortens the time, since one bad link alone does not suspect twice.
+// confirmSuspicion records that another instance suspects the same
+// incarnation. Each confirmation shortens the timeout, since one bad link
+// alone does not cause two suspicions.
 func (t *Table) confirmSuspicion(r *row, rec proto.Record) bool {
 	if slices.Contains(r.suspectedBy, rec.SuspectedBy) || len(r.suspectedBy) > MaxConfirmations {
 		return false
@@ -68,7 +70,7 @@
 	return true
 }
 
-// pruneDead forgets the dead after Keep.
+// pruneDead drops dead members after DeadTTL.
 func (t *Table) pruneDead() {
 	if t.now-t.prunedAt < DeadTTL/60 {
 		return
--- a/internal/fleet/member/table.go
+++ b/internal/fleet/member/table.go
@@ -1,10 +1,11 @@
-// Package member keeps what one instance holds true of all others: alive,
-// suspect, dead or left, under incarnation numbers, after SWIM (Das, Gupta
-// and Motivala, DSN 2002) with the suspicion times of Lifeguard (Dadgar,
-// Phillips and Currey, DSN-W 2018). The instances that watch each other are
-// neighbours on several hash rings, as in Rapid (Suresh et al., ATC 2018).
+// Package member is the membership table of an instance: for each other
+// instance whether it is alive, suspect, dead or left, with incarnation
+// numbers. It follows SWIM (Das, Gupta and Motivala, DSN 2002) with the
+// suspicion timeouts of Lifeguard (Dadgar, Phillips and Currey, DSN-W 2018).
+// The instances that watch each other are neighbours on several hash rings, as
+// in Rapid (Suresh et al., ATC 2018).
 //
-// It imports base/spec, fleet/rank and fleet/proto. Package node feeds it.
+// It imports base/spec, fleet/rank and fleet/proto. Package node drives it.
 package member
 
 import (
@@ -16,35 +17,38 @@
 	"fulmarwick/internal/fleet/proto"
 )
 
-// Times and bounds of the table.
+// Timeouts and limits of the table.
 const (
-	// MinSuspicionTimeout is how long a suspect has to refute once others agree, and
-	// SuspectMax while nobody does.
+	// MinSuspicionTimeout is how long a suspect has to refute once enough
+	// other instances confirm the suspicion.
 	MinSuspicionTimeout = 1500 * time.Millisecond
+	// MaxSuspicionTimeout is how long it has while no other instance does.
 	MaxSuspicionTimeout = 6 * time.Second
-	// MaxConfirmations is how many further suspecting instances shorten the time to
-	// SuspectMin.
+	// MaxConfirmations is how many further suspecting instances shorten
+	// the timeout to MinSuspicionTimeout.
 	MaxConfirmations = 3
-	// DeadTTL is how long the dead are remembered, so that an old record does
-	// not bring them back.
+	// DeadTTL is how long dead members are kept, so that an old record
+	// does not bring them back.
 	DeadTTL = time.Hour
-	// MaxMembers bounds the table; further unknown instances are ignored.
+	// MaxMembers bounds the table. Further unknown instances are ignored.
 	MaxMembers = 4096
 )
 
-// Change tells that what is held true of an instance changed.
+// Change is a change of the state of a member.
 type Change struct {
 	ID spec.InstanceID
-	// OldState and Is are the states; Was is StateLeft for one that is new.
+	// OldState and NewState are the states before and after. OldState is
+	// StateLeft for a new member.
 	OldState, NewState proto.State
-	// Restarted says that the instance restarted.
+	// Restarted reports whether the instance restarted.
 	Restarted bool
 }
 
-// Table holds one row per instance known, the own one among them. Set Self,
-// then call Init.
+// Table holds one row per known instance, including this one. Set Local, then
+// call Init.
 type Table struct {
-	// Local is the own record. Only the table writes it after Init.
+	// Local is the record of this instance. After Init only the table
+	// writes it.
 	Local proto.Record
 
 	now       time.Duration
@@ -54,7 +58,8 @@
 	changes   []Change
 	updates   []proto.Record
 	version   uint64
-	// suspects are the rows under suspicion, to find timeouts without a scan.
+	// suspects are the rows under suspicion, kept to find timeouts without
+	// a scan.
 	suspects []*row
 	prunedAt time.Duration
 }
@@ -63,21 +68,22 @@
 	record      proto.Record
 	suspectedBy []spec.InstanceID
 	changedAt   time.Duration
-	// deadAt is when a suspect counts as dead.
+	// deadAt is when a suspect is declared dead.
 	deadAt time.Duration
 }
 
-// Init makes the table hold Self alone.
+// Init empties the table except for Local.
 func (t *Table) Init() {
 	t.index = map[spec.InstanceID]*row{}
 	t.insert(t.Local)
 	t.updates = append(t.updates, t.Local)
 }
 
-// Version changes whenever the set of live instances does.
+// Version changes whenever the set of live instances changes, or the URL,
+// start time or Passive of one of them.
 func (t *Table) Version() uint64 { return t.version }
 
-// Get returns what is held true of id.
+// Get returns the record of id.
 func (t *Table) Get(id spec.InstanceID) (proto.Record, bool) {
 	r := t.index[id]
 	if r == nil {
@@ -86,7 +92,7 @@
 	return r.record, true
 }
 
-// IsLive reports whether id is alive or under suspicion only.
+// IsLive reports whether id is alive or only suspect.
 func (t *Table) IsLive(id spec.InstanceID) bool {
 	r := t.index[id]
 	return r != nil && isLive(&r.record)
@@ -99,25 +105,26 @@
 	}
 }
 
-// Len is how many rows there are.
+// Len returns the number of rows.
 func (t *Table) Len() int { return len(t.rows) }
 
-// TakeChanges returns what changed since the last call.
+// TakeChanges returns the changes since the last call.
 func (t *Table) TakeChanges() []Change {
 	out := t.changes
 	t.changes = nil
 	return out
 }
 
-// TakeUpdates returns the records that others should hear of since the last call.
+// TakeUpdates returns the records to send to other instances since the last
+// call.
 func (t *Table) TakeUpdates() []proto.Record {
 	out := t.updates
 	t.updates = nil
 	return out
 }
 
-// ApplyRecord takes a record heard from another instance. It reports whether it
-// told anything new.
+// ApplyRecord merges a record received from another instance. It reports
+// whether the record changed anything.
 func (t *Table) ApplyRecord(now time.Duration, rec proto.Record) bool {
 	t.now = now
 	if rec.ID == t.Local.ID {
@@ -136,15 +143,16 @@
 	return false
 }
 
-// refute answers a record of the own instance that is not its own: a
-// suspicion, a death, or one of a former self.
+// refute answers a record of this instance that differs from Local: a
+// suspicion, a death, or a record of a former process.
 func (t *Table) refute(rec proto.Record) bool {
 	if !supersedes(&rec, &t.Local) {
 		return false
 	}
 	if rec.StartTime > t.Local.StartTime {
-		// The clock went back over a restart. Without the later birth the
-		// others would hold every word of this instance for old.
+		// The clock went back over a restart. Without the later start
+		// time the peers would treat all items of this instance as
+		// outdated.
 		t.Local.StartTime = rec.StartTime + 1
 		t.Local.Incarnation = 0
 	} else {
@@ -155,8 +163,8 @@
 	return true
 }
 
-// SetPassive says whether the own instance takes duties and watches; others hear
-// it at once.
+// SetPassive sets whether this instance accepts no duties and watches. Other
+// instances are told at once.
 func (t *Table) SetPassive(passive bool) {
 	if t.Local.Passive == passive {
 		return
@@ -168,7 +176,7 @@
 	t.version++
 }
 
-// Leave ends the own membership; the own record says so from now on.
+// Leave ends the membership of this instance and sets its record to left.
 func (t *Table) Leave() {
 	t.Local.State = proto.StateLeft
 	t.setRecord(t.index[t.Local.ID], t.Local)
@@ -177,7 +185,7 @@
 }
 
 func (t *Table) add(rec proto.Record) bool {
-	// A dead one that was never known takes nothing away from here.
+	// A dead member that was never known is of no interest here.
 	if len(t.rows) >= MaxMembers || !isLive(&rec) {
 		return false
 	}
@@ -221,7 +229,7 @@
 
 func isLive(r *proto.Record) bool { return r.State <= proto.StateSuspect }
 
-// supersedes reports whether a counts over b.
+// supersedes reports whether record a replaces record b.
 func supersedes(a, b *proto.Record) bool {
 	if a.StartTime != b.StartTime {
 		return a.StartTime > b.StartTime
@@ -232,6 +240,7 @@
 	return a.State > b.State
 }
 
+// sameSuspicion reports whether both records suspect the same incarnation.
 func sameSuspicion(a, b *proto.Record) bool {
 	return a.State == proto.StateSuspect && b.State == proto.StateSuspect && a.StartTime == b.StartTime && a.Incarnation == b.Incarnation
 }
--- a/internal/fleet/member/table_test.go
+++ b/internal/fleet/member/table_test.go
@@ -16,20 +16,20 @@
 	return t
 }
 
-// Two instances meet of which one knows hundreds of others. An answer has room
-// for a part of them only; answer after answer must bring new ones, or a large
-// fleet never comes to know itself.
+// Two instances exchange records, and one knows hundreds of members. An answer
+// has space for only a part of them. Each further answer must bring new ones,
+// or a large fleet never learns its full membership.
 func TestLargeTablesConvergeInParts(t *testing.T) {
 	a, b := newTable("a"), newTable("b")
 	for i := range 360 {
 		a.ApplyRecord(0, proto.Record{ID: spec.InstanceID(fmt.Sprintf("i%03d", i)), DataCentre: "klang", URL: "https://10.0.0.1:7000"})
 	}
 	for round := range 64 {
-		records, whole := a.DifferingRecords(b.Checksums(), 2000, round*7)
+		records, complete := a.DifferingRecords(b.Checksums(), 2000, round*7)
 		for _, r := range records {
 			b.ApplyRecord(0, r)
 		}
-		if whole && len(records) > 0 {
+		if complete && len(records) > 0 {
 			break
 		}
 	}
@@ -50,8 +50,8 @@
 		{"same incarnation, suspect", proto.Record{StartTime: 5, Incarnation: 3, State: proto.StateSuspect}, proto.StateSuspect},
 		{"older incarnation, dead", proto.Record{StartTime: 5, Incarnation: 2, State: proto.StateDead}, proto.StateAlive},
 		{"same incarnation, dead", proto.Record{StartTime: 5, Incarnation: 3, State: proto.StateDead}, proto.StateDead},
-		{"older birth, left", proto.Record{StartTime: 4, Incarnation: 9, State: proto.StateLeft}, proto.StateAlive},
-		{"later birth", proto.Record{StartTime: 6, State: proto.StateAlive}, proto.StateAlive},
+		{"older start time, left", proto.Record{StartTime: 4, Incarnation: 9, State: proto.StateLeft}, proto.StateAlive},
+		{"later start time", proto.Record{StartTime: 6, State: proto.StateAlive}, proto.StateAlive},
 	} {
 		m := newTable("a")
 		m.ApplyRecord(0, proto.Record{ID: "x", DataCentre: "klang", StartTime: 5, Incarnation: 3})
@@ -63,8 +63,9 @@
 	}
 }
 
-// An instance hears that it is dead, or that a former self of it with a later
-// birth lived: its clock went back. It speaks up so that all believe it.
+// An instance learns that it was declared dead, or that a former process of it
+// had a later start time because its clock went back. It must refute both so
+// that all peers accept its records.
 func TestLocalInstanceRefutes(t *testing.T) {
 	m := newTable("a")
 	m.ApplyRecord(0, proto.Record{ID: "a", StartTime: 5, Incarnation: 4, State: proto.StateDead})
@@ -73,7 +74,7 @@
 	}
 	m.ApplyRecord(0, proto.Record{ID: "a", StartTime: 9})
 	if got := m.Local.StartTime; got != 10 {
-		t.Errorf("got birth %d, want 10", got)
+		t.Errorf("got start time %d, want 10", got)
 	}
 }
 
