--- a/internal/fleet/gossip/delta.go
+++ b/internal/fleet/gossip/delta.go
@@ -8,8 +8,9 @@
 	"fulmarwick/internal/fleet/proto"
 )
 
-// Digest returns the marks of all streams of at most the given scope that
-// have items. Streams without any have nothing to give, so they cost nothing.
+// Digest returns the watermarks of all streams of at least the given scope
+// that have items. Streams without items have nothing to send and are left
+// out.
 func (s *Store) Digest(least news.Scope) []proto.Watermark {
 	var out []proto.Watermark
 	for _, st := range s.streams {
@@ -20,12 +21,13 @@
 	return out
 }
 
-// Wants returns the own marks of the streams in which the sender of marks is
-// ahead. A mark of an own stream that is ahead shows that this instance spoke
-// before under the same birth; its stream goes on after that mark.
-func (s *Store) Wants(marks []proto.Watermark) []proto.Watermark {
+// Wants returns the local watermarks of the streams in which the sender of
+// watermarks is ahead. If it is ahead in a stream of this instance, a former
+// process of this instance published under the same start time. The items of
+// that stream are then stamped again after its watermark.
+func (s *Store) Wants(watermarks []proto.Watermark) []proto.Watermark {
 	var out []proto.Watermark
-	for _, m := range marks {
+	for _, m := range watermarks {
 		st := s.byHash[m.StreamHash]
 		switch {
 		case st == nil:
@@ -40,26 +42,27 @@
 	return out
 }
 
-// restampAfter stamps the items of an own stream anew after mark.
-func (s *Store) restampAfter(st *stream, mark uint64) {
+// restampAfter gives the items of a local stream new stamps after watermark.
+func (s *Store) restampAfter(st *stream, watermark uint64) {
 	for _, e := range st.items {
-		mark++
-		e.item.Stamp = mark
+		watermark++
+		e.item.Stamp = watermark
 	}
-	st.watermark = mark
+	st.watermark = watermark
 }
 
-// Delta returns what an instance with marks lacks, in at most limit bytes,
-// and whether that is all. Urgent items go first, out of turn, in half of the
-// limit; all others go in order, so that a mark is true however little fits.
-// One item goes in order even if it is larger than the limit, or it would hold
-// up its stream for good. Start says at which stream to begin, so that a small
-// limit serves all in turn.
-func (s *Store) Delta(now time.Duration, least news.Scope, marks []proto.Watermark, limit, start int) ([]proto.Block, bool) {
-	return s.buildDelta(now, limit, start, watermarksByStream(marks), func(st *stream) bool { return st.key.scope >= least })
+// Delta returns what an instance with the given watermarks lacks, in at most
+// limit bytes, and whether that is everything. Urgent items go first and out
+// of order, in half of the limit. All others go in order, so that a watermark
+// is correct however little fits. One ordered item is sent even if it is
+// larger than the limit, since it would otherwise block its stream for good.
+// The search begins at the stream with index start, so that a small limit
+// serves all streams in turn.
+func (s *Store) Delta(now time.Duration, least news.Scope, watermarks []proto.Watermark, limit, start int) ([]proto.Block, bool) {
+	return s.buildDelta(now, limit, start, watermarksByStream(watermarks), func(st *stream) bool { return st.key.scope >= least })
 }
 
-// DeltaSince returns what comes after the marks wanted, like Delta.
+// DeltaSince returns what comes after the given watermarks, like Delta.
 func (s *Store) DeltaSince(now time.Duration, wants []proto.Watermark, limit, start int) ([]proto.Block, bool) {
 	known := watermarksByStream(wants)
 	return s.buildDelta(now, limit, start, known, func(st *stream) bool {
@@ -68,9 +71,9 @@
 	})
 }
 
-func watermarksByStream(marks []proto.Watermark) map[uint32]uint64 {
-	out := make(map[uint32]uint64, len(marks))
-	for _, m := range marks {
+func watermarksByStream(watermarks []proto.Watermark) map[uint32]uint64 {
+	out := make(map[uint32]uint64, len(watermarks))
+	for _, m := range watermarks {
 		out[m.StreamHash] = m.Stamp
 	}
 	return out
@@ -78,19 +81,19 @@
 
 func (s *Store) buildDelta(now time.Duration, limit, start int, known map[uint32]uint64, want func(*stream) bool) ([]proto.Block, bool) {
 	w := &deltaWriter{now: now, limit: limit / 2, sentUrgent: map[*entry]bool{}}
-	lacks := make([]*stream, 0, len(s.streams))
+	behind := make([]*stream, 0, len(s.streams))
 	for i := range s.streams {
 		st := s.streams[(i+start)%len(s.streams)]
 		if want(st) && len(st.items) > 0 && !st.hashCollision && st.watermark > known[st.hash] {
-			lacks = append(lacks, st)
+			behind = append(behind, st)
 		}
 	}
-	for _, st := range lacks {
+	for _, st := range behind {
 		w.writeUrgent(st, known[st.hash])
 	}
 	w.limit += limit - limit/2
 	w.truncated = false
-	for _, st := range lacks {
+	for _, st := range behind {
 		w.writeOrdered(st, known[st.hash])
 	}
 	return w.blocks, !w.truncated
@@ -102,17 +105,17 @@
 	limit     int
 	truncated bool
 	blocks    []proto.Block
-	// sentUrgent are the urgent items that went out of turn; moved says that the
-	// part in order holds an item.
-	sentUrgent     map[*entry]bool
+	// sentUrgent are the urgent items that were written out of order.
+	sentUrgent map[*entry]bool
+	// orderedStarted reports that the ordered part holds an item.
 	orderedStarted bool
 }
 
-// writeUrgent writes the urgent items after mark, out of turn.
-func (w *deltaWriter) writeUrgent(st *stream, mark uint64) {
+// writeUrgent writes the urgent items after watermark, out of order.
+func (w *deltaWriter) writeUrgent(st *stream, watermark uint64) {
 	b := st.newBlock()
 	for _, e := range st.items {
-		if e.item.Stamp <= mark || !Urgent(e.item.Kind) {
+		if e.item.Stamp <= watermark || !Urgent(e.item.Kind) {
 			continue
 		}
 		if !w.fits(e) {
@@ -126,27 +129,28 @@
 	}
 }
 
-// writeOrdered writes the items after mark in order until the limit, but for the
-// urgent ones that went already. They must be passed here too: a mark that
-// does not move has them sent again each time.
-func (w *deltaWriter) writeOrdered(st *stream, mark uint64) {
+// writeOrdered writes the items after watermark in order up to the limit,
+// except the urgent ones that were already written. The new watermark must
+// still move past those: otherwise they would be sent again each time.
+func (w *deltaWriter) writeOrdered(st *stream, watermark uint64) {
 	b := st.newBlock()
 	b.Watermark = st.watermark
 	for _, e := range st.items {
-		if e.item.Stamp <= mark || w.sentUrgent[e] {
+		if e.item.Stamp <= watermark || w.sentUrgent[e] {
 			continue
 		}
 		if w.truncated || w.orderedStarted && !w.fits(e) {
 			w.truncated = true
-			// Items that came here out of turn lie beyond the own mark; what is
-			// between was never here.
-			b.Watermark = min(b.Watermark, max(mark, e.item.Stamp-1))
+			// Items that were received out of order lie beyond the
+			// local watermark. Those between it and them were
+			// never received.
+			b.Watermark = min(b.Watermark, max(watermark, e.item.Stamp-1))
 			break
 		}
 		w.orderedStarted = true
 		w.add(&b, e)
 	}
-	if b.Watermark > mark {
+	if b.Watermark > watermark {
 		w.limit -= b.HeaderBytes()
 		w.blocks = append(w.blocks, b)
 	}
@@ -160,7 +164,7 @@
 	b.Items = append(b.Items, entry)
 }
 
-// PushBlock returns a block that carries one item out of turn.
+// PushBlock returns a block that carries one item out of order.
 func (s *Store) PushBlock(now time.Duration, item news.Item) (proto.Block, bool) {
 	e := s.latest[itemKey{kind: item.Kind, origin: spec.InstanceID(item.Origin), key: item.Key}]
 	if e == nil || e.item.Stamp != item.Stamp {
@@ -176,6 +180,6 @@
 }
 
 func (e *entry) toWire(now time.Duration) proto.Entry {
-	left := max(1, (e.expiresAt - now).Milliseconds())
-	return proto.Entry{Kind: e.item.Kind, Key: e.item.Key, Stamp: e.item.Stamp, TTLMs: left, Body: e.item.Body}
+	remaining := max(1, (e.expiresAt - now).Milliseconds())
+	return proto.Entry{Kind: e.item.Kind, Key: e.item.Key, Stamp: e.item.Stamp, TTLMs: remaining, Body: e.item.Body}
 }
--- a/internal/fleet/gossip/store.go
+++ b/internal/fleet/gossip/store.go
@@ -1,11 +1,12 @@
-// Package gossip holds the items that spread and finds what another instance
-// lacks, after the reconciliation of Scuttlebutt (van Renesse, Dumitriu, Gough
-// and Thomas, LADIS 2008): the items of one origin, birth and scope form a
-// stream ordered by stamp, and one number per stream, the mark, says how far
-// an instance has it. A superseded item leaves its stream, so what is sent is
-// bounded by what counts now and not by what happened.
+// Package gossip holds the items that instances spread and finds what another
+// instance lacks, after the reconciliation of Scuttlebutt (van Renesse,
+// Dumitriu, Gough and Thomas, LADIS 2008). The items of one origin, start time
+// and scope form a stream ordered by stamp. One number per stream, the
+// watermark, says up to which stamp an instance has it. A superseded item
+// leaves its stream, so the amount sent is bounded by the current items and
+// not by the history.
 //
-// It imports base/news, base/spec and fleet/proto. Package node feeds it.
+// It imports base/news, base/spec and fleet/proto. Package node drives it.
 package gossip
 
 import (
@@ -18,20 +19,21 @@
 	"fulmarwick/internal/fleet/proto"
 )
 
-// Bounds of the store.
+// Limits of the store.
 const (
-	// MaxItems and MaxBytes bound all items together.
+	// MaxItems bounds the number of all items together.
 	MaxItems = 16384
+	// MaxBytes bounds the size of all items together.
 	MaxBytes = 8 << 20
-	// MaxItemsPerOrigin bounds the items of one origin, so that one faulty instance
-	// cannot crowd out the rest.
+	// MaxItemsPerOrigin bounds the items of one stream of an origin, so
+	// that one faulty instance cannot crowd out the rest.
 	MaxItemsPerOrigin = 1024
-	// emptyStreamTTL is how long an empty stream is remembered, so that late copies of
-	// its items are known as old.
+	// emptyStreamTTL is how long an empty stream is kept, so that late
+	// copies of its items are recognised as old.
 	emptyStreamTTL = time.Hour
 )
 
-// Store holds items by stream. Set Self and Born, then call Init.
+// Store holds items by stream. Set LocalID and StartTime, then call Init.
 type Store struct {
 	LocalID   spec.InstanceID
 	StartTime uint32
@@ -39,7 +41,8 @@
 	streams []*stream
 	index   map[streamKey]*stream
 	byHash  map[uint32]*stream
-	// latest finds the item that counts for a name whatever its birth.
+	// latest is the current item per name, whatever the start time of its
+	// origin.
 	latest       map[itemKey]*entry
 	itemCount    int
 	totalBytes   int
@@ -59,14 +62,15 @@
 	key    string
 }
 
-// stream is the items of one origin, birth and scope in order of stamp.
+// stream holds the items of one origin, start time and scope in order of
+// stamp.
 type stream struct {
 	key  streamKey
 	hash uint32
-	// watermark says that all items up to it were taken here.
+	// watermark is the stamp up to which all items were received.
 	watermark uint64
 	items     []*entry
-	// hashCollision marks a stream whose hash another stream has too.
+	// hashCollision is whether another stream has the same hash.
 	hashCollision bool
 	lastUsed      time.Duration
 }
@@ -75,7 +79,7 @@
 	item      news.Item
 	stream    *stream
 	expiresAt time.Duration
-	// refreshAt is when an origin says an unchanged item again.
+	// refreshAt is when the origin publishes an unchanged item again.
 	refreshAt time.Duration
 }
 
@@ -86,13 +90,13 @@
 	s.latest = map[itemKey]*entry{}
 }
 
-// ItemCount is how many items the store holds.
+// ItemCount returns how many items the store holds.
 func (s *Store) ItemCount() int { return s.itemCount }
 
-// RefusedCount is how many items found no room.
+// RefusedCount returns how many items were refused because the store was full.
 func (s *Store) RefusedCount() int { return s.refusedCount }
 
-// Get returns the item that counts for a name.
+// Get returns the current item for a name.
 func (s *Store) Get(kind news.Kind, origin spec.InstanceID, key string) (news.Item, bool) {
 	e := s.latest[itemKey{kind: kind, origin: origin, key: key}]
 	if e == nil {
@@ -112,8 +116,8 @@
 	}
 }
 
-// Publish puts in an item of the own instance. It returns false if the same is
-// said already and still fresh, which costs nothing.
+// Publish adds an item of this instance. It returns false if the same item is
+// already published and not yet due for a refresh, which costs nothing.
 func (s *Store) Publish(now time.Duration, item news.Item) (news.Item, bool) {
 	old := s.latest[itemKey{kind: item.Kind, origin: s.LocalID, key: item.Key}]
 	if old != nil && now < old.refreshAt && slices.Equal(old.item.Body, item.Body) && old.item.Scope == item.Scope {
@@ -129,14 +133,14 @@
 	return item, true
 }
 
-// ApplyBlock puts in the items of a block and returns those that are new here.
+// ApplyBlock adds the items of a block and returns those that are new here.
 func (s *Store) ApplyBlock(now time.Duration, b *proto.Block) []news.Item {
 	if b.Origin == s.LocalID {
 		return nil
 	}
 	st := s.stream(streamKey{origin: b.Origin, startTime: b.StartTime, scope: b.Scope})
 	st.lastUsed = now
-	var fresh []news.Item
+	var newItems []news.Item
 	for i := range b.Items {
 		e := &b.Items[i]
 		item := news.Item{
@@ -144,26 +148,27 @@
 			Scope: b.Scope, Life: e.TTLMs, Body: e.Body,
 		}
 		if e.Stamp > st.watermark && s.put(now, st, item) {
-			fresh = append(fresh, item)
+			newItems = append(newItems, item)
 		}
 	}
 	st.watermark = max(st.watermark, b.Watermark)
-	return fresh
+	return newItems
 }
 
-// RestartStreams gives the own instance a later birth: its items start new streams.
-func (s *Store) RestartStreams(now time.Duration, born uint32) {
-	var own []news.Item
+// RestartStreams sets a later start time of this instance and moves its items
+// to new streams.
+func (s *Store) RestartStreams(now time.Duration, startTime uint32) {
+	var local []news.Item
 	for _, st := range s.streams {
 		if st.key.origin != s.LocalID {
 			continue
 		}
 		for _, e := range st.items {
-			own = append(own, e.item)
+			local = append(local, e.item)
 		}
 	}
-	s.StartTime = born
-	for _, item := range own {
+	s.StartTime = startTime
+	for _, item := range local {
 		if e := s.latest[itemKey{kind: item.Kind, origin: s.LocalID, key: item.Key}]; e != nil {
 			s.drop(e)
 			_, _ = s.Publish(now, item)
@@ -171,8 +176,8 @@
 	}
 }
 
-// put adds an item unless one that counts more is there. It returns whether
-// the item is now held.
+// put adds an item unless the store has one that supersedes it. It reports
+// whether the item was stored.
 func (s *Store) put(now time.Duration, st *stream, item news.Item) bool {
 	k := itemKey{kind: item.Kind, origin: st.key.origin, key: item.Key}
 	if old := s.latest[k]; old != nil {
--- a/internal/fleet/gossip/store_test.go
+++ b/internal/fleet/gossip/store_test.go
@@ -27,18 +27,18 @@
 	return news.Item{Kind: kind, Key: key, Scope: news.ScopeCentre, Life: 60_000, Body: body}
 }
 
-// syncStores gives b what it lacks of a in at most limit bytes.
+// syncStores sends b what it lacks of a, in at most limit bytes.
 func syncStores(a, b *gossip.Store, limit, start int) bool {
-	blocks, whole := a.Delta(0, news.ScopeCentre, b.Digest(news.ScopeCentre), limit, start)
+	blocks, complete := a.Delta(0, news.ScopeCentre, b.Digest(news.ScopeCentre), limit, start)
 	for i := range blocks {
 		b.ApplyBlock(0, &blocks[i])
 	}
-	return whole
+	return complete
 }
 
-// Whatever three instances say, in whatever order they exchange and however
-// little fits into an answer, all hold in the end what a naive map of the last
-// word per name holds.
+// Three instances publish items and exchange them in any order, with any limit
+// on the size of an answer. In the end each store must hold what a naive map
+// of the last item per name holds.
 func TestStoresConvergeToNaiveMap(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		stores := []*gossip.Store{newStore("a"), newStore("b"), newStore("c")}
@@ -68,9 +68,9 @@
 				for _, kind := range []news.Kind{news.KindPrint, news.KindLevel} {
 					for _, key := range []string{"x", "y", "z"} {
 						got, ok := s.Get(kind, origin, key)
-						want, said := naive[fmt.Sprint(j, kind, key)]
-						if ok != said || ok && got.Body[0] != want {
-							r.Fatalf("got %v %v of %s, want %v %v", got.Body, ok, origin, want, said)
+						want, published := naive[fmt.Sprint(j, kind, key)]
+						if ok != published || ok && got.Body[0] != want {
+							r.Fatalf("got %v %v of %s, want %v %v", got.Body, ok, origin, want, published)
 						}
 					}
 				}
@@ -87,13 +87,13 @@
 		want bool
 	}{{0, 1, true}, {29 * time.Second, 1, false}, {30 * time.Second, 1, true}, {31 * time.Second, 2, true}} {
 		if _, got := s.Publish(c.at, newItem(news.KindLevel, "k", 10, c.fill)); got != c.want {
-			t.Errorf("got said %v at %v, want %v", got, c.at, c.want)
+			t.Errorf("got published %v at %v, want %v", got, c.at, c.want)
 		}
 	}
 }
 
-// One instance says without end, with ever new keys. The others keep room for
-// the rest.
+// One instance publishes without end, under new keys each time. The store must
+// keep space for the items of other origins.
 func TestOneOriginCannotFillTheStore(t *testing.T) {
 	s := newStore("b")
 	for i := range 5000 {
@@ -105,16 +105,17 @@
 		t.Errorf("got %d items and %d refused, want %d and some", got, s.RefusedCount(), gossip.MaxItemsPerOrigin)
 	}
 	if _, ok := s.Publish(0, newItem(news.KindPrint, "k", 10, 1)); !ok {
-		t.Errorf("got no room for an item of another origin, want room")
+		t.Errorf("got the item of another origin refused, want it stored")
 	}
 	s.Tick(2 * time.Second)
 	if got := s.ItemCount(); got != 1 {
-		t.Errorf("got %d items after their life, want 1", got)
+		t.Errorf("got %d items after their TTL, want 1", got)
 	}
 }
 
-// An instance dies. Its loads count no more, but the fingerprint of a request
-// that crashes engines, which it told, still protects the others.
+// An instance dies. Its loads must be dropped, but the fingerprint of a
+// request that crashes engines, which it published, must be kept to protect
+// the other instances.
 func TestDeadOriginKeepsItemsAboutOthers(t *testing.T) {
 	a, b := newStore("a"), newStore("b")
 	a.Publish(0, newItem(news.KindPrint, "p", 10, 1))
@@ -129,20 +130,21 @@
 	}
 }
 
-// An instance restarts within the second of its birth and counts from one
-// again, while the others hold higher stamps of its former self. It learns so
-// from their marks and goes on after them, or nobody would take its words.
+// An instance restarts within the second of its start time and counts stamps
+// from one again, while its peers hold higher stamps of the former process. It
+// learns of them from the watermarks of its peers and must continue after
+// them, or no peer would accept its items.
 func TestRestartWithSameStartTimeContinuesStamps(t *testing.T) {
 	old, b := newStore("a"), newStore("b")
 	for i := range 9 {
 		old.Publish(0, newItem(news.KindLevel, "k", 10, byte(i)))
 	}
 	syncStores(old, b, 1000, 0)
-	again := newStore("a")
-	again.Publish(0, newItem(news.KindLevel, "k", 10, 77))
-	again.Wants(b.Digest(news.ScopeCentre))
-	syncStores(again, b, 1000, 0)
+	restarted := newStore("a")
+	restarted.Publish(0, newItem(news.KindLevel, "k", 10, 77))
+	restarted.Wants(b.Digest(news.ScopeCentre))
+	syncStores(restarted, b, 1000, 0)
 	if got, _ := b.Get(news.KindLevel, "a", "k"); got.Body[0] != 77 {
-		t.Errorf("got %d, want the new self's 77", got.Body[0])
+		t.Errorf("got %d, want 77 of the new process", got.Body[0])
 	}
 }
--- a/internal/fleet/gossip/stream.go
+++ b/internal/fleet/gossip/stream.go
@@ -12,7 +12,7 @@
 
 const sweepInterval = 100 * time.Millisecond
 
-// stream finds or makes a stream.
+// stream returns the stream with the given key and creates it if needed.
 func (s *Store) stream(k streamKey) *stream {
 	if st := s.index[k]; st != nil {
 		return st
@@ -36,12 +36,12 @@
 	)
 }
 
-// ExpireOrigin drops the items of an origin that count only while it lives, such as
-// its loads. What it told of others, such as a leaving upstream or a poison
-// fingerprint, stays until its own life is over.
-func (s *Store) ExpireOrigin(origin spec.InstanceID, bornBefore uint32) {
+// ExpireOrigin drops the items of an origin that are valid only while it
+// lives, such as its loads. Items about others, such as a leaving upstream or
+// a poison fingerprint, stay until their own TTL is over.
+func (s *Store) ExpireOrigin(origin spec.InstanceID, startedBefore uint32) {
 	for _, st := range s.streams {
-		if st.key.origin != origin || st.key.startTime >= bornBefore {
+		if st.key.origin != origin || st.key.startTime >= startedBefore {
 			continue
 		}
 		for _, e := range slices.Clone(st.items) {
@@ -52,7 +52,8 @@
 	}
 }
 
-// EndsWithOrigin reports whether items of a kind end with their origin.
+// EndsWithOrigin reports whether items of a kind are dropped when their origin
+// dies.
 func EndsWithOrigin(k news.Kind) bool {
 	switch k {
 	case news.KindHead, news.KindLeaving, news.KindPrint, news.KindDown:
@@ -72,7 +73,7 @@
 	}
 }
 
-// Tick drops the items whose life is over and, after long, empty streams.
+// Tick drops expired items and, after emptyStreamTTL, empty streams.
 func (s *Store) Tick(now time.Duration) {
 	if now-s.sweptAt < sweepInterval {
 		return
