--- a/internal/fleet/quota/sums.go
+++ b/internal/fleet/quota/aggregate.go
@@ -10,11 +10,12 @@
 	"fulmarwick/internal/fleet/proto"
 )
 
-// shareTTL is how long a share counts that was not sent again; its sender
-// may have chosen another instance to add up.
+// shareTTL is how long a share is valid without being sent again. Its sender
+// may have changed to another aggregator.
 const shareTTL = 10 * time.Second
 
-// minHeavyShare is the share of a data centre's use from which on a team is heavy.
+// minHeavyShare is the fraction of the usage of a data centre from which a
+// team is heavy.
 const minHeavyShare = 0.01
 
 // Aggregator adds up the shares that instances of a data centre send.
@@ -26,12 +27,13 @@
 	sender spec.InstanceID
 	loads  []proto.Load
 	rates  []proto.Rate
-	// Each list counts until its own time.
+	// Each list expires at its own time.
 	loadsExpireAt time.Duration
 	ratesExpireAt time.Duration
 }
 
-// SetShare takes a share; each list that it has replaces its sender's former one.
+// SetShare records a share. Each list in it replaces the former list of its
+// sender.
 func (s *Aggregator) SetShare(now time.Duration, from spec.InstanceID, share proto.Share) {
 	at, found := slices.BinarySearchFunc(s.rows, from, func(r senderShare, id spec.InstanceID) int { return cmp.Compare(r.sender, id) })
 	if !found {
@@ -46,12 +48,12 @@
 	}
 }
 
-// Remove forgets the share of an instance that is gone.
+// Remove drops the share of an instance that is gone.
 func (s *Aggregator) Remove(from spec.InstanceID) {
 	s.rows = slices.DeleteFunc(s.rows, func(r senderShare) bool { return r.sender == from })
 }
 
-// Tick forgets shares that were not sent again.
+// Tick drops expired shares.
 func (s *Aggregator) Tick(now time.Duration) {
 	for i := range s.rows {
 		r := &s.rows[i]
@@ -65,7 +67,8 @@
 	s.rows = slices.DeleteFunc(s.rows, func(r senderShare) bool { return now >= max(r.loadsExpireAt, r.ratesExpireAt) })
 }
 
-// Loads adds up the work in flight per engine, for the engines that f accepts.
+// Loads returns the total work in flight per engine, for the engines that f
+// accepts.
 func (s *Aggregator) Loads(f func(spec.UpstreamID) bool) []news.LoadSum {
 	at := map[spec.UpstreamID]int{}
 	var out []news.LoadSum
@@ -88,7 +91,7 @@
 	return out
 }
 
-// Rates adds up the use per team and returns the heaviest.
+// Rates returns the total usage of the heaviest teams.
 func (s *Aggregator) Rates() []news.RateSum {
 	at := map[uint64]int{}
 	var out []news.RateSum
@@ -109,8 +112,9 @@
 	return keepHeaviest(out)
 }
 
-// keepHeaviest cuts rates in falling order to the heaviest teams. Those under a
-// hundredth of all cannot crowd out others, so nobody hears of them.
+// keepHeaviest truncates rates, sorted in falling order, to the heaviest
+// teams. Teams under minHeavyShare of the total cannot crowd out others, so
+// they are not reported.
 func keepHeaviest(rates []news.RateSum) []news.RateSum {
 	total := float32(0)
 	for _, r := range rates {
--- a/internal/fleet/quota/quota_test.go
+++ b/internal/fleet/quota/quota_test.go
@@ -14,8 +14,9 @@
 	"pgregory.net/rapid"
 )
 
-// The sketch is compared with a naive count of all teams: it never counts too
-// little, its error bound holds, and a team over 1/Size of all is in it.
+// Compares the sketch with a naive count of all teams. It must never count too
+// little, its error bound must hold, and a team with more than 1/Size of the
+// total must be in it.
 func TestSketchAgainstNaiveCount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := quota.Sketch{Size: 8}
@@ -76,7 +77,7 @@
 	}
 	s.Tick(time.Minute)
 	if got := s.Rates(); len(got) != 0 {
-		t.Errorf("got rates %v after silence, want none", got)
+		t.Errorf("got rates %v after the TTL, want none", got)
 	}
 }
 
@@ -96,24 +97,24 @@
 
 func TestPeerUsageAddsToLocal(t *testing.T) {
 	var v quota.FleetUsage
-	var own quota.LocalUsage
-	own.SetRate(0, "big", 100)
-	own.ReportRates()
+	var local quota.LocalUsage
+	local.SetRate(0, "big", 100)
+	local.ReportRates()
 	sum := news.RateSum{Team: proto.TeamHash("big"), Rate: 400}
 	v.SetCentreRates(0, "klang", time.Second, []news.RateSum{sum})
 	v.SetCentreRates(0, "penang", time.Second, []news.RateSum{sum})
-	own.SetRate(0, "big", 150)
-	if got := v.ChangedTeams(0, &own); len(got) != 1 || got[0].Rate != 850 {
-		t.Errorf("got %v, want 700 of others and 150 own", got)
+	local.SetRate(0, "big", 150)
+	if got := v.ChangedTeams(0, &local); len(got) != 1 || got[0].Rate != 850 {
+		t.Errorf("got %v, want 700 of peers and 150 local", got)
 	}
-	if got := v.ChangedTeams(0, &own); len(got) != 0 {
+	if got := v.ChangedTeams(0, &local); len(got) != 0 {
 		t.Errorf("got %v again, want nothing unchanged", got)
 	}
-	if got := v.ChangedTeams(5*time.Second, &own); len(got) != 1 || got[0].Rate != 850 {
+	if got := v.ChangedTeams(5*time.Second, &local); len(got) != 1 || got[0].Rate != 850 {
 		t.Errorf("got %v after a while, want the same once more", got)
 	}
 	v.Tick(2 * time.Second)
-	if got := v.ChangedTeams(2*time.Second, &own); len(got) != 1 || got[0].Rate != 150 {
-		t.Errorf("got %v after silence, want the own 150", got)
+	if got := v.ChangedTeams(2*time.Second, &local); len(got) != 1 || got[0].Rate != 150 {
+		t.Errorf("got %v after the TTL, want the local 150", got)
 	}
 }
