--- a/internal/fleet/proto/codec.go
+++ b/internal/fleet/proto/codec.go
@@ -10,24 +10,25 @@
 	"github.com/go-faster/errors"
 )
 
-// Limits of one message.
+// Limits of a message.
 const (
 	MaxMessageBytes  = 64 << 10
 	maxNameBytes     = 255
 	maxBodyBytes     = 16 << 10
 	maxArrayElements = 4096
 	maxTTLMs         = 24 * 60 * 60 * 1000
-	// maxKind leaves room for the kinds of a newer version: an older instance
-	// passes them on unread.
+	// maxKind leaves space for the kinds of newer versions. An older
+	// instance passes them on without decoding them.
 	maxKind        = 64
 	maxIncarnation = 1 << 31
-	// MaxStamp keeps a hostile stamp from using up the number range: no
-	// stream reaches it in use.
+	// MaxStamp keeps a malicious stamp from exhausting the number range.
+	// No stream reaches it in normal operation.
 	MaxStamp = 1 << 48
 )
 
-// ErrMalformed is returned for bytes that are not a message of an instance.
-var ErrMalformed = errors.New("talk: not a message")
+// ErrMalformed is returned for bytes that are not a valid message of an
+// instance.
+var ErrMalformed = errors.New("proto: not a message")
 
 var (
 	encoder = newEncoder()
@@ -54,7 +55,7 @@
 	return m
 }
 
-// Encode returns the bytes of m.
+// Encode encodes a message.
 func Encode(m *Message) ([]byte, error) {
 	data, err := encoder.Marshal(m)
 	if err != nil {
@@ -63,8 +64,8 @@
 	return data, nil
 }
 
-// Decode reads a message. It returns ErrBad for anything that is malformed,
-// too large or out of range; nothing of such a message counts.
+// Decode decodes a message. It returns ErrMalformed for anything that is
+// malformed, too large or out of range. No part of such a message is used.
 func Decode(data []byte) (*Message, error) {
 	if len(data) > MaxMessageBytes {
 		return nil, errors.Wrap(ErrMalformed, "too large")
@@ -96,9 +97,9 @@
 	return validWatermarks(m.Watermarks) && validWatermarks(m.Wants) && m.Share.valid()
 }
 
-func validWatermarks(marks []Watermark) bool {
-	for _, k := range marks {
-		if k.Stamp >= MaxStamp {
+func validWatermarks(watermarks []Watermark) bool {
+	for _, w := range watermarks {
+		if w.Stamp >= MaxStamp {
 			return false
 		}
 	}
@@ -140,7 +141,7 @@
 		}
 	}
 	for _, r := range s.Rates {
-		// The comparison also refuses a rate that is not a number.
+		// The comparison also rejects NaN.
 		if !(r.Rate >= 0 && r.Rate < 1e12) {
 			return false
 		}
@@ -150,24 +151,24 @@
 
 func isValidName(s string) bool { return s != "" && len(s) <= maxNameBytes }
 
-// Sizes of the parts, for sharing out a byte budget. They are upper bounds
-// but for the strings, which are counted.
+// Encoded sizes of the parts without their strings, to divide a byte budget.
+// They are upper bounds.
 const (
 	entryOverheadBytes  = 16
 	blockOverheadBytes  = 22
 	recordOverheadBytes = 18
 )
 
-// Bytes is about how much e takes on the wire.
+// Bytes returns the approximate encoded size of e.
 func (e *Entry) Bytes() int { return entryOverheadBytes + len(e.Key) + len(e.Body) }
 
-// HeaderBytes is about how much the head of b takes on the wire.
+// HeaderBytes returns the approximate encoded size of b without its items.
 func (b *Block) HeaderBytes() int { return blockOverheadBytes + len(b.Origin) }
 
-// Bytes is about how much r takes on the wire.
+// Bytes returns the approximate encoded size of r.
 func (r *Record) Bytes() int {
 	return recordOverheadBytes + len(r.ID) + len(r.DataCentre) + len(r.URL) + len(r.SuspectedBy)
 }
 
-// TeamHash is the short name of a team in messages.
+// TeamHash returns the hash that stands for a team in messages.
 func TeamHash(team spec.TeamID) uint64 { return hashString(string(team)) }
--- a/internal/fleet/proto/hash.go
+++ b/internal/fleet/proto/hash.go
@@ -11,12 +11,12 @@
 
 func hashString(s string) uint64 { return xxhash.Sum64String(s) }
 
-// StreamHash names a stream in a Mark. Two of a few hundred streams share a
-// hash about once in a hundred thousand fleets; the marks of both are then
-// left out of digests and their items spread by pushes alone.
-func StreamHash(origin spec.InstanceID, born uint32, scope news.Scope) uint32 {
+// StreamHash identifies a stream in a Watermark. Two of a few hundred streams
+// share a hash in about one of a hundred thousand fleets. The watermarks of
+// both are then left out of digests, and their items spread only by pushes.
+func StreamHash(origin spec.InstanceID, startTime uint32, scope news.Scope) uint32 {
 	var tail [5]byte
-	binary.BigEndian.PutUint32(tail[:4], born)
+	binary.BigEndian.PutUint32(tail[:4], startTime)
 	tail[4] = byte(scope)
 	var d xxhash.Digest
 	d.Reset()
@@ -25,9 +25,9 @@
 	return uint32(d.Sum64())
 }
 
-// Checksum is the checksum of a record in the sums of a member table. The
-// suspicions of different instances count as one: they differ for a while and
-// need no repair.
+// Checksum returns the contribution of a record to the checksums of a member
+// table. It ignores which instance suspects: such differences between tables
+// are temporary and need no repair.
 func (r *Record) Checksum() uint32 {
 	var tail [10]byte
 	binary.BigEndian.PutUint32(tail[:4], r.StartTime)
--- a/internal/fleet/proto/proto.go
+++ b/internal/fleet/proto/proto.go
@@ -1,8 +1,8 @@
-// Package proto holds the messages that instances send each other and their
+// Package proto defines the messages that instances send each other and their
 // CBOR codec.
 //
 // Fields are exported because the codec fills them. It imports base/news and
-// the codec; package node and its siblings fill and read messages.
+// the codec; package node and its siblings build and read messages.
 package proto
 
 import (
@@ -10,12 +10,13 @@
 	"fulmarwick/internal/base/spec"
 )
 
-// State says what is held true of a member.
+// State is the state of a member.
 type State int
 
 //go:generate stringer -type=State -linecomment -output=state_string.go
 
-// The states; of two records of one incarnation the higher state counts.
+// The states. Of two records of one incarnation, the one with the higher state
+// wins.
 const (
 	StateAlive   State = iota // alive
 	StateSuspect              // suspect
@@ -23,40 +24,42 @@
 	StateLeft                 // left
 )
 
-// Record is what one instance holds true of another.
+// Record is what one instance knows about another.
 type Record struct {
 	_          struct{} `cbor:",toarray"`
 	ID         spec.InstanceID
 	DataCentre spec.DataCentre
 	URL        string
-	// StartTime tells restarts apart: seconds on the instance's own clock.
+	// StartTime distinguishes restarts: seconds on the clock of the
+	// instance itself.
 	StartTime uint32
-	// Incarnation is the incarnation number of SWIM, which only the instance itself
-	// raises, to refute a suspicion.
+	// Incarnation is the incarnation number of SWIM. Only the instance
+	// itself raises it, to refute a suspicion.
 	Incarnation uint32
 	State       State
-	// Passive says that the instance takes no duties and watches: it is still
-	// catching up, or on its way out.
+	// Passive reports that the instance takes no duties and watches,
+	// because it is still catching up or is stopping.
 	Passive bool
-	// SuspectedBy is who suspects; empty unless State is StateSuspect.
+	// SuspectedBy is the instance that suspects this one. It is empty
+	// unless State is StateSuspect.
 	SuspectedBy spec.InstanceID
 }
 
-// Watermark says how far its sender has the items of one stream.
+// Watermark is the stamp up to which its sender has the items of one stream.
 type Watermark struct {
 	_ struct{} `cbor:",toarray"`
-	// StreamHash is the hash of origin, birth and scope.
+	// StreamHash is the hash of origin, start time and scope.
 	StreamHash uint32
 	Stamp      uint64
 }
 
-// Entry is an item without what its block says already.
+// Entry is an item without the fields that its block already has.
 type Entry struct {
 	_     struct{} `cbor:",toarray"`
 	Kind  news.Kind
 	Key   string
 	Stamp uint64
-	// TTLMs is what remains of it, in milliseconds.
+	// TTLMs is the remaining time to live in milliseconds.
 	TTLMs int64
 	Body  []byte
 }
@@ -67,13 +70,13 @@
 	Origin    spec.InstanceID
 	StartTime uint32
 	Scope     news.Scope
-	// Watermark is the mark that the receiver reaches by this block; zero if the
-	// items were sent out of turn.
+	// Watermark is what the receiver reaches with this block. It is zero
+	// if the items were sent out of order.
 	Watermark uint64
 	Items     []Entry
 }
 
-// Load is the sender's work in flight on an engine.
+// Load is the work that the sender has in flight on an engine.
 type Load struct {
 	_      struct{} `cbor:",toarray"`
 	Engine spec.UpstreamID
@@ -81,46 +84,50 @@
 	Tokens int
 }
 
-// Rate is the sender's use by a team, in tokens a second.
+// Rate is the usage by a team at the sender, in tokens per second.
 type Rate struct {
 	_ struct{} `cbor:",toarray"`
-	// TeamHash is the hash of the team's name.
+	// TeamHash is the hash of the team name.
 	TeamHash uint64
 	Rate     float32
 }
 
-// Share goes to whoever adds up the shares of a data centre.
+// Share is the local usage that an instance sends to an aggregator of its data
+// centre.
 type Share struct {
 	_ struct{} `cbor:",toarray"`
-	// HasLoads and HasRates say that the list replaces the former one.
+	// HasLoads and HasRates report that the list replaces the former one.
 	HasLoads bool
 	HasRates bool
 	Loads    []Load
 	Rates    []Rate
 }
 
-// Message is everything that one instance tells another at once. Each part
-// may be missing.
+// Message is everything that one instance sends another at once. Each part may
+// be missing.
 type Message struct {
-	// CallID asks for an answer that carries the number as Ack.
+	// CallID requests an answer that carries the number as AckID.
 	CallID uint64 `cbor:"1,keyasint,omitempty"`
 	AckID  uint64 `cbor:"2,keyasint,omitempty"`
-	// ProbeTarget asks the receiver to call a third instance; the answer comes
-	// only once that one answered.
+	// ProbeTarget asks the receiver to probe a third instance. The
+	// receiver answers only once that instance answered.
 	ProbeTarget spec.InstanceID `cbor:"3,keyasint,omitempty"`
-	// Records are what the sender holds true of members.
+	// Records are records from the member table of the sender.
 	Records []Record `cbor:"4,keyasint,omitempty"`
-	// Checksums are checksums of the sender's member table, four bytes a bucket.
+	// Checksums are the checksums of the member table of the sender, four
+	// bytes per bucket.
 	Checksums []byte `cbor:"5,keyasint,omitempty"`
-	// HasDigest says that Marks are all that the sender has.
+	// HasDigest reports that Watermarks are those of all streams of the
+	// sender.
 	HasDigest  bool        `cbor:"6,keyasint,omitempty"`
 	Watermarks []Watermark `cbor:"7,keyasint,omitempty"`
-	// Wants asks for what comes after these marks.
+	// Wants requests the items after these watermarks.
 	Wants  []Watermark `cbor:"8,keyasint,omitempty"`
 	Blocks []Block     `cbor:"9,keyasint,omitempty"`
-	// Complete says that the receiver now has all that the sender has.
+	// Complete reports that the receiver now has everything the sender
+	// has.
 	Complete bool `cbor:"10,keyasint,omitempty"`
-	// Ready says that the sender itself caught up with its peers.
+	// Ready reports that the sender itself has caught up with its peers.
 	Ready bool   `cbor:"12,keyasint,omitempty"`
 	Share *Share `cbor:"11,keyasint,omitempty"`
 }
--- a/internal/fleet/proto/proto_test.go
+++ b/internal/fleet/proto/proto_test.go
@@ -32,7 +32,7 @@
 }
 
 func TestMalformedMessagesAreRejected(t *testing.T) {
-	for name, spoil := range map[string]func(*proto.Message){
+	for name, corrupt := range map[string]func(*proto.Message){
 		"no member name": func(m *proto.Message) { m.Records[0].ID = "" },
 		"state":          func(m *proto.Message) { m.Records[0].State = 9 },
 		"incarnation":    func(m *proto.Message) { m.Records[0].Incarnation = 1 << 31 },
@@ -47,13 +47,13 @@
 		"size":           func(m *proto.Message) { m.Blocks[0].Items[0].Body = make([]byte, 70<<10) },
 	} {
 		m := sampleMessage()
-		spoil(m)
+		corrupt(m)
 		data, err := proto.Encode(m)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if _, err := proto.Decode(data); !errors.Is(err, proto.ErrMalformed) {
-			t.Errorf("got %v for a bad %s, want ErrBad", err, name)
+			t.Errorf("got %v for a bad %s, want ErrMalformed", err, name)
 		}
 	}
 }
@@ -69,7 +69,7 @@
 		m, err := proto.Decode(data)
 		if err != nil {
 			if !errors.Is(err, proto.ErrMalformed) {
-				t.Errorf("got %v, want ErrBad", err)
+				t.Errorf("got %v, want ErrMalformed", err)
 			}
 			return
 		}
