--- a/internal/fleet/drain/drain.go
+++ b/internal/fleet/drain/drain.go
@@ -1,6 +1,7 @@
-// Package drain is the graceful stop of an instance among the others: its
-// duties and watches pass on first, its own requests end in their time, and
-// its goodbye is heard before it falls silent.
+// Package drain is the graceful stop of an instance in the fleet. First its
+// duties and watches are handed over, then its own requests end within their
+// time limit, and at last its peers acknowledge that it leaves before it stops
+// sending.
 //
 // It imports base/spec. Package node drives it.
 package drain
@@ -12,7 +13,7 @@
 	"fulmarwick/internal/base/spec"
 )
 
-// Phase is how far a stop got.
+// Phase is the progress of a stop.
 type Phase int
 
 //go:generate stringer -type=Phase -linecomment -output=phase_string.go
@@ -26,18 +27,20 @@
 	PhaseDone                     // done
 )
 
-// Times of a stop.
+// Time limits of a stop.
 const (
-	// WatchOverlap is how long the watches are kept after the others know, so that
-	// their first polls are done before the last one here.
+	// WatchOverlap is how long the watches are kept after the peers know
+	// of the stop, so that the new watchers have polled once before the
+	// last poll here.
 	WatchOverlap = time.Second
-	// MaxHandOverWait and ByeMost bound the wait for others that do not answer; their
-	// failure detection does the rest.
+	// MaxHandOverWait bounds the wait for peers that do not answer during
+	// the hand-over. After it, their failure detection does the rest.
 	MaxHandOverWait = 5 * time.Second
-	MaxLeaveWait    = 2 * time.Second
+	// MaxLeaveWait is the same bound while leaving.
+	MaxLeaveWait = 2 * time.Second
 )
 
-// Drainer is the state of a stop. The zero value serves.
+// Drainer is the state of a stop. The zero value has not begun to stop.
 type Drainer struct {
 	phase      Phase
 	phaseStart time.Duration
@@ -45,39 +48,40 @@
 	allAckedAt time.Duration
 }
 
-// Phase is how far the stop got.
+// Phase returns the current phase.
 func (d *Drainer) Phase() Phase { return d.phase }
 
 // Stopping reports whether a stop began.
 func (d *Drainer) Stopping() bool { return d.phase != PhaseServing }
 
-// Begin starts the stop; peers must all hear of it.
+// Begin starts the stop. All peers must acknowledge it.
 func (d *Drainer) Begin(now time.Duration, peers []spec.InstanceID) {
 	if d.phase == PhaseServing {
 		d.enter(now, PhaseHandingOver, peers)
 	}
 }
 
-// BeginLeave starts the goodbye, once nothing is in progress here.
+// BeginLeave starts the last phase, once no work is in progress here.
 func (d *Drainer) BeginLeave(now time.Duration, peers []spec.InstanceID) {
 	if d.phase < PhaseLeaving {
 		d.enter(now, PhaseLeaving, peers)
 	}
 }
 
-// RecordAck notes that a peer answered a message that said so.
+// RecordAck records that a peer answered the announcement of the current
+// phase.
 func (d *Drainer) RecordAck(now time.Duration, peer spec.InstanceID) {
-	had := len(d.pending)
+	pendingBefore := len(d.pending)
 	d.pending = slices.DeleteFunc(d.pending, func(id spec.InstanceID) bool { return id == peer })
-	if had > 0 && len(d.pending) == 0 {
+	if pendingBefore > 0 && len(d.pending) == 0 {
 		d.allAckedAt = now
 	}
 }
 
-// Pending returns the peers that did not answer yet.
+// Pending returns the peers that have not answered yet.
 func (d *Drainer) Pending() []spec.InstanceID { return d.pending }
 
-// Tick moves on and reports whether a phase ended.
+// Tick advances the stop and reports whether a phase ended.
 func (d *Drainer) Tick(now time.Duration) bool {
 	switch d.phase {
 	case PhaseHandingOver:
@@ -94,8 +98,8 @@
 	return false
 }
 
-func (d *Drainer) allAcked(now, after time.Duration) bool {
-	return len(d.pending) == 0 && now-d.allAckedAt >= after
+func (d *Drainer) allAcked(now, overlap time.Duration) bool {
+	return len(d.pending) == 0 && now-d.allAckedAt >= overlap
 }
 
 func (d *Drainer) enter(now time.Duration, p Phase, peers []spec.InstanceID) {
--- a/internal/fleet/drain/drain_test.go
+++ b/internal/fleet/drain/drain_test.go
@@ -8,9 +8,9 @@
 	"fulmarwick/internal/fleet/drain"
 )
 
-// An instance stops while one of its peers does not answer. It keeps its
-// watches until all know, at most for the time that failure detection needs,
-// and its goodbye does not wait for the silent one for ever.
+// An instance stops while one of its peers does not answer. It must keep its
+// watches until all peers know, at most for the time that failure detection
+// needs, and must not wait for the unresponsive peer for ever when it leaves.
 func TestUnresponsivePeerDoesNotBlockStop(t *testing.T) {
 	var d drain.Drainer
 	peers := []spec.InstanceID{"a", "b"}
@@ -28,10 +28,10 @@
 	d.BeginLeave(time.Minute, peers)
 	d.RecordAck(time.Minute, "b")
 	if d.Tick(time.Minute); d.Phase() != drain.PhaseLeaving {
-		t.Errorf("got %v before all heard the goodbye, want it to go on", d.Phase())
+		t.Errorf("got %v before all peers acknowledged, want leaving", d.Phase())
 	}
 	if d.Tick(time.Minute + drain.MaxLeaveWait); d.Phase() != drain.PhaseDone {
-		t.Errorf("got %v after the longest goodbye, want done", d.Phase())
+		t.Errorf("got %v after MaxLeaveWait, want done", d.Phase())
 	}
 }
 
@@ -47,6 +47,6 @@
 	}
 	d.BeginLeave(time.Minute, nil)
 	if !d.Tick(time.Minute) || d.Phase() != drain.PhaseDone {
-		t.Errorf("got %v with nobody to tell, want done", d.Phase())
+		t.Errorf("got %v without peers, want done", d.Phase())
 	}
 }
