--- a/internal/state/ledger/flight.go
+++ b/internal/state/ledger/active.go
@@ -8,8 +8,8 @@
 	"github.com/go-faster/errors"
 )
 
-// activeCall is a call that this process runs; duplicates here wait for its end
-// without reading the store.
+// activeCall is a call that this process is running. Duplicates in the same process
+// wait for its outcome without reading the store.
 type activeCall struct {
 	call     Call
 	bodyHash uint64
@@ -18,7 +18,8 @@
 	err      error
 }
 
-// joinCall returns the flight of the call and whether the caller is its first.
+// joinCall returns the active call with the key of c, which it adds if there is none.
+// It also reports whether it added the call.
 func (l *Ledger) joinCall(c Call) (*activeCall, bool) {
 	key := rowKey(c.team, c.class, c.key)
 	l.mu.Lock()
@@ -31,9 +32,9 @@
 	return f, true
 }
 
-// startAttempt brings the attempt to its end in a goroutine of its own, so that a
-// caller who leaves cuts neither the send nor the record. Of the caller's ctx
-// only the values go on, among them the trace.
+// startAttempt runs the attempt to its end in its own goroutine, so that a caller
+// who disconnects interrupts neither the send nor the write of the record. The
+// goroutine keeps only the values of the caller's ctx, among them the trace.
 func (l *Ledger) startAttempt(ctx context.Context, f *activeCall, a *Attempt) {
 	ctx = context.WithoutCancel(ctx)
 	l.attempts.Go(func() {
@@ -42,11 +43,11 @@
 			l.removeCall(f)
 			return
 		}
-		told := false
+		published := false
 		for {
 			act := a.NextAction()
-			if !told && l.publishOutcome(f, a) {
-				told = true
+			if !published && l.publishOutcome(f, a) {
+				published = true
 				defer l.addUnsettled(-1)
 			}
 			if act.kind == ActEnd {
@@ -57,7 +58,8 @@
 	})
 }
 
-// publishOutcome lets the flight's callers go if the attempt has an answer.
+// publishOutcome releases the waiting callers if the attempt is resolved, and reports
+// whether it is.
 func (l *Ledger) publishOutcome(f *activeCall, a *Attempt) bool {
 	out, ok, err := a.Outcome()
 	if !ok {
@@ -72,8 +74,8 @@
 	return true
 }
 
-// wait waits until the call has its answer; a duplicate does not wait for long
-// and gets false.
+// wait waits until the call is resolved and then returns true. A duplicate, whose
+// first is false, waits for maxJoinWait at most and then gets false.
 func (f *activeCall) wait(ctx context.Context, first bool) (bool, error) {
 	var bound <-chan time.Time
 	if !first {
--- a/internal/state/ledger/attempt.go
+++ b/internal/state/ledger/attempt.go
@@ -6,7 +6,7 @@
 	"github.com/go-faster/errors"
 )
 
-// phase is where an attempt stands.
+// phase is the current step of an attempt's state machine.
 type phase int
 
 const (
@@ -29,32 +29,33 @@
 	phaseConfirm
 )
 
-// pollsPerQuery is after how many more polls of a running row the upstream is asked
-// again.
+// pollsPerQuery is the number of polls of a running row between two queries to
+// the upstream.
 const pollsPerQuery = 3
 
-// maxRestarts bounds how often an attempt starts over since reads and conditions
-// of the store contradict each other, as stale reads do.
+// maxRestarts bounds how often an attempt starts over. It has to start over when
+// a read contradicts the condition of a commit, as happens with stale reads.
 const maxRestarts = 4
 
-// Attempt is the protocol of one call as a step machine: Next says what to do
-// and Take gets the result, until Next says ActEnd. It does no I/O and reads
-// no clock, so that a test can drive every interleaving of several of them.
+// Attempt is the protocol of one call as a state machine: NextAction returns
+// the action to perform and ApplyResult receives its result, until NextAction
+// returns ActEnd. An attempt does no I/O and reads no clock, so that a test can
+// drive every interleaving of several attempts.
 //
 // The rules that keep a call from running twice:
-//   - ActSend comes at most once, and only after a commit or a read that
-//     shows the row holding this very attempt at running.
-//   - Only the attempt itself turns its running into notrun. Others, who
-//     cannot know whether a paused process will wake and send, go no further
-//     than unsure, or done if the upstream says so.
-//   - A new attempt takes the place of a notrun row only.
+//   - ActSend is returned at most once, and only after a commit or a read that
+//     shows this attempt in the row, in state running.
+//   - Only the attempt itself changes its state from running to notrun. Other
+//     attempts cannot know whether a paused process will resume and send. They
+//     change it to unsure, or to done if the upstream reports the answer.
+//   - A new attempt replaces a row only if its state is notrun.
 type Attempt struct {
 	params    Params
 	ownRecord record
 	phase     phase
-	// baseVersion is the version on which the first write was conditioned, version
-	// that of the row when it last held what this attempt knows.
-	baseVersion   uint64
+	// baseVersion is the row version that the first write was conditioned on.
+	baseVersion uint64
+	// version is the version of the row as this attempt last knew it.
 	version       uint64
 	otherRecord   record
 	polls         int
@@ -72,13 +73,13 @@
 	return &Attempt{params: p, ownRecord: rec, phase: phaseBegin}
 }
 
-// Outcome reports whether the caller can be answered, and with what. The attempt
-// may have more to do after.
+// Outcome returns the outcome or the error for the caller, and reports whether it
+// is known yet. The attempt may have further actions after it is known.
 func (a *Attempt) Outcome() (Outcome, bool, error) {
 	return a.outcome, a.resolved, a.err
 }
 
-// NextAction is what the attempt wants done now.
+// NextAction returns the action to perform now.
 func (a *Attempt) NextAction() Action {
 	switch a.phase {
 	case phaseBegin:
@@ -102,7 +103,7 @@
 	}
 }
 
-// ApplyResult moves the attempt on with the result of its last action.
+// ApplyResult advances the attempt with the result of its last action.
 func (a *Attempt) ApplyResult(r Result) {
 	switch a.phase {
 	case phaseBegin:
@@ -131,7 +132,7 @@
 	return rowKey(c.team, c.class, c.key)
 }
 
-// handleBegin takes the result of the commit that must come before any send.
+// handleBegin handles the result of the commit that must precede any send.
 func (a *Attempt) handleBegin(r Result) {
 	switch {
 	case r.Err == nil:
@@ -147,11 +148,11 @@
 	}
 }
 
-// handleReadBack settles a first commit whose answer was lost. The commit may have
-// taken effect, may have not, or may still be on its way, and a read may be
-// stale. The call is sent only if the row shows this very attempt at running;
-// if the row stays unknown the call is never sent, so that "not run" is true
-// whatever the commit does later.
+// handleReadBack handles the read after a first commit whose response was lost.
+// The commit may have taken effect, may have failed, or may still be in flight,
+// and the read may be stale. The call is sent only if the row shows this attempt
+// in state running. If the row stays unknown the call is never sent, so that
+// "not run" stays true even if the commit takes effect later.
 func (a *Attempt) handleReadBack(r Result) {
 	rec, err := decodeResult(r)
 	if err != nil {
@@ -164,8 +165,8 @@
 		a.version = row.Version()
 		a.phase = phaseSend
 	case rec.Attempt == a.ownRecord.Attempt:
-		// Another instance took this process for dead and wrote unsure. Only
-		// this attempt knows that it has not sent.
+		// Another instance declared this process dead and wrote unsure. Only
+		// this attempt knows that the call was not sent.
 		a.version = row.Version()
 		a.ownRecord = a.ownRecord.withState(StateNotRun, Answer{}, "the record was taken over before the call was sent")
 		a.resolve(a.ownRecord.outcome())
@@ -177,8 +178,9 @@
 	}
 }
 
-// abandon ends a call whose first commit stays unknown: never send, tell the
-// truth now, and turn the row to notrun as soon as the store allows.
+// abandon ends a call whose first commit has an unknown outcome. The call is never
+// sent, the caller is told so now, and the row is set to notrun as soon as the
+// store allows it.
 func (a *Attempt) abandon(cause error) {
 	a.resolveNotSent(cause)
 	a.ownRecord = a.ownRecord.withState(StateNotRun, Answer{}, "the record could not be read back")
@@ -186,8 +188,9 @@
 	a.phase = phaseClear
 }
 
-// resolveNotSent tells that nothing was or will be sent. If an earlier call under the
-// key is known, it may have run, and "not run" would mislead its caller.
+// resolveNotSent reports that this attempt has not sent and will not send the call.
+// If an earlier call under the key is known, that call may have run, so the
+// outcome is unsure instead of "not run".
 func (a *Attempt) resolveNotSent(cause error) {
 	if a.params.SeenBefore {
 		a.resolve(Outcome{state: StateUnsure, reason: "an earlier call under the key was begun and the store is out"})
@@ -196,7 +199,7 @@
 	a.resolveError(errors.Wrap(ErrStoreUnavailable, cause.Error()))
 }
 
-// handleSend takes the end of the only send.
+// handleSend handles the result of the only send.
 func (a *Attempt) handleSend(r Result) {
 	a.phase = phaseSettle
 	switch {
@@ -212,8 +215,8 @@
 	}
 }
 
-// handleQuery takes the upstream's word on a call whose answer was lost. That it
-// knows nothing proves nothing: the call may be on its way still.
+// handleQuery handles the upstream's reply about a call whose answer was lost. A
+// reply without an outcome proves nothing, since the call may still be in flight.
 func (a *Attempt) handleQuery(r Result) {
 	if r.Err == nil {
 		a.ownRecord = a.ownRecord.withState(StateDone, r.Answer, "")
@@ -233,7 +236,7 @@
 	}
 }
 
-// finish tells o and ends the attempt.
+// finish resolves the attempt with o and ends it.
 func (a *Attempt) finish(o Outcome) {
 	a.resolve(o)
 	a.phase = phaseFinished
--- a/internal/state/ledger/call.go
+++ b/internal/state/ledger/call.go
@@ -8,7 +8,7 @@
 
 //go:generate stringer -type=State -linecomment -output=state_string.go
 
-// State is what is known of a call.
+// State is the recorded state of a call.
 type State int
 
 // The states.
@@ -30,65 +30,66 @@
 	body        []byte
 }
 
-// NewCall returns a call. Key is the caller's idempotency key, kind the
-// content type of body.
-func NewCall(team spec.TeamID, class spec.ClassName, service spec.ServiceName, key, kind string, body []byte) Call {
-	return Call{team: team, class: class, service: service, key: key, contentType: kind, body: body}
+// NewCall returns a call. The key is the caller's idempotency key, and
+// contentType is the content type of body.
+func NewCall(team spec.TeamID, class spec.ClassName, service spec.ServiceName, key, contentType string, body []byte) Call {
+	return Call{team: team, class: class, service: service, key: key, contentType: contentType, body: body}
 }
 
-// Team is the team that calls.
+// Team returns the team that makes the call.
 func (c Call) Team() spec.TeamID { return c.team }
 
-// Class is the class of the call.
+// Class returns the class of the call.
 func (c Call) Class() spec.ClassName { return c.class }
 
-// Service is the service that runs the call.
+// Service returns the service that runs the call.
 func (c Call) Service() spec.ServiceName { return c.service }
 
-// Key is the caller's idempotency key.
+// Key returns the caller's idempotency key.
 func (c Call) Key() string { return c.key }
 
-// ContentType is the content type of the body.
+// ContentType returns the content type of the body.
 func (c Call) ContentType() string { return c.contentType }
 
-// Body is what the service gets.
+// Body returns the request body for the service.
 func (c Call) Body() []byte { return c.body }
 
 func (c Call) bodyHash() uint64 { return xxhash.Sum64(c.body) }
 
-// Answer is what a service answered.
+// Answer is the response of a service to a call.
 type Answer struct {
 	status      int
 	contentType string
 	body        []byte
 }
 
-// NewAnswer returns an answer.
-func NewAnswer(status int, kind string, body []byte) Answer {
-	return Answer{status: status, contentType: kind, body: body}
+// NewAnswer returns an answer with an HTTP status, a content type and a body.
+func NewAnswer(status int, contentType string, body []byte) Answer {
+	return Answer{status: status, contentType: contentType, body: body}
 }
 
-// Status is the HTTP status.
+// Status returns the HTTP status.
 func (a Answer) Status() int { return a.status }
 
-// ContentType is the content type of the body.
+// ContentType returns the content type of the body.
 func (a Answer) ContentType() string { return a.contentType }
 
-// Body is the answer's body.
+// Body returns the response body.
 func (a Answer) Body() []byte { return a.body }
 
-// Outcome is the state of a call and, if it is done, its answer.
+// Outcome is the state of a call. It holds the answer if the state is done.
 type Outcome struct {
 	state  State
 	answer Answer
 	reason string
 }
 
-// State is what is known of the call.
+// State returns the state of the call.
 func (o Outcome) State() State { return o.state }
 
-// Reason is a sentence on how a call came to be notrun or unsure; it may be empty.
+// Reason returns a sentence that says why a call is notrun or unsure. It may be
+// empty.
 func (o Outcome) Reason() string { return o.reason }
 
-// Answer is the stored answer of a call that is done.
+// Answer returns the stored answer of a call in state done.
 func (o Outcome) Answer() Answer { return o.answer }
--- a/internal/state/ledger/explore_test.go
+++ b/internal/state/ledger/explore_test.go
@@ -10,10 +10,11 @@
 	"pgregory.net/rapid"
 )
 
+// mutation changes the result of an action before the attempt sees it.
 type mutation func(*caller, ledger.ActionKind, ledger.Result) ledger.Result
 
-// explore visits every state that m reaches in depth steps and returns their
-// number, the depth at which nothing new came, and the first fault.
+// explore visits every state that m can reach in depth steps. It returns the number
+// of states, the depth at which no new state was found, and the first violation.
 func explore(m model, depth int, mutate mutation) (states, reached int, fault string) {
 	seen := map[string]bool{m.fingerprint(): true}
 	front := []model{m}
@@ -39,17 +40,17 @@
 	return len(seen), depth, ""
 }
 
-// Two callers send the same payment through two instances and ask again when
-// told that it did not run. In every order of their steps, with up to two
-// faults out of a refusing store, stale reads, commits and sends that are lost
-// before or after their effect or land later, a wrong death notice and a
-// crash, the payment runs at most once and nobody hears a false "not run".
+// Two callers send the same payment through two instances and retry after "not
+// run". The search covers every order of their steps with up to two faults: an
+// unavailable store, stale reads, commits and sends that are lost before or after
+// their effect or take effect later, a wrong report of a death, and a crash. The
+// payment runs at most once and no caller gets a false "not run".
 func TestEveryInterleavingRunsAtMostOnce(t *testing.T) {
 	const depth = 40
 	for _, faults := range []int{0, 1, 2} {
 		states, reached, fault := explore(newModel(faults, 1), depth, nil)
 		if reached == depth {
-			t.Errorf("got new states at depth %d, want all found before", depth)
+			t.Errorf("got new states at depth %d, want all states found before", depth)
 		}
 		if fault != "" {
 			t.Errorf("got %q with %d faults, want none", fault, faults)
@@ -58,8 +59,8 @@
 	}
 }
 
-// The same two callers, with as many faults as come: long random runs reach
-// what the exhaustive search is too shallow for.
+// The same two callers with up to twelve faults. Long random runs reach states
+// that are too deep for the exhaustive search.
 func TestLongRandomSequencesRunAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		for range 20 {
@@ -81,40 +82,40 @@
 	}
 }
 
-// Each case takes one safeguard away. The search must then find a payment that
-// runs twice or a false "not run"; if not, it would not notice the loss of the
-// safeguard in the product either.
+// Each case removes one safeguard. The search must then find a payment that runs
+// twice or a false "not run". Otherwise it would not detect that the safeguard is
+// missing in the product either.
 func TestSearchFindsMissingSafeguards(t *testing.T) {
 	cases := []struct {
 		name   string
 		blind  bool
 		mutate mutation
 	}{
-		{"sends after a read-back that failed", false, func(c *caller, k ledger.ActionKind, r ledger.Result) ledger.Result {
+		{"sends after a failed read-back", false, func(c *caller, k ledger.ActionKind, r ledger.Result) ledger.Result {
 			if k == ledger.ActRead && r.Err != nil {
 				return ledger.Result{Row: rowWithState(store.NewRow("", 9, nil), c.lastWrite.Value(), ledger.StateNone)}
 			}
 			return r
 		}},
-		{"takes a lost commit for done", false, func(_ *caller, k ledger.ActionKind, r ledger.Result) ledger.Result {
+		{"treats a lost commit as committed", false, func(_ *caller, k ledger.ActionKind, r ledger.Result) ledger.Result {
 			if k == ledger.ActCommit && errors.Is(r.Err, store.ErrOutcomeUnknown) {
 				return ledger.Result{Version: 1}
 			}
 			return r
 		}},
-		{"takes a cut send for not sent", false, func(_ *caller, k ledger.ActionKind, r ledger.Result) ledger.Result {
+		{"treats an interrupted send as not sent", false, func(_ *caller, k ledger.ActionKind, r ledger.Result) ledger.Result {
 			if k == ledger.ActSend && r.Err != nil {
 				r.Err = ledger.ErrNotSent
 			}
 			return r
 		}},
-		{"takes the upstream's ignorance for not run", false, func(_ *caller, k ledger.ActionKind, r ledger.Result) ledger.Result {
+		{"treats an outcome unknown to the upstream as not run", false, func(_ *caller, k ledger.ActionKind, r ledger.Result) ledger.Result {
 			if k == ledger.ActRead && r.Err == nil && stateOf(r.Row) == ledger.StateUnsure {
 				r.Row = rowWithState(r.Row, r.Row.Value(), ledger.StateNotRun)
 			}
 			return r
 		}},
-		{"turns the running row of another into not run", false, func(_ *caller, k ledger.ActionKind, r ledger.Result) ledger.Result {
+		{"marks the running row of another attempt as not run", false, func(_ *caller, k ledger.ActionKind, r ledger.Result) ledger.Result {
 			if k == ledger.ActRead && r.Err == nil && stateOf(r.Row) == ledger.StateRunning {
 				r.Row = rowWithState(r.Row, r.Row.Value(), ledger.StateNotRun)
 			}
--- a/internal/state/ledger/export_test.go
+++ b/internal/state/ledger/export_test.go
@@ -2,7 +2,7 @@
 
 import "strconv"
 
-// AppendFingerprint names all of an attempt's state that its further steps depend on.
+// AppendFingerprint appends all state of the attempt that its further steps depend on.
 func (a *Attempt) AppendFingerprint(to []byte) []byte {
 	for _, n := range []int{
 		int(a.phase), int(a.ownRecord.State), int(a.baseVersion), int(a.version), int(a.otherRecord.State),
--- a/internal/state/ledger/ledger.go
+++ b/internal/state/ledger/ledger.go
@@ -1,11 +1,13 @@
-// Package ledger keeps the records that make a call run at most once.
+// Package ledger makes calls run at most once, with an idempotency record for
+// each call.
 //
-// It imports base/spec and state/store. Package entry calls Do and Look; the
-// daemon calls Wait at a stop and Trim as a duty.
+// It imports base/spec and state/store. Package entry calls Do and Lookup; the
+// daemon calls Wait on shutdown and Trimmer.Trim as a duty.
 //
-// One conditional commit writes the record before anything is sent. Whoever
-// wrote it sends, once; everybody else reads the record. Attempt has the
-// protocol, Ledger runs it against the store and the service.
+// One conditional commit writes the record before anything is sent. Only the
+// attempt that wrote the record sends the call, once; all other attempts read the
+// record. Attempt implements the protocol, Ledger runs it against the store and
+// the service.
 package ledger
 
 import (
@@ -23,24 +25,24 @@
 
 // Errors of this package.
 var (
-	// ErrNotSent means that no byte of the call left, so it did not run.
+	// ErrNotSent means that no byte of the call was sent, so it did not run.
 	ErrNotSent = errors.New("ledger: not sent")
 	// ErrBodyMismatch means that the key was used with another body.
 	ErrBodyMismatch = errors.New("ledger: key was used with another body")
-	// ErrStoreUnavailable means that the record could not be written or read back; a
-	// call that ends so was not sent and will not be.
-	ErrStoreUnavailable = errors.New("ledger: records out of reach")
-	// ErrRecordUnreadable means that a look-up could not read the record. It tells
-	// nothing about the call.
+	// ErrStoreUnavailable means that the record could not be written or read back.
+	// A call with this error was not sent and will not be sent.
+	ErrStoreUnavailable = errors.New("ledger: record store unavailable")
+	// ErrRecordUnreadable means that a lookup could not read the record. It says
+	// nothing about the state of the call.
 	ErrRecordUnreadable = errors.New("ledger: record could not be read")
-	// ErrCallerLeft means that the caller left. The call goes on without it.
+	// ErrCallerLeft means that the caller disconnected. The call continues.
 	ErrCallerLeft = errors.New("ledger: caller left")
 )
 
 const (
 	defaultMaxPolls = 12
-	// defaultPollsBeforeQuery is about 0.6 s of polls: a call that takes longer is slow, or
-	// its instance is dead.
+	// defaultPollsBeforeQuery is about 0.6 s of polls. A call that takes longer is
+	// slow, or its instance is dead.
 	defaultPollsBeforeQuery = 5
 	defaultBacklog          = 10000
 	minPollDelay            = 20 * time.Millisecond
@@ -48,8 +50,8 @@
 	minRetryDelay           = 100 * time.Millisecond
 	maxRetryDelay           = 30 * time.Second
 	outcomeTimeout          = 5 * time.Second
-	// maxJoinWait is how long a duplicate waits for a call that runs here, about
-	// as long as the polls of one that runs elsewhere.
+	// maxJoinWait is how long a duplicate waits for a call that runs in this process.
+	// It is about as long as all polls for a call that runs on another instance.
 	maxJoinWait = 12 * time.Second
 )
 
@@ -59,44 +61,48 @@
 	Commit(ctx context.Context, writes []store.Write) (uint64, error)
 }
 
-// Sender sends a call at most once. ErrNotSent promises that it did not run.
+// Sender sends a call at most once. It returns ErrNotSent only if the call did not
+// run.
 type Sender interface {
 	Send(ctx context.Context, c Call) (Answer, error)
 }
 
-// OutcomeQuerier asks an upstream for the outcome of a call by its key. Any error
-// leaves the outcome open.
+// OutcomeQuerier asks an upstream for the outcome of a call by its key. After an
+// error the outcome is unknown.
 type OutcomeQuerier interface {
 	QueryOutcome(ctx context.Context, c Call) (Answer, error)
 }
 
 // Ledger runs calls at most once. Set the exported fields before use; Table
-// and Sender are needed.
+// and Sender are required.
 type Ledger struct {
 	Table  Table
 	Sender Sender
-	// LookupTable is the table for look-ups, so that they can have a lower rank in
-	// the budget: one that finds nothing costs a commit. Nil is Table.
+	// LookupTable is the table for lookups. Lookups can thus have a lower rank in
+	// the budget, since a lookup of an unknown key costs a commit. Nil means Table.
 	LookupTable Table
-	// Querier is for services of which Asks is true; nil asks nobody.
+	// Querier queries the services for which SupportsOutcomes returns true; nil
+	// means that none is queried.
 	Querier          OutcomeQuerier
 	SupportsOutcomes func(spec.ServiceName) bool
-	// ServiceOf names the service of a class, so that a look-up can ask it; nil
-	// asks none at look-ups.
+	// ServiceOf returns the service of a class, so that a lookup can query it. Nil
+	// means that lookups query no service.
 	ServiceOf func(spec.ClassName) spec.ServiceName
-	// Repeatable says which classes may run more than once. Their calls are sent
-	// without a record; nil means none.
+	// Repeatable reports whether the calls of a class may run more than once. They
+	// are sent without a record. Nil means no class.
 	Repeatable func(spec.ClassName) bool
-	// Owner names this incarnation of the process; empty makes a name up.
+	// Owner is the name of this incarnation of the process; a random name is
+	// generated if it is empty.
 	Owner string
-	// HasExited reports evidence that another incarnation ended; nil knows none.
+	// HasExited reports whether there is evidence that another incarnation exited.
+	// Nil means that there never is.
 	HasExited func(owner string) bool
-	// Jitter returns a factor around 1 for waits; nil is always 1.
+	// Jitter returns a factor around 1 for wait times; nil means always 1.
 	Jitter func() float64
-	// Backlog bounds the records to settle or clear in the background; at the
-	// bound new calls are refused. Zero is 10,000.
+	// Backlog bounds the number of records to settle or clear in the background. At
+	// the bound new calls are rejected. Zero means 10,000.
 	Backlog int
-	// Meters takes the metrics; nil makes a private set.
+	// Meters is the metrics set to register in; nil means a private set.
 	Meters *metrics.Set
 
 	once        sync.Once
@@ -107,9 +113,9 @@
 	unsettled   int
 }
 
-// Do runs the call unless its record says that it was started before. It may
-// return ErrBody, ErrStore or ErrLeft; whatever the caller does, a call that
-// was begun is brought to its end.
+// Do runs the call unless its record says that it was started before. Its error
+// may be ErrBodyMismatch, ErrStoreUnavailable or ErrCallerLeft. A call that was
+// started runs to its end even if the caller disconnects.
 func (l *Ledger) Do(ctx context.Context, c Call) (Outcome, error) {
 	l.once.Do(l.setDefaults)
 	if l.Repeatable != nil && l.Repeatable(c.class) {
@@ -122,7 +128,7 @@
 		} else if f.bodyHash != c.bodyHash() {
 			return Outcome{}, ErrBodyMismatch
 		}
-		if told, err := f.wait(ctx, first); err != nil || !told {
+		if resolved, err := f.wait(ctx, first); err != nil || !resolved {
 			return Outcome{state: StateRunning}, err
 		}
 		if first {
@@ -134,8 +140,8 @@
 	}
 }
 
-// Lookup returns what is known of the call under key; StateNone means that
-// there is no record. Its error is ErrUnread.
+// Lookup returns the outcome of the call with the key. StateNone means that there
+// is no record. The error is ErrRecordUnreadable.
 func (l *Ledger) Lookup(ctx context.Context, team spec.TeamID, class spec.ClassName, key string) (Outcome, error) {
 	l.once.Do(l.setDefaults)
 	var service spec.ServiceName
@@ -156,9 +162,9 @@
 	}
 }
 
-// Wait returns when every call is at its end and its record settled, or with
-// the error of ctx. After that error records stay at running, and others will
-// call them unsure.
+// Wait waits until every call has ended and its record is settled, or returns the
+// error of ctx. After that error some records stay in state running, and other
+// instances will mark them unsure.
 func (l *Ledger) Wait(ctx context.Context) error {
 	done := make(chan struct{})
 	go func() {
@@ -169,11 +175,12 @@
 	case <-done:
 		return nil
 	case <-ctx.Done():
-		return errors.Wrap(ctx.Err(), "ledger: records left unsettled")
+		return errors.Wrap(ctx.Err(), "ledger: some records are not settled")
 	}
 }
 
-// Unsettled is how many records wait in the background to be settled or cleared.
+// Unsettled returns the number of records that are being settled or cleared in the
+// background.
 func (l *Ledger) Unsettled() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -208,7 +215,7 @@
 	}
 }
 
-// sendUnrecorded sends a call that may be repeated, without a record.
+// sendUnrecorded sends a repeatable call without a record.
 func (l *Ledger) sendUnrecorded(ctx context.Context, c Call) (Outcome, error) {
 	answer, err := l.Sender.Send(ctx, c)
 	switch {
@@ -221,7 +228,7 @@
 	}
 }
 
-// perform does one action and returns its result.
+// perform performs one action and returns its result.
 func (l *Ledger) perform(ctx context.Context, t Table, c Call, act Action) Result {
 	var r Result
 	switch act.kind {
@@ -243,11 +250,12 @@
 	return r
 }
 
-// backOff waits twice as long with each try, up to most.
-func (l *Ledger) backOff(first, most time.Duration, tries int) {
-	d := most
+// backOff sleeps with exponential backoff: minDelay at the first try, doubled with
+// each further try, up to maxDelay.
+func (l *Ledger) backOff(minDelay, maxDelay time.Duration, tries int) {
+	d := maxDelay
 	if tries < 16 {
-		d = min(most, first<<max(0, tries-1))
+		d = min(maxDelay, minDelay<<max(0, tries-1))
 	}
 	time.Sleep(time.Duration(float64(d) * l.Jitter()))
 }
--- a/internal/state/ledger/ledger_test.go
+++ b/internal/state/ledger/ledger_test.go
@@ -14,15 +14,15 @@
 	"github.com/go-faster/errors"
 )
 
-// fakeService is a plain service in memory.
+// fakeService is an in-memory plain service.
 type fakeService struct {
 	mu    sync.Mutex
 	runs  int
 	delay time.Duration
-	// beforeRun is called with each send before it runs.
+	// beforeRun is called for each send before the call runs.
 	beforeRun func()
-	// errs are given instead of the answers, first to last; errCut after
-	// running, ErrNotSent without.
+	// errs are returned in this order with the answers. With ErrNotSent the
+	// call does not run, with any other error it runs first.
 	errs []error
 }
 
@@ -81,9 +81,9 @@
 	}
 }
 
-// A clerk sends a payment, loses patience and sends it again, to the same and
-// to another instance, while the first is running for 3 s. All three see the
-// one receipt: the first sends, the others wait for what it stores.
+// A caller sends a payment that runs for 3 s, and meanwhile sends it again to the
+// same and to another instance. All three get the same receipt: the first call is
+// sent, the others wait for its stored answer.
 func TestDuplicatesGetSameAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table, svc := &infra.Table{}, &fakeService{delay: 3 * time.Second}
@@ -105,8 +105,8 @@
 	})
 }
 
-// A service hangs for an hour. The duplicates at the same and at another
-// instance are told running after their bound, not held back for the hour.
+// A service hangs for an hour. Duplicates at the same and at another instance get
+// running after their maximum wait and are not blocked for the hour.
 func TestDuplicateOfLongCallGetsRunning(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table, svc := &infra.Table{}, &fakeService{delay: time.Hour}
@@ -123,12 +123,12 @@
 		if err := a.Wait(t.Context()); err != nil {
 			t.Fatal(err)
 		}
-		checkEqual(t, "the look-up after", mustLookup(t, b), ledger.StateDone)
+		checkEqual(t, "the lookup after", mustLookup(t, b), ledger.StateDone)
 	})
 }
 
-// The caller's connection breaks while its payment runs, and the instance is
-// told to stop. The send is not cut, and Wait returns once it is on record.
+// The caller's connection breaks while its payment runs, and the instance shuts
+// down. The send is not interrupted, and Wait returns once the outcome is recorded.
 func TestCallCompletesAfterCallerLeaves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table, svc := &infra.Table{}, &fakeService{delay: 5 * time.Second}
@@ -145,24 +145,24 @@
 	})
 }
 
-// The platform's table fails at one step of a payment. The caller sees what
-// is true at that moment, and the record says it in the end.
+// The platform's table fails at one step of a payment. The caller gets the state
+// that is true at that moment, and the record finally has the true state too.
 func TestStoreFaults(t *testing.T) {
 	cases := []struct {
 		name   string
 		before infra.Faults // while the call begins
 		during infra.Faults // while the service runs it
-		told   ledger.State // StateNone for ErrStore
+		state  ledger.State // StateNone for ErrStoreUnavailable
 		after  ledger.State
 		runs   int
 	}{
 		{"down before the send", infra.Faults{Down: true}, infra.Faults{}, ledger.StateNone, ledger.StateNone, 0},
-		{"first answer lost, taken", infra.Faults{Lose: 1}, infra.Faults{}, ledger.StateDone, ledger.StateDone, 1},
-		{"first answer lost, not taken", infra.Faults{Drop: 1}, infra.Faults{}, ledger.StateNone, ledger.StateNotRun, 0},
-		{"first answer lost, read stale", infra.Faults{Lose: 1, Stale: true}, infra.Faults{}, ledger.StateNone, ledger.StateNotRun, 0},
+		{"first response lost, committed", infra.Faults{Lose: 1}, infra.Faults{}, ledger.StateDone, ledger.StateDone, 1},
+		{"first response lost, not committed", infra.Faults{Drop: 1}, infra.Faults{}, ledger.StateNone, ledger.StateNotRun, 0},
+		{"first response lost, stale read", infra.Faults{Lose: 1, Stale: true}, infra.Faults{}, ledger.StateNone, ledger.StateNotRun, 0},
 		{"down after the send", infra.Faults{}, infra.Faults{Down: true}, ledger.StateDone, ledger.StateDone, 1},
-		{"last answer lost, taken", infra.Faults{}, infra.Faults{Lose: 1}, ledger.StateDone, ledger.StateDone, 1},
-		{"last answer lost, not taken", infra.Faults{}, infra.Faults{Drop: 1}, ledger.StateDone, ledger.StateDone, 1},
+		{"last response lost, committed", infra.Faults{}, infra.Faults{Lose: 1}, ledger.StateDone, ledger.StateDone, 1},
+		{"last response lost, not committed", infra.Faults{}, infra.Faults{Drop: 1}, ledger.StateDone, ledger.StateDone, 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -172,8 +172,8 @@
 				l := &ledger.Ledger{Table: table, Sender: svc}
 				table.Fault(c.before)
 				out, err := l.Do(t.Context(), paymentCall("1"))
-				checkEqual(t, "the caller", out.State(), c.told)
-				checkEqual(t, "refused", errors.Is(err, ledger.ErrStoreUnavailable), c.told == ledger.StateNone)
+				checkEqual(t, "the caller", out.State(), c.state)
+				checkEqual(t, "the rejection", errors.Is(err, ledger.ErrStoreUnavailable), c.state == ledger.StateNone)
 				time.Sleep(time.Minute)
 				table.Fault(infra.Faults{})
 				if err := l.Wait(t.Context()); err != nil {
@@ -181,15 +181,15 @@
 				}
 				checkEqual(t, "the record", mustLookup(t, l), c.after)
 				checkEqual(t, "runs", svc.runs, c.runs)
-				checkEqual(t, "late records", l.Unsettled(), 0)
+				checkEqual(t, "unsettled records", l.Unsettled(), 0)
 			})
 		})
 	}
 }
 
-// The service refuses the connection: the caller is told not run and may send
-// the same key again, which then runs. A later outage of the store makes a
-// third send unsure and not "not run", since this instance saw the key begun.
+// The service refuses the connection. The caller gets "not run" and may retry with
+// the same key, and the retry runs. During a later outage of the store a third send
+// gets unsure and not "not run", since this instance saw a call with the key start.
 func TestNotRunCallCanBeRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table, svc := &infra.Table{}, &fakeService{errs: []error{ledger.ErrNotSent}}
@@ -198,15 +198,15 @@
 		checkEqual(t, "the record", mustLookup(t, l), ledger.StateNotRun)
 		checkEqual(t, "the second send", mustDo(t, l, "1"), ledger.StateDone)
 		table.Fault(infra.Faults{Down: true})
-		checkEqual(t, "the third, store down", mustDo(t, l, "1"), ledger.StateUnsure)
+		checkEqual(t, "the third send with the store down", mustDo(t, l, "1"), ledger.StateUnsure)
 		_, err := l.Lookup(t.Context(), "team", "payment", "k1")
-		checkEqual(t, "a look-up, store down", errors.Is(err, ledger.ErrRecordUnreadable), true)
+		checkEqual(t, "a lookup with the store down", errors.Is(err, ledger.ErrRecordUnreadable), true)
 		checkEqual(t, "runs", svc.runs, 1)
 	})
 }
 
-// Stale reads show the row as it was before the payment ran. A look-up that
-// believed them would tell the clerk "not run" of a payment that ran.
+// Stale reads return the row as it was before the payment ran. A lookup that trusts
+// them would report "not run" for a payment that ran.
 func TestStaleLookupNeverReportsNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table, svc := &infra.Table{}, &fakeService{errs: []error{ledger.ErrNotSent}}
@@ -223,53 +223,53 @@
 	})
 }
 
-// An instance dies with a payment in the service. Others see running, then
-// unsure once its incarnation is known to be gone, then the service's word,
-// where it gives one. When the process was only paused, its own answer still
-// ends up on record.
+// An instance dies while the service runs its payment. Other instances report
+// running, then unsure once the incarnation is known to have exited, then the
+// outcome from the service if the service supports outcomes. If the process was
+// only paused, its own answer is still recorded.
 func TestDeadInstanceLeavesUnsure(t *testing.T) {
-	for _, asks := range []bool{false, true} {
+	for _, supported := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			table, svc := &infra.Table{}, &fakeService{delay: time.Hour}
 			a := &ledger.Ledger{Table: table, Sender: svc, Owner: "a/1"}
-			gone := false
+			exited := false
 			b := &ledger.Ledger{
 				Table: table, Sender: svc, Owner: "b/1", Querier: svc,
-				SupportsOutcomes: func(s spec.ServiceName) bool { return asks && s == "payments" },
+				SupportsOutcomes: func(s spec.ServiceName) bool { return supported && s == "payments" },
 				ServiceOf:        func(spec.ClassName) spec.ServiceName { return "payments" },
-				HasExited:        func(owner string) bool { return gone && owner == "a/1" },
+				HasExited:        func(owner string) bool { return exited && owner == "a/1" },
 			}
 			go func() { _, _ = a.Do(t.Context(), paymentCall("1")) }()
 			synctest.Wait()
 			checkEqual(t, "before the evidence", mustLookup(t, b), ledger.StateRunning)
-			gone = true
+			exited = true
 			checkEqual(t, "after the evidence", mustLookup(t, b), ledger.StateUnsure)
 			svc.mu.Lock()
 			svc.runs++
 			svc.mu.Unlock()
 			state := ledger.StateUnsure
-			if asks {
+			if supported {
 				state = ledger.StateDone
 			}
-			checkEqual(t, "the outcome after it ran", mustLookup(t, b), state)
-			checkEqual(t, "a repeat after it ran", mustDo(t, b, "1"), state)
+			checkEqual(t, "the outcome after the call ran", mustLookup(t, b), state)
+			checkEqual(t, "a retry after the call ran", mustDo(t, b, "1"), state)
 			if err := a.Wait(t.Context()); err != nil {
 				t.Fatal(err)
 			}
-			checkEqual(t, "after the paused one woke", mustLookup(t, b), ledger.StateDone)
+			checkEqual(t, "after the paused instance resumed", mustLookup(t, b), ledger.StateDone)
 		})
 	}
 }
 
-// The answer of the service is lost after it ran. The caller is told unsure,
-// or the answer if the service can be asked; a second send runs nothing.
+// The answer of the service is lost after the call ran. The caller gets unsure, or
+// the answer if the service supports outcomes. A second send does not run the call.
 func TestLostAnswer(t *testing.T) {
-	for _, asks := range []bool{false, true} {
+	for _, supported := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			svc := &fakeService{errs: []error{errConnectionCut}}
-			l := &ledger.Ledger{Table: &infra.Table{}, Sender: svc, Querier: svc, SupportsOutcomes: func(spec.ServiceName) bool { return asks }}
+			l := &ledger.Ledger{Table: &infra.Table{}, Sender: svc, Querier: svc, SupportsOutcomes: func(spec.ServiceName) bool { return supported }}
 			state := ledger.StateUnsure
-			if asks {
+			if supported {
 				state = ledger.StateDone
 			}
 			checkEqual(t, "the caller", mustDo(t, l, "1"), state)
@@ -279,9 +279,9 @@
 	}
 }
 
-// Old records go, young, running and unsure ones stay. The first trimmer dies
-// after five days and its next counts on from its marks; a third one that
-// believes it holds the duty too makes no time count twice.
+// Old records are removed; recent, running and unsure records are kept. The first
+// trimmer dies after five days and its successor continues from its checkpoints. A
+// third trimmer that also believes it has the duty does not make time count twice.
 func TestTrimKeepsYoungAndUnsettled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := &infra.Table{}
@@ -294,7 +294,7 @@
 		}
 		first, second, third := &ledger.Trimmer{Table: table}, &ledger.Trimmer{Table: table}, &ledger.Trimmer{Table: table}
 		days := func(n int, trimmers ...*ledger.Trimmer) int {
-			gone := 0
+			removed := 0
 			for range n * 24 * 2 {
 				time.Sleep(30 * time.Minute)
 				for _, tr := range trimmers {
@@ -302,43 +302,43 @@
 					if err != nil && len(trimmers) == 1 {
 						t.Fatal(err)
 					}
-					gone += n
+					removed += n
 				}
 			}
-			return gone
+			return removed
 		}
 		days(1, first)
 		call("done")
 		call("notrun")
 		call("unsure")
-		checkEqual(t, "records gone in 5 days", days(5, first), 0)
+		checkEqual(t, "records removed in 5 days", days(5, first), 0)
 		time.Sleep(24 * time.Hour)
-		checkEqual(t, "records gone in 1 more day, a day without a trimmer later", days(1, second, third), 0)
+		checkEqual(t, "records removed in 1 more day, after a day without a trimmer", days(1, second, third), 0)
 		call("young")
-		checkEqual(t, "records gone in 2 more days", days(2, second), 2)
-		checkEqual(t, "records gone in 2 days after that", days(2, second), 0)
+		checkEqual(t, "records removed in 2 more days", days(2, second), 2)
+		checkEqual(t, "records removed in 2 days after that", days(2, second), 0)
 	})
 }
 
-// Somebody asks for keys that do not exist as fast as he can, and the part of
-// the budget that look-ups have is spent. Payments do not notice.
+// A client looks up unknown keys as fast as it can and exhausts the budget share of
+// lookups. Payments are not affected.
 func TestLookupsUseSeparateTable(t *testing.T) {
-	spent := &infra.Table{}
-	spent.Fault(infra.Faults{Down: true})
-	l := &ledger.Ledger{Table: &infra.Table{}, LookupTable: spent, Sender: &fakeService{}}
+	exhausted := &infra.Table{}
+	exhausted.Fault(infra.Faults{Down: true})
+	l := &ledger.Ledger{Table: &infra.Table{}, LookupTable: exhausted, Sender: &fakeService{}}
 	checkEqual(t, "the payment", mustDo(t, l, "1"), ledger.StateDone)
 	_, err := l.Lookup(t.Context(), "team", "payment", "k1")
-	checkEqual(t, "the look-up", errors.Is(err, ledger.ErrRecordUnreadable), true)
+	checkEqual(t, "the lookup", errors.Is(err, ledger.ErrRecordUnreadable), true)
 }
 
-// While the store is out for long, the records that wait to be settled stay
-// bounded: new calls are refused before sending.
+// During a long outage of the store the number of unsettled records stays bounded:
+// new calls are rejected before they are sent.
 func TestBacklogIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table, svc := &infra.Table{}, &fakeService{}
 		l := &ledger.Ledger{Table: table, Sender: svc, Backlog: 1}
 		svc.beforeRun = func() { table.Fault(infra.Faults{Down: true}) }
-		checkEqual(t, "the call that is cut off", mustDo(t, l, "1"), ledger.StateDone)
+		checkEqual(t, "the call during which the outage begins", mustDo(t, l, "1"), ledger.StateDone)
 		_, err := l.Do(t.Context(), ledger.NewCall("team", "payment", "payments", "k2", "", nil))
 		checkEqual(t, "a call at the bound", errors.Is(err, ledger.ErrStoreUnavailable), true)
 		table.Fault(infra.Faults{})
@@ -348,10 +348,10 @@
 	})
 }
 
-// An instance dies after the service recorded its payment. The clerk sends it
-// again to another instance, which has no evidence of the death yet. It asks
-// the service within a second or so and tells done, where waiting for the
-// evidence would keep the clerk at the counter.
+// An instance dies after the service recorded its payment. The caller retries at
+// another instance, which has no evidence of the death yet. That instance queries
+// the service within about a second and reports done. Without the query the caller
+// would have to wait for the evidence.
 func TestRetryOfDeadInstanceCallQueriesService(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table, svc := &infra.Table{}, &fakeService{delay: time.Hour}
@@ -364,9 +364,9 @@
 		svc.mu.Lock()
 		svc.runs++
 		svc.mu.Unlock()
-		began := time.Now()
-		checkEqual(t, "a repeat without evidence", mustDo(t, b, "1"), ledger.StateDone)
-		if got := time.Since(began); got > 2*time.Second {
+		start := time.Now()
+		checkEqual(t, "a retry without evidence", mustDo(t, b, "1"), ledger.StateDone)
+		if got := time.Since(start); got > 2*time.Second {
 			t.Errorf("got done after %v, want within 2s", got)
 		}
 		if err := a.Wait(t.Context()); err != nil {
--- a/internal/state/ledger/linear_test.go
+++ b/internal/state/ledger/linear_test.go
@@ -15,7 +15,7 @@
 	"pgregory.net/rapid"
 )
 
-// operation is one operation of a history: what it returned and between which times.
+// operation is one operation of a history with its result and its start and end.
 type operation struct {
 	lookup     bool
 	state      ledger.State
@@ -24,23 +24,23 @@
 	start, end time.Time
 }
 
-// stateDoneUnwritten is a record whose end a caller was told before the row says it: the
-// first try to write it failed. Others may hear running until it is written,
-// and never after somebody read the end.
+// stateDoneUnwritten is the state of a call whose outcome was reported to its caller
+// although the first write of the final record failed. Other callers may get running
+// until the record is written, but not after a caller has read the outcome.
 const stateDoneUnwritten = ledger.State(100)
 
-// sequentialNext is the sequential version: one record that one caller at a time sees.
-// It returns the states that the record may have after o, if o's result is
-// one that it could have given.
+// sequentialNext is the sequential model: one record that serves one caller at a time.
+// It returns the states that the record may have after o, or none if o cannot have
+// its result in this state.
 func sequentialNext(state ledger.State, o operation) []ledger.State {
-	fresh := state == ledger.StateNone || state == ledger.StateNotRun
+	canRun := state == ledger.StateNone || state == ledger.StateNotRun
 	switch {
 	case o.refused, o.unreadable:
 		return []ledger.State{state}
-	case o.lookup && o.state == state, !o.lookup && !fresh && o.state == state:
+	case o.lookup && o.state == state, !o.lookup && !canRun && o.state == state:
 		return []ledger.State{state}
-	case o.lookup && fresh && o.state == ledger.StateNotRun:
-		// A refused call may leave a record that it did not run.
+	case o.lookup && canRun && o.state == ledger.StateNotRun:
+		// A rejected call may leave a record in state notrun.
 		return []ledger.State{ledger.StateNotRun}
 	case o.state == ledger.StateRunning && state != ledger.StateDone:
 		return []ledger.State{state}
@@ -50,16 +50,17 @@
 		return []ledger.State{ledger.StateDone, stateDoneUnwritten}
 	case state == ledger.StateUnsure && o.state == ledger.StateDone:
 		return []ledger.State{ledger.StateDone}
-	case !o.lookup && fresh && o.state == ledger.StateDone:
+	case !o.lookup && canRun && o.state == ledger.StateDone:
 		return []ledger.State{ledger.StateDone, stateDoneUnwritten}
-	case !o.lookup && fresh:
+	case !o.lookup && canRun:
 		return []ledger.State{o.state}
 	}
 	return nil
 }
 
-// isLinearisable reports whether the operations, in some order that respects their
-// times, are what the naive version could have returned.
+// isLinearisable reports whether the sequential model can return the results of all
+// operations in some order that respects their times. Bits set in used mark the
+// operations that are already ordered.
 func isLinearisable(ops []operation, used uint, state ledger.State) bool {
 	if used == 1<<len(ops)-1 {
 		return true
@@ -77,7 +78,7 @@
 	return false
 }
 
-// endedBefore reports whether an unused operation ended before o began.
+// endedBefore reports whether an unused operation ended before o started.
 func endedBefore(ops []operation, used uint, o operation) bool {
 	for i, other := range ops {
 		if used&(1<<i) == 0 && other.end.Before(o.start) {
@@ -87,10 +88,10 @@
 	return false
 }
 
-// Callers repeat one payment and look it up at two instances, with random
-// pauses, lost and refused answers of the table and of the service. What each
-// of them saw is what a single record behind a single queue could have shown,
-// and the payment ran at most once.
+// Callers retry one payment and look it up at two instances, with random delays and
+// with lost and refused calls to the table and to the service. All results must be
+// possible for a single record behind a single queue, and the payment runs at most
+// once.
 func TestHistoryIsLinearisable(t *testing.T) {
 	done := 0
 	rapid.Check(t, func(rt *rapid.T) {
@@ -105,12 +106,12 @@
 		})
 	})
 	if done < 300 {
-		t.Errorf("got %d operations that saw done, want enough to prove something", done)
+		t.Errorf("got %d operations with result done, want at least 300", done)
 	}
 }
 
-// script is what each of seven callers does: when, behind which delay and
-// fault of the table, and with which fault of the service.
+// script holds the steps of seven callers: the start time, the delay and the fault of
+// the table, and the fault of the service.
 type script [7][4]int
 
 func drawScript(rt *rapid.T, s *script) {
@@ -121,7 +122,8 @@
 	}
 }
 
-// checkScript plays a script and returns how many operations saw done.
+// checkScript runs a script, checks its history and returns how many operations got
+// done.
 func checkScript(t *testing.T, s script) int {
 	ops, runs := runScript(t, s)
 	if !isLinearisable(ops, 0, ledger.StateNone) || runs > 1 {
@@ -176,19 +178,19 @@
 	return ops, svc.runs
 }
 
-func runOperation(t *testing.T, l *ledger.Ledger, looks bool) operation {
-	o := operation{lookup: looks, start: time.Now()}
+func runOperation(t *testing.T, l *ledger.Ledger, lookup bool) operation {
+	o := operation{lookup: lookup, start: time.Now()}
 	var out ledger.Outcome
 	var err error
-	if looks {
+	if lookup {
 		out, err = l.Lookup(t.Context(), "team", "payment", "k1")
 	} else {
 		out, err = l.Do(t.Context(), paymentCall("1"))
 	}
 	o.end, o.state = time.Now(), out.State()
-	// Unsure for want of the store says nothing of the record's state.
-	why := out.Reason()
-	o.unreadable = strings.Contains(why, "record exists") || strings.Contains(why, "store is out")
+	// Unsure because of a store outage says nothing about the record's state.
+	reason := out.Reason()
+	o.unreadable = strings.Contains(reason, "record exists") || strings.Contains(reason, "store is out")
 	o.refused = errors.Is(err, ledger.ErrStoreUnavailable) || errors.Is(err, ledger.ErrRecordUnreadable)
 	if err != nil && !o.refused {
 		t.Error(fmt.Sprint("got ", err, ", want no other error"))
@@ -196,11 +198,11 @@
 	return o
 }
 
-// The judge itself: histories that no single record could have shown.
+// The checker itself must reject histories that are impossible for a single record.
 func TestCheckerRejectsImpossibleHistories(t *testing.T) {
 	at := func(ms int) time.Time { return time.UnixMilli(int64(ms)) }
-	one := func(look bool, s ledger.State, from, to int) operation {
-		return operation{lookup: look, state: s, start: at(from), end: at(to)}
+	one := func(lookup bool, s ledger.State, from, to int) operation {
+		return operation{lookup: lookup, state: s, start: at(from), end: at(to)}
 	}
 	for name, ops := range map[string][]operation{
 		"done, then not run":      {one(false, ledger.StateDone, 0, 1), one(true, ledger.StateNotRun, 2, 3)},
@@ -209,7 +211,7 @@
 		"unsure, then not run":    {one(false, ledger.StateUnsure, 0, 1), one(true, ledger.StateNotRun, 2, 3)},
 	} {
 		if isLinearisable(ops, 0, ledger.StateNone) {
-			t.Errorf("got %s as possible, want it refused", name)
+			t.Errorf("got history %q accepted, want it rejected", name)
 		}
 	}
 }
--- a/internal/state/ledger/meters.go
+++ b/internal/state/ledger/meters.go
@@ -6,16 +6,17 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// countOutcome counts what a caller was told.
+// countOutcome counts the outcome that was reported to a caller.
 func (l *Ledger) countOutcome(state State, err error) {
-	word := state.String()
+	label := state.String()
 	if err != nil {
-		word = "refused"
+		label = "refused"
 	}
-	l.Meters.GetOrCreateCounter(fmt.Sprintf(`fulmarwick_calls_told_total{state=%q}`, word)).Inc()
+	l.Meters.GetOrCreateCounter(fmt.Sprintf(`fulmarwick_calls_told_total{state=%q}`, label)).Inc()
 }
 
-// registerMetrics are the records that wait to be settled or cleared.
+// registerMetrics registers the gauge of the records that are not yet settled or
+// cleared.
 func (l *Ledger) registerMetrics() {
 	if l.Meters == nil {
 		l.Meters = metrics.NewSet()
--- a/internal/state/ledger/model_test.go
+++ b/internal/state/ledger/model_test.go
@@ -15,11 +15,11 @@
 
 var errConnectionCut = errors.New("connection cut")
 
-// ownerExited is what the attempts of the model hear about each other's owner. The
-// model is driven by one goroutine.
+// ownerExited is the result of HasExited for all attempts of the model. The model is
+// driven by one goroutine.
 var ownerExited bool
 
-// caller is one caller at one instance; it asks again after "not run".
+// caller is one caller at one instance; it retries after "not run".
 type caller struct {
 	attempt     ledger.Attempt
 	id          int
@@ -28,8 +28,8 @@
 	lastWrite   store.Write
 }
 
-// model is two callers of one key at two instances, one row and one service.
-// It is a value: a step works on a copy.
+// model has two callers of one key at two instances, one row and one service. It is
+// a value: each step works on a copy.
 type model struct {
 	callers          [2]caller
 	row, previousRow store.Row
@@ -37,20 +37,20 @@
 	delayedCommits   []store.Write
 	delayedRuns      []int
 	runs             [maxModelAttempts]int
-	toldNotRun       [maxModelAttempts]bool
+	reportedNotRun   [maxModelAttempts]bool
 	nextAttempt      int
 	faultsLeft       int
 	ignoreConditions bool
 	violation        string
 }
 
-// event is one thing that may happen next.
+// event is one possible next event.
 type event struct {
 	index, kind int
 	ownerExited bool
 }
 
-// The things that may happen to an action, and the steps of the environment.
+// The possible results of an action, and the events of the environment.
 const (
 	succeeds = iota
 	unavailable
@@ -63,10 +63,10 @@
 	delayedRun
 )
 
-func newModel(faults, again int) model {
+func newModel(faults, retries int) model {
 	m := model{faultsLeft: faults}
 	for i := range m.callers {
-		m.callers[i].retriesLeft = again
+		m.callers[i].retriesLeft = retries
 		m.startAttempt(i)
 	}
 	return m
@@ -84,7 +84,7 @@
 	})
 }
 
-// events are all things that may happen in this state.
+// events returns all events that are possible in this state.
 func (m *model) events() []event {
 	var out []event
 	for i := range m.callers {
@@ -105,13 +105,13 @@
 
 func (m *model) eventsOf(i int, kind ledger.ActionKind) []event {
 	var out []event
-	add := func(whats ...int) {
-		for _, w := range whats {
-			out = append(out, event{index: i, kind: w})
+	add := func(kinds ...int) {
+		for _, k := range kinds {
+			out = append(out, event{index: i, kind: k})
 		}
 	}
 	if kind == ledger.ActEnd {
-		if m.callers[i].retriesLeft > 0 && m.toldNotRun[m.callers[i].id] && m.nextAttempt < maxModelAttempts {
+		if m.callers[i].retriesLeft > 0 && m.reportedNotRun[m.callers[i].id] && m.nextAttempt < maxModelAttempts {
 			add(succeeds)
 		}
 		return out
@@ -138,7 +138,8 @@
 	return out
 }
 
-// step returns the state after c; mutate may falsify what the attempt sees.
+// step returns the state after event c; mutate may change the result that the attempt
+// sees.
 func (m model) step(c event, mutate func(*caller, ledger.ActionKind, ledger.Result) ledger.Result) model {
 	m.delayedCommits = append([]store.Write(nil), m.delayedCommits...)
 	m.delayedRuns = append([]int(nil), m.delayedRuns...)
@@ -164,35 +165,35 @@
 }
 
 func (m *model) performAction(c event, mutate func(*caller, ledger.ActionKind, ledger.Result) ledger.Result) {
-	who := &m.callers[c.index]
-	action := who.attempt.NextAction()
+	active := &m.callers[c.index]
+	action := active.attempt.NextAction()
 	if action.Kind() == ledger.ActEnd {
-		who.retriesLeft--
+		active.retriesLeft--
 		m.startAttempt(c.index)
 		return
 	}
 	var r ledger.Result
 	switch action.Kind() {
 	case ledger.ActCommit:
-		who.lastWrite = action.Write()
+		active.lastWrite = action.Write()
 		r.Version, r.Err = m.commit(action.Write(), c.kind)
 	case ledger.ActRead:
 		r.Row, r.Err = m.read(c.kind)
 	case ledger.ActSend:
-		r.Answer, r.Err = m.send(who.id, c.kind)
+		r.Answer, r.Err = m.send(active.id, c.kind)
 	case ledger.ActQuery:
 		r.Answer, r.Err = m.queryOutcome(c.kind)
 	}
 	if mutate != nil {
-		r = mutate(who, action.Kind(), r)
+		r = mutate(active, action.Kind(), r)
 	}
 	ownerExited = c.ownerExited
-	who.attempt.ApplyResult(r)
-	m.check(who)
+	active.attempt.ApplyResult(r)
+	m.check(active)
 }
 
-func (m *model) commit(w store.Write, what int) (uint64, error) {
-	switch what {
+func (m *model) commit(w store.Write, kind int) (uint64, error) {
+	switch kind {
 	case unavailable:
 		return 0, store.ErrUnavailable
 	case lostBeforeEffect:
@@ -202,7 +203,7 @@
 		return 0, store.ErrOutcomeUnknown
 	}
 	v, err := m.apply(w)
-	if what == lostAfterEffect {
+	if kind == lostAfterEffect {
 		return 0, store.ErrOutcomeUnknown
 	}
 	return v, err
@@ -218,13 +219,13 @@
 	return m.version, nil
 }
 
-func (m *model) read(what int) (store.Row, error) {
+func (m *model) read(kind int) (store.Row, error) {
 	row := m.row
-	if what == staleRead {
+	if kind == staleRead {
 		row = m.previousRow
 	}
 	switch {
-	case what == unavailable:
+	case kind == unavailable:
 		return row, store.ErrUnavailable
 	case row.Version() == 0:
 		return row, store.ErrNotFound
@@ -232,8 +233,8 @@
 	return row, nil
 }
 
-func (m *model) send(id, what int) (ledger.Answer, error) {
-	switch what {
+func (m *model) send(id, kind int) (ledger.Answer, error) {
+	switch kind {
 	case unavailable:
 		return ledger.Answer{}, ledger.ErrNotSent
 	case lostBeforeEffect:
@@ -243,15 +244,15 @@
 		return ledger.Answer{}, errConnectionCut
 	}
 	m.run(id)
-	if what == lostAfterEffect {
+	if kind == lostAfterEffect {
 		return ledger.Answer{}, errConnectionCut
 	}
 	return answerOf(id), nil
 }
 
-func (m *model) queryOutcome(what int) (ledger.Answer, error) {
+func (m *model) queryOutcome(kind int) (ledger.Answer, error) {
 	for id, n := range m.runs {
-		if n > 0 && what == succeeds {
+		if n > 0 && kind == succeeds {
 			return answerOf(id), nil
 		}
 	}
@@ -271,18 +272,18 @@
 	if total > 1 {
 		m.violation = fmt.Sprintf("got %v runs by attempt, want one in all", m.runs)
 	}
-	if m.toldNotRun[id] {
-		m.violation = fmt.Sprintf("got a run of a%d after its caller was told it did not run", id)
+	if m.reportedNotRun[id] {
+		m.violation = fmt.Sprintf("got a run of a%d after not run was reported to its caller", id)
 	}
 }
 
-// check holds what the caller was told against what ran.
+// check compares the outcome that was reported to the caller with the calls that ran.
 func (m *model) check(c *caller) {
-	out, told, err := c.attempt.Outcome()
+	out, resolved, err := c.attempt.Outcome()
 	switch {
-	case !told:
+	case !resolved:
 	case err != nil, out.State() == ledger.StateNotRun:
-		m.toldNotRun[c.id] = true
+		m.reportedNotRun[c.id] = true
 		if m.runs[c.id] > 0 {
 			m.violation = fmt.Sprintf("got notrun for a%d that ran", c.id)
 		}
@@ -309,7 +310,7 @@
 	to = append(append(append(to, m.row.Value()...), '|'), m.previousRow.Value()...)
 	for i := range maxModelAttempts {
 		number(m.runs[i])
-		to = strconv.AppendBool(to, m.toldNotRun[i])
+		to = strconv.AppendBool(to, m.reportedNotRun[i])
 	}
 	for _, id := range m.delayedRuns {
 		number(id)
@@ -328,7 +329,7 @@
 	return string(to)
 }
 
-// stateOf reads the state that a row holds.
+// stateOf returns the state in a row.
 func stateOf(row store.Row) ledger.State {
 	var fields struct {
 		State ledger.State `cbor:"3,keyasint"`
@@ -339,8 +340,8 @@
 	return fields.State
 }
 
-// rowWithState returns the row that the caller's last write would have made, with
-// the state replaced unless it is StateNone.
+// rowWithState returns a row with the given value and the version of row. The state in
+// the value is replaced unless state is StateNone.
 func rowWithState(row store.Row, value []byte, state ledger.State) store.Row {
 	if state != ledger.StateNone {
 		var fields map[int]any
--- a/internal/state/ledger/other.go
+++ b/internal/state/ledger/other.go
@@ -6,24 +6,27 @@
 	"github.com/go-faster/errors"
 )
 
-// NewLookup returns an attempt that only finds out what is known of a call. The
-// body of the call does not count.
+// NewLookup returns an attempt that only finds the state of a call and never sends
+// it. The body of the call is ignored.
 func NewLookup(p Params) *Attempt {
 	return &Attempt{params: p, phase: phaseRead}
 }
 
-// isLookup reports whether the attempt only looks: its record names no attempt.
+// isLookup reports whether the attempt is a lookup. The record of a lookup has no
+// attempt ID.
 func (a *Attempt) isLookup() bool { return a.ownRecord.Attempt == "" }
 
 func (a *Attempt) nextOtherAction() Action {
 	if a.phase == phaseConfirm && a.otherRecord.State == StateNone {
-		// Removing a row that must not exist changes nothing: it checks.
+		// Removing a row that must not exist changes nothing; it only checks
+		// that there is no row.
 		return Action{kind: ActCommit, write: store.Remove(a.key(), 0)}
 	}
 	return a.commit(a.otherRecord, a.version)
 }
 
-// applyOther handles the row of another attempt, or of an earlier one.
+// applyOther handles results about a row that another attempt, or an earlier one,
+// wrote.
 func (a *Attempt) applyOther(r Result) {
 	switch a.phase {
 	case phaseRead:
@@ -53,7 +56,7 @@
 	}
 }
 
-// handleRecord goes on from a row that another attempt wrote.
+// handleRecord continues according to a record that another attempt wrote.
 func (a *Attempt) handleRecord(rec record, version uint64) {
 	a.otherRecord, a.version = rec, version
 	if !a.isLookup() && rec.BodyHash != a.ownRecord.BodyHash {
@@ -73,9 +76,9 @@
 	}
 }
 
-// handleNotRun starts over on a row whose attempt did not run. A look-up confirms
-// the row by a commit instead, since a stale read would tell a caller "not
-// run" of a call that ran under a later attempt.
+// handleNotRun starts over on a row whose attempt did not run. A lookup confirms
+// the row by a commit instead: with a stale read it would report "not run" for a
+// call that ran in a later attempt.
 func (a *Attempt) handleNotRun(version uint64) {
 	if a.isLookup() {
 		a.phase = phaseConfirm
@@ -101,7 +104,8 @@
 	a.phase = phaseBegin
 }
 
-// countRestart counts one more start; it ends the attempt when there were too many.
+// countRestart counts a restart and reports whether it is allowed. It ends the
+// attempt if there were too many.
 func (a *Attempt) countRestart() bool {
 	a.restarts++
 	if a.restarts > maxRestarts {
@@ -111,8 +115,8 @@
 	return true
 }
 
-// resolveUnreadable ends an attempt that knows of a row and not what it says. The call
-// under this key may have run before, so it is not told "not run".
+// resolveUnreadable ends an attempt that knows that a row exists but cannot read it.
+// The call with this key may have run before, so "not run" is not reported.
 func (a *Attempt) resolveUnreadable(cause error) {
 	if a.isLookup() {
 		a.resolveError(errors.Wrap(ErrRecordUnreadable, cause.Error()))
@@ -122,8 +126,8 @@
 	a.finish(Outcome{state: StateUnsure, reason: "the record exists and could not be read"})
 }
 
-// handleRunning waits for the attempt that holds the row, or marks it unsure if its
-// process is known to be gone.
+// handleRunning waits for the attempt that holds the row, or marks the record unsure
+// if the process of that attempt is known to have exited.
 func (a *Attempt) handleRunning() {
 	switch {
 	case a.params.HasExited(a.otherRecord.Owner):
@@ -137,9 +141,10 @@
 	}
 }
 
-// isQueryDue reports whether it is time to ask the upstream about a call that runs
-// elsewhere. If its instance died after the service answered, the row stays at
-// running, and its caller would else wait until the death is certain.
+// isQueryDue reports whether it is time to query the upstream about a call that
+// runs on another instance. If that instance died after the service answered, the
+// row stays in state running; without the query the caller would wait until the
+// death is certain.
 func (a *Attempt) isQueryDue() bool {
 	after := a.params.PollsBeforeQuery
 	due := after > 0 && a.polls >= after && (a.polls-after)%pollsPerQuery == 0
@@ -175,10 +180,10 @@
 	a.phase = phaseQueryOther
 }
 
-// handleQueryOther stores what the upstream says of a call that is unsure, or that
-// runs elsewhere. Silence
-// or ignorance of the upstream leaves it unsure: its sender may be paused
-// before the send, and "not run" would become false when it wakes.
+// handleQueryOther stores the outcome that the upstream reports for a call that is
+// unsure or runs on another instance. If the upstream does not answer or knows no
+// outcome, the call is not marked as not run: its sender may be paused before the
+// send, and "not run" would become false when it resumes.
 func (a *Attempt) handleQueryOther(r Result) {
 	if r.Err != nil && a.otherRecord.State == StateRunning {
 		a.schedulePoll()
@@ -192,8 +197,8 @@
 	a.phase = phaseStoreOutcome
 }
 
-// stored tells done only if the row says so now, so that all callers get one
-// handleStore answer.
+// handleStore reports done only if the row has that state now, so that all callers
+// get the same answer.
 func (a *Attempt) handleStore(r Result) {
 	switch {
 	case r.Err == nil:
--- a/internal/state/ledger/params.go
+++ b/internal/state/ledger/params.go
@@ -1,22 +1,24 @@
 package ledger
 
-// Params are what an attempt needs to know.
+// Params are the parameters of an attempt.
 type Params struct {
 	Call Call
-	// ID names the attempt, unique over the fleet.
+	// ID identifies the attempt; it is unique in the fleet.
 	ID string
-	// Owner names the incarnation that runs the attempt.
+	// Owner is the name of the incarnation that runs the attempt.
 	Owner string
-	// HasExited reports evidence that the incarnation owner will not answer again.
+	// HasExited reports whether there is evidence that the incarnation owner will
+	// never answer again.
 	HasExited func(owner string) bool
-	// MaxPolls is how often a row that another attempt holds is read before the
-	// caller is told running.
+	// MaxPolls is how often a row that another attempt holds is polled before
+	// running is reported to the caller.
 	MaxPolls int
-	// SeenBefore says that a call under the key is known to have been begun before.
+	// SeenBefore is set if a call with the key is known to have been started before.
 	SeenBefore bool
-	// PollsBeforeQuery is after how many reads of such a row the upstream is asked; zero
-	// asks only once its owner is gone.
+	// PollsBeforeQuery is the number of polls of a row that another attempt holds
+	// before the upstream is queried. With zero the upstream is queried only once
+	// the owner has exited.
 	PollsBeforeQuery int
-	// SupportsOutcomes says that the upstream can tell the outcome of a call.
+	// SupportsOutcomes is set if the upstream can report the outcome of a call.
 	SupportsOutcomes bool
 }
--- a/internal/state/ledger/rate_test.go
+++ b/internal/state/ledger/rate_test.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	// The first second spends what the budget saved up.
+	// warmupTime is the time in which the burst of the budget is used up.
 	warmupTime        = time.Second
 	measuredTime      = time.Second
 	concurrentCallers = 400
 )
 
-// measureThroughput is calls by 400 clerks, each sending the next payment when the last
-// one is answered, through n instances; it returns the calls a second of which
-// the end is on record, at two rows each.
+// measureThroughput runs 400 callers at n instances. Each caller sends its next payment
+// when the last one is answered. It returns the completed calls a second, counted as
+// half of the written rows, since a call writes two rows.
 func measureThroughput(t *testing.T, n int, batch bool) (rate float64, table *infra.Table) {
 	table = &infra.Table{}
 	table.Fault(infra.Faults{Slow: 5 * time.Millisecond})
@@ -55,28 +55,28 @@
 	return rate, table
 }
 
-// The platform takes 300 commits a second. With one write per step the clerks
-// wait for their turn or are refused; with batches they do not notice.
+// The platform accepts 300 commits a second. With one commit per step callers wait for
+// the budget or are rejected; with batches the budget does not limit them.
 func TestRecordedCallThroughput(t *testing.T) {
 	for _, n := range []int{4, 40} {
 		synctest.Test(t, func(t *testing.T) {
-			alone, _ := measureThroughput(t, n, false)
-			joint, table := measureThroughput(t, n, true)
+			single, _ := measureThroughput(t, n, false)
+			batched, table := measureThroughput(t, n, true)
 			_, rows := table.Counts()
 			t.Logf("%d instances: %.0f calls/s with one write per step, %.0f calls/s batched, %.1f rows a commit",
-				n, alone, joint, float64(rows)/float64(table.Commits()))
-			if alone < 100 || alone > 160 {
-				t.Errorf("got %.0f calls/s with one write per step, want about half of 300", alone)
+				n, single, batched, float64(rows)/float64(table.Commits()))
+			if single < 100 || single > 160 {
+				t.Errorf("got %.0f calls/s with one write per step, want about half of 300", single)
 			}
-			// A batch has no more rows than the instance has callers.
-			if gain := joint / alone; gain < min(10, 0.4*concurrentCallers/float64(n)) {
-				t.Errorf("got %.0f calls/s batched, %.1f times those alone; want 10, or 0.4 for each caller", joint, gain)
+			// A batch has at most as many rows as the instance has callers.
+			if gain := batched / single; gain < min(10, 0.4*concurrentCallers/float64(n)) {
+				t.Errorf("got %.0f calls/s batched, %.1f times those without batches; want 10 times, or 0.4 for each caller", batched, gain)
 			}
 		})
 	}
 }
 
-// What one call costs the platform, by how it goes.
+// The number of reads and writes that one call costs the platform, by case.
 func TestStoreCallsPerCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table, svc := &infra.Table{}, &fakeService{}
@@ -91,13 +91,13 @@
 			reads, writes = r, w
 		}
 		step("a call", 0, 2, func() { mustDo(t, a, "1") })
-		step("a repeat at another instance", 1, 0, func() { mustDo(t, b, "1") })
-		step("a look-up of a done call", 1, 0, func() { mustLookup(t, b) })
-		step("a look-up of an unknown key", 1, 1, func() {
+		step("a retry at another instance", 1, 0, func() { mustDo(t, b, "1") })
+		step("a lookup of a done call", 1, 0, func() { mustLookup(t, b) })
+		step("a lookup of an unknown key", 1, 1, func() {
 			_, err := a.Lookup(t.Context(), "t", "payment", "k9")
 			checkEqual(t, "the error", err, nil)
 		})
-		step("a call whose first answer was lost", 1, 2, func() {
+		step("a call whose first response was lost", 1, 2, func() {
 			table.Fault(infra.Faults{Lose: 1})
 			_, err := a.Do(t.Context(), ledger.NewCall("t", "payment", "payments", "k2", "", nil))
 			checkEqual(t, "the error", err, nil)
--- a/internal/state/ledger/recent.go
+++ b/internal/state/ledger/recent.go
@@ -6,13 +6,13 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// maxRecentKeys bounds the keys that a process remembers; two generations of
+// maxRecentKeys is the number of keys in one generation. Two generations of
 // 32,768 hashes take about 2 MB at most.
 const maxRecentKeys = 32768
 
-// recentKeys remembers the keys that this process saw begun. Without it a caller
-// who repeats a payment while the store is down would hear "not run" of a key
-// whose first call ran here.
+// recentKeys holds the keys of the calls that this process recently saw started.
+// Without it a caller who repeats a payment while the store is down would get "not
+// run" for a key whose first call ran in this process.
 type recentKeys struct {
 	mu                sync.Mutex
 	current, previous map[uint64]struct{}
@@ -34,7 +34,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	h := xxhash.Sum64String(key)
-	_, now := r.current[h]
-	_, old := r.previous[h]
-	return now || old
+	_, inCurrent := r.current[h]
+	_, inPrevious := r.previous[h]
+	return inCurrent || inPrevious
 }
--- a/internal/state/ledger/record.go
+++ b/internal/state/ledger/record.go
@@ -8,10 +8,10 @@
 	"github.com/go-faster/errors"
 )
 
-// rowPrefix of the rows that hold records.
+// rowPrefix is the key prefix of the rows that hold records.
 const rowPrefix = "call/"
 
-// record is the row of a call. Fields are exported for the codec.
+// record is the stored record of a call. Fields are exported for the codec.
 type record struct {
 	BodyHash    uint64 `cbor:"1,keyasint"`
 	Attempt     string `cbor:"2,keyasint"`
@@ -19,7 +19,7 @@
 	Status      int    `cbor:"4,keyasint,omitempty"`
 	ContentType string `cbor:"5,keyasint,omitempty"`
 	Body        []byte `cbor:"6,keyasint,omitempty"`
-	// Owner names the incarnation whose attempt it is.
+	// Owner is the name of the incarnation that runs the attempt.
 	Owner  string `cbor:"7,keyasint,omitempty"`
 	Reason string `cbor:"8,keyasint,omitempty"`
 }
@@ -28,18 +28,19 @@
 	return Outcome{state: r.State, answer: NewAnswer(r.Status, r.ContentType, r.Body), reason: r.Reason}
 }
 
-// withState returns the record at the end that answer and state describe.
-func (r record) withState(state State, answer Answer, why string) record {
-	r.State, r.Reason = state, why
+// withState returns the record with another state, answer and reason.
+func (r record) withState(state State, answer Answer, reason string) record {
+	r.State, r.Reason = state, reason
 	r.Status, r.ContentType, r.Body = answer.status, answer.contentType, answer.body
 	return r
 }
 
-// toWrite is the write that stores r in the row that has version now.
+// toWrite returns the write that stores r on the condition that the row has the
+// version.
 func (r record) toWrite(key string, version uint64) store.Write {
 	data, err := cbor.Marshal(r)
 	if err != nil {
-		// The record has no field that can fail to encode.
+		// Encoding cannot fail for any field of record.
 		panic(err)
 	}
 	return store.Put(key, version, data)
--- a/internal/state/ledger/settle.go
+++ b/internal/state/ledger/settle.go
@@ -6,9 +6,10 @@
 	"github.com/go-faster/errors"
 )
 
-// applySettle writes the end of a call after its send. The caller is told after
-// the first try, whether it worked or not: what the send showed is true
-// without the row, and the row at running is true but vague until a later try.
+// applySettle handles the write of the final record after the send. The outcome is
+// reported to the caller after the first try, even if the write failed: the result
+// of the send is true without the row, and a row in state running is not wrong,
+// only imprecise, until a later try succeeds.
 func (a *Attempt) applySettle(r Result) {
 	switch a.phase {
 	case phaseSettle:
@@ -32,16 +33,16 @@
 	}
 }
 
-// handleSettleRead looks why the row has not the version that was expected: an
-// earlier try took effect and lost its answer, or somebody took this process
-// for dead while it was paused.
+// handleSettleRead finds out why the row does not have the expected version. Either
+// an earlier try took effect and its response was lost, or another instance
+// declared this process dead while it was paused.
 func (a *Attempt) handleSettleRead(r Result) {
 	rec, err := decodeResult(r)
-	mine := err == nil && rec.Attempt == a.ownRecord.Attempt
+	isOwn := err == nil && rec.Attempt == a.ownRecord.Attempt
 	switch {
 	case err != nil, r.Row.Version() <= a.version:
 		a.retry(phaseSettleWait)
-	case !mine, rec.State == StateDone, rec.State == a.ownRecord.State:
+	case !isOwn, rec.State == StateDone, rec.State == a.ownRecord.State:
 		a.phase = phaseFinished
 	default:
 		a.version = r.Row.Version()
@@ -49,9 +50,9 @@
 	}
 }
 
-// applyClear turns the row of an attempt that never sends to notrun. If the
-// first commit is still on its way, writing the row on the same condition
-// first makes it fail.
+// applyClear sets the row of an attempt that never sends to notrun. If the first
+// commit is still in flight, this write has the same condition, so that the first
+// commit fails if this one is applied before it.
 func (a *Attempt) applyClear(r Result) {
 	switch a.phase {
 	case phaseClear:
--- a/internal/state/ledger/trim.go
+++ b/internal/state/ledger/trim.go
@@ -11,10 +11,12 @@
 )
 
 const (
-	// DefaultRetention is how long a settled record protects its key by default.
+	// DefaultRetention is how long a settled record prevents another run of its key
+	// by default.
 	DefaultRetention = 7 * 24 * time.Hour
-	// checkpointInterval is the time between two marks. A new trimmer loses what its
-	// forerunner counted since the last one, which only keeps records longer.
+	// checkpointInterval is the time between two checkpoints. A new trimmer loses the
+	// time that its predecessor counted since its last checkpoint. The only effect is
+	// that records are kept longer.
 	checkpointInterval = 10 * time.Minute
 	trimStateKey       = "trim/marks"
 )
@@ -25,20 +27,21 @@
 	Scan(ctx context.Context, prefix string, since uint64, limit int) ([]store.Row, error)
 }
 
-// Trimmer removes old records. It is a duty: one instance runs it. Set the
-// exported fields before the first call; it is not for concurrent use.
+// Trimmer removes old records. It runs as a duty of one instance. Set the exported
+// fields before the first call; it is not safe for concurrent use.
 //
-// A record that goes too early lets its key run again, so no wall clock is
-// asked. Trimmers count time on their monotonic clocks, one after the other,
-// and note in a row which version the table had at which count. What last
-// changed before the version that is Keep old is old. Time during which nobody
-// counts is lost, and records stay longer.
+// If a record is removed too early its key can run again, so no wall clock is used.
+// Successive trimmers add up elapsed time on their monotonic clocks and store
+// checkpoints in a row: the version of the table at an elapsed time. A record is
+// old if it last changed before the version of a checkpoint that is older than
+// Retention. Time during which no trimmer runs is not counted, and records are
+// kept longer.
 type Trimmer struct {
 	Table TrimTable
-	// Retention is the age from which done and notrun records go; zero is
-	// DefaultKeep. Records at running or unsure never go.
+	// Retention is the age at which done and notrun records are removed; zero means
+	// DefaultRetention. Records in state running or unsure are never removed.
 	Retention time.Duration
-	// Now is the monotonic clock; nil is time.Now.
+	// Now is the monotonic clock; nil means time.Now.
 	Now func() time.Time
 
 	state      trimState
@@ -49,22 +52,24 @@
 	scanFrom   uint64
 }
 
-// checkpoint says that the table was at Version when the count was Count.
+// checkpoint is the version of the table at an elapsed time.
 type checkpoint struct {
 	Version uint64        `cbor:"1,keyasint"`
 	Elapsed time.Duration `cbor:"2,keyasint"`
 }
 
-// trimState is the row of the trimmers. Count is the count when it was written.
+// trimState is the row that the trimmers share. Elapsed is the elapsed time when it
+// was written.
 type trimState struct {
 	Elapsed     time.Duration `cbor:"1,keyasint"`
 	Checkpoints []checkpoint  `cbor:"2,keyasint"`
 }
 
-// Trim looks at up to limit records, those first that changed longest ago, and
-// removes the old ones in one commit: one read and at most one write a call, or
-// a write for each row if another instance changed one of them meanwhile, and a
-// write every ten minutes for the marks. It returns how many records went.
+// Trim reads up to limit records, the least recently changed first, and removes the
+// old ones in one commit. A call costs one read and at most one write, or one write
+// for each row if another instance changed one of the rows meanwhile. The
+// checkpoints cost one more write every ten minutes. Trim returns the number of
+// removed records.
 func (t *Trimmer) Trim(ctx context.Context, limit int) (int, error) {
 	if err := t.countTime(ctx); err != nil {
 		return 0, err
@@ -82,7 +87,7 @@
 	for _, row := range rows {
 		switch {
 		case row.Version() > cutoff:
-			// All that follow are younger.
+			// All following rows are newer.
 			t.scanFrom = 0
 		case isSettled(row):
 			old = append(old, store.Remove(row.Key(), row.Version()))
@@ -91,9 +96,9 @@
 	return t.removeRecords(ctx, old)
 }
 
-// countTime adds the time since the last call, and writes a mark when it is due. If
-// another trimmer wrote one, its count stands and the own one is dropped, so
-// that no time counts twice.
+// countTime adds the time since the last call, and writes a checkpoint when it is
+// due. If another trimmer wrote a checkpoint meanwhile, the elapsed time of that
+// trimmer is used and the local one is dropped, so that no time is counted twice.
 func (t *Trimmer) countTime(ctx context.Context) error {
 	now := t.now()
 	if !t.loaded {
@@ -121,8 +126,9 @@
 	return nil
 }
 
-// nextState is the row with the count so far, and a mark for its last version. Of
-// the marks that are old enough the newest one is kept.
+// nextState returns the state with the elapsed time so far and a checkpoint for the
+// last version of the row. Of the checkpoints that are old enough to trim by, only
+// the newest is kept.
 func (t *Trimmer) nextState() trimState {
 	next := trimState{Elapsed: t.state.Elapsed + t.unsaved}
 	list := t.state.Checkpoints
@@ -154,7 +160,8 @@
 	return nil
 }
 
-// cutoff is the version before which all that is settled is old.
+// cutoff returns the version up to which settled records are old, or zero if there
+// is none yet.
 func (t *Trimmer) cutoff() uint64 {
 	var version uint64
 	for _, m := range t.state.Checkpoints {
@@ -184,8 +191,9 @@
 	return err == nil && (rec.State == StateDone || rec.State == StateNotRun)
 }
 
-// nextPageStart is where the next page begins. Rows of one commit share a version, so
-// a full page may end within a commit; its last version is read again.
+// nextPageStart returns the version after which the next page begins. Rows of one
+// commit share a version and a full page may end within a commit, so the last
+// version is read again.
 func nextPageStart(rows []store.Row, limit int) uint64 {
 	if len(rows) < limit || limit == 0 {
 		return 0
@@ -208,11 +216,11 @@
 	if !errors.Is(err, store.ErrConflict) {
 		return 0, errors.Wrap(ErrRecordUnreadable, err.Error())
 	}
-	gone := 0
+	removed := 0
 	for _, w := range old {
 		if _, err := t.Table.Commit(ctx, []store.Write{w}); err == nil {
-			gone++
+			removed++
 		}
 	}
-	return gone, nil
+	return removed, nil
 }
