--- a/internal/state/lease/lease.go
+++ b/internal/state/lease/lease.go
@@ -1,14 +1,15 @@
-// Package lease gives duties to one instance at a time, by rows of the table.
+// Package lease assigns each duty to at most one instance at a time, with leases
+// in rows of the table.
 //
-// It imports state/store. The daemon keeps a Lease for each duty that falls to
-// its instance; package order checks it before each order.
+// It imports state/store. The daemon keeps a Lease for each duty that its instance
+// may run; package order checks the lease before each order.
 //
-// No wall clock is trusted and no two clocks are compared. A holder counts its
-// time from before the commit that renewed the lease; a contender counts a
-// whole lease time from after a read that showed the row, on its own monotonic
-// clock, and takes over only if the row has not changed since. What the holder
-// did before the contender saw it, so the holder's time ends first, as long as
-// their clocks run at about the same rate.
+// Leases use no wall clock and never compare two clocks. A holder measures the
+// lease duration from before the commit that renewed the lease. A contender
+// measures a whole lease duration from after a read of the row, on its own
+// monotonic clock, and takes over only if the row has not changed since. The
+// holder's commit comes before the contender's read, so the holder's lease
+// expires first, as long as both clocks run at about the same rate.
 package lease
 
 import (
@@ -26,19 +27,19 @@
 
 // Errors of this package.
 var (
-	// ErrNotHeld means that the lease is not held, or not for long enough.
+	// ErrNotHeld means that the lease is not held, or expires too soon.
 	ErrNotHeld = errors.New("lease: not held")
 	// ErrStoreUnavailable means that the table could not be read or written.
-	ErrStoreUnavailable = errors.New("lease: table out of reach")
+	ErrStoreUnavailable = errors.New("lease: table unavailable")
 )
 
 const (
 	defaultDuration = 15 * time.Second
 	defaultMargin   = 4 * time.Second
-	// driftDivisor is the part of a lease time that a contender waits longer, for
-	// clocks that run at rates up to 10% apart.
+	// driftDivisor sets how much longer than a lease duration a contender waits: a
+	// tenth of it, for clocks whose rates differ by up to 10%.
 	driftDivisor = 10
-	// renewalsPerLease is how often a holder renews in a lease time.
+	// renewalsPerLease is how often a holder renews within a lease duration.
 	renewalsPerLease = 3
 )
 
@@ -48,34 +49,35 @@
 	Commit(ctx context.Context, writes []store.Write) (uint64, error)
 }
 
-// Lease is this instance's part in one lease. Set the exported fields before
-// use. Step is called by one goroutine, the rest by any.
+// Lease holds or contends for one lease on behalf of this instance. Set the
+// exported fields before use. RenewOrAcquire must be called by one goroutine only;
+// the other methods are safe for concurrent use.
 type Lease struct {
 	Table Table
-	// Duty names the duty; the row is "lease/" and the name.
+	// Duty is the name of the duty; the key of the row is "lease/" and the name.
 	Duty string
-	// Owner names this incarnation; a restarted process is another owner.
+	// Owner is the name of this incarnation; a restarted process is another owner.
 	Owner string
-	// Duration is the lease time, the same on all instances; zero is 15 s.
+	// Duration is the lease duration, the same on all instances; zero means 15 s.
 	Duration time.Duration
-	// Margin is how much time must be left to begin an act, and an act ends
-	// within half of it; zero is 4 s.
+	// Margin is the time that must be left on the lease to start an operation. An
+	// operation must end within half of it. Zero means 4 s.
 	Margin time.Duration
-	// Now is the monotonic clock; nil is time.Now.
+	// Now is the monotonic clock; nil means time.Now.
 	Now func() time.Time
-	// Jitter returns a factor around 1 for waits; nil is always 1.
+	// Jitter returns a factor around 1 for wait times; nil means always 1.
 	Jitter func() float64
-	// Meters takes the metrics; nil takes none.
+	// Meters is the metrics set to register in; nil means no metrics.
 	Meters *metrics.Set
 
 	mu       sync.Mutex
 	holding  holdState
 	observed observation
-	// storeFailedAt is when the table was last found out of reach.
+	// storeFailedAt is when the table was last unavailable.
 	storeFailedAt time.Time
 }
 
-// row is the row of a lease. Seq makes each renewal a change.
+// row is the content of a lease's row. Seq changes with each renewal.
 type row struct {
 	Owner    string `cbor:"1,keyasint"`
 	Fence    uint64 `cbor:"2,keyasint"`
@@ -83,7 +85,7 @@
 	Released bool   `cbor:"4,keyasint,omitempty"`
 }
 
-// holdState is what the holder knows.
+// holdState is the holder's state of the lease.
 type holdState struct {
 	held      bool
 	row       row
@@ -92,19 +94,21 @@
 	heldSince time.Time
 }
 
-// observation is the row that a contender waits on.
+// observation is the row version that a contender waits on, and when it was first
+// seen.
 type observation struct {
 	version   uint64
 	firstSeen time.Time
 }
 
-// Guard says whether this instance may act now. It returns the fencing number
-// to act under and a context that ends well before the lease does. Call it
-// right before each act: a process may be paused anywhere.
+// Guard checks that the lease is held with enough time left for an operation. It
+// returns the fencing token for the operation and a context that expires well
+// before the lease does. Call Guard right before each operation, since a process
+// may be paused anywhere.
 //
-// A pause between Guard and the act itself cannot be excluded; upstreams that
-// check the number refuse such an act, and for the others package order
-// repeats the desired state until the upstream reports it.
+// A pause between Guard and the operation itself cannot be excluded. Upstreams
+// that check the fencing token reject such an operation. For the other upstreams
+// package order sends the desired state again until the upstream reports it.
 func (l *Lease) Guard(ctx context.Context) (context.Context, context.CancelFunc, uint64, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -115,26 +119,27 @@
 	return ctx, cancel, l.holding.row.Fence, nil
 }
 
-// Held reports whether the lease is held with time left to act.
+// Held reports whether the lease is held with time left for an operation.
 func (l *Lease) Held() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.holding.held && l.holding.expiresAt.Sub(l.now()) > l.margin()
 }
 
-// LastFence is the number of the lease while it is held with time left to act, and after
-// that for as long as all that is known is that the table is out of reach: another
-// instance may hold the lease by then. Acts under it must be such that their
-// receivers take only one of two.
+// LastFence returns the fencing token while the lease is held with time left for an
+// operation, and afterwards for as long as the table is unavailable and nothing else
+// is known about the lease. Another instance may hold the lease by then. LastFence
+// may therefore be used only for operations of which receivers accept one of two
+// conflicting ones.
 func (l *Lease) LastFence() (fence uint64, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
-	inTime, isAway := l.holding.expiresAt.Sub(now) > l.margin(), now.Sub(l.storeFailedAt) < 2*l.duration()/renewalsPerLease
-	return l.holding.row.Fence, l.holding.held && (inTime || isAway)
+	inTime, isUnavailable := l.holding.expiresAt.Sub(now) > l.margin(), now.Sub(l.storeFailedAt) < 2*l.duration()/renewalsPerLease
+	return l.holding.row.Fence, l.holding.held && (inTime || isUnavailable)
 }
 
-// HeldFor is how long the lease is held; zero if it is not.
+// HeldFor returns how long the lease has been held, or zero if it is not held.
 func (l *Lease) HeldFor() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -144,7 +149,7 @@
 	return l.now().Sub(l.holding.heldSince)
 }
 
-// Fence is the fencing number of the lease while it is held; zero if not.
+// Fence returns the fencing token of the lease, or zero if it is not held.
 func (l *Lease) Fence() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -154,9 +159,9 @@
 	return l.holding.row.Fence
 }
 
-// Run contends for the lease and keeps it until ctx ends, then releases it.
-// It costs one write every third of the lease time for the holder, and one
-// read for each contender.
+// Run acquires and renews the lease until ctx ends, then releases it. In every
+// third of the lease duration it costs the holder one write and each contender one
+// read.
 func (l *Lease) Run(ctx context.Context) {
 	if l.Meters != nil {
 		name := fmt.Sprintf(`fulmarwick_lease_number{duty=%q}`, l.Duty)
@@ -183,8 +188,9 @@
 	return time.Duration(d)
 }
 
-// Release gives the lease up, so that another instance need not wait for it
-// to lapse. From its start no act is allowed, whether the commit works or not.
+// Release releases the lease, so that another instance need not wait until it
+// expires. From the start of Release no operation is allowed, even if the commit
+// fails.
 func (l *Lease) Release(ctx context.Context) {
 	l.mu.Lock()
 	h := l.holding
@@ -225,7 +231,7 @@
 func encode(r row) []byte {
 	data, err := cbor.Marshal(r)
 	if err != nil {
-		// The row has no field that can fail to encode.
+		// Encoding cannot fail for any field of row.
 		panic(err)
 	}
 	return data
--- a/internal/state/lease/lease_test.go
+++ b/internal/state/lease/lease_test.go
@@ -30,10 +30,10 @@
 	}
 }
 
-// The holder is paused for longer than its lease. Another instance takes over
-// after a whole lease time on its own clock, under a higher number. The paused
-// one wakes, believes that it still holds the lease, and is told no before its
-// first act.
+// The holder is paused for longer than its lease. Another instance takes over after
+// a whole lease duration on its own clock, with a higher fencing token. The paused
+// holder resumes, believes that it still holds the lease, and Guard rejects its
+// first operation.
 func TestPausedHolderLosesLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := &infra.Table{}
@@ -48,28 +48,28 @@
 			}
 		}
 		if got := time.Since(start); got < 16*second || got > 19*second {
-			t.Errorf("got the takeover after %v, want a lease time and a little", got)
+			t.Errorf("got the takeover after %v, want slightly more than the lease duration", got)
 		}
 		if _, _, _, err := a.Guard(t.Context()); !errors.Is(err, lease.ErrNotHeld) {
-			t.Errorf("got %v for the paused holder, want ErrLapsed", err)
+			t.Errorf("got %v for the paused holder, want ErrNotHeld", err)
 		}
 		renewOrAcquire(t, a)
 		if a.Fence() != 0 || b.Fence() != 2 {
-			t.Errorf("got numbers %d and %d, want 0 and 2", a.Fence(), b.Fence())
+			t.Errorf("got fencing tokens %d and %d, want 0 and 2", a.Fence(), b.Fence())
 		}
 	})
 }
 
-// Guards against a holder that was paused, or was followed by another, and acts on
-// under its number as if the table were only out of reach.
+// A holder that was paused, or whose lease another instance took over, must not
+// continue with its fencing token as if the table were only unavailable.
 func TestLastFenceOnlyDuringOutage(t *testing.T) {
 	tests := []struct {
 		name string
-		// lapse lets the lease of a lapse, which contends with b.
-		lapse func(table *infra.Table, a, b *lease.Lease)
-		want  bool
+		// expire makes the lease of a expire; b contends for the same lease.
+		expire func(table *infra.Table, a, b *lease.Lease)
+		want   bool
 	}{
-		{"out of reach", func(table *infra.Table, a, _ *lease.Lease) {
+		{"unavailable", func(table *infra.Table, a, _ *lease.Lease) {
 			table.Fault(infra.Faults{Down: true})
 			for range 5 {
 				time.Sleep(4 * second)
@@ -77,12 +77,12 @@
 			}
 		}, true},
 		{"paused", func(*infra.Table, *lease.Lease, *lease.Lease) { time.Sleep(20 * second) }, false},
-		{"out of reach, then paused", func(table *infra.Table, a, _ *lease.Lease) {
+		{"unavailable, then paused", func(table *infra.Table, a, _ *lease.Lease) {
 			table.Fault(infra.Faults{Down: true})
 			_ = a.RenewOrAcquire(t.Context())
 			time.Sleep(20 * second)
 		}, false},
-		{"followed", func(table *infra.Table, a, b *lease.Lease) {
+		{"taken over", func(table *infra.Table, a, b *lease.Lease) {
 			for !b.Held() {
 				_ = b.RenewOrAcquire(t.Context())
 				time.Sleep(second)
@@ -98,18 +98,19 @@
 				table := &infra.Table{}
 				a, b := newLease(table, "a"), newLease(table, "b")
 				renewOrAcquire(t, a)
-				test.lapse(table, a, b)
+				test.expire(table, a, b)
 				if fence, ok := a.LastFence(); ok != test.want || ok && fence != 1 {
-					t.Errorf("got number %d, %t, want %t", fence, ok, test.want)
+					t.Errorf("got fencing token %d, %t, want %t", fence, ok, test.want)
 				}
 			})
 		})
 	}
 }
 
-// A renewal takes effect and its answer is lost, then the table is out for
-// longer than the lease. The holder acts only while its own time lasts; when
-// the table is back nobody has taken over, and it goes on under its number.
+// A renewal takes effect and its response is lost, then the table is unavailable for
+// longer than the lease. The holder operates only until its last confirmed renewal
+// expires. When the table is back no instance has taken over, and the holder
+// continues with its fencing token.
 func TestHolderResumesAfterOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := &infra.Table{}
@@ -120,14 +121,14 @@
 		renewOrAcquire(t, a)
 		time.Sleep(7 * second)
 		if a.Held() {
-			t.Error("got held 12 s after the last sure renewal, want not with 3 s left")
+			t.Error("got held 12 s after the last confirmed renewal, want not held with 3 s left")
 		}
 		renewOrAcquire(t, b)
 		table.Fault(infra.Faults{Down: true})
 		for range 10 {
 			time.Sleep(3 * second)
 			if err := a.RenewOrAcquire(t.Context()); !errors.Is(err, lease.ErrStoreUnavailable) {
-				t.Errorf("got %v in the outage, want ErrStore", err)
+				t.Errorf("got %v in the outage, want ErrStoreUnavailable", err)
 			}
 			_ = b.RenewOrAcquire(t.Context())
 			if a.Held() || b.Held() {
@@ -138,13 +139,13 @@
 		renewOrAcquire(t, a)
 		renewOrAcquire(t, b)
 		if !a.Held() || b.Held() || a.Fence() != 1 {
-			t.Errorf("got %v %v with number %d, want the old holder under number 1", a.Held(), b.Held(), a.Fence())
+			t.Errorf("got held %v %v with fencing token %d, want the old holder with token 1", a.Held(), b.Held(), a.Fence())
 		}
 	})
 }
 
-// An instance is stopped gracefully: the next one takes the duty at its next
-// step and need not wait for the lease to lapse.
+// An instance is stopped gracefully. The next instance acquires the lease at its next
+// try and need not wait until the lease expires.
 func TestReleaseHandsOverImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := &infra.Table{}
@@ -158,13 +159,13 @@
 		<-done
 		renewOrAcquire(t, b)
 		if a.Held() || !b.Held() || b.Fence() != 2 {
-			t.Errorf("got %v %v with number %d, want the second under number 2", a.Held(), b.Held(), b.Fence())
+			t.Errorf("got held %v %v with fencing token %d, want the second holder with token 2", a.Held(), b.Held(), b.Fence())
 		}
 	})
 }
 
-// An act gets a deadline well inside the margin, so that it ends before the
-// lease does.
+// An operation gets a deadline well within the margin, so that it ends before the
+// lease expires.
 func TestGuardDeadlineWithinMargin(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := newLease(&infra.Table{}, "a")
@@ -172,7 +173,7 @@
 		time.Sleep(10 * second)
 		ctx, cancel, fence, err := a.Guard(t.Context())
 		if err != nil || fence != 1 {
-			t.Fatalf("got %d %v, want number 1", fence, err)
+			t.Fatalf("got %d %v, want fencing token 1", fence, err)
 		}
 		defer cancel()
 		if d, ok := ctx.Deadline(); !ok || time.Until(d) != 2*second {
@@ -181,11 +182,11 @@
 	})
 }
 
-// Three instances step at any times, with refused calls, lost answers and
-// stale reads, and with pauses of any length. At no moment may two of them
-// begin an act, and the numbers under which acts begin never fall.
+// Three instances renew or acquire at random times, with refused calls, lost
+// responses, stale reads and pauses. At no time may two of them start an operation,
+// and the fencing tokens of started operations never decrease.
 func TestOneHolderAndRisingFences(t *testing.T) {
-	acts, most := 0, uint64(0)
+	operations, maxFence := 0, uint64(0)
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(0, 0)
 		table := &infra.Table{}
@@ -211,20 +212,20 @@
 				}
 				cancel()
 				holders++
-				acts++
+				operations++
 				if fence < highest {
-					t.Fatalf("got an act under number %d after %d", fence, highest)
+					t.Fatalf("got an operation with fencing token %d after %d", fence, highest)
 				}
 				highest = fence
-				most = max(most, fence)
+				maxFence = max(maxFence, fence)
 			}
 			if holders > 1 {
 				t.Fatalf("got %d holders, want at most one", holders)
 			}
 		}
 	})
-	if acts < 1000 || most < 5 {
-		t.Errorf("got %d acts up to number %d, want enough of both to prove something", acts, most)
+	if operations < 1000 || maxFence < 5 {
+		t.Errorf("got %d operations and fencing tokens up to %d, want at least 1000 and 5", operations, maxFence)
 	}
 }
 
@@ -242,22 +243,22 @@
 	return infra.Faults{}
 }
 
-// How long a duty has no holder: after a kill, and after a graceful stop.
+// The time without a holder after a kill and after a graceful stop is bounded.
 func TestTakeoverTime(t *testing.T) {
 	for _, kill := range []bool{true, false} {
-		var least, most time.Duration
+		var shortest, longest time.Duration
 		for seed := range 50 {
 			synctest.Test(t, func(t *testing.T) {
 				took := measureTakeover(t, uint64(seed), kill)
-				if least == 0 || took < least {
-					least = took
+				if shortest == 0 || took < shortest {
+					shortest = took
 				}
-				most = max(most, took)
+				longest = max(longest, took)
 			})
 		}
-		t.Logf("kill %v: a new holder after %v to %v in 50 runs with 4 instances", kill, least, most)
-		if limit := 25 * second; most > limit {
-			t.Errorf("got %v, want a new holder within %v", most, limit)
+		t.Logf("kill %v: a new holder after %v to %v in 50 runs with 4 instances", kill, shortest, longest)
+		if limit := 25 * second; longest > limit {
+			t.Errorf("got a new holder after %v, want within %v", longest, limit)
 		}
 	}
 }
@@ -291,12 +292,13 @@
 	return took
 }
 
-func jitter(seed, who uint64) func() float64 {
-	src := rand.New(rand.NewPCG(seed, who))
+func jitter(seed, instance uint64) func() float64 {
+	src := rand.New(rand.NewPCG(seed, instance))
 	return func() float64 { return 0.8 + 0.4*src.Float64() }
 }
 
-// killableTable is the table as a process sees it that is killed: it releases nothing.
+// killableTable is the table of a process that may be killed. After the kill all its
+// commits fail, so that it does not release its lease.
 type killableTable struct {
 	*infra.Table
 	killed atomic.Bool
--- a/internal/state/lease/step.go
+++ b/internal/state/lease/renew.go
@@ -10,8 +10,9 @@
 	"github.com/go-faster/errors"
 )
 
-// RenewOrAcquire renews the lease if it is held and contends for it if not. ErrStore
-// means that the table did not answer; the time that is left stays.
+// RenewOrAcquire renews the lease if it is held and contends for it if not. With
+// ErrStoreUnavailable the table did not answer, and the lease keeps its remaining
+// time.
 func (l *Lease) RenewOrAcquire(ctx context.Context) error {
 	l.mu.Lock()
 	h := l.holding
@@ -29,8 +30,8 @@
 	return err
 }
 
-// renew extends the lease. It also does so after the lease has lapsed: if the
-// commit's condition holds, nobody took it over, and the number stays valid.
+// renew extends the lease, even if it has expired: if the condition of the commit
+// holds, no other instance has taken over, and the fencing token stays valid.
 func (l *Lease) renew(ctx context.Context, h holdState) error {
 	start := l.now()
 	next := h.row
@@ -46,9 +47,9 @@
 	return l.verifyHolder(ctx, h)
 }
 
-// verifyHolder looks who has the lease after a renewal that conflicted or whose
-// answer was lost. If it is this incarnation with the same number, the row's
-// version is taken for the next renewal, but no time is added.
+// verifyHolder reads who holds the lease after a renewal that had a conflict or whose
+// response was lost. If it is this incarnation with the same fencing token, the next
+// renewal uses the row's version, but the lease is not extended.
 func (l *Lease) verifyHolder(ctx context.Context, h holdState) error {
 	version, r, err := l.read(ctx)
 	if err != nil {
@@ -68,8 +69,8 @@
 	return nil
 }
 
-// contend takes the lease if it is free, or if its row did not change for a
-// whole lease time since this instance first saw it so.
+// contend acquires the lease if it is free, or if its row has not changed for a whole
+// lease duration since this instance first saw that version.
 func (l *Lease) contend(ctx context.Context) error {
 	version, r, err := l.read(ctx)
 	if err != nil {
@@ -79,8 +80,9 @@
 	case version == 0 || r.Released:
 		return l.acquire(ctx, version, r.Fence+1)
 	case r.Owner == l.Owner:
-		// An earlier take lost its answer. The row is this incarnation's, but
-		// when it took effect is not known: renewing starts the time.
+		// The response of an earlier acquire was lost. The row belongs to this
+		// incarnation, but it is not known when the commit took effect. The
+		// lease duration starts with a renewal.
 		return l.renew(ctx, holdState{row: r, version: version})
 	case !l.hasExpired(version):
 		return nil
@@ -88,7 +90,8 @@
 	return l.acquire(ctx, version, r.Fence+1)
 }
 
-// hasExpired reports whether the row has stood at version for long enough.
+// hasExpired reports whether the row has had this version for long enough that the
+// lease has expired.
 func (l *Lease) hasExpired(version uint64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -100,8 +103,9 @@
 	return now.Sub(l.observed.firstSeen) >= l.duration()+l.duration()/driftDivisor
 }
 
-// acquire writes the next number on the condition that the row is as it was. A
-// lost answer leaves the lease unheld; the next step finds the row.
+// acquire writes the next fencing token on the condition that the row is unchanged.
+// If the response is lost the lease counts as not held; the next call of
+// RenewOrAcquire finds the row.
 func (l *Lease) acquire(ctx context.Context, version, fence uint64) error {
 	start := l.now()
 	next := row{Owner: l.Owner, Fence: fence}
@@ -131,7 +135,8 @@
 	l.holding.expiresAt = start.Add(l.duration())
 }
 
-// read returns the row; version 0 means that there is none.
+// read returns the version and the content of the row; version 0 means that there is
+// no row.
 func (l *Lease) read(ctx context.Context) (uint64, row, error) {
 	var r row
 	got, err := l.Table.Get(ctx, l.key())
