--- a/internal/state/store/batch.go
+++ b/internal/state/store/batch.go
@@ -13,24 +13,25 @@
 	defaultMaxBytes = 1 << 20
 )
 
-// Batcher is a Table that joins commits of concurrent callers into few. Set
-// the exported fields before use.
+// Batcher is a Table that batches the commits of concurrent callers. Set the
+// exported fields before use.
 //
-// While one commit is on its way the next ones gather; when it returns they
-// leave together. Nothing waits on purpose: on an idle table each commit goes
-// alone, and the batches grow just as the table or the budget gets slower.
+// While one commit is in flight, further commits are queued; when it returns,
+// the queue is sent as one batch. There is no deliberate delay: on an idle table
+// each commit is sent alone, and batches grow as the table or the budget gets
+// slower.
 //
-// A commit whose condition fails has no effect as a whole, so it is split in
-// two until the caller that failed is alone; the others never see it. When the
-// answer is lost, all of a batch are unsure.
+// A batch in which one condition fails has no effect as a whole. It is split in
+// half until the failing commit is alone; the other callers do not notice. When
+// the response is lost, the outcome of every commit of the batch is unknown.
 type Batcher struct {
 	Table Table
-	// MaxRows is the most rows of a joint commit; zero is 64.
+	// MaxRows is the maximum number of rows in a batch; zero means 64.
 	MaxRows int
-	// MaxBytes is the most content of a joint commit; zero is 1 MiB. A larger
-	// commit goes alone.
+	// MaxBytes is the maximum size of the values in a batch; zero means 1 MiB.
+	// A larger commit is sent alone.
 	MaxBytes int
-	// Meters takes the metrics; nil makes a private set.
+	// Meters is the metrics set to register in; nil means a private set.
 	Meters *metrics.Set
 
 	mu       sync.Mutex
@@ -38,7 +39,7 @@
 	flushing bool
 }
 
-// pendingCommit is one caller's commit.
+// pendingCommit is the commit of one caller.
 type pendingCommit struct {
 	writes  []Write
 	done    chan struct{}
@@ -47,16 +48,17 @@
 	err     error
 }
 
-// Get is Table's.
+// Get calls Table.Get.
 func (b *Batcher) Get(ctx context.Context, key string) (Row, error) { return b.Table.Get(ctx, key) }
 
-// Scan is Table's.
+// Scan calls Table.Scan.
 func (b *Batcher) Scan(ctx context.Context, prefix string, since uint64, limit int) ([]Row, error) {
 	return b.Table.Scan(ctx, prefix, since, limit)
 }
 
-// Commit is Table's. A caller who leaves before its commit left gets ErrDown,
-// one who leaves after it ErrUnsure.
+// Commit commits the writes, possibly in a batch with other commits. If ctx ends
+// before the commit is sent the error is ErrUnavailable, after that it is
+// ErrOutcomeUnknown.
 func (b *Batcher) Commit(ctx context.Context, writes []Write) (uint64, error) {
 	e := &pendingCommit{writes: writes, done: make(chan struct{})}
 	b.enqueue(e)
@@ -84,7 +86,7 @@
 	}
 }
 
-// withdraw takes an entry out of the queue, if it is in it still.
+// withdraw removes e from the queue and reports whether it was still in the queue.
 func (b *Batcher) withdraw(e *pendingCommit) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -100,42 +102,42 @@
 	return false
 }
 
-// flush commits what gathered until nothing is left.
+// flush commits batches until the queue is empty.
 func (b *Batcher) flush() {
 	for {
-		group := b.nextBatch()
-		if len(group) == 0 {
+		batch := b.nextBatch()
+		if len(batch) == 0 {
 			return
 		}
-		b.commitBatch(group)
-		for _, e := range group {
+		b.commitBatch(batch)
+		for _, e := range batch {
 			close(e.done)
 		}
 	}
 }
 
-// nextBatch returns the next entries: up to Rows rows, and no row twice, since the
-// second write of a row needs the version of the first.
+// nextBatch takes the next batch from the queue. It has up to MaxRows rows and no row
+// twice, since the second write of a row needs the version of the first.
 func (b *Batcher) nextBatch() []*pendingCommit {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var group, rest []*pendingCommit
+	var batch, remaining []*pendingCommit
 	l := batchSize{rows: map[string]bool{}}
 	for _, e := range b.queue {
-		if len(group) > 0 && !b.fits(l, e) {
-			rest = append(rest, e)
+		if len(batch) > 0 && !b.fits(l, e) {
+			remaining = append(remaining, e)
 			continue
 		}
 		l.add(e)
 		e.started = true
-		group = append(group, e)
+		batch = append(batch, e)
 	}
-	b.queue = rest
-	b.flushing = len(group) > 0
-	return group
+	b.queue = remaining
+	b.flushing = len(batch) > 0
+	return batch
 }
 
-// batchSize is what a joint commit has so far.
+// batchSize is the content of a batch so far: its row keys and bytes.
 type batchSize struct {
 	rows  map[string]bool
 	bytes int
@@ -168,21 +170,21 @@
 	return l.bytes <= size
 }
 
-func (b *Batcher) commitBatch(group []*pendingCommit) {
+func (b *Batcher) commitBatch(batch []*pendingCommit) {
 	var writes []Write
-	for _, e := range group {
+	for _, e := range batch {
 		writes = append(writes, e.writes...)
 	}
 	b.Meters.GetOrCreateCounter("fulmarwick_table_commits_total").Inc()
 	b.Meters.GetOrCreateCounter("fulmarwick_table_rows_total").Add(len(writes))
 	version, err := b.Table.Commit(context.Background(), writes)
-	if len(group) > 1 && errors.Is(err, ErrConflict) {
-		half := len(group) / 2
-		b.commitBatch(group[:half])
-		b.commitBatch(group[half:])
+	if len(batch) > 1 && errors.Is(err, ErrConflict) {
+		half := len(batch) / 2
+		b.commitBatch(batch[:half])
+		b.commitBatch(batch[half:])
 		return
 	}
-	for _, e := range group {
+	for _, e := range batch {
 		e.version, e.err = version, err
 	}
 }
--- a/internal/state/store/breaker.go
+++ b/internal/state/store/breaker.go
@@ -14,29 +14,34 @@
 	defaultMaxFailures = 5
 	defaultMinBackoff  = 500 * time.Millisecond
 	defaultMaxBackoff  = 10 * time.Second
-	// maxSlowStartCalls is how many calls at once end the slow start.
+	// maxSlowStartCalls is the number of concurrent calls above which the slow start
+	// ends.
 	maxSlowStartCalls = 64
 )
 
-// Breaker is a Table that stops calling one that fails. Set the exported
-// fields before use.
+// Breaker is a Table with a circuit breaker: it stops calls to a table that fails.
+// Set the exported fields before use.
 //
-// While it is open every call fails at once with ErrDown, which is true: it
-// had no effect. Without it each caller would wait out a timeout, and a table
-// that comes back would meet all waiting retries of the fleet at once. After a
-// jittered pause, longer each time, one call tries; after its success the calls
-// allowed at once double with each further success.
+// While the breaker is open every call fails immediately with ErrUnavailable, and
+// the call has no effect. Without the breaker each caller would wait for a timeout,
+// and a recovering table would get all pending retries of the fleet at once. After
+// a jittered backoff, which grows with each failure, one call is tried. When it
+// succeeds, the number of concurrent calls that are allowed doubles with each
+// further success.
 type Breaker struct {
 	Table Table
-	// MaxFailures is how many failures in a row open it; zero is 5.
+	// MaxFailures is the number of consecutive failures that open the breaker;
+	// zero means 5.
 	MaxFailures int
-	// MinBackoff and Most bound the pause before a try; zero are 0.5 s and 10 s.
+	// MinBackoff and MaxBackoff bound the backoff before a try; zero means 0.5 s
+	// and 10 s.
 	MinBackoff, MaxBackoff time.Duration
-	// Rand jitters the pause, by a half either way; nil does not.
+	// Rand jitters the backoff by up to half of it in either direction; nil means
+	// no jitter.
 	Rand *rand.Rand
-	// Now is the clock; nil is time.Now.
+	// Now is the clock; nil means time.Now.
 	Now func() time.Time
-	// Meters takes the metrics; nil makes a private set.
+	// Meters is the metrics set to register in; nil means a private set.
 	Meters *metrics.Set
 
 	once      sync.Once
@@ -44,12 +49,12 @@
 	failures  int
 	openings  int
 	openUntil time.Time
-	// maxInFlight is how many calls may be on their way; zero is any number.
+	// maxInFlight is the number of calls that may be in flight; zero means no limit.
 	maxInFlight int
 	inFlight    int
 }
 
-// Get is Table's.
+// Get calls Table.Get unless the breaker rejects the call.
 func (b *Breaker) Get(ctx context.Context, key string) (Row, error) {
 	if err := b.beginCall(); err != nil {
 		return Row{}, err
@@ -59,7 +64,7 @@
 	return row, err
 }
 
-// Scan is Table's.
+// Scan calls Table.Scan unless the breaker rejects the call.
 func (b *Breaker) Scan(ctx context.Context, prefix string, since uint64, limit int) ([]Row, error) {
 	if err := b.beginCall(); err != nil {
 		return nil, err
@@ -69,7 +74,7 @@
 	return rows, err
 }
 
-// Commit is Table's.
+// Commit calls Table.Commit unless the breaker rejects the call.
 func (b *Breaker) Commit(ctx context.Context, writes []Write) (uint64, error) {
 	if err := b.beginCall(); err != nil {
 		return 0, err
@@ -79,7 +84,7 @@
 	return version, err
 }
 
-// IsOpen reports whether calls are refused because the table failed.
+// IsOpen reports whether the breaker is open because the table failed.
 func (b *Breaker) IsOpen() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -147,16 +152,16 @@
 	}
 }
 
-// recordFailure opens the breaker, or keeps it open for longer after a failed try. A
-// failure that began before it opened does not count again.
+// recordFailure opens the breaker, or extends the backoff after a failed try. A failed
+// call that started before the breaker opened does not extend the backoff.
 func (b *Breaker) recordFailure() {
 	b.failures++
-	most := b.MaxFailures
-	if most == 0 {
-		most = defaultMaxFailures
+	maxFailures := b.MaxFailures
+	if maxFailures == 0 {
+		maxFailures = defaultMaxFailures
 	}
 	now := b.now()
-	if b.openings == 0 && b.failures < most || b.openings > 0 && now.Before(b.openUntil) {
+	if b.openings == 0 && b.failures < maxFailures || b.openings > 0 && now.Before(b.openUntil) {
 		return
 	}
 	b.openUntil = now.Add(b.nextBackoff())
@@ -165,14 +170,14 @@
 }
 
 func (b *Breaker) nextBackoff() time.Duration {
-	first, most := b.MinBackoff, b.MaxBackoff
-	if first == 0 {
-		first = defaultMinBackoff
+	minBackoff, maxBackoff := b.MinBackoff, b.MaxBackoff
+	if minBackoff == 0 {
+		minBackoff = defaultMinBackoff
 	}
-	if most == 0 {
-		most = defaultMaxBackoff
+	if maxBackoff == 0 {
+		maxBackoff = defaultMaxBackoff
 	}
-	d := min(most, first<<min(b.openings, 16))
+	d := min(maxBackoff, minBackoff<<min(b.openings, 16))
 	if b.Rand != nil {
 		d = time.Duration(float64(d) * (0.5 + b.Rand.Float64()))
 	}
--- a/internal/state/store/budget.go
+++ b/internal/state/store/budget.go
@@ -13,10 +13,10 @@
 
 //go:generate stringer -type=Rank -linecomment -output=rank_string.go
 
-// Rank orders the users of the budget.
+// Rank is the priority of a user of the budget.
 type Rank int
 
-// The ranks, first to last.
+// The ranks, highest priority first.
 const (
 	RankRecord Rank = iota // record
 	RankLease              // lease
@@ -26,28 +26,30 @@
 const (
 	defaultWritesPerSecond = 300
 	defaultReadsPerSecond  = 1500
-	// minBurst lets a large fleet's small shares be spent at once.
+	// minBurst lets instances of a large fleet, whose shares are small, make a few
+	// calls at once.
 	minBurst = 4
 )
 
-// reservedFraction is the part of the burst that each rank leaves to those before it.
+// reservedFraction is the fraction of the burst that each rank leaves to the ranks
+// before it.
 var reservedFraction = [...]float64{RankRecord: 0, RankLease: 0.25, RankOther: 0.5}
 
-// maxWait is how long each rank waits for its turn before it is refused.
+// maxWait is how long a call of each rank waits for tokens before it is rejected.
 var maxWait = [...]time.Duration{RankRecord: 2 * time.Second, RankLease: 2 * time.Second, RankOther: 10 * time.Second}
 
-// Budget keeps the fleet within what the platform takes: each instance spends
-// its share, which is the whole divided by the number of live instances. No
-// message is needed for it; while instances disagree on the number for a few
-// seconds the sum is off by the same part, which the margin below the
-// platform's limit covers. Set the exported fields before use.
+// Budget keeps the fleet within the rate that the platform accepts: each instance
+// uses its share, which is the fleet's rate divided by the number of live instances.
+// The instances need no messages for this. While they disagree on their number for
+// a few seconds, the sum of the shares is wrong in the same proportion, which the
+// margin below the platform's limit covers. Set the exported fields before use.
 type Budget struct {
-	// WritesPerSecond and Reads are what the fleet may do in a second; zero are 300 and
-	// 1,500.
+	// WritesPerSecond and ReadsPerSecond are the rates of the whole fleet; zero
+	// means 300 and 1,500.
 	WritesPerSecond, ReadsPerSecond float64
-	// CountRows says that the platform counts rows and not commits.
+	// CountRows is set if the platform counts rows instead of commits.
 	CountRows bool
-	// Meters takes the metrics; nil makes a private set.
+	// Meters is the metrics set to register in; nil means a private set.
 	Meters *metrics.Set
 
 	once         sync.Once
@@ -55,15 +57,15 @@
 	readLimiter  *rate.Limiter
 }
 
-// SetInstances tells how many instances share the budget.
+// SetInstances sets the number of instances that share the budget.
 func (b *Budget) SetInstances(n int) {
 	b.once.Do(b.setDefaults)
 	setShare(b.writeLimiter, b.WritesPerSecond/float64(max(1, n)))
 	setShare(b.readLimiter, b.ReadsPerSecond/float64(max(1, n)))
 }
 
-// Limit returns t within the budget, for a user of that rank. A call whose
-// turn does not come in time fails with ErrDown, without effect.
+// Limit returns a table that calls t within the budget, for a user of the given rank.
+// A call that gets no tokens in time fails with ErrUnavailable and has no effect.
 func (b *Budget) Limit(rank Rank, t Table) Table {
 	b.once.Do(b.setDefaults)
 	return &limitedTable{budget: b, rank: rank, table: t}
@@ -88,10 +90,10 @@
 	l.SetBurst(burstTokens(share))
 }
 
-// burstTokens is what one second gives.
+// burstTokens returns the tokens of one second, but at least minBurst.
 func burstTokens(share float64) int { return max(minBurst, int(share)) }
 
-// limitedTable is a table within the budget.
+// limitedTable is a table whose calls are limited by the budget.
 type limitedTable struct {
 	budget *Budget
 	rank   Rank
@@ -123,8 +125,8 @@
 	return l.table.Commit(ctx, writes)
 }
 
-// waitTokens takes n from the limiter once that leaves the reserve of the ranks
-// before. More than a burst at once is taken as a burst.
+// waitTokens takes n tokens from the limiter as soon as enough tokens are left for the
+// reserve of the ranks before this one. If n is larger than a burst, it takes a burst.
 func (l *limitedTable) waitTokens(ctx context.Context, lim *rate.Limiter, n int) error {
 	ctx, cancel := context.WithTimeout(ctx, maxWait[l.rank])
 	defer cancel()
@@ -144,10 +146,10 @@
 			timer.Stop()
 			name := fmt.Sprintf(`fulmarwick_table_unbudgeted_total{rank=%q}`, l.rank.String())
 			l.budget.Meters.GetOrCreateCounter(name).Inc()
-			return errors.Wrapf(ErrUnavailable, "budget of rank %s is spent", l.rank)
+			return errors.Wrapf(ErrUnavailable, "budget of rank %s is exhausted", l.rank)
 		}
 	}
 }
 
-// minShortfallTokens keeps a wait from being zero after a lost race for the last token.
+// minShortfallTokens keeps a wait above zero when another call took the last token.
 const minShortfallTokens = 0.05
--- a/internal/state/store/client.go
+++ b/internal/state/store/client.go
@@ -23,16 +23,16 @@
 	maxBodyBytes = 64 << 20
 )
 
-// Client is the HTTP adapter of the platform's services. Set the exported
-// fields before the first call.
+// Client is the HTTP client of the platform's table and object services. Set the
+// exported fields before the first call.
 type Client struct {
-	// BaseURL is such as "http://10.0.0.2:7000".
+	// BaseURL is the URL of the platform, such as "http://10.0.0.2:7000".
 	BaseURL string
-	// HTTP makes the calls; NewHTTP returns one that suits.
+	// HTTP makes the calls; see NewHTTPClient.
 	HTTP *http.Client
 }
 
-// NewHTTPClient returns a client with a transport of its own. Connections are kept:
+// NewHTTPClient returns a client with its own transport. Connections are reused:
 // unlike a payment, a commit whose connection broke can be read back.
 func NewHTTPClient() *http.Client {
 	return &http.Client{
@@ -45,7 +45,7 @@
 	}
 }
 
-// Get returns the row under key, or ErrMissing.
+// Get returns the row with the key, or ErrNotFound.
 func (c *Client) Get(ctx context.Context, key string) (Row, error) {
 	return c.getRow(ctx, "/v1/row", key)
 }
@@ -58,8 +58,8 @@
 	return NewRow(b.Key, b.Version, b.Value), nil
 }
 
-// Scan returns at most limit rows under prefix with a version above since, in
-// order of version.
+// Scan returns at most limit rows with the key prefix and a version above since,
+// ordered by version.
 func (c *Client) Scan(ctx context.Context, prefix string, since uint64, limit int) ([]Row, error) {
 	q := url.Values{}
 	q.Set("prefix", prefix)
@@ -76,7 +76,7 @@
 	return rows, nil
 }
 
-// Commit takes all writes or none and returns the new version.
+// Commit applies all writes or none and returns the new version.
 func (c *Client) Commit(ctx context.Context, writes []Write) (uint64, error) {
 	var body CommitBody
 	for _, w := range writes {
@@ -93,13 +93,13 @@
 	return done.Version, nil
 }
 
-// GetObject returns the object under key, or ErrMissing.
+// GetObject returns the object with the key, or ErrNotFound.
 func (c *Client) GetObject(ctx context.Context, key string) (Row, error) {
 	return c.getRow(ctx, "/v1/object", key)
 }
 
-// PutObject stores an object if the one under key has the version; zero means
-// that there must be none. It returns the new version.
+// PutObject stores an object if the current object with the key has the version
+// ifVersion; zero means that there must be no object. It returns the new version.
 func (c *Client) PutObject(ctx context.Context, key string, ifVersion uint64, value []byte) (uint64, error) {
 	data, err := json.Marshal(WriteBody{Key: key, IfVersion: ifVersion, Value: value})
 	if err != nil {
@@ -112,7 +112,8 @@
 	return done.Version, nil
 }
 
-// ListInstances returns the platform's lagging list of instances and upstreams.
+// ListInstances returns the platform's list of instances and upstreams. The list lags
+// behind the actual state.
 func (c *Client) ListInstances(ctx context.Context) ([]ListedBody, error) {
 	var out []ListedBody
 	if err := c.read(ctx, "/v1/instances", &out); err != nil {
@@ -121,7 +122,8 @@
 	return out, nil
 }
 
-// read is a call without effect: a lost answer is only an outage.
+// read makes a call without side effects. A lost response is therefore reported as
+// ErrUnavailable.
 func (c *Client) read(ctx context.Context, path string, into any) error {
 	err := c.call(ctx, http.MethodGet, path, nil, into)
 	if errors.Is(err, ErrOutcomeUnknown) {
@@ -136,8 +138,8 @@
 	connected := false
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected = true }}
 	ctx = httptrace.WithClientTrace(ctx, trace)
-	// The reader hides its type from net/http, so that the request has no
-	// GetBody and a broken connection is never answered by sending it again.
+	// NopCloser hides the type of the reader from net/http, so that the request
+	// has no GetBody and is never sent again after a broken connection.
 	req, err := http.NewRequestWithContext(ctx, method, c.BaseURL+path, io.NopCloser(bytes.NewReader(data)))
 	if err != nil {
 		return errors.Wrap(err, "store: request")
@@ -148,7 +150,7 @@
 	}
 	resp, err := c.HTTP.Do(req)
 	if err != nil && !connected {
-		// Without a connection nothing left, so the call had no effect.
+		// Without a connection nothing was sent, so the call had no effect.
 		return errors.Wrap(ErrUnavailable, err.Error())
 	}
 	if err != nil {
--- a/internal/state/store/client_test.go
+++ b/internal/state/store/client_test.go
@@ -21,14 +21,14 @@
 	return s.URL
 }
 
-// The platform reads a commit, takes it, and drops the connection, a fresh one
-// or one that answered before. The commit must leave once only, and the caller
-// hears that its outcome is open, not that it failed.
+// The platform reads and applies a commit, then drops the connection, which is new or
+// reused. The commit must be sent only once, and the caller must get
+// ErrOutcomeUnknown, not a failure.
 func TestDroppedCommitIsNotReplayed(t *testing.T) {
 	for name, client := range map[string]*http.Client{
 		"own transport": store.NewHTTPClient(), "default transport": {Transport: &http.Transport{}},
 	} {
-		for _, warm := range []bool{false, true} {
+		for _, reused := range []bool{false, true} {
 			var commits atomic.Int32
 			base := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 				_, _ = io.Copy(io.Discard, req.Body)
@@ -37,31 +37,31 @@
 					return
 				}
 				if req.Header.Get("Idempotency-Key") != "" {
-					t.Error("got an Idempotency-Key, want none: net/http would replay")
+					t.Error("got an Idempotency-Key, want none: net/http would send the request again")
 				}
 				commits.Add(1)
 				panic(http.ErrAbortHandler)
 			}))
 			c := &store.Client{BaseURL: base, HTTP: client}
-			if _, err := c.Get(t.Context(), "k"); warm && !errors.Is(err, store.ErrNotFound) {
-				t.Fatalf("got %v, want ErrMissing", err)
+			if _, err := c.Get(t.Context(), "k"); reused && !errors.Is(err, store.ErrNotFound) {
+				t.Fatalf("got %v, want ErrNotFound", err)
 			}
-			if !warm {
+			if !reused {
 				client.CloseIdleConnections()
 			}
 			_, err := c.Commit(t.Context(), []store.Write{store.Put("k", 0, []byte("v"))})
 			if !errors.Is(err, store.ErrOutcomeUnknown) {
-				t.Errorf("%s, reused %v: got %v, want ErrUnsure", name, warm, err)
+				t.Errorf("%s, reused %v: got %v, want ErrOutcomeUnknown", name, reused, err)
 			}
 			if got := commits.Load(); got != 1 {
-				t.Errorf("%s, reused %v: got %d commits, want 1", name, warm, got)
+				t.Errorf("%s, reused %v: got %d commits, want 1", name, reused, got)
 			}
 		}
 	}
 }
 
-// Nobody listens where the platform was. Nothing left, so the commit is known
-// to have had no effect and nobody needs to read it back.
+// Nothing listens at the platform's address. Nothing is sent, so the commit is known
+// to have no effect and need not be read back.
 func TestFailedDialHasNoEffect(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -71,11 +71,11 @@
 	_ = l.Close()
 	c := &store.Client{BaseURL: base, HTTP: store.NewHTTPClient()}
 	if _, err := c.Commit(t.Context(), []store.Write{store.Put("k", 0, nil)}); !errors.Is(err, store.ErrUnavailable) {
-		t.Errorf("got %v, want ErrDown", err)
+		t.Errorf("got %v, want ErrUnavailable", err)
 	}
 }
 
-// Rows and objects over HTTP behave as in memory, faults included.
+// Rows and objects behave over HTTP as in memory, also with faults.
 func TestClientAgainstFakeTable(t *testing.T) {
 	server := &infra.Server{Table: &infra.Table{}}
 	c := &store.Client{BaseURL: startServer(t, server.Handler()), HTTP: store.NewHTTPClient()}
@@ -104,16 +104,16 @@
 	}
 	server.Table.Fault(infra.Faults{Lose: 1})
 	if _, err := c.Commit(ctx, []store.Write{store.Put("b", 0, nil)}); !errors.Is(err, store.ErrOutcomeUnknown) {
-		t.Errorf("got %v for a lost answer, want ErrUnsure", err)
+		t.Errorf("got %v for a lost response, want ErrOutcomeUnknown", err)
 	}
 	server.Table.Fault(infra.Faults{Down: true})
 	if _, err := c.Get(ctx, "b"); !errors.Is(err, store.ErrUnavailable) {
-		t.Errorf("got %v, want ErrDown", err)
+		t.Errorf("got %v, want ErrUnavailable", err)
 	}
 }
 
-// A commit has more rows than a page: the walk must not go on after its
-// version and lose the rest of them without a sign.
+// A commit has more rows than a page. The scan must not continue after its version
+// and silently skip the remaining rows of the commit.
 func TestScanAllReadsWholeCommits(t *testing.T) {
 	table := &infra.Table{}
 	var writes []store.Write
--- a/internal/state/store/guard_test.go
+++ b/internal/state/store/limits_test.go
@@ -15,8 +15,8 @@
 	"github.com/go-faster/errors"
 )
 
-// slowTable is a table that takes 5 ms a commit and 300 commits a second, in
-// turn, as the real one does at its limit.
+// slowTable is a table that takes 5 ms for a commit and accepts 300 commits a second,
+// one after another, as the platform's table does at its limit.
 type slowTable struct {
 	*infra.Table
 	mu             sync.Mutex
@@ -37,8 +37,8 @@
 	return p.Table.Commit(ctx, w)
 }
 
-// One of many concurrent commits has a false condition, as a duplicate call
-// has. It alone fails; the others take effect and never know.
+// The condition of one of many concurrent commits does not hold, as happens for a
+// duplicate call. Only that commit fails; the others take effect.
 func TestConflictFailsOnlyItsCommit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := &slowTable{Table: &infra.Table{}, commitInterval: time.Second / 300}
@@ -66,7 +66,7 @@
 	})
 }
 
-// Large answers do not make a commit that no table takes.
+// Large values do not make a batch that is too large for the table.
 func TestBatchIsBoundedInBytes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := &infra.Table{}
@@ -82,14 +82,14 @@
 		}
 		all.Wait()
 		if got := table.Commits(); got < 3 || got > 4 {
-			t.Errorf("got %d commits for 9 rows of which 3 fit, want 3 or 4", got)
+			t.Errorf("got %d commits for 9 rows with 3 rows a batch, want 3 or 4", got)
 		}
 	})
 }
 
-// The answer of a joint commit is lost: each caller is unsure. A caller who
-// leaves while its commit waits has had no effect; one of the same row waits
-// for the next commit.
+// If the response to a commit is lost, its caller gets ErrOutcomeUnknown. A commit
+// whose caller gives up while it is queued has no effect. A commit to a row that is
+// already being written waits for the next batch.
 func TestBatchedCommitFaults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := &infra.Table{}
@@ -105,23 +105,23 @@
 		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 		defer cancel()
 		if err := put(ctx, 0); !errors.Is(err, store.ErrUnavailable) {
-			t.Errorf("got %v for a commit that never left, want ErrDown", err)
+			t.Errorf("got %v for a commit that was not sent, want ErrUnavailable", err)
 		}
 		if err := <-errs; !errors.Is(err, store.ErrOutcomeUnknown) {
-			t.Errorf("got %v for the lost answer, want ErrUnsure", err)
+			t.Errorf("got %v for the lost response, want ErrOutcomeUnknown", err)
 		}
 		ctx, cancel = context.WithTimeout(t.Context(), 100*time.Millisecond)
 		defer cancel()
 		if err := put(ctx, 1); !errors.Is(err, store.ErrOutcomeUnknown) {
-			t.Errorf("got %v for a caller who left too late, want ErrUnsure", err)
+			t.Errorf("got %v for a caller that gave up after the send, want ErrOutcomeUnknown", err)
 		}
 		time.Sleep(time.Minute)
 	})
 }
 
-// A platform that counts 300 commits a second is spent by payments: next to
-// nothing is left to the other ranks. Without payments leases go before the
-// rest. Forty instances together stay within the fleet's budget either way.
+// Payments use up the platform's 300 commits a second: almost nothing is left for the
+// other ranks. Without payments, leases have priority over the last rank. In both
+// cases forty instances together stay within the fleet's budget.
 func TestBudgetRanks(t *testing.T) {
 	for _, first := range []store.Rank{store.RankRecord, store.RankLease} {
 		synctest.Test(t, func(t *testing.T) {
@@ -130,15 +130,16 @@
 			if most := 300*10 + 40*7; total > most || total < 2700 {
 				t.Errorf("got %d commits in 10 s, want about 3000 and at most %d", total, most)
 			}
-			// What the others get is the burst that was saved up at the start.
+			// The other ranks get only the initial burst.
 			if got := counts[first]; got < total*85/100 {
-				t.Errorf("got %v commits by rank, want those of rank %s before the others", counts, first)
+				t.Errorf("got %v commits by rank, want at least 85%% of rank %s", counts, first)
 			}
 		})
 	}
 }
 
-// commitInAllRanks has 40 instances commit all they can for 10 s, in all ranks from first.
+// commitInAllRanks lets 40 instances commit as fast as they can for 10 s, in all ranks
+// from first. It returns the number of commits by rank.
 func commitInAllRanks(t *testing.T, first store.Rank) [3]int {
 	counts := [3]int{}
 	var mu sync.Mutex
@@ -169,8 +170,8 @@
 	return counts
 }
 
-// A row counter in place of a commit counter, and a caller whose turn does not
-// come: it is refused without effect.
+// The budget counts rows instead of commits. A caller that gets no tokens in time is
+// rejected without effect.
 func TestBudgetCountsRows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		budget := &store.Budget{WritesPerSecond: 10, CountRows: true}
@@ -185,26 +186,26 @@
 		}
 		start := time.Now()
 		if _, err := limited.Commit(t.Context(), writes[:1]); !errors.Is(err, store.ErrConflict) || time.Since(start) < 100*time.Millisecond {
-			t.Errorf("got %v after %v, want the next turn after 100ms", err, time.Since(start))
+			t.Errorf("got %v after %v, want the next token after 100ms", err, time.Since(start))
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
 		defer cancel()
 		if _, err := limited.Commit(ctx, writes[:1]); !errors.Is(err, store.ErrUnavailable) {
-			t.Errorf("got %v without a turn, want ErrDown", err)
+			t.Errorf("got %v without a token, want ErrUnavailable", err)
 		}
 	})
 }
 
-// The table is out for ten minutes under steady calls of 40 instances. Nobody
-// waits out timeouts, hardly a call reaches the table, and when it is back all
-// instances are within seconds, without a storm of retries at any moment.
+// The table is down for ten minutes under steady calls of 4 or 40 instances. Callers
+// do not wait for timeouts, and few calls reach the table. After the outage all
+// instances recover within seconds, without a retry storm.
 func TestBreakerRecoversWithoutRetryStorm(t *testing.T) {
 	for _, n := range []int{4, 40} {
 		synctest.Test(t, func(t *testing.T) {
-			normal, tries, peak := runOutage(t, n)
-			t.Logf("%d instances: normal after %v, %d tries in 10 min, peak %d calls in 100 ms (steady %d)", n, normal, tries, peak, n)
-			if normal > 16*time.Second {
-				t.Errorf("got normal after %v, want within 16s", normal)
+			recovery, tries, peak := runOutage(t, n)
+			t.Logf("%d instances: recovered after %v, %d tries in 10 min, peak %d calls in 100 ms (steady %d)", n, recovery, tries, peak, n)
+			if recovery > 16*time.Second {
+				t.Errorf("got recovery after %v, want within 16s", recovery)
 			}
 			if most := n * 70; tries > most {
 				t.Errorf("got %d tries during the outage, want at most %d", tries, most)
@@ -216,8 +217,10 @@
 	}
 }
 
-// runOutage runs n instances with 10 calls a second each through an outage.
-func runOutage(t *testing.T, n int) (normal time.Duration, tries, peak int) {
+// runOutage runs n instances with 10 calls a second each through an outage. It returns
+// the recovery time, the calls to the table during the outage, and the peak of calls
+// in 100 ms after the outage.
+func runOutage(t *testing.T, n int) (recovery time.Duration, tries, peak int) {
 	table := &infra.Table{}
 	var breakers []*store.Breaker
 	for i := range n {
--- a/internal/state/store/walk.go
+++ b/internal/state/store/scan.go
@@ -7,13 +7,15 @@
 	Scan(ctx context.Context, prefix string, since uint64, limit int) ([]Row, error)
 }
 
-// ScanAll calls take with every row under prefix above version since, in order of
-// version, reading pages of limit rows. A row that changes during the walk may
-// come twice; the last call has what a read at the end of the walk shows.
+// ScanAll calls take for every row with the key prefix and a version above since,
+// ordered by version. It reads pages of limit rows. A row may be passed to take twice
+// if it changes during the scan; the last call has the content that a read at the
+// end of the scan returns.
 //
-// The rows of one commit share a version, and a page may end among them. Going
-// on after that version would lose the rest without any sign, so a full page's
-// last version is read again, with larger pages if it fills one.
+// The rows of one commit share a version, and a page may end between them. A scan
+// that continued after that version would silently skip the remaining rows of the
+// commit. The last version of a full page is therefore read again, with larger pages
+// if its rows fill a whole page.
 func ScanAll(ctx context.Context, s Scanner, prefix string, since uint64, limit int, take func(Row)) error {
 	for {
 		rows, err := s.Scan(ctx, prefix, since, limit)
--- a/internal/state/store/wire.go
+++ b/internal/state/store/wire.go
@@ -1,15 +1,15 @@
 package store
 
-// The JSON bodies of the platform's services. Fields are exported because the
-// codec fills them; the stand-in of fakes/infra shares them.
+// The JSON bodies of the platform's services. Fields are exported for the codec;
+// the fake server in fakes/infra uses the same types.
 type (
-	// RowBody is a row on the wire.
+	// RowBody is the JSON form of a row.
 	RowBody struct {
 		Key     string `json:"key"`
 		Version uint64 `json:"version"`
 		Value   []byte `json:"value"`
 	}
-	// ScanBody answers GET /v1/table?prefix=P&since=V&limit=N.
+	// ScanBody is the response to GET /v1/table?prefix=P&since=V&limit=N.
 	ScanBody struct {
 		Rows []RowBody `json:"rows"`
 	}
@@ -24,12 +24,12 @@
 	CommitBody struct {
 		Writes []WriteBody `json:"writes"`
 	}
-	// CommitDone answers a commit that took effect.
+	// CommitDone is the response to a commit that took effect.
 	CommitDone struct {
 		Version uint64 `json:"version"`
 	}
-	// ListedBody is one entry of GET /v1/instances, the platform's lagging
-	// list.
+	// ListedBody is one entry of the response to GET /v1/instances. The
+	// platform's list lags behind the actual state.
 	ListedBody struct {
 		ID         string `json:"id"`
 		Role       string `json:"role"`
