--- a/internal/state/config/book.go
+++ b/internal/state/config/active.go
@@ -1,9 +1,10 @@
-// Package config keeps the classes and teams in force, and changes them.
+// Package config holds the active configuration of classes and teams, and applies
+// changes to it.
 //
-// It imports base/spec and state/store. Package entry reads the Book, which a
-// Follower keeps up to date; the commands apply, show and check use Applier.
-// Every item is a row of the table; a head row with the version is written
-// with every change, so that changes have one order.
+// It imports base/spec and state/store. Package entry reads Active, which a Follower
+// keeps up to date; the commands apply, show and check use Applier. Every item is a
+// row of the table. Every change also writes a head row with the version, so that all
+// changes are ordered.
 package config
 
 import (
@@ -14,12 +15,13 @@
 	"fulmarwick/internal/base/spec"
 )
 
-// Active gives the classes and teams in force. The zero value is empty.
+// Active holds the active snapshot of classes and teams. The zero value is empty. It is
+// safe for concurrent use.
 type Active struct {
 	current atomic.Pointer[Snapshot]
 }
 
-// Snapshot is one version of the configuration. It never changes.
+// Snapshot is one version of the configuration. It is immutable.
 type Snapshot struct {
 	version        uint64
 	classes        []spec.Class
@@ -27,11 +29,13 @@
 	classByName    map[spec.ClassName]spec.Class
 	defaultByModel map[spec.ModelName]spec.Class
 	teamByID       map[spec.TeamID]spec.Team
-	// state is the rows that the snapshot was made of, if it was.
+	// state holds the rows that the snapshot was built from; nil if it was not
+	// built from rows.
 	state *state
 }
 
-// NewSnapshot returns a snapshot. The first class of a model is its default.
+// NewSnapshot returns a snapshot. The first class of a model is the default class of
+// the model.
 func NewSnapshot(version uint64, classes []spec.Class, teams []spec.Team) *Snapshot {
 	s := &Snapshot{
 		version: version, classes: classes, teams: teams,
@@ -51,17 +55,17 @@
 	return s
 }
 
-// Version is the version of the snapshot.
+// Version returns the version of the snapshot.
 func (s *Snapshot) Version() uint64 { return s.version }
 
-// Classes are the classes, in the order of their definition.
+// Classes returns the classes in the order that NewSnapshot was given.
 func (s *Snapshot) Classes() []spec.Class { return s.classes }
 
-// Teams are the teams.
+// Teams returns the teams.
 func (s *Snapshot) Teams() []spec.Team { return s.teams }
 
-// SetIfNewer puts s in force unless a version at least as high is in force already,
-// and reports whether it did. A stale read or an old peer so never reverts an
+// SetIfNewer activates s unless the active version is at least as high, and reports
+// whether it did. A stale read or an outdated peer can therefore never revert an
 // accepted configuration.
 func (b *Active) SetIfNewer(s *Snapshot) bool {
 	for {
@@ -75,10 +79,10 @@
 	}
 }
 
-// Snapshot is the snapshot in force, or nil before the first.
+// Snapshot returns the active snapshot, or nil before the first one.
 func (b *Active) Snapshot() *Snapshot { return b.current.Load() }
 
-// Class returns the class under name.
+// Class returns the class with the name.
 func (b *Active) Class(name spec.ClassName) (spec.Class, bool) {
 	s := b.current.Load()
 	if s == nil {
@@ -98,7 +102,7 @@
 	return c, ok
 }
 
-// TeamByKey returns the team whose key is key.
+// TeamByKey returns the team with the API key.
 func (b *Active) TeamByKey(key string) (spec.Team, bool) {
 	s := b.current.Load()
 	if s == nil {
@@ -108,7 +112,7 @@
 	return t, ok
 }
 
-// HashKey is the hash under which a team's key is kept.
+// HashKey returns the hash of a team's API key. Only the hash of a key is stored.
 func HashKey(key string) spec.TeamID {
 	sum := sha256.Sum256([]byte(key))
 	return spec.TeamID(hex.EncodeToString(sum[:]))
--- a/internal/state/config/apply.go
+++ b/internal/state/config/apply.go
@@ -12,9 +12,9 @@
 	"github.com/google/uuid"
 )
 
-// maxTries bounds how often a change is tried again behind other changes and
-// lost answers.
 const (
+	// maxTries bounds the tries of a change. A try is repeated after a concurrent
+	// change or a lost response.
 	maxTries      = 16
 	minRetryDelay = 10 * time.Millisecond
 	maxRetryDelay = time.Second
@@ -26,34 +26,37 @@
 	Commit(ctx context.Context, writes []store.Write) (uint64, error)
 }
 
-// Change is documents to put in force.
+// Change is a set of documents to apply, with its author.
 type Change struct {
 	Documents []Document
-	// Author makes the change.
+	// Author is the operator who makes the change.
 	Author string
-	// BaseVersion is the version that the operator looked at; sections that others
-	// changed after it are a conflict. Zero is the version at the start.
+	// BaseVersion is the version that the operator looked at. A section that
+	// another operator changed after it is a conflict. Zero means the version at
+	// the start of Apply.
 	BaseVersion uint64
-	// ID names the change; empty makes one up. The same ID never takes effect
-	// twice while its log entry stands at the version where it was tried.
+	// ID identifies the change; a random ID is generated if it is empty. A change
+	// does not take effect twice with the same ID while the history entry at the
+	// version where it was tried has this ID.
 	ID string
 }
 
-// Applier changes the configuration. Set the exported fields before use.
+// Applier applies changes to the configuration. Set the exported fields before use.
 type Applier struct {
 	Table CommitTable
-	// StartFrom is a follower whose rows are known already, so that a change reads
-	// only later ones. It may be behind: a change on old rows has no effect,
-	// and they are read anew. Nil reads all rows for each change.
+	// StartFrom is a follower whose rows a change starts from, so that it reads
+	// only later rows. The follower may be behind: a commit based on old rows has
+	// no effect, and the newer rows are then read. Nil means that all rows are
+	// read for each change.
 	StartFrom *Follower
-	// TeamInUse reports whether a team that is to be removed is in use, and how;
-	// nil looks at the classes only.
+	// TeamInUse reports whether a team to be removed is in use, and how it is used.
+	// Nil means that only the classes are checked.
 	TeamInUse func(team string) (string, bool)
-	// Now is the wall clock; nil is time.Now.
+	// Now is the wall clock; nil means time.Now.
 	Now func() time.Time
 }
 
-// attempt is one change on its way.
+// attempt is the state of one change while it is applied.
 type attempt struct {
 	*Applier
 	follower       *Follower
@@ -63,9 +66,9 @@
 	maybeCommitted bool
 }
 
-// Apply puts the documents' sections in force, all or none, and returns the
-// version from which they are. Sections that are not named stay. The error is
-// an *InvalidError, a *ConflictError, an *UnsureError or ErrStore.
+// Apply activates the sections of the documents, all or none, and returns the first
+// version that has them. Other sections are not changed. The error is an
+// *InvalidError, a *ConflictError, an *OutcomeUnknownError or ErrStoreUnavailable.
 func (a *Applier) Apply(ctx context.Context, c Change) (uint64, error) {
 	changes, problems := parse(c.Documents)
 	t := a.newAttempt(c, changes)
@@ -90,8 +93,8 @@
 	return 0, t.storeError(errors.New("too many tries"))
 }
 
-// Check returns the problems that Apply would refuse the documents for now,
-// as an *InvalidError.
+// Check returns the problems for which Apply would reject the documents now, as an
+// *InvalidError.
 func (a *Applier) Check(ctx context.Context, docs []Document) error {
 	changes, problems := parse(docs)
 	t := a.newAttempt(Change{}, changes)
@@ -105,8 +108,8 @@
 	return nil
 }
 
-// CheckOffline returns the problems that documents have by themselves, without
-// the table, as an *InvalidError.
+// CheckOffline returns the problems that can be found in the documents without the
+// table, as an *InvalidError.
 func CheckOffline(docs []Document) error {
 	changes, problems := parse(docs)
 	next := newState()
@@ -139,8 +142,9 @@
 	}
 }
 
-// tryCommit makes one commit on the newest state known. It is done if the change is
-// in force; else the state is read anew, or the same commit made again.
+// tryCommit makes one commit based on the newest known state. Done is true if the
+// change is active or cannot be applied. Otherwise the caller tries again, with a
+// newer state or with the same commit.
 func (t *attempt) tryCommit(ctx context.Context) (version uint64, done bool, err error) {
 	if err := t.checkConflict(); err != nil {
 		return 0, true, err
@@ -162,8 +166,8 @@
 	case errors.Is(err, store.ErrUnavailable):
 		return 0, true, t.storeError(err)
 	}
-	// The answer was lost. The same commit again takes effect once at most,
-	// since both have the same condition on the head.
+	// The response was lost. The same commit is tried again. At most one of the
+	// two takes effect, since both have the same condition on the head.
 	t.maybeCommitted = true
 	if ctx.Err() != nil {
 		return 0, true, t.storeError(err)
@@ -171,14 +175,14 @@
 	return 0, false, nil
 }
 
-// resolveConflict goes on after a conflict: it may be this very change, whose first
-// answer was lost, that took the version.
+// resolveConflict handles a conflict. If the response to an earlier try was lost, the
+// version may have been taken by this change itself.
 func (t *attempt) resolveConflict(ctx context.Context, target uint64) (uint64, bool, error) {
 	if t.maybeCommitted {
 		entry, err := readHistoryEntry(ctx, t.Table, target)
 		switch {
 		case errors.Is(err, store.ErrNotFound):
-			// A stale read; the next try finds the entry or the conflict.
+			// The read is stale; the next try finds the entry or the conflict.
 			return 0, false, nil
 		case err != nil:
 			return 0, true, t.storeError(err)
@@ -193,7 +197,8 @@
 	return 0, false, nil
 }
 
-// storeError tells whether the change can still have taken effect.
+// storeError returns the error for a change that the store interrupted: an
+// OutcomeUnknownError if the change may have taken effect.
 func (t *attempt) storeError(cause error) error {
 	if t.maybeCommitted {
 		return &OutcomeUnknownError{ChangeID: t.entry.ID}
@@ -201,12 +206,13 @@
 	return errors.Wrap(ErrStoreUnavailable, cause.Error())
 }
 
-// oneLine keeps a name from ending the comment in which Text writes it.
-func oneLine(who string) string {
+// oneLine replaces control characters, so that a name cannot end the comment line in
+// which Text writes it.
+func oneLine(author string) string {
 	return strings.Map(func(r rune) rune {
 		if unicode.IsControl(r) {
 			return ' '
 		}
 		return r
-	}, who)
+	}, author)
 }
--- a/internal/state/config/check.go
+++ b/internal/state/config/check.go
@@ -7,22 +7,22 @@
 	"fulmarwick/internal/base/spec"
 )
 
-// keyHashBytes is the length of a key's hash.
+// keyHashBytes is the length of the SHA-256 hash of a key.
 const keyHashBytes = 32
 
-// checker checks the items that would be in force after a change, and collects
-// every problem. Problems of items that the change leaves alone are reported
-// too when the change causes them, such as a class that names a removed team.
+// checker checks the items that would be active after a change and collects all
+// problems. This includes problems that the change causes in other items, such as a
+// class that names a removed team.
 type checker struct {
 	proposed *state
 	files    map[string]string
 	problems []Problem
-	// offline is set when what is in force is not known, so that names which
-	// the documents do not define may be.
+	// offline is set if the active configuration is not known. Names that the
+	// documents do not define may then exist there.
 	offline bool
 }
 
-// check reports the problems of next, in which changes were put.
+// check returns the problems of next, the state after the changes.
 func check(next *state, changes []sectionChange, uses func(team string) (string, bool)) []Problem {
 	return (&checker{proposed: next}).run(changes, uses)
 }
@@ -56,8 +56,8 @@
 	if i.Sort != SortTeam || uses == nil {
 		return
 	}
-	if why, used := uses(i.Name); used {
-		c.addProblem(i, "team is in use: "+why)
+	if reason, used := uses(i.Name); used {
+		c.addProblem(i, "team is in use: "+reason)
 	}
 }
 
--- a/internal/state/config/config_test.go
+++ b/internal/state/config/config_test.go
@@ -40,8 +40,8 @@
 	return c.Target().TotalTime()
 }
 
-// All problems of two documents come at once, each with its file, its section
-// and the reason, and nothing is changed.
+// All problems of two documents are reported together, each with its file, section
+// and reason, and nothing is changed.
 func TestReportsAllProblems(t *testing.T) {
 	table := &infra.Table{}
 	mustApply(t, table, document("[team depot]\nkey-hash="+testKeyHash+"\n[class ask]\nkind=model\nmodel=levy\nfirst=1s\nteams=depot\n"))
@@ -105,7 +105,7 @@
 		"b.ini: [class gone]: unknown class cannot be removed",
 	} {
 		if !strings.Contains(err.Error(), want) {
-			t.Errorf("got no %q in:\n%v", want, err)
+			t.Errorf("got error without %q:\n%v", want, err)
 		}
 	}
 	one := document("[class one]\nkind=model\nmodel=levy\ngap=2s\nwhole=1s\npercent=101\nreliability=200")
@@ -120,7 +120,7 @@
 	}
 }
 
-// What show prints is a document that apply takes, and applying it changes
+// The text that show prints is a document that apply accepts, and applying it changes
 // nothing.
 func TestSnapshotTextIsValidDocument(t *testing.T) {
 	table := &infra.Table{}
@@ -149,21 +149,22 @@
 		t.Fatal(err)
 	}
 	if got := mustApply(t, table, document(s.Text())); got != v {
-		t.Errorf("got version %d for the shown text, want %d", got, v)
+		t.Errorf("got version %d for the text of the snapshot, want %d", got, v)
 	}
 	if err := config.CheckOffline(document(s.Text())); err != nil {
-		t.Errorf("got %v from CheckAlone, want nil", err)
+		t.Errorf("got %v from CheckOffline, want nil", err)
 	}
 	copied, err := config.DecodeSnapshot(s.Encode())
 	if err != nil || copied.Text() != s.Text() {
 		t.Errorf("got %v %q, want the same text", err, copied.Text())
 	}
 	if !s.SupportsOutcomes("payments") || s.TeamRateLimit(testKeyHash) != 50 || s.ClassReliability("ask") != 99.9 || s.Allows("ask", "other") || !s.Allows("pay", "other") {
-		t.Errorf("got other extras than the document has: %s", s.Text())
+		t.Errorf("got outcomes, limit, reliability or teams that differ from the document: %s", s.Text())
 	}
 }
 
-// interferingTable runs once before a commit, as another operator would.
+// interferingTable calls beforeCommit once before a commit, to make the change of
+// another operator.
 type interferingTable struct {
 	*infra.Table
 	beforeCommit func()
@@ -177,25 +178,25 @@
 	return m.Table.Commit(ctx, w)
 }
 
-// Two operators change targets at the same moment. Different classes: both
-// win. The same class: the later one is told who won, and nothing of it is in
-// force.
+// Two operators change targets at the same time. For different classes both changes
+// take effect. For the same class the later operator gets a conflict with the author
+// of the other change, and no part of the later change takes effect.
 func TestConcurrentOperators(t *testing.T) {
 	table := &infra.Table{}
 	race := &interferingTable{Table: table, beforeCommit: func() { mustApply(t, table, classDocument("one", "1s")) }}
 	if got := mustApply(t, race, classDocument("two", "2s")); got != 2 {
-		t.Errorf("got version %d behind a disjoint change, want 2", got)
+		t.Errorf("got version %d after a disjoint change, want 2", got)
 	}
 	race.beforeCommit = func() { mustApply(t, table, classDocument("one", "5s")) }
 	a := &config.Applier{Table: race}
 	both := append(classDocument("one", "9s"), classDocument("three", "3s")...)
 	_, err := a.Apply(t.Context(), config.Change{Documents: both, Author: "ravi"})
-	var lost *config.ConflictError
-	if !errors.As(err, &lost) || len(lost.Winners) != 1 || lost.Winners[0].Author != "siti" || lost.Winners[0].Version != 3 {
+	var conflict *config.ConflictError
+	if !errors.As(err, &conflict) || len(conflict.Winners) != 1 || conflict.Winners[0].Author != "siti" || conflict.Winners[0].Version != 3 {
 		t.Fatalf("got %v, want a conflict won by siti with version 3", err)
 	}
 	_, err = a.Apply(t.Context(), config.Change{Documents: classDocument("one", "9s"), Author: "ravi", BaseVersion: 2})
-	if !errors.As(err, &lost) {
+	if !errors.As(err, &conflict) {
 		t.Errorf("got %v for a change based on version 2, want a conflict", err)
 	}
 	s, err := a.ReadSnapshot(t.Context())
@@ -204,8 +205,9 @@
 	}
 }
 
-// Answers of the table are lost around a change. The operator is told the
-// truth: accepted once if the change is found, else to look in the history.
+// Responses of the table are lost during a change. The operator gets a true result:
+// the change is accepted once if it is found, else the error says that the outcome is
+// unknown and names the change for a look at the history.
 func TestLostCommitResponses(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -214,7 +216,7 @@
 	}{
 		{"lost after the effect", infra.Faults{Lose: 1}, 2},
 		{"lost before the effect", infra.Faults{Drop: 2}, 2},
-		{"lost after the effect, twice", infra.Faults{Drop: 1, Lose: 1}, 2},
+		{"lost before and after the effect", infra.Faults{Drop: 1, Lose: 1}, 2},
 	}
 	for _, c := range cases {
 		synctest.Test(t, func(t *testing.T) {
@@ -235,20 +237,19 @@
 		race := &interferingTable{Table: table}
 		race.beforeCommit = func() { table.Fault(infra.Faults{Drop: 100}) }
 		_, err := (&config.Applier{Table: race}).Apply(t.Context(), config.Change{Documents: classDocument("one", "1s"), ID: "c1"})
-		var open *config.OutcomeUnknownError
-		if !errors.As(err, &open) || open.ChangeID != "c1" {
-			t.Errorf("got %v, want an UnsureError that names the change", err)
+		var unknown *config.OutcomeUnknownError
+		if !errors.As(err, &unknown) || unknown.ChangeID != "c1" {
+			t.Errorf("got %v, want an OutcomeUnknownError with the ID of the change", err)
 		}
 		table.Fault(infra.Faults{Down: true})
 		if _, err := (&config.Applier{Table: table}).Apply(t.Context(), config.Change{}); !errors.Is(err, config.ErrStoreUnavailable) {
-			t.Errorf("got %v with the table down, want ErrStore", err)
+			t.Errorf("got %v with the table down, want ErrStoreUnavailable", err)
 		}
 	})
 }
 
-// Class one was tightened and accepted. Then an instance restarts, reads are
-// stale, an old peer offers its snapshot and the table goes out: on no
-// instance does the old target come back.
+// A new target of class one was accepted. Then reads are stale, an outdated peer sends
+// its snapshot and an instance restarts. No instance reverts to the old target.
 func TestStaleReadNeverRevertsConfig(t *testing.T) {
 	table := &infra.Table{}
 	mustApply(t, table, classDocument("one", "1s"))
@@ -262,13 +263,13 @@
 	table.Fault(infra.Faults{Stale: true})
 	mustPoll(t, f)
 	if err := f.ApplyPeerSnapshot(oldPeer); err != nil {
-		t.Errorf("got %v from an old peer, want it dropped in silence", err)
+		t.Errorf("got %v from an outdated peer, want no error", err)
 	}
 	if got := totalTime(f.Active, "one"); got != 2*time.Second {
 		t.Errorf("got a target of %v after stale reads, want 2s", got)
 	}
 
-	// A restarted instance sees stale reads only: what it has heard of by
+	// A restarted instance gets only stale reads. The version that it received by
 	// gossip keeps it from being ready with the old version.
 	restarted := &config.Follower{Table: table, Active: &config.Active{}}
 	restarted.NotifyVersion(2)
@@ -290,8 +291,8 @@
 	}
 }
 
-// laggingTable answers scans with one row as it was before its last change, as a
-// replica does that lags for some rows only.
+// laggingTable returns one row in scans as it was before its last change, as a replica
+// does that lags for some rows only.
 type laggingTable struct {
 	*infra.Table
 	stale store.Row
@@ -307,8 +308,8 @@
 	return rows, err
 }
 
-// A lagging replica shows the new head with an old row. Taking both would put
-// a mixture in force that no operator ever accepted; the digest shows it.
+// A lagging replica returns the new head with an old row. Together they would be a
+// configuration that was never accepted. The digest detects this.
 func TestInconsistentRowsAreRejected(t *testing.T) {
 	table := &infra.Table{}
 	mustApply(t, table, classDocument("one", "1s"))
@@ -321,10 +322,10 @@
 	mustApply(t, table, append(classDocument("one", "2s"), classDocument("two", "2s")...))
 	f.Table = &laggingTable{Table: table, stale: before}
 	if err := f.Poll(t.Context()); !errors.Is(err, config.ErrBadRows) {
-		t.Errorf("got %v for a mixture, want ErrRow", err)
+		t.Errorf("got %v for inconsistent rows, want ErrBadRows", err)
 	}
 	if got := f.Version(); got != 1 {
-		t.Errorf("got version %d, want 1 still", got)
+		t.Errorf("got version %d, want still 1", got)
 	}
 	f.Table = table
 	mustPoll(t, f)
@@ -333,14 +334,14 @@
 	}
 }
 
-// fixedPeers are the snapshots of other instances.
+// fixedPeers is a Peers that returns fixed snapshots.
 type fixedPeers [][]byte
 
 func (p fixedPeers) Snapshots(context.Context) ([][]byte, error) { return p, nil }
 
-// An instance joins while the table is out. It starts from the newest of its
-// peers; one that reaches no peer either is not ready. When the table returns
-// it reads only what changed since.
+// An instance joins while the table is down. It starts from the newest snapshot of its
+// peers; an instance without peers is not ready. When the table is back, the instance
+// reads only the rows that changed since.
 func TestStartsFromPeersDuringOutage(t *testing.T) {
 	table := &infra.Table{}
 	first := &config.Follower{Table: table, Active: &config.Active{}}
@@ -354,7 +355,7 @@
 	table.Fault(infra.Faults{Down: true})
 	alone := &config.Follower{Table: table, Active: &config.Active{}}
 	if err := alone.Poll(t.Context()); !errors.Is(err, config.ErrStoreUnavailable) || alone.Ready() {
-		t.Errorf("got %v and ready %v without table and peers, want ErrStore and not ready", err, alone.Ready())
+		t.Errorf("got %v and ready %v without table and peers, want ErrStoreUnavailable and not ready", err, alone.Ready())
 	}
 	seen := []uint64{}
 	joined := &config.Follower{Table: table, Active: &config.Active{}, Peers: snaps, OnChange: func(s *config.Snapshot) { seen = append(seen, s.Version()) }}
@@ -372,7 +373,7 @@
 	}
 }
 
-// A document of 1,200 teams is one commit, larger than a page of a scan: no
+// A document with 1,200 teams is one commit that is larger than a page of a scan. No
 // follower misses a row at the end of a page.
 func TestLargeChangeIsReadCompletely(t *testing.T) {
 	table := &infra.Table{}
@@ -392,8 +393,8 @@
 
 func hashOf(key string) string { return string(config.HashKey(key)) }
 
-// Snapshots from peers are outside input: bytes of any kind give an error or a
-// snapshot that fits together.
+// Snapshots from peers are untrusted input: any bytes give an error or a consistent
+// snapshot.
 func FuzzDecodeSnapshot(f *testing.F) {
 	table := &infra.Table{}
 	a := &config.Applier{Table: table}
@@ -414,8 +415,8 @@
 	})
 }
 
-// Documents are outside input too: what is accepted can be shown and accepted
-// again.
+// Documents are untrusted input too: the text of an accepted document is accepted
+// again and changes nothing.
 func FuzzDocument(f *testing.F) {
 	f.Add("[class a]\nkind=model\nmodel=m\nfirst=1s\npercent=99.5\n")
 	f.Add("[team a]\nkey-hash=" + testKeyHash + "\nshare=2\n[class b]\nkind=plain\nservice=s\nwhole=1h\nteams=a\n")
@@ -430,7 +431,7 @@
 			t.Fatal(err)
 		}
 		if again, err := a.Apply(context.Background(), config.Change{Documents: document(s.Text())}); err != nil || again != v {
-			t.Errorf("got %d %v for the shown text of %q, want version %d:\n%s", again, err, text, v, s.Text())
+			t.Errorf("got %d %v for the snapshot text of %q, want version %d:\n%s", again, err, text, v, s.Text())
 		}
 	})
 }
--- a/internal/state/config/errors.go
+++ b/internal/state/config/errors.go
@@ -12,32 +12,32 @@
 
 // Errors of this package.
 var (
-	// ErrBadRows means that bytes are not a row or snapshot of this package, or
-	// do not fit together.
+	// ErrBadRows means that the bytes are not a row or a snapshot of this package,
+	// or that the rows are not consistent with each other.
 	ErrBadRows = errors.New("config: bad rows")
-	// ErrStoreUnavailable means that the table could not be read or written; a change
-	// that ends so had no effect.
-	ErrStoreUnavailable = errors.New("config: table out of reach")
+	// ErrStoreUnavailable means that the table could not be read or written. A
+	// change that fails with it had no effect.
+	ErrStoreUnavailable = errors.New("config: table unavailable")
 )
 
-// Problem is one reason why documents were refused.
+// Problem is one reason why documents were rejected.
 type Problem struct {
 	File    string
 	Section string
 	Reason  string
 }
 
-// String writes the problem on one line.
+// String returns the problem as one line of text.
 func (p Problem) String() string {
 	return fmt.Sprintf("%s: [%s]: %s", p.File, p.Section, p.Reason)
 }
 
-// InvalidError lists all problems of refused documents. Nothing was changed.
+// InvalidError holds all problems of rejected documents. Nothing was changed.
 type InvalidError struct {
 	Problems []Problem
 }
 
-// Error lists the problems, one a line.
+// Error lists the problems, one per line.
 func (e *InvalidError) Error() string {
 	var b strings.Builder
 	b.WriteString("config: documents refused")
@@ -47,7 +47,7 @@
 	return b.String()
 }
 
-// Winner is a change that came first.
+// Winner is a change that took effect first and caused a conflict.
 type Winner struct {
 	Section string
 	Version uint64
@@ -55,13 +55,13 @@
 	At      time.Time
 }
 
-// ConflictError means that others changed some of the same sections after the
-// version on which the change was based. Nothing was changed.
+// ConflictError means that other changes modified some of the same sections after
+// the version on which the change was based. Nothing was changed.
 type ConflictError struct {
 	Winners []Winner
 }
 
-// Error names the winners, one a line.
+// Error lists the winners, one per line.
 func (e *ConflictError) Error() string {
 	var b strings.Builder
 	b.WriteString("config: changed by others meanwhile; look at what is in force and apply again")
@@ -71,13 +71,14 @@
 	return b.String()
 }
 
-// OutcomeUnknownError means that the table stopped answering during the change, which
-// may have taken effect or do so yet. History tells, by the change's id.
+// OutcomeUnknownError means that the table stopped answering during the change. The
+// change may have taken effect, or may still do so. The history shows it under the
+// change's ID.
 type OutcomeUnknownError struct {
 	ChangeID string
 }
 
-// Error names the change.
+// Error returns a message with the ID of the change.
 func (e *OutcomeUnknownError) Error() string {
 	return "config: the table stopped answering; look in the history for change " + e.ChangeID
 }
--- a/internal/state/config/follow.go
+++ b/internal/state/config/follower.go
@@ -13,11 +13,11 @@
 
 const (
 	defaultPollInterval = 5 * time.Second
-	// behindPollInterval is the pause before a head that was heard of is looked for
-	// again in a table that does not show it yet.
+	// behindPollInterval is the time between polls while the table does not yet
+	// return a head that other instances announced.
 	behindPollInterval = 500 * time.Millisecond
-	// maxHintJitter keeps a fleet that hears of a head at once from reading the
-	// table in the same moment.
+	// maxHintJitter spreads the reads of a fleet whose instances all receive a new
+	// head at about the same time.
 	maxHintJitter = 500 * time.Millisecond
 	rowsPerPage   = 500
 )
@@ -28,31 +28,31 @@
 	Scan(ctx context.Context, prefix string, since uint64, limit int) ([]store.Row, error)
 }
 
-// Peers gives encoded snapshots of other instances.
+// Peers fetches encoded snapshots from other instances.
 type Peers interface {
 	Snapshots(ctx context.Context) ([][]byte, error)
 }
 
-// Follower keeps a Book up to date. Set the exported fields before use.
+// Follower keeps an Active up to date. Set the exported fields before use.
 //
-// It costs one read per Every, and one or more pages when something changed.
-// The version in force only rises: heads that are lower, mixtures of changes
-// and snapshots of old peers are dropped.
+// It makes one read per PollInterval, and reads one or more pages after a change.
+// The active version only increases: lower heads, inconsistent rows and snapshots of
+// outdated peers are ignored.
 type Follower struct {
 	Table  Table
 	Active *Active
-	// Peers is asked while the table is out and something is missing; nil asks
-	// nobody.
+	// Peers provides snapshots while the table is unavailable and this instance has
+	// no configuration or an outdated one. Nil means no peers.
 	Peers Peers
-	// OnChange is called with each snapshot after it is in force.
+	// OnChange is called with each snapshot after it becomes active.
 	OnChange func(*Snapshot)
-	// OnError is called with what Run meets; nil drops it.
+	// OnError is called with the errors of Run; nil means that they are ignored.
 	OnError func(error)
-	// PollInterval is the time between looks at the head; zero is 5 s.
+	// PollInterval is the time between reads of the head; zero means 5 s.
 	PollInterval time.Duration
-	// Jitter returns a factor around 1 for waits; nil is always 1.
+	// Jitter returns a factor around 1 for wait times; nil means always 1.
 	Jitter func() float64
-	// Meters takes the metrics; nil makes a private set.
+	// Meters is the metrics set to register in; nil means a private set.
 	Meters *metrics.Set
 
 	once   sync.Once
@@ -62,11 +62,11 @@
 	mu          sync.Mutex
 	state       *state
 	highestSeen uint64
-	// activateMu keeps OnChange in the order of versions.
+	// activateMu makes the calls of OnChange follow the order of versions.
 	activateMu sync.Mutex
 }
 
-// Run follows until ctx ends.
+// Run polls the table until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	f.once.Do(f.setDefaults)
 	for {
@@ -79,8 +79,8 @@
 	}
 }
 
-// sleep waits for d, or for a hint and then a little more; it reports whether
-// ctx goes on.
+// sleep waits for d, or until wake and then a jittered delay. It returns false if
+// ctx ended.
 func (f *Follower) sleep(ctx context.Context, d time.Duration, wake <-chan struct{}) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -94,15 +94,16 @@
 	}
 }
 
-// NotifyVersion tells that version was seen in force somewhere. The table is looked at
-// soon, with jitter, since all instances hear of it at about the same time.
+// NotifyVersion reports that another instance has this version. If it is new, the
+// table is polled soon. The delay is jittered, since all instances receive the version
+// at about the same time.
 func (f *Follower) NotifyVersion(version uint64) {
 	f.once.Do(f.setDefaults)
 	f.mu.Lock()
-	news := version > f.highestSeen
+	isNew := version > f.highestSeen
 	f.highestSeen = max(f.highestSeen, version)
 	f.mu.Unlock()
-	if !news || version <= f.Version() {
+	if !isNew || version <= f.Version() {
 		return
 	}
 	select {
@@ -111,19 +112,20 @@
 	}
 }
 
-// Version is the version in force here; zero is none.
+// Version returns the version that is active on this instance, or zero if there is
+// none.
 func (f *Follower) Version() uint64 { return f.currentState().head.Version }
 
-// Ready reports whether a configuration is in force here that is as new as
-// any that this instance has heard of, by the table or by a peer. An instance
-// that reached neither is not ready.
+// Ready reports whether the configuration that is active on this instance is as new
+// as any version it has seen in the table or received from a peer. An instance that
+// has reached neither the table nor a peer is not ready.
 func (f *Follower) Ready() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.state != nil && f.state.head.Version >= f.highestSeen
 }
 
-// Poll looks at the head once and takes what changed.
+// Poll reads the head once, and reads and activates the changes if it is newer.
 func (f *Follower) Poll(ctx context.Context) error {
 	f.once.Do(f.setDefaults)
 	f.pollMu.Lock()
@@ -145,8 +147,8 @@
 	return f.fetch(ctx)
 }
 
-// fetch reads the rows after the last known one and, if they do not fit
-// together, all of them.
+// fetch reads the rows after the last known version. If the result is inconsistent it
+// reads all rows.
 func (f *Follower) fetch(ctx context.Context) error {
 	next := f.currentState().clone()
 	if err := f.readRows(ctx, next); err != nil {
@@ -179,7 +181,7 @@
 	return bad
 }
 
-// activate puts a state in force unless one at least as high is.
+// activate makes next the active state unless the active version is at least as high.
 func (f *Follower) activate(next *state) {
 	f.activateMu.Lock()
 	defer f.activateMu.Unlock()
@@ -212,7 +214,7 @@
 	return time.Duration(float64(d) * f.Jitter())
 }
 
-// isBehind reports whether a newer version is known to exist, or none is known.
+// isBehind reports whether there is no active version or a newer one is known to exist.
 func (f *Follower) isBehind() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/state/config/history.go
+++ b/internal/state/config/history.go
@@ -13,12 +13,13 @@
 	"github.com/go-faster/errors"
 )
 
-// HistoryEntry is one accepted change in the history.
+// HistoryEntry is the history's record of one accepted change.
 type HistoryEntry struct {
 	Version uint64 `cbor:"1,keyasint"`
 	ID      string `cbor:"2,keyasint"`
 	Author  string `cbor:"3,keyasint"`
-	// At is Unix seconds by the clock of whoever applied.
+	// At is the Unix time in seconds on the clock of the process that applied the
+	// change.
 	At       int64    `cbor:"4,keyasint"`
 	Sections []string `cbor:"5,keyasint"`
 }
@@ -37,7 +38,7 @@
 	return e, nil
 }
 
-// History returns the last limit changes, newest first, at one read each.
+// History returns the last limit changes, newest first. It makes one read for each.
 func (a *Applier) History(ctx context.Context, limit int) ([]HistoryEntry, error) {
 	row, err := a.Table.Get(ctx, headKey)
 	if errors.Is(err, store.ErrNotFound) {
@@ -61,7 +62,7 @@
 	return out, nil
 }
 
-// ReadSnapshot reads what the table has in force.
+// ReadSnapshot reads the active configuration from the table.
 func (a *Applier) ReadSnapshot(ctx context.Context) (*Snapshot, error) {
 	f := &Follower{Table: a.Table, Active: &Active{}}
 	if err := f.Poll(ctx); err != nil {
@@ -70,8 +71,8 @@
 	return f.currentState().snapshot(), nil
 }
 
-// Text writes the snapshot as a document that Apply takes, with who made the
-// last change of each section.
+// Text returns the snapshot as a document that Apply accepts. Comments give the
+// author of the last change of each section.
 func (s *Snapshot) Text() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "# version %d\n", s.version)
@@ -114,8 +115,8 @@
 	writeKey(b, "teams", strings.Join(i.Teams, " "), len(i.Teams) > 0)
 }
 
-func writeKey(b *strings.Builder, key string, value any, shown bool) {
-	if shown {
+func writeKey(b *strings.Builder, key string, value any, isSet bool) {
+	if isSet {
 		fmt.Fprintf(b, "%s = %v\n", key, value)
 	}
 }
--- a/internal/state/config/item.go
+++ b/internal/state/config/item.go
@@ -12,10 +12,10 @@
 
 //go:generate stringer -type=Sort -linecomment -output=sort_string.go
 
-// Sort says what a section of a document or a row defines.
+// Sort is the kind of item that a document section or a row defines.
 type Sort int
 
-// The sorts.
+// The kinds of item.
 const (
 	SortClass   Sort = iota // class
 	SortTeam                // team
@@ -23,16 +23,16 @@
 	SortModel               // model
 )
 
-// Keys of the rows. Changes are logged outside the prefix that followers read.
+// The keys of the rows. The history is outside the prefix that followers read.
 const (
 	rowPrefix     = "conf/"
 	headKey       = "conf/head"
 	historyPrefix = "conflog/"
 )
 
-// item is one class, team, service or model, as a row holds it. Fields are
-// exported for the codec. A removed one stays as a row with Gone set, so that
-// those who read only what changed learn of it.
+// item is one class, team, service or model, as stored in a row. Fields are exported
+// for the codec. The row of a removed item is kept with Deleted set, so that followers
+// that read only changed rows see the removal.
 type item struct {
 	Sort    Sort   `cbor:"1,keyasint"`
 	Name    string `cbor:"2,keyasint"`
@@ -56,18 +56,18 @@
 	Outcomes     bool   `cbor:"17,keyasint,omitempty"`
 	DefaultClass string `cbor:"18,keyasint,omitempty"`
 
-	// Who made the change that wrote the row, which and when.
+	// The version, ID, author and time of the change that wrote the row.
 	Version  uint64 `cbor:"20,keyasint"`
 	ChangeID string `cbor:"21,keyasint"`
 	Author   string `cbor:"22,keyasint"`
 	At       int64  `cbor:"23,keyasint"`
 }
 
-// head is the row that every change writes too, so that changes have one order.
+// head is the row that every change writes, so that all changes are ordered.
 type head struct {
 	Version  uint64 `cbor:"1,keyasint"`
 	ChangeID string `cbor:"2,keyasint"`
-	// Digest is over all other rows; see digestOf.
+	// Digest is the digest of all other rows; see rowDigest.
 	Digest uint64 `cbor:"3,keyasint"`
 }
 
@@ -75,7 +75,8 @@
 
 func (i *item) key() string { return rowKey(i.Sort, i.Name) }
 
-// sameDefinition reports whether two items define the same, whoever wrote them.
+// sameDefinition reports whether two items have the same definition, regardless of the
+// changes that wrote them.
 func (i *item) sameDefinition(o *item) bool {
 	c := *i
 	c.Version, c.ChangeID, c.Author, c.At = o.Version, o.ChangeID, o.Author, o.At
@@ -100,7 +101,7 @@
 func encode(v any) []byte {
 	data, err := cbor.Marshal(v)
 	if err != nil {
-		// The types of this package have no field that can fail to encode.
+		// Encoding cannot fail for any type of this package.
 		panic(err)
 	}
 	return data
@@ -122,8 +123,8 @@
 	return h, nil
 }
 
-// rowDigest is one row's part in the digest of all rows, which is the exclusive
-// or of the parts.
+// rowDigest returns the digest of one row. The digest of all rows is the exclusive or
+// of their digests.
 func rowDigest(key string, value []byte) uint64 {
 	d := xxhash.New()
 	_, _ = d.WriteString(key)
--- a/internal/state/config/parse.go
+++ b/internal/state/config/parse.go
@@ -15,20 +15,21 @@
 	Data []byte
 }
 
-// sectionChange is a parsed section: an item to put or, with Gone, to remove.
+// sectionChange is a parsed section: an item to store or, if Deleted is set, to
+// remove.
 type sectionChange struct {
 	item item
 	file string
 }
 
-// parser reads sections and collects every problem.
+// parser parses sections and collects all problems.
 type parser struct {
 	file     string
 	changes  []sectionChange
 	problems []Problem
 }
 
-// parse reads all documents.
+// parse parses all documents and returns their sections and problems.
 func parse(docs []Document) ([]sectionChange, []Problem) {
 	p := &parser{}
 	for _, d := range docs {
@@ -65,9 +66,9 @@
 		}
 		return
 	}
-	word, name, ok := strings.Cut(s.Name(), " ")
+	prefix, name, ok := strings.Cut(s.Name(), " ")
 	name = strings.TrimSpace(name)
-	sort, known := sortByWord[word]
+	sort, known := sortByName[prefix]
 	switch {
 	case !known:
 		p.addProblem(s.Name(), "unknown section; want class, team, service or model and a name")
@@ -85,7 +86,7 @@
 	p.changes = append(p.changes, sectionChange{item: i, file: p.file})
 }
 
-var sortByWord = map[string]Sort{"class": SortClass, "team": SortTeam, "service": SortService, "model": SortModel}
+var sortByName = map[string]Sort{"class": SortClass, "team": SortTeam, "service": SortService, "model": SortModel}
 
 func (p *parser) addProblem(section, reason string) {
 	p.problems = append(p.problems, Problem{File: p.file, Section: section, Reason: reason})
@@ -169,14 +170,14 @@
 	return d
 }
 
-func (r *sectionReader) numberValue(key string, otherwise float64) float64 {
+func (r *sectionReader) numberValue(key string, defaultValue float64) float64 {
 	if r.stringValue(key) == "" {
-		return otherwise
+		return defaultValue
 	}
 	v, err := r.section.Key(key).Float64()
 	if err != nil || v != v || v < 0 || v > maxNumber {
 		r.addKeyProblem(key, "is a number from 0 to 1e12")
-		return otherwise
+		return defaultValue
 	}
 	return v
 }
@@ -187,7 +188,8 @@
 	r.addProblem(r.section.Name(), key+" "+reason)
 }
 
-// reportUnknownKeys reports keys that nobody read; a removal reads no other.
+// reportUnknownKeys reports all keys that were not read. A section that removes an item
+// may have no key but remove.
 func (r *sectionReader) reportUnknownKeys() {
 	for _, k := range r.section.Keys() {
 		if !r.used[k.Name()] {
@@ -210,17 +212,17 @@
 	return true
 }
 
-// validExternalName reports whether a name that others gave can be written in a
-// document as it is.
+// validExternalName reports whether the name of a model or service, which is defined
+// elsewhere, can be written in a document without quoting.
 func validExternalName(name string) bool {
 	if len(name) > 127 {
 		return false
 	}
 	for _, c := range name {
-		small := c >= 'a' && c <= 'z'
-		large := c >= 'A' && c <= 'Z'
+		lower := c >= 'a' && c <= 'z'
+		upper := c >= 'A' && c <= 'Z'
 		digit := c >= '0' && c <= '9'
-		if !small && !large && !digit && !strings.ContainsRune("-._:/", c) {
+		if !lower && !upper && !digit && !strings.ContainsRune("-._:/", c) {
 			return false
 		}
 	}
--- a/internal/state/config/peers.go
+++ b/internal/state/config/peers.go
@@ -6,13 +6,14 @@
 	"github.com/go-faster/errors"
 )
 
-// fetchFromPeers takes the newest snapshot of the peers while the table is out, if
-// this instance has nothing or has heard of something newer.
+// fetchFromPeers activates the newest snapshot of the peers while the table is
+// unavailable, if this instance has no configuration or knows of a newer version. It
+// returns cause, with the errors of the peers.
 func (f *Follower) fetchFromPeers(ctx context.Context, cause error) error {
 	f.mu.Lock()
-	enough := f.state != nil && f.state.head.Version >= f.highestSeen
+	upToDate := f.state != nil && f.state.head.Version >= f.highestSeen
 	f.mu.Unlock()
-	if f.Peers == nil || enough {
+	if f.Peers == nil || upToDate {
 		return cause
 	}
 	all, err := f.Peers.Snapshots(ctx)
@@ -27,8 +28,8 @@
 	return cause
 }
 
-// ApplyPeerSnapshot takes a snapshot that another instance encoded, unless it is older
-// than what is in force here.
+// ApplyPeerSnapshot activates a snapshot that another instance encoded, unless the
+// active version is at least as high.
 func (f *Follower) ApplyPeerSnapshot(data []byte) error {
 	s, err := DecodeSnapshot(data)
 	if err != nil {
--- a/internal/state/config/spread_test.go
+++ b/internal/state/config/rollout_test.go
@@ -15,7 +15,7 @@
 	"pgregory.net/rapid"
 )
 
-// startFollowers is n followers with the default pace.
+// startFollowers starts n followers with the default poll interval.
 func startFollowers(ctx context.Context, table *infra.Table, n int) []*config.Follower {
 	var all []*config.Follower
 	for i := range n {
@@ -27,9 +27,9 @@
 	return all
 }
 
-// measureRollout makes 20 changes and returns the longest time until all had one, the
-// reads a second while nothing changed, and the reads a change.
-func measureRollout(t *testing.T, n int, gossip time.Duration) (slowest time.Duration, idle, each float64) {
+// measureRollout makes 20 changes. It returns the longest time until a change was active
+// on all followers, the reads per second without changes, and the reads per change.
+func measureRollout(t *testing.T, n int, gossip time.Duration) (slowest time.Duration, idle, perChange float64) {
 	table := &infra.Table{}
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
@@ -62,35 +62,35 @@
 		took += 7 * time.Second
 	}
 	end, _ := table.Counts()
-	each = (float64(end-after)-idle*took.Seconds())/20 - 2
-	return slowest, idle, each
+	perChange = (float64(end-after)-idle*took.Seconds())/20 - 2
+	return slowest, idle, perChange
 }
 
-// An accepted change is in force on all instances within the 18 s that are
-// asked for: by polls alone, and sooner when its head is heard by gossip.
+// An accepted change must be active on all instances within 18 s. The test is stricter:
+// 8 s with polling alone, and the gossip delay plus 1 s with gossip of the new version.
 func TestChangeReachesAllInstances(t *testing.T) {
 	for _, n := range []int{4, 40, 360} {
 		for _, gossip := range []time.Duration{0, 500 * time.Millisecond} {
 			synctest.Test(t, func(t *testing.T) {
-				slowest, idle, each := measureRollout(t, n, gossip)
-				t.Logf("%d instances, gossip %v: in force after %v at most; %.1f reads/s at rest, %.0f reads a change",
-					n, gossip, slowest, idle, each)
+				slowest, idle, perChange := measureRollout(t, n, gossip)
+				t.Logf("%d instances, gossip %v: active after %v at most; %.1f reads/s when idle, %.0f reads per change",
+					n, gossip, slowest, idle, perChange)
 				limit := 8 * time.Second
 				if gossip > 0 {
 					limit = gossip + time.Second
 				}
 				if slowest > limit {
-					t.Errorf("got in force after %v, want within %v", slowest, limit)
+					t.Errorf("got change active after %v, want within %v", slowest, limit)
 				}
 				if most := float64(n) / 3; idle > most {
-					t.Errorf("got %.1f reads/s at rest, want at most %.1f", idle, most)
+					t.Errorf("got %.1f reads/s when idle, want at most %.1f", idle, most)
 				}
 			})
 		}
 	}
 }
 
-// What a change costs the platform when it is applied.
+// The number of reads and writes that a change costs the platform.
 func TestStoreCallsPerChange(t *testing.T) {
 	table := &infra.Table{}
 	mustApply(t, table, classDocument("one", "1s"))
@@ -110,15 +110,15 @@
 	r3, _ := table.Counts()
 	a := &config.Applier{Table: table, StartFrom: f}
 	if v, err := a.Apply(t.Context(), config.Change{Documents: classDocument("one", "4s")}); v != 4 || err != nil {
-		t.Errorf("got version %d %v from known rows, want 4", v, err)
+		t.Errorf("got version %d %v from up-to-date rows, want 4", v, err)
 	}
 	r4, _ := table.Counts()
 	if v, err := a.Apply(t.Context(), config.Change{Documents: classDocument("one", "5s")}); v != 5 || err != nil {
-		t.Errorf("got version %d %v from old rows, want 5", v, err)
+		t.Errorf("got version %d %v from outdated rows, want 5", v, err)
 	}
 	t.Logf("one class, from a follower's rows: %d reads", r4-r3)
 	if r4-r3 != 1 {
-		t.Errorf("got %d reads from known rows, want 1", r4-r3)
+		t.Errorf("got %d reads from up-to-date rows, want 1", r4-r3)
 	}
 	t.Logf("a follower: %d reads", r3-r2)
 	if r3-r2 != 2 {
@@ -126,7 +126,7 @@
 	}
 }
 
-// attempt is one change of a history, and what its operator was told.
+// attempt is one change of a history, with the result that its operator got.
 type attempt struct {
 	name, value string
 	id          string
@@ -135,13 +135,13 @@
 	start, end  time.Time
 }
 
-// Operators change three classes at random moments, with lost, refused and
-// slow answers of the table. The history that the table shows explains all of
-// it: each accepted change once, in an order that respects the operators'
-// times, conflicts only with winners that came first, and a final state that
-// applying the changes one after another, naively, gives too.
+// Operators change three classes at random times, with lost, late and slow responses
+// of the table. The history in the table must explain all results: it has each
+// accepted change once, in an order that respects the operators' times; a conflict
+// names a winner that is in the history; and the final state is the same as after
+// applying the changes of the history one after another.
 func TestConfigHistoryIsLinearisable(t *testing.T) {
-	accepted, lost := 0, 0
+	accepted, conflicts := 0, 0
 	rapid.Check(t, func(rt *rapid.T) {
 		var script [8][4]int
 		for i := range script {
@@ -150,16 +150,16 @@
 			}
 		}
 		synctest.Test(t, func(t *testing.T) {
-			a, l := runOperators(t, script)
-			accepted, lost = accepted+a, lost+l
+			a, c := runOperators(t, script)
+			accepted, conflicts = accepted+a, conflicts+c
 		})
 	})
-	if accepted < 200 || lost < 20 {
-		t.Errorf("got %d accepted and %d lost to others, want enough of both to prove something", accepted, lost)
+	if accepted < 200 || conflicts < 20 {
+		t.Errorf("got %d accepted changes and %d conflicts, want at least 200 and 20", accepted, conflicts)
 	}
 }
 
-func runOperators(t *testing.T, script [8][4]int) (accepted, lost int) {
+func runOperators(t *testing.T, script [8][4]int) (accepted, conflicts int) {
 	table := &infra.Table{}
 	tries := make([]attempt, len(script))
 	done := make(chan struct{})
@@ -192,22 +192,22 @@
 		case a.err == nil:
 			accepted++
 		case errors.As(a.err, &conflict):
-			lost++
+			conflicts++
 		}
 	}
-	return accepted, lost
+	return accepted, conflicts
 }
 
-func runOperator(t *testing.T, table *infra.Table, i, which int) attempt {
-	a := attempt{name: fmt.Sprint("c", which), value: fmt.Sprint(i+1, "s"), id: fmt.Sprint("id", i), start: time.Now()}
+func runOperator(t *testing.T, table *infra.Table, i, class int) attempt {
+	a := attempt{name: fmt.Sprint("c", class), value: fmt.Sprint(i+1, "s"), id: fmt.Sprint("id", i), start: time.Now()}
 	op := &config.Applier{Table: table}
 	a.version, a.err = op.Apply(t.Context(), config.Change{Documents: classDocument(a.name, a.value), Author: a.id, ID: a.id})
 	a.end = time.Now()
 	return a
 }
 
-// verifyHistory holds what operators were told against the history and the naive
-// sequential result.
+// verifyHistory compares the operators' results with the history, and the final state
+// with the sequential result of the history.
 func verifyHistory(t *testing.T, table *infra.Table, tries []attempt) {
 	t.Helper()
 	op := &config.Applier{Table: table}
@@ -222,11 +222,11 @@
 		}
 		byID[e.ID] = e.Version
 	}
-	naive := map[string]string{}
+	expected := map[string]string{}
 	for v := len(history) - 1; v >= 0; v-- {
 		for _, a := range tries {
 			if a.id == history[v].ID {
-				naive[a.name] = a.value
+				expected[a.name] = a.value
 			}
 		}
 	}
@@ -234,11 +234,11 @@
 		verifyResult(t, a, byID, tries)
 	}
 	s, err := op.ReadSnapshot(t.Context())
-	if err != nil || s.Version() != uint64(len(history)) || len(s.Classes()) != len(naive) {
-		t.Fatalf("got version %d with %d classes %v, want %d with %d", s.Version(), len(s.Classes()), err, len(history), len(naive))
+	if err != nil || s.Version() != uint64(len(history)) || len(s.Classes()) != len(expected) {
+		t.Fatalf("got version %d with %d classes %v, want %d with %d", s.Version(), len(s.Classes()), err, len(history), len(expected))
 	}
 	for _, c := range s.Classes() {
-		if got, want := c.Target().TotalTime().String(), naive[string(c.Name())]; got != want {
+		if got, want := c.Target().TotalTime().String(), expected[string(c.Name())]; got != want {
 			t.Errorf("got %s for %s, want %s", got, c.Name(), want)
 		}
 	}
@@ -247,11 +247,11 @@
 func verifyResult(t *testing.T, a attempt, byID map[string]uint64, tries []attempt) {
 	t.Helper()
 	var conflict *config.ConflictError
-	var open *config.OutcomeUnknownError
+	var unknown *config.OutcomeUnknownError
 	switch {
 	case a.err == nil:
 		if byID[a.id] != a.version {
-			t.Errorf("got version %d told for %s, want %d", a.version, a.id, byID[a.id])
+			t.Errorf("got version %d reported for %s, want %d", a.version, a.id, byID[a.id])
 		}
 		for _, b := range tries {
 			if b.err == nil && b.end.Before(a.start) && b.version >= a.version {
@@ -261,9 +261,9 @@
 	case errors.As(a.err, &conflict):
 		w := conflict.Winners[0]
 		if byID[a.id] != 0 || byID[w.Author] != w.Version {
-			t.Errorf("got a conflict for %s won by %v, want it not in the history and the winner there", a.id, w)
+			t.Errorf("got a conflict for %s with winner %v, want only the winner in the history", a.id, w)
 		}
-	case errors.As(a.err, &open):
+	case errors.As(a.err, &unknown):
 	case byID[a.id] != 0:
 		t.Errorf("got %v for %s, which is in the history", a.err, a.id)
 	}
--- a/internal/state/config/size_test.go
+++ b/internal/state/config/size_test.go
@@ -11,7 +11,7 @@
 	"fulmarwick/internal/state/config"
 )
 
-// The example on the operators' page is accepted as it stands.
+// The example in the operators' documentation is accepted unchanged.
 func TestDocumentedExampleIsAccepted(t *testing.T) {
 	page, err := os.ReadFile("../../../docs/operate/config.md")
 	if err != nil {
@@ -31,7 +31,7 @@
 	}
 }
 
-// heapBytes is the memory in use, after a collection.
+// heapBytes returns the heap memory in use after a garbage collection.
 func heapBytes() int64 {
 	runtime.GC()
 	var m runtime.MemStats
@@ -39,8 +39,8 @@
 	return int64(m.HeapAlloc)
 }
 
-// BenchmarkManyTeams changes one of many teams, and follows: what a change
-// costs at the size that is planned for.
+// BenchmarkManyTeams measures how long a follower takes to read a change of one of many
+// teams, up to the planned size of 37,000 teams.
 func BenchmarkManyTeams(b *testing.B) {
 	for _, n := range []int{10, 1000, 37000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -61,7 +61,7 @@
 			if err := f.Poll(b.Context()); err != nil {
 				b.Fatal(err)
 			}
-			held := heapBytes() - before
+			used := heapBytes() - before
 			share := 1
 			for b.Loop() {
 				b.StopTimer()
@@ -72,7 +72,7 @@
 					b.Fatal(err)
 				}
 			}
-			b.ReportMetric(float64(held), "bytes/follower")
+			b.ReportMetric(float64(used), "bytes/follower")
 			b.ReportMetric(float64(len(f.Active.Snapshot().Encode())), "bytes/snapshot")
 		})
 	}
--- a/internal/state/config/snapshot.go
+++ b/internal/state/config/snapshot.go
@@ -10,11 +10,12 @@
 	"github.com/go-faster/errors"
 )
 
-// maxSnapshotBytes bounds an encoded snapshot in bytes; 37,000 teams take about 8 MB.
+// maxSnapshotBytes bounds the size of an encoded snapshot; 37,000 teams take about 8 MB.
 const maxSnapshotBytes = 64 << 20
 
-// wireSnapshot is a snapshot between instances. Versions are the table's, so
-// that who starts from a peer reads only later rows when the table returns.
+// wireSnapshot is the encoding of a snapshot between instances. It has the versions of
+// the table's rows, so that an instance that starts from a peer's snapshot reads only
+// later rows when the table is available again.
 type wireSnapshot struct {
 	Head           []byte    `cbor:"1,keyasint"`
 	HeadRowVersion uint64    `cbor:"2,keyasint"`
@@ -27,7 +28,7 @@
 	Value   []byte `cbor:"3,keyasint"`
 }
 
-// snapshot builds what is put in force from the rows.
+// snapshot builds the snapshot from the rows.
 func (s *state) snapshot() *Snapshot {
 	var classes []spec.Class
 	var teams []spec.Team
@@ -50,8 +51,8 @@
 	return out
 }
 
-// Encode returns the snapshot as bytes for another instance, or nil if it was
-// not read from the platform.
+// Encode returns the encoded snapshot for other instances, or nil if the snapshot was
+// not built from rows of the table.
 func (s *Snapshot) Encode() []byte {
 	if s.state == nil {
 		return nil
@@ -64,8 +65,8 @@
 	return encode(w)
 }
 
-// DecodeSnapshot reads what Encode wrote; ErrRow for anything else, also for
-// rows that are not all and only those of their version.
+// DecodeSnapshot decodes a snapshot that Encode wrote. It returns ErrBadRows for all
+// other input, and if the rows are not exactly those of the snapshot's version.
 func DecodeSnapshot(data []byte) (*Snapshot, error) {
 	if len(data) > maxSnapshotBytes {
 		return nil, errors.Wrap(ErrBadRows, "snapshot is too large")
@@ -92,7 +93,7 @@
 	return s.snapshot(), nil
 }
 
-// SupportsOutcomes reports whether the service can be asked for the outcome of a call.
+// SupportsOutcomes reports whether the service can be queried for the outcome of a call.
 func (s *Snapshot) SupportsOutcomes(service spec.ServiceName) bool {
 	if s.state == nil {
 		return false
@@ -101,8 +102,8 @@
 	return i.Outcomes
 }
 
-// ClassReliability is how many of 100 requests of the class must be answered at
-// all; zero if its operators set none.
+// ClassReliability returns the percentage of the class's requests that must be answered
+// at all, or zero if none is configured.
 func (s *Snapshot) ClassReliability(class spec.ClassName) float64 {
 	if s.state == nil {
 		return 0
@@ -111,7 +112,8 @@
 	return i.Reliability
 }
 
-// TeamRateLimit is the most that a team may use, in tokens a second; zero is no limit.
+// TeamRateLimit returns the maximum rate of a team in tokens a second; zero means no
+// limit.
 func (s *Snapshot) TeamRateLimit(team spec.TeamID) float64 {
 	if s.state == nil {
 		return 0
@@ -120,8 +122,8 @@
 	return i.RateLimit
 }
 
-// Allows reports whether the team may use the class. A class that names no
-// teams is open to all.
+// Allows reports whether the team may use the class. A class without a list of teams
+// is open to all teams.
 func (s *Snapshot) Allows(class spec.ClassName, team spec.TeamID) bool {
 	if s.state == nil {
 		return true
--- a/internal/state/config/state.go
+++ b/internal/state/config/state.go
@@ -6,14 +6,14 @@
 	"fulmarwick/internal/state/store"
 )
 
-// storedRow is a row as this instance knows it.
+// storedRow is a row as this instance last read it.
 type storedRow struct {
 	version uint64
 	value   []byte
 	item    item
 }
 
-// state is all rows at one head. It never changes once it was taken.
+// state holds all rows of one head. It is not changed after it is activated.
 type state struct {
 	rows           map[string]*storedRow
 	head           head
@@ -32,7 +32,7 @@
 	return &c
 }
 
-// put takes a row unless a later one is there.
+// put stores a row unless the same or a later version of it is present.
 func (s *state) put(row store.Row) error {
 	if row.Key() == headKey {
 		return s.putHead(row)
@@ -49,7 +49,8 @@
 		s.digest ^= rowDigest(row.Key(), old.value)
 	}
 	if s.lastItem != nil && s.lastItem.ChangeID == i.ChangeID {
-		// Rows of one change share its words; 37,000 copies take 3 MB.
+		// Rows of one change share its ID and author strings; 37,000 copies
+		// take 3 MB.
 		i.ChangeID, i.Author = s.lastItem.ChangeID, s.lastItem.Author
 	}
 	s.digest ^= rowDigest(row.Key(), row.Value())
@@ -72,12 +73,12 @@
 	return nil
 }
 
-// isConsistent reports whether the rows are just those of the head. Stale reads can
-// mix rows of different changes; the digest shows it, and such a mixture is
-// never put in force.
+// isConsistent reports whether the rows are exactly those of the head. Stale reads can
+// mix rows of different changes. The digest detects such a mixture, which is never
+// activated.
 func (s *state) isConsistent() bool { return s.digest == s.head.Digest }
 
-// item returns the definition in force, if there is one.
+// item returns the item if it exists and is not deleted.
 func (s *state) item(sort Sort, name string) (item, bool) {
 	h, ok := s.rows[rowKey(sort, name)]
 	if !ok || h.item.Deleted {
@@ -86,7 +87,7 @@
 	return h.item, true
 }
 
-// items are the definitions in force in order of their keys.
+// items returns all items that are not deleted, ordered by key.
 func (s *state) items() []*item {
 	out := make([]*item, 0, len(s.rows))
 	for _, key := range sortedKeys(s.rows) {
--- a/internal/state/config/write.go
+++ b/internal/state/config/write.go
@@ -6,7 +6,8 @@
 	"fulmarwick/internal/state/store"
 )
 
-// checkConflict returns the changes of others that this one would undo.
+// checkConflict returns a ConflictError with the changes by others that this change
+// would overwrite.
 func (t *attempt) checkConflict() error {
 	var winners []Winner
 	st := t.follower.currentState()
@@ -25,7 +26,7 @@
 	return nil
 }
 
-// nextState is the state after the change and its problems.
+// nextState returns the state after the change, and the problems of that state.
 func (t *attempt) nextState() (*state, []Problem) {
 	next := t.follower.currentState().clone()
 	for _, c := range t.changes {
@@ -42,16 +43,17 @@
 	return next, check(next, t.changes, t.TeamInUse)
 }
 
-// buildWrites are the rows that differ, the head and the log entry.
+// buildWrites returns the writes of the changed rows, the head and the history entry,
+// and the version that they lead to. There are none if no row changes.
 func (t *attempt) buildWrites(next *state) ([]store.Write, uint64) {
-	now := t.follower.currentState()
-	target := now.head.Version + 1
-	digest := now.digest
+	current := t.follower.currentState()
+	target := current.head.Version + 1
+	digest := current.digest
 	var writes []store.Write
 	t.entry.Version, t.entry.Sections = target, nil
 	for _, c := range t.changes {
 		key := c.item.key()
-		old, ok := now.rows[key]
+		old, ok := current.rows[key]
 		i := next.rows[key].item
 		if ok && old.item.sameDefinition(&i) {
 			continue
@@ -72,6 +74,6 @@
 	}
 	h := head{Version: target, ChangeID: t.entry.ID, Digest: digest}
 	return append(writes,
-		store.Put(headKey, now.headRowVersion, encode(h)),
+		store.Put(headKey, current.headRowVersion, encode(h)),
 		store.Put(historyKey(target), 0, encode(t.entry))), target
 }
