--- a/internal/state/ledger/attempt.go
+++ b/internal/state/ledger/attempt.go
@@ -179,7 +179,7 @@
 }
 
 // abandon ends a call whose first commit has an unknown outcome. The call is never
-// sent, the caller is told so now, and the row is set to notrun as soon as the
+// sent, the caller gets this result now, and the row is set to notrun as soon as the
 // store allows it.
 func (a *Attempt) abandon(cause error) {
 	a.resolveNotSent(cause)
