--- a/internal/wire/entry/answer.go
+++ b/internal/wire/entry/answer.go
@@ -21,11 +21,11 @@
 		Usage   chatUsage    `json:"usage"`
 	}
 	chatChoice struct {
-		Index   int        `json:"index"`
-		Message answerText `json:"message"`
-		Finish  string     `json:"finish_reason"`
+		Index   int           `json:"index"`
+		Message answerMessage `json:"message"`
+		Finish  string        `json:"finish_reason"`
 	}
-	answerText struct {
+	answerMessage struct {
 		Role    string `json:"role"`
 		Content string `json:"content"`
 	}
@@ -39,40 +39,40 @@
 // answerID is the id under which callers know an answer.
 func answerID(p Position) string { return "chatcmpl-" + p.answer.String() }
 
-func (s *Server) whole(w http.ResponseWriter, req *http.Request, a *ask) {
+func (s *Server) completeChat(w http.ResponseWriter, req *http.Request, a *chatRequest) {
 	var text strings.Builder
 	result, err := s.Models.Run(req.Context(), a.job, func(t chain.Token) error {
-		a.times.token()
+		a.timings.markToken()
 		text.WriteString(t.Text)
 		return nil
 	})
-	s.ended(req, a, result, err)
+	s.recordChat(req, a, result, err)
 	if err != nil {
-		s.fault(w, err)
+		s.writeFault(w, err)
 		return
 	}
-	s.replyJSON(w, http.StatusOK, chatAnswer{
-		ID: answerID(a.from), Object: "chat.completion", Created: time.Now().Unix(), Model: string(a.class.Model()),
-		Choices: []chatChoice{{Message: answerText{Role: "assistant", Content: text.String()}, Finish: finishReason(result)}},
+	s.writeJSON(w, http.StatusOK, chatAnswer{
+		ID: answerID(a.resumeFrom), Object: "chat.completion", Created: time.Now().Unix(), Model: string(a.class.Model()),
+		Choices: []chatChoice{{Message: answerMessage{Role: "assistant", Content: text.String()}, Finish: finishReason(result)}},
 		Usage:   usage(a, result),
 	})
 }
 
-// ended counts a request that ran and tells its end to whoever wants to know.
-func (s *Server) ended(req *http.Request, a *ask, result chain.Result, err error) {
-	a.times.end()
+// recordChat counts a request that ran and tells its end to whoever wants to know.
+func (s *Server) recordChat(req *http.Request, a *chatRequest, result chain.Result, err error) {
+	a.timings.markEnd()
 	code := "ok"
 	if err != nil {
-		code = faultOf(err).Code
+		code = toFault(err).Code
 		s.Log.Info("entry: request failed",
 			zap.String("request", string(a.job.Arrived.Request)), zap.String("code", code), zap.Error(err))
 	}
-	s.meter.ended(a.class.Name(), code)
-	s.meter.answered(a.class.Name(), result.Tokens, a.times)
-	noted(req, a.class.Name(), result.Tokens, err)
+	s.meter.countRequest(a.class.Name(), code)
+	s.meter.countAnswer(a.class.Name(), result.Tokens, a.timings)
+	annotateSpan(req, a.class.Name(), result.Tokens, err)
 	// A caller that left says nothing about how the class is served.
 	if s.Observer != nil && req.Context().Err() == nil {
-		s.Observer.Served(a.class, a.times.first, a.times.gap, a.times.whole, err == nil)
+		s.Observer.Served(a.class, a.timings.first, a.timings.gap, a.timings.whole, err == nil)
 	}
 }
 
@@ -83,6 +83,6 @@
 	return "length"
 }
 
-func usage(a *ask, r chain.Result) chatUsage {
+func usage(a *chatRequest, r chain.Result) chatUsage {
 	return chatUsage{Prompt: a.job.Arrived.PromptTokens, Completion: r.Tokens, Total: a.job.Arrived.PromptTokens + r.Tokens}
 }
--- a/internal/wire/entry/bench_test.go
+++ b/internal/wire/entry/bench_test.go
@@ -17,12 +17,12 @@
 			for i := range many {
 				many[i] = "word "
 			}
-			s := newServer(&models{words: many})
+			s := newServer(&fakeModels{words: many})
 			s.Limits.Buffer = 256 << 10
 			h := s.Handler()
 			b.ReportAllocs()
 			for b.Loop() {
-				h.ServeHTTP(&discard{header: http.Header{}}, request("/v1/chat/completions", ask))
+				h.ServeHTTP(&discardResponse{header: http.Header{}}, request("/v1/chat/completions", chatBody))
 			}
 			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*tokens), "ns/token")
 		})
@@ -31,7 +31,7 @@
 
 // BenchmarkSeal is the cost of a resume token.
 func BenchmarkSeal(b *testing.B) {
-	sealer := entry.NewSealer(key, 7)
+	sealer := entry.NewSealer(firstKey, 7)
 	var dst []byte
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/wire/entry/body.go
+++ b/internal/wire/entry/body.go
@@ -10,18 +10,18 @@
 	"github.com/go-faster/errors"
 )
 
-// bodyPiece is how much of a body must come, on average, within one body pause.
+// minBodyBytes is how much of a body must come, on average, within one body pause.
 // A body that brings a byte at a time, just often enough, would hold a place
 // and the instance's stop for ever; the slowest honest link is far above it.
-const bodyPiece = 1 << 10
+const minBodyBytes = 1 << 10
 
-// read takes a request's body. A body that stops, or hardly moves, ends with a
+// readBody takes a request's body. A body that stops, or hardly moves, ends with a
 // fault; a slow one is read to its end.
-func (s *Server) read(w http.ResponseWriter, req *http.Request) ([]byte, error) {
+func (s *Server) readBody(w http.ResponseWriter, req *http.Request) ([]byte, error) {
 	body := http.MaxBytesReader(w, req.Body, s.Limits.Body)
 	control := http.NewResponseController(w)
 	if s.Limits.BodyTime > 0 {
-		body = &paced{ReadCloser: body, control: control, pause: s.Limits.BodyTime, began: time.Now()}
+		body = &deadlineReader{ReadCloser: body, control: control, maxPause: s.Limits.BodyTime, start: time.Now()}
 	}
 	var out bytes.Buffer
 	if n := req.ContentLength; n > 0 && n <= s.Limits.Body {
@@ -54,24 +54,24 @@
 	}
 }
 
-// paced moves the read deadline on before each read.
-type paced struct {
+// deadlineReader moves the read deadline on before each read.
+type deadlineReader struct {
 	io.ReadCloser
-	control *http.ResponseController
-	pause   time.Duration
-	began   time.Time
-	got     int64
+	control  *http.ResponseController
+	maxPause time.Duration
+	start    time.Time
+	received int64
 }
 
 // Read reads with a fresh deadline.
-func (p *paced) Read(b []byte) (int, error) {
-	deadline := time.Now().Add(p.pause)
-	if last := p.began.Add(p.pause * time.Duration(1+p.got/bodyPiece)); last.Before(deadline) {
+func (p *deadlineReader) Read(b []byte) (int, error) {
+	deadline := time.Now().Add(p.maxPause)
+	if last := p.start.Add(p.maxPause * time.Duration(1+p.received/minBodyBytes)); last.Before(deadline) {
 		deadline = last
 	}
 	// A connection without deadlines, as in tests, is read without.
 	_ = p.control.SetReadDeadline(deadline)
 	n, err := p.ReadCloser.Read(b)
-	p.got += int64(n)
+	p.received += int64(n)
 	return n, err
 }
--- a/internal/wire/entry/call.go
+++ b/internal/wire/entry/call.go
@@ -15,7 +15,7 @@
 	"go.uber.org/zap"
 )
 
-const maxKey = 255
+const maxKeyBytes = 255
 
 // outcomeBody answers an outcome look-up, and a call whose end is not known.
 type outcomeBody struct {
@@ -29,47 +29,47 @@
 	began := time.Now()
 	class, c, err := s.readCall(w, req)
 	if err == nil {
-		err = s.gate.enter(c.Team())
+		err = s.limiter.acquire(c.Team())
 	}
 	if err != nil {
-		s.refuse(w, req, class.Name(), err)
+		s.reject(w, req, class.Name(), err)
 		return
 	}
-	defer s.gate.leave(c.Team())
+	defer s.limiter.release(c.Team())
 	// A caller that goes away must not cut a payment in the middle: its
 	// answer would be lost and the outcome unsure.
 	out, err := s.Calls.Do(context.WithoutCancel(req.Context()), c)
-	s.called(req, class, out, err, time.Since(began))
+	s.recordCall(req, class, out, err, time.Since(began))
 	if err != nil {
-		s.fault(w, err)
+		s.writeFault(w, err)
 		return
 	}
-	s.answer(w, out)
+	s.writeOutcome(w, out)
 }
 
-// called counts a call and tells its end to whoever wants to know.
-func (s *Server) called(req *http.Request, class spec.Class, out ledger.Outcome, err error, whole time.Duration) {
+// recordCall counts a call and tells its end to whoever wants to know.
+func (s *Server) recordCall(req *http.Request, class spec.Class, out ledger.Outcome, err error, whole time.Duration) {
 	code := out.State().String()
 	if err != nil {
-		code = faultOf(err).Code
+		code = toFault(err).Code
 		s.Log.Info("entry: call failed", zap.String("class", string(class.Name())), zap.String("code", code), zap.Error(err))
 	}
-	s.meter.ended(class.Name(), code)
-	s.meter.took("whole", class.Name(), whole)
-	noted(req, class.Name(), 0, err)
+	s.meter.countRequest(class.Name(), code)
+	s.meter.observeDuration("whole", class.Name(), whole)
+	annotateSpan(req, class.Name(), 0, err)
 	if s.Observer != nil {
 		s.Observer.Served(class, 0, 0, whole, err == nil && out.State() == ledger.StateDone)
 	}
 }
 
 func (s *Server) readCall(w http.ResponseWriter, req *http.Request) (spec.Class, ledger.Call, error) {
-	team, err := s.team(req)
+	team, err := s.authenticate(req)
 	if err != nil {
 		return spec.Class{}, ledger.Call{}, err
 	}
 	class, err := s.plainClass(req)
 	if err == nil {
-		err = s.allowed(team, class)
+		err = s.checkAccess(team, class)
 	}
 	if err != nil {
 		return spec.Class{}, ledger.Call{}, err
@@ -78,7 +78,7 @@
 	if err != nil {
 		return class, ledger.Call{}, err
 	}
-	body, err := s.read(w, req)
+	body, err := s.readBody(w, req)
 	if err != nil {
 		return class, ledger.Call{}, err
 	}
@@ -95,15 +95,15 @@
 		return "", newFault(http.StatusBadRequest, "no-idempotency-key", "A call of this class needs an Idempotency-Key.", RanNo)
 	case key == "":
 		return uuid.NewString(), nil
-	case !goodKey(key):
+	case !validKey(key):
 		return "", newFault(http.StatusBadRequest, "bad-idempotency-key", "The Idempotency-Key is longer than 255 bytes or not of printable ASCII.", RanNo)
 	}
 	return key, nil
 }
 
-// goodKey keeps what cannot stand in a row's key or a log line out of them.
-func goodKey(key string) bool {
-	if key == "" || len(key) > maxKey {
+// validKey keeps what cannot stand in a row's key or a log line out of them.
+func validKey(key string) bool {
+	if key == "" || len(key) > maxKeyBytes {
 		return false
 	}
 	for i := range len(key) {
@@ -123,52 +123,52 @@
 }
 
 func (s *Server) outcome(w http.ResponseWriter, req *http.Request) {
-	team, err := s.team(req)
+	team, err := s.authenticate(req)
 	if err != nil {
-		s.fault(w, err)
+		s.writeFault(w, err)
 		return
 	}
 	class, err := s.plainClass(req)
 	if err != nil {
-		s.fault(w, err)
+		s.writeFault(w, err)
 		return
 	}
 	key, err := url.PathUnescape(mux.Vars(req)["key"])
-	if err != nil || !goodKey(key) {
-		s.fault(w, newFault(http.StatusBadRequest, "bad-idempotency-key", "The key in the path is none that a call may have.", RanNo))
+	if err != nil || !validKey(key) {
+		s.writeFault(w, newFault(http.StatusBadRequest, "bad-idempotency-key", "The key in the path is none that a call may have.", RanNo))
 		return
 	}
 	out, err := s.Calls.Lookup(req.Context(), team.ID(), class.Name(), key)
 	if err != nil {
-		s.fault(w, err)
+		s.writeFault(w, err)
 		return
 	}
 	status := http.StatusOK
 	if out.State() == ledger.StateNone {
 		status = http.StatusNotFound
 	}
-	s.state(w, status, out)
+	s.writeState(w, status, out)
 }
 
-// answer answers a call: with the service's own answer if it is known.
-func (s *Server) answer(w http.ResponseWriter, out ledger.Outcome) {
+// writeOutcome answers a call: with the service's own answer if it is known.
+func (s *Server) writeOutcome(w http.ResponseWriter, out ledger.Outcome) {
 	switch out.State() {
 	case ledger.StateDone:
 		a := out.Answer()
-		s.reply(w, a.Status(), a.ContentType(), a.Body())
+		s.writeBody(w, a.Status(), a.ContentType(), a.Body())
 	case ledger.StateNotRun:
 		f := newFault(http.StatusServiceUnavailable, "not-run", "The service could not be reached, so the call did not run.", RanNo)
-		f.After = storeRetry
-		s.fault(w, f)
+		f.After = storeRetryAfter
+		s.writeFault(w, f)
 	case ledger.StateRunning:
 		w.Header().Set("Retry-After", "1")
-		s.state(w, http.StatusConflict, out)
+		s.writeState(w, http.StatusConflict, out)
 	default:
-		s.fault(w, newFault(http.StatusBadGateway, "unsure", "The answer of the service was lost; the call may have run. Ask for its outcome.", RanUnsure))
+		s.writeFault(w, newFault(http.StatusBadGateway, "unsure", "The answer of the service was lost; the call may have run. Ask for its outcome.", RanUnsure))
 	}
 }
 
-func (s *Server) state(w http.ResponseWriter, status int, out ledger.Outcome) {
+func (s *Server) writeState(w http.ResponseWriter, status int, out ledger.Outcome) {
 	b := outcomeBody{State: out.State().String()}
 	if out.State() == ledger.StateDone {
 		b.Status = out.Answer().Status()
@@ -178,5 +178,5 @@
 			b.Text = string(out.Answer().Body())
 		}
 	}
-	s.replyJSON(w, status, b)
+	s.writeJSON(w, status, b)
 }
--- a/internal/wire/entry/call_test.go
+++ b/internal/wire/entry/call_test.go
@@ -11,9 +11,9 @@
 	"github.com/go-faster/errors"
 )
 
-func call(t *testing.T, c *calls, path, idem string) (int, string) {
+func postCall(t *testing.T, c *fakeCalls, path, idem string) (int, string) {
 	t.Helper()
-	s := newServer(&models{})
+	s := newServer(&fakeModels{})
 	s.Calls = c
 	req := request(path, `{"amount":1}`)
 	if idem != "" {
@@ -23,7 +23,7 @@
 	return w.Code, w.Body.String()
 }
 
-func TestCallsNeedGoodKeys(t *testing.T) {
+func TestCallsNeedValidKeys(t *testing.T) {
 	tests := []struct {
 		path, idem string
 		status     int
@@ -38,18 +38,18 @@
 	}
 	for _, tt := range tests {
 		ran := false
-		c := &calls{do: func(context.Context, ledger.Call) { ran = true }}
-		if got, body := call(t, c, tt.path, tt.idem); got != tt.status || !strings.Contains(body, tt.want) || ran {
+		c := &fakeCalls{onDo: func(context.Context, ledger.Call) { ran = true }}
+		if got, body := postCall(t, c, tt.path, tt.idem); got != tt.status || !strings.Contains(body, tt.want) || ran {
 			t.Errorf("got %d %s (ran %v) for %q, want %d %s and not run", got, body, ran, tt.idem, tt.status, tt.want)
 		}
 	}
 }
 
-func TestRepeatableCallNeedsNoKey(t *testing.T) {
+func TestRetryableCallNeedsNoKey(t *testing.T) {
 	var keys []string
-	c := &calls{do: func(_ context.Context, c ledger.Call) { keys = append(keys, c.Key()) }}
-	call(t, c, "/v1/calls/lookup", "")
-	call(t, c, "/v1/calls/lookup", "")
+	c := &fakeCalls{onDo: func(_ context.Context, c ledger.Call) { keys = append(keys, c.Key()) }}
+	postCall(t, c, "/v1/calls/lookup", "")
+	postCall(t, c, "/v1/calls/lookup", "")
 	if len(keys) != 2 || keys[0] == "" || keys[0] == keys[1] {
 		t.Errorf("got keys %q, want two of their own", keys)
 	}
@@ -68,7 +68,7 @@
 		{errors.New("other"), 500, `"ran":"unsure"`},
 	}
 	for _, tt := range tests {
-		if got, body := call(t, &calls{err: tt.err}, "/v1/calls/payment", "k"); got != tt.status || !strings.Contains(body, tt.want) {
+		if got, body := postCall(t, &fakeCalls{err: tt.err}, "/v1/calls/payment", "k"); got != tt.status || !strings.Contains(body, tt.want) {
 			t.Errorf("got %d %s, want %d with %s", got, body, tt.status, tt.want)
 		}
 	}
@@ -80,11 +80,11 @@
 func TestCallOutlivesItsCaller(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	var got error
-	c := &calls{do: func(ctx context.Context, _ ledger.Call) {
+	c := &fakeCalls{onDo: func(ctx context.Context, _ ledger.Call) {
 		cancel()
 		got = ctx.Err()
 	}}
-	s := newServer(&models{})
+	s := newServer(&fakeModels{})
 	s.Calls = c
 	req := request("/v1/calls/payment", "{}").WithContext(ctx)
 	req.Header.Set("Idempotency-Key", "k")
@@ -95,7 +95,7 @@
 }
 
 func TestOutcomeOfAnUnknownCall(t *testing.T) {
-	s := newServer(&models{})
+	s := newServer(&fakeModels{})
 	for path, status := range map[string]int{
 		"/v1/calls/payment/a%2Fb":   http.StatusNotFound,
 		"/v1/calls/payment/a%20b":   http.StatusBadRequest,
--- a/internal/wire/entry/chat.go
+++ b/internal/wire/entry/chat.go
@@ -18,82 +18,82 @@
 	// prefixes.
 	blockBytes = 256
 	// bytesPerToken estimates the tokens of a prompt.
-	bytesPerToken = 4
-	defaultTokens = 256
+	bytesPerToken    = 4
+	defaultMaxTokens = 256
 )
 
-// ask is a checked chat request.
-type ask struct {
-	team   spec.Team
-	class  spec.Class
-	job    chain.Job
-	stream bool
-	usage  bool
-	from   Position
-	sealer *Sealer
-	times  times
+// chatRequest is a checked chat request.
+type chatRequest struct {
+	team         spec.Team
+	class        spec.Class
+	job          chain.Job
+	stream       bool
+	includeUsage bool
+	resumeFrom   Position
+	sealer       *Sealer
+	timings      timings
 }
 
 func (s *Server) chat(w http.ResponseWriter, req *http.Request) {
 	began := time.Now()
 	a, err := s.readChat(w, req)
 	if err == nil {
-		err = s.gate.enter(a.team.ID())
+		err = s.limiter.acquire(a.team.ID())
 	}
 	if err != nil {
-		s.refuse(w, req, a.class.Name(), err)
+		s.reject(w, req, a.class.Name(), err)
 		return
 	}
-	defer s.gate.leave(a.team.ID())
-	a.times.began = began
+	defer s.limiter.release(a.team.ID())
+	a.timings.start = began
 	if a.stream {
-		s.stream(w, req, &a)
+		s.streamChat(w, req, &a)
 		return
 	}
-	s.whole(w, req, &a)
+	s.completeChat(w, req, &a)
 }
 
-// refuse answers a request that ends before it ran.
-func (s *Server) refuse(w http.ResponseWriter, req *http.Request, class spec.ClassName, err error) {
-	f := faultOf(err)
-	s.meter.ended(class, f.Code)
-	noted(req, class, 0, err)
-	s.fault(w, f)
+// reject answers a request that ends before it ran.
+func (s *Server) reject(w http.ResponseWriter, req *http.Request, class spec.ClassName, err error) {
+	f := toFault(err)
+	s.meter.countRequest(class, f.Code)
+	annotateSpan(req, class, 0, err)
+	s.writeFault(w, f)
 }
 
-func (s *Server) readChat(w http.ResponseWriter, req *http.Request) (ask, error) {
-	team, err := s.team(req)
+func (s *Server) readChat(w http.ResponseWriter, req *http.Request) (chatRequest, error) {
+	team, err := s.authenticate(req)
 	if err != nil {
-		return ask{}, err
+		return chatRequest{}, err
 	}
-	data, err := s.read(w, req)
+	data, err := s.readBody(w, req)
 	if err != nil {
-		return ask{}, err
+		return chatRequest{}, err
 	}
 	body, err := parseChat(data)
 	if err != nil {
-		return ask{}, err
+		return chatRequest{}, err
 	}
 	if err := s.checkChat(&body); err != nil {
-		return ask{}, err
+		return chatRequest{}, err
 	}
 	class, err := s.modelClass(req, spec.ModelName(body.Model))
 	if err != nil {
-		return ask{}, err
+		return chatRequest{}, err
 	}
-	if err := s.allowed(team, class); err != nil {
-		return ask{}, err
+	if err := s.checkAccess(team, class); err != nil {
+		return chatRequest{}, err
 	}
-	a := ask{team: team, class: class, stream: body.Stream, usage: body.Options.Usage}
-	a.job = job(requestID(req), team, class, &body)
-	key, _ := bearer(req)
+	a := chatRequest{team: team, class: class, stream: body.Stream, includeUsage: body.Options.Usage}
+	a.job = newJob(requestID(req), team, class, &body)
+	key, _ := bearerKey(req)
 	a.sealer = NewSealer(key, fingerprint(&a.job))
 	if !body.Stream {
-		a.from, err = readWhole(req)
+		a.resumeFrom, err = startPosition(req)
 	} else {
-		a.from, err = readResume(req, a.sealer, body.Max)
+		a.resumeFrom, err = resumePosition(req, a.sealer, body.MaxTokens)
 	}
-	a.job.Arrived.ReceivedTokens = a.from.count
+	a.job.Arrived.ReceivedTokens = a.resumeFrom.count
 	return a, err
 }
 
@@ -115,14 +115,14 @@
 		return newFault(http.StatusBadRequest, "no-model", "The field model is missing.", RanNo)
 	case len(b.Messages) == 0:
 		return newFault(http.StatusBadRequest, "no-messages", "The field messages is empty.", RanNo)
-	case b.Max < 0 || b.MaxNew < 0 || b.Max > limit || b.MaxNew > limit:
+	case b.MaxTokens < 0 || b.MaxCompletionTokens < 0 || b.MaxTokens > limit || b.MaxCompletionTokens > limit:
 		return newFault(http.StatusBadRequest, "bad-tokens", "The field max_tokens is out of range.", RanNo)
 	case b.Options.Usage && !b.Stream:
 		return badField("bad-field", "stream_options", "needs stream")
 	}
-	b.Max = max(b.Max, b.MaxNew)
-	if b.Max == 0 {
-		b.Max = min(defaultTokens, limit)
+	b.MaxTokens = max(b.MaxTokens, b.MaxCompletionTokens)
+	if b.MaxTokens == 0 {
+		b.MaxTokens = min(defaultMaxTokens, limit)
 	}
 	return nil
 }
@@ -145,16 +145,16 @@
 	return class, nil
 }
 
-// job is what the layers below run. Its id is new for every request, also for
+// newJob is what the layers below run. Its id is new for every request, also for
 // one that resumes an answer: engines may hold state under the former id, and
 // a caller must not be able to name the request of another.
-func job(id string, team spec.Team, class spec.Class, b *chatBody) chain.Job {
+func newJob(id string, team spec.Team, class spec.Class, b *chatBody) chain.Job {
 	text := prompt(b.Messages)
 	return chain.Job{
 		Text: text,
 		Arrived: domain.RequestArrived{
 			Request: spec.RequestID(id), Team: team.ID(), Class: class.Name(), Model: class.Model(),
-			PromptTokens: 1 + len(text)/bytesPerToken, MaxTokens: b.Max, BlockHashes: blocks(text),
+			PromptTokens: 1 + len(text)/bytesPerToken, MaxTokens: b.MaxTokens, BlockHashes: blockHashes(text),
 			Fingerprint: xxhash.Sum64String(string(class.Model()) + "\n" + text),
 		},
 	}
@@ -171,9 +171,9 @@
 	return b.String()
 }
 
-// blocks returns a hash per whole block of the text, each covering all text
+// blockHashes returns a hash per whole block of the text, each covering all text
 // before it too.
-func blocks(text string) []uint64 {
+func blockHashes(text string) []uint64 {
 	var out []uint64
 	h := xxhash.New()
 	for len(text) >= blockBytes {
--- a/internal/wire/entry/chat_test.go
+++ b/internal/wire/entry/chat_test.go
@@ -16,8 +16,8 @@
 	"pgregory.net/rapid"
 )
 
-func TestWholeAnswerHasThePublishedShape(t *testing.T) {
-	w := chat(newServer(&models{words: []string{"a ", `"b"`}}), strings.Replace(ask, "true", "false", 1))
+func TestAnswerHasPublishedShape(t *testing.T) {
+	w := postChat(newServer(&fakeModels{words: []string{"a ", `"b"`}}), strings.Replace(chatBody, "true", "false", 1))
 	var got struct {
 		ID      string
 		Object  string
@@ -48,9 +48,9 @@
 // varying is what differs from run to run in a stream.
 var varying = regexp.MustCompile(`id: \S+\n|"id":"chatcmpl-[^"]*"|"created":\d+`)
 
-func TestStreamHasThePublishedShape(t *testing.T) {
-	body := strings.Replace(ask, `"stream":true`, `"stream":true,"stream_options":{"include_usage":true}`, 1)
-	w := chat(newServer(&models{words: []string{"a\n", "b"}}), body)
+func TestStreamHasPublishedShape(t *testing.T) {
+	body := strings.Replace(chatBody, `"stream":true`, `"stream":true,"stream_options":{"include_usage":true}`, 1)
+	w := postChat(newServer(&fakeModels{words: []string{"a\n", "b"}}), body)
 	got := varying.ReplaceAllString(w.Body.String(), "~")
 	head := `data: {~,"object":"chat.completion.chunk",~,"model":"m","choices":[`
 	want := "~" + head + `{"index":0,"delta":{"role":"assistant","content":"a\n"},"finish_reason":null}],"usage":null}` + "\n\n" +
@@ -70,8 +70,8 @@
 // the engines died after the first tokens went out, so the status line is
 // gone already, and a client must not take the part for the whole.
 func TestFailureMidwayNeverLooksWhole(t *testing.T) {
-	m := &models{words: []string{"a"}, err: &chain.RefusedError{Ran: true}}
-	w := chat(newServer(m), ask)
+	m := &fakeModels{words: []string{"a"}, err: &chain.RefusedError{Ran: true}}
+	w := postChat(newServer(m), chatBody)
 	got := w.Body.String()
 	if strings.Contains(got, "[DONE]") || !strings.Contains(got, `data: {"error":{"code":"none"`) {
 		t.Errorf("got %q, want an error event and no [DONE]", got)
@@ -82,8 +82,8 @@
 	body := `{"model":"m","messages":[{"role":"system","content":"s"},{"role":"user","content":[{"type":"text","text":"a"},{"type":"text","text":"b"}]}],
 		"n":1,"temperature":0,"top_p":1.0,"stop":null,"tools":[],"seed":7,"user":"u","response_format":{"type": "text"}}`
 	var got string
-	m := &models{seen: func(_ context.Context, j chain.Job) { got = j.Text }}
-	if w := chat(newServer(m), body); w.Code != http.StatusOK {
+	m := &fakeModels{onJob: func(_ context.Context, j chain.Job) { got = j.Text }}
+	if w := postChat(newServer(m), body); w.Code != http.StatusOK {
 		t.Fatalf("got %d %s, want 200", w.Code, w.Body)
 	}
 	if want := "system: s\nuser: ab\n"; got != want {
@@ -92,14 +92,14 @@
 }
 
 func TestBadChatBodies(t *testing.T) {
-	with := func(field string) string { return strings.Replace(ask, `"model"`, field+`,"model"`, 1) }
+	with := func(field string) string { return strings.Replace(chatBody, `"model"`, field+`,"model"`, 1) }
 	message := func(m string) string { return `{"model":"m","messages":[` + m + `]}` }
 	tests := []struct{ name, body, code string }{
 		{"no JSON", `{"model":`, "bad-json"},
 		{"no object", `[1]`, "bad-json"},
 		{"no model", `{"messages":[{"role":"user","content":"a"}]}`, "no-model"},
 		{"no messages", `{"model":"m"}`, "no-messages"},
-		{"unknown model", strings.Replace(ask, `"m"`, `"x"`, 1), "unknown-model"},
+		{"unknown model", strings.Replace(chatBody, `"m"`, `"x"`, 1), "unknown-model"},
 		{"several answers", with(`"n":2`), "unsupported"},
 		{"tools", with(`"tools":[{"type":"function"}]`), "unsupported"},
 		{"warm", with(`"temperature":0.7`), "unsupported"},
@@ -118,7 +118,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			w := chat(newServer(&models{}), tt.body)
+			w := postChat(newServer(&fakeModels{}), tt.body)
 			if w.Code/100 != 4 || !strings.Contains(w.Body.String(), `"code":"`+tt.code+`"`) || !strings.Contains(w.Body.String(), `"ran":"no"`) {
 				t.Errorf("got %d %s, want 4xx with code %s that did not run", w.Code, w.Body, tt.code)
 			}
@@ -129,8 +129,8 @@
 func TestClassOfARequest(t *testing.T) {
 	for header, want := range map[string]spec.ClassName{"": "answer", "draft": "draft"} {
 		var got spec.ClassName
-		m := &models{seen: func(_ context.Context, j chain.Job) { got = j.Arrived.Class }}
-		req := request("/v1/chat/completions", ask)
+		m := &fakeModels{onJob: func(_ context.Context, j chain.Job) { got = j.Arrived.Class }}
+		req := request("/v1/chat/completions", chatBody)
 		req.Header.Set("X-Class", header)
 		serve(newServer(m), req)
 		if got != want {
@@ -138,14 +138,14 @@
 		}
 	}
 	for _, header := range []string{"none", "payment"} {
-		req := request("/v1/chat/completions", ask)
+		req := request("/v1/chat/completions", chatBody)
 		req.Header.Set("X-Class", header)
-		wantFault(t, serve(newServer(&models{}), req), http.StatusBadRequest, "unknown-class")
+		wantFault(t, serve(newServer(&fakeModels{}), req), http.StatusBadRequest, "unknown-class")
 	}
 }
 
-// sameString compares the encoder with encoding/json.
-func sameString(t interface {
+// checkString compares the encoder with encoding/json.
+func checkString(t interface {
 	Helper()
 	Errorf(string, ...any)
 }, text string,
@@ -162,23 +162,23 @@
 
 func TestStringsEncodeAsEncodingJSONDoes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		sameString(t, rapid.String().Draw(t, "text"))
-		sameString(t, string(rapid.SliceOf(rapid.Byte()).Draw(t, "bytes")))
+		checkString(t, rapid.String().Draw(t, "text"))
+		checkString(t, string(rapid.SliceOf(rapid.Byte()).Draw(t, "bytes")))
 	})
 }
 
 func FuzzString(f *testing.F) {
 	f.Add("a\x00\x1f\"\\<&>\u2028\u2029\xff\xe2\x80\ufffd\b\f\n\r\t\x7f")
-	f.Fuzz(func(t *testing.T, text string) { sameString(t, text) })
+	f.Fuzz(func(t *testing.T, text string) { checkString(t, text) })
 }
 
 func FuzzChatBody(f *testing.F) {
-	f.Add(ask)
+	f.Add(chatBody)
 	f.Add(`{"model":"m","messages":[{"role":"user","content":[{"type":"text","text":"a"}]}],"n":null}`)
 	f.Add(`{"model":"m","messages":[{"role":"user","content":[null,{}]}],"max_tokens":1e3}`)
 	f.Fuzz(func(t *testing.T, body string) {
 		var ran *chain.Job
-		m := &models{words: []string{"a"}, seen: func(_ context.Context, j chain.Job) { ran = &j }}
+		m := &fakeModels{words: []string{"a"}, onJob: func(_ context.Context, j chain.Job) { ran = &j }}
 		w := httptest.NewRecorder()
 		newServer(m).Handler().ServeHTTP(w, request("/v1/chat/completions", body))
 		if (w.Code == http.StatusOK) != (ran != nil) {
--- a/internal/wire/entry/entry.go
+++ b/internal/wire/entry/entry.go
@@ -94,15 +94,15 @@
 	// Observer learns how requests ended; nil tells nobody.
 	Observer Observer
 
-	once  sync.Once
-	gate  gate
-	meter meter
+	once    sync.Once
+	limiter limiter
+	meter   meter
 }
 
 func (s *Server) init() {
 	s.once.Do(func() {
-		s.gate.limits = s.Limits
-		s.meter.open(s.Meters, &s.gate)
+		s.limiter.limits = s.Limits
+		s.meter.register(s.Meters, &s.limiter)
 	})
 }
 
@@ -111,19 +111,19 @@
 	s.init()
 	// Keys of calls may hold a slash, which stands escaped in the path.
 	r := mux.NewRouter().UseEncodedPath()
-	r.HandleFunc("/v1/chat/completions", s.hop("chat", s.chat)).Methods(http.MethodPost)
-	r.HandleFunc("/v1/models", s.hop("models", s.models)).Methods(http.MethodGet)
-	r.HandleFunc("/v1/calls/{class}", s.hop("call", s.call)).Methods(http.MethodPost)
-	r.HandleFunc("/v1/calls/{class}/{key}", s.hop("outcome", s.outcome)).Methods(http.MethodGet)
+	r.HandleFunc("/v1/chat/completions", s.instrument("chat", s.chat)).Methods(http.MethodPost)
+	r.HandleFunc("/v1/models", s.instrument("models", s.models)).Methods(http.MethodGet)
+	r.HandleFunc("/v1/calls/{class}", s.instrument("call", s.call)).Methods(http.MethodPost)
+	r.HandleFunc("/v1/calls/{class}/{key}", s.instrument("outcome", s.outcome)).Methods(http.MethodGet)
 	r.NotFoundHandler = http.HandlerFunc(s.notFound)
 	r.MethodNotAllowedHandler = http.HandlerFunc(s.notAllowed)
 	return r
 }
 
 func (s *Server) notFound(w http.ResponseWriter, _ *http.Request) {
-	s.fault(w, newFault(http.StatusNotFound, "no-path", "Nothing is served under this path.", RanNo))
+	s.writeFault(w, newFault(http.StatusNotFound, "no-path", "Nothing is served under this path.", RanNo))
 }
 
 func (s *Server) notAllowed(w http.ResponseWriter, _ *http.Request) {
-	s.fault(w, newFault(http.StatusMethodNotAllowed, "no-method", "The path is not served with this method.", RanNo))
+	s.writeFault(w, newFault(http.StatusMethodNotAllowed, "no-method", "The path is not served with this method.", RanNo))
 }
--- a/internal/wire/entry/entry_test.go
+++ b/internal/wire/entry/entry_test.go
@@ -22,9 +22,9 @@
 )
 
 const (
-	key   = "key-of-one"
-	other = "key-of-two"
-	ask   = `{"model":"m","stream":true,"messages":[{"role":"user","content":"hi"}]}`
+	firstKey  = "key-of-one"
+	secondKey = "key-of-two"
+	chatBody  = `{"model":"m","stream":true,"messages":[{"role":"user","content":"hi"}]}`
 )
 
 func testBook() *config.Active {
@@ -35,30 +35,30 @@
 		spec.NewPlainClass("lookup", "records", true, spec.NewTarget(0, 0, time.Second, 99)),
 	}
 	teams := []spec.Team{
-		spec.NewTeam(config.HashKey(key), "one", 1), spec.NewTeam(config.HashKey(other), "two", 1),
+		spec.NewTeam(config.HashKey(firstKey), "one", 1), spec.NewTeam(config.HashKey(secondKey), "two", 1),
 	}
 	book := &config.Active{}
 	book.SetIfNewer(config.NewSnapshot(1, classes, teams))
 	return book
 }
 
-// models answers with words, at once.
-type models struct {
+// fakeModels answers with words, at once.
+type fakeModels struct {
 	words []string
 	err   error
-	// seen gets each job, if it is set.
-	seen func(ctx context.Context, job chain.Job)
-	// before runs ahead of each word, if it is set.
-	before func(i int)
+	// onJob gets each job, if it is set.
+	onJob func(ctx context.Context, job chain.Job)
+	// beforeWord runs ahead of each word, if it is set.
+	beforeWord func(i int)
 }
 
-func (m *models) Run(ctx context.Context, job chain.Job, sink chain.Sink) (chain.Result, error) {
-	if m.seen != nil {
-		m.seen(ctx, job)
+func (m *fakeModels) Run(ctx context.Context, job chain.Job, sink chain.Sink) (chain.Result, error) {
+	if m.onJob != nil {
+		m.onJob(ctx, job)
 	}
 	for i, w := range m.words {
-		if m.before != nil {
-			m.before(i)
+		if m.beforeWord != nil {
+			m.beforeWord(i)
 		}
 		if err := ctx.Err(); err != nil {
 			return chain.Result{Tokens: i}, err
@@ -70,27 +70,27 @@
 	return chain.Result{Tokens: len(m.words), Stop: true}, m.err
 }
 
-// calls answers every call with out and err.
-type calls struct {
-	out ledger.Outcome
-	err error
-	do  func(ctx context.Context, c ledger.Call)
+// fakeCalls answers every call with out and err.
+type fakeCalls struct {
+	out  ledger.Outcome
+	err  error
+	onDo func(ctx context.Context, c ledger.Call)
 }
 
-func (c *calls) Do(ctx context.Context, call ledger.Call) (ledger.Outcome, error) {
-	if c.do != nil {
-		c.do(ctx, call)
+func (c *fakeCalls) Do(ctx context.Context, call ledger.Call) (ledger.Outcome, error) {
+	if c.onDo != nil {
+		c.onDo(ctx, call)
 	}
 	return c.out, c.err
 }
 
-func (c *calls) Lookup(context.Context, spec.TeamID, spec.ClassName, string) (ledger.Outcome, error) {
+func (c *fakeCalls) Lookup(context.Context, spec.TeamID, spec.ClassName, string) (ledger.Outcome, error) {
 	return c.out, c.err
 }
 
 func newServer(m entry.Models) *entry.Server {
 	return &entry.Server{
-		Models: m, Calls: &calls{}, Book: testBook(), Log: zap.NewNop(), Meters: metrics.NewSet(),
+		Models: m, Calls: &fakeCalls{}, Book: testBook(), Log: zap.NewNop(), Meters: metrics.NewSet(),
 		Limits: entry.Limits{Body: 4096, Header: 8192, Tokens: 100, Buffer: 4096},
 	}
 }
@@ -98,7 +98,7 @@
 // request is a POST of body with the key of the first team.
 func request(path, body string) *http.Request {
 	req := httptest.NewRequest(http.MethodPost, path, strings.NewReader(body))
-	req.Header.Set("Authorization", "Bearer "+key)
+	req.Header.Set("Authorization", "Bearer "+firstKey)
 	return req
 }
 
@@ -108,7 +108,7 @@
 	return w
 }
 
-func chat(s *entry.Server, body string) *httptest.ResponseRecorder {
+func postChat(s *entry.Server, body string) *httptest.ResponseRecorder {
 	return serve(s, request("/v1/chat/completions", body))
 }
 
@@ -137,18 +137,18 @@
 		{"unknown", "Bearer nobody", "unknown-key"},
 	}
 	for _, tt := range tests {
-		req := request("/v1/chat/completions", ask)
+		req := request("/v1/chat/completions", chatBody)
 		req.Header.Set("Authorization", tt.header)
-		wantFault(t, serve(newServer(&models{}), req), http.StatusUnauthorized, tt.code)
+		wantFault(t, serve(newServer(&fakeModels{}), req), http.StatusUnauthorized, tt.code)
 	}
 }
 
 // The caller sees 503 and when to come back, not that their key is bad, while
 // the instance has read no configuration: it knows no team yet.
 func TestNoConfigurationYet(t *testing.T) {
-	s := newServer(&models{})
+	s := newServer(&fakeModels{})
 	s.Book = &config.Active{}
-	w := chat(s, ask)
+	w := postChat(s, chatBody)
 	wantFault(t, w, http.StatusServiceUnavailable, "not-ready")
 	if w.Header().Get("Retry-After") == "" {
 		t.Errorf("got no Retry-After, want one")
@@ -157,7 +157,7 @@
 
 // The caller sees the refusal at once, with its reason, whether it ran and
 // when to come back.
-func TestRefusalIsTheFinalAnswer(t *testing.T) {
+func TestRefusalIsFinal(t *testing.T) {
 	tests := []struct {
 		reason domain.Reason
 		ran    bool
@@ -171,8 +171,8 @@
 	}
 	for _, stream := range []string{"true", "false"} {
 		for _, tt := range tests {
-			m := &models{err: &chain.RefusedError{Reason: tt.reason, Ran: tt.ran, After: 2100 * time.Millisecond}}
-			w := chat(newServer(m), strings.Replace(ask, "true", stream, 1))
+			m := &fakeModels{err: &chain.RefusedError{Reason: tt.reason, Ran: tt.ran, After: 2100 * time.Millisecond}}
+			w := postChat(newServer(m), strings.Replace(chatBody, "true", stream, 1))
 			if w.Code != tt.status || !strings.Contains(w.Body.String(), tt.want) {
 				t.Errorf("got %d %s, want %d with %s", w.Code, w.Body, tt.status, tt.want)
 			}
@@ -186,7 +186,7 @@
 func TestModelsAreListedOnce(t *testing.T) {
 	req := request("/v1/models", "")
 	req.Method = http.MethodGet
-	got := serve(newServer(&models{}), req).Body.String()
+	got := serve(newServer(&fakeModels{}), req).Body.String()
 	want := `{"object":"list","data":[{"id":"m","object":"model","created":0,"owned_by":"fulmarwick"}]}` + "\n"
 	if got != want {
 		t.Errorf("got %q, want %q", got, want)
@@ -194,17 +194,17 @@
 }
 
 func TestUnknownPathAndMethod(t *testing.T) {
-	wantFault(t, serve(newServer(&models{}), request("/v2/x", "")), http.StatusNotFound, "no-path")
-	wantFault(t, serve(newServer(&models{}), request("/v1/models", "")), http.StatusMethodNotAllowed, "no-method")
+	wantFault(t, serve(newServer(&fakeModels{}), request("/v2/x", "")), http.StatusNotFound, "no-path")
+	wantFault(t, serve(newServer(&fakeModels{}), request("/v1/models", "")), http.StatusMethodNotAllowed, "no-method")
 }
 
 // A class that its operators keep for one team is refused to another, for
 // model requests and calls alike, and nothing runs.
-func TestClassOfOtherTeams(t *testing.T) {
+func TestClassClosedToTeam(t *testing.T) {
 	table := &infra.Table{}
 	text := "[class answer]\nkind = model\nmodel = m\nfirst = 1s\nteams = two\n" +
 		"[class payment]\nkind = plain\nservice = payments\nwhole = 1s\nteams = two\n" +
-		"[team one]\nkey-hash = " + string(config.HashKey(key)) + "\n[team two]\nkey-hash = " + string(config.HashKey(other)) + "\n"
+		"[team one]\nkey-hash = " + string(config.HashKey(firstKey)) + "\n[team two]\nkey-hash = " + string(config.HashKey(secondKey)) + "\n"
 	a := &config.Applier{Table: table}
 	if _, err := a.Apply(t.Context(), config.Change{Author: "ani", Documents: []config.Document{{File: "a.ini", Data: []byte(text)}}}); err != nil {
 		t.Fatal(err)
@@ -214,17 +214,17 @@
 		t.Fatal(err)
 	}
 	ran := 0
-	s := newServer(&models{words: []string{"a"}, seen: func(context.Context, chain.Job) { ran++ }})
-	s.Calls = &calls{do: func(context.Context, ledger.Call) { ran++ }}
+	s := newServer(&fakeModels{words: []string{"a"}, onJob: func(context.Context, chain.Job) { ran++ }})
+	s.Calls = &fakeCalls{onDo: func(context.Context, ledger.Call) { ran++ }}
 	s.Book = book
-	wantFault(t, chat(s, ask), http.StatusForbidden, "closed-class")
+	wantFault(t, postChat(s, chatBody), http.StatusForbidden, "closed-class")
 	req := request("/v1/calls/payment", "{}")
 	req.Header.Set("Idempotency-Key", "k")
 	wantFault(t, serve(s, req), http.StatusForbidden, "closed-class")
 	if ran != 0 {
 		t.Errorf("got %d run, want none", ran)
 	}
-	if w := resume(s, other, "", ask); w.Code != http.StatusOK {
+	if w := resumeChat(s, secondKey, "", chatBody); w.Code != http.StatusOK {
 		t.Errorf("got %d for the team of the class, want 200", w.Code)
 	}
 }
--- a/internal/wire/entry/escape.go
+++ b/internal/wire/entry/escape.go
@@ -24,7 +24,7 @@
 			continue
 		}
 		r, size := utf8.DecodeRuneInString(text[i:])
-		if escaped := special(r, size); escaped != "" {
+		if escaped := runeEscape(r, size); escaped != "" {
 			dst = append(dst, text[start:i]...)
 			dst = append(dst, escaped...)
 			start = i + size
@@ -35,9 +35,9 @@
 	return append(dst, '"')
 }
 
-// special is the escape of a rune that may not stand as it is: bytes that are
+// runeEscape is the escape of a rune that may not stand as it is: bytes that are
 // no UTF-8, and the two line ends that end a string in JavaScript.
-func special(r rune, size int) string {
+func runeEscape(r rune, size int) string {
 	switch {
 	case r == utf8.RuneError && size == 1:
 		return `\ufffd`
--- a/internal/wire/entry/fault.go
+++ b/internal/wire/entry/fault.go
@@ -62,24 +62,24 @@
 	return faultBody{Error: faultJSON{Code: f.Code, Text: f.Text, Ran: f.Ran, After: f.seconds()}}
 }
 
-// fault answers with an error.
-func (s *Server) fault(w http.ResponseWriter, err error) {
-	f := faultOf(err)
+// writeFault answers with an error.
+func (s *Server) writeFault(w http.ResponseWriter, err error) {
+	f := toFault(err)
 	if f.After > 0 {
 		w.Header().Set("Retry-After", strconv.Itoa(f.seconds()))
 	}
-	s.replyJSON(w, f.Status, f.body())
+	s.writeJSON(w, f.Status, f.body())
 }
 
-// faultOf turns an error of the layers below into what the caller sees.
-func faultOf(err error) *FaultError {
+// toFault turns an error of the layers below into what the caller sees.
+func toFault(err error) *FaultError {
 	var f *FaultError
 	if errors.As(err, &f) {
 		return f
 	}
 	var refused *chain.RefusedError
 	if errors.As(err, &refused) {
-		return refusedFault(refused)
+		return refusalFault(refused)
 	}
 	switch {
 	case errors.Is(err, ledger.ErrBodyMismatch):
@@ -89,28 +89,28 @@
 		// run at an instance that died, and only the record tells: "no" would
 		// have its caller pay again under a new key.
 		f := newFault(http.StatusServiceUnavailable, "store-down", "The record of the call is out of reach, so this request was not sent; whether an earlier one under the key ran is not known. Send it again with the same key.", RanUnsure)
-		f.After = storeRetry
+		f.After = storeRetryAfter
 		return f
 	case errors.Is(err, ledger.ErrRecordUnreadable):
 		f := newFault(http.StatusServiceUnavailable, "record-unread", "The record of the call could not be read; ask again for its outcome.", RanUnsure)
-		f.After = storeRetry
+		f.After = storeRetryAfter
 		return f
 	case errors.Is(err, context.Canceled), errors.Is(err, ledger.ErrCallerLeft):
-		return newFault(statusGone, "caller-gone", "The caller went away.", RanUnsure)
+		return newFault(statusCallerGone, "caller-gone", "The caller went away.", RanUnsure)
 	default:
 		return newFault(http.StatusInternalServerError, "internal", "The request failed inside the router.", RanUnsure)
 	}
 }
 
 const (
-	storeRetry = 2 * time.Second
-	// statusGone is what logs and metrics show for a caller that went away;
+	storeRetryAfter = 2 * time.Second
+	// statusCallerGone is what logs and metrics show for a caller that went away;
 	// nobody is there to see it.
-	statusGone = 499
+	statusCallerGone = 499
 )
 
-func refusedFault(r *chain.RefusedError) *FaultError {
-	text, ok := refusals[r.Reason]
+func refusalFault(r *chain.RefusedError) *FaultError {
+	text, ok := refusalTexts[r.Reason]
 	if !ok {
 		text = "The request was refused."
 	}
@@ -130,7 +130,7 @@
 	return f
 }
 
-var refusals = map[domain.Reason]string{
+var refusalTexts = map[domain.Reason]string{
 	domain.ReasonOverload:         "The target of the class cannot be met now.",
 	domain.ReasonTeamLimit:        "The team is above its limit, or above its share while others wait.",
 	domain.ReasonNoEngine:         "No set of engines serves the whole model now.",
--- a/internal/wire/entry/field.go
+++ b/internal/wire/entry/field.go
@@ -12,12 +12,12 @@
 
 // chatBody is the published chat-completions request, as far as it is served.
 type chatBody struct {
-	Model    string
-	Messages []chatMessage
-	Stream   bool
-	Options  streamOptions
-	Max      int
-	MaxNew   int
+	Model               string
+	Messages            []chatMessage
+	Stream              bool
+	Options             streamOptions
+	MaxTokens           int
+	MaxCompletionTokens int
 }
 
 type streamOptions struct {
@@ -31,44 +31,44 @@
 	Text string
 }
 
-// fields says what becomes of each top-level field of the published shape. A
+// fieldReaders says what becomes of each top-level field of the published shape. A
 // field whose value would change the answer and that engines do not serve is
 // refused: a caller who asked for JSON or for tools and got plain text would
 // take it for a fault of the model.
-var fields = map[string]func(b *chatBody, raw json.RawMessage) error{
+var fieldReaders = map[string]func(b *chatBody, raw json.RawMessage) error{
 	"model":                 func(b *chatBody, raw json.RawMessage) error { return json.Unmarshal(raw, &b.Model) },
 	"messages":              func(b *chatBody, raw json.RawMessage) error { return json.Unmarshal(raw, &b.Messages) },
 	"stream":                func(b *chatBody, raw json.RawMessage) error { return json.Unmarshal(raw, &b.Stream) },
 	"stream_options":        func(b *chatBody, raw json.RawMessage) error { return json.Unmarshal(raw, &b.Options) },
-	"max_tokens":            func(b *chatBody, raw json.RawMessage) error { return json.Unmarshal(raw, &b.Max) },
-	"max_completion_tokens": func(b *chatBody, raw json.RawMessage) error { return json.Unmarshal(raw, &b.MaxNew) },
-	"user":                  pass,
-	"metadata":              pass,
-	"safety_identifier":     pass,
-	"prompt_cache_key":      pass,
-	"seed":                  pass,
-	"n":                     only("1"),
-	"temperature":           only("0", "0.0", "1", "1.0"),
-	"top_p":                 only("1", "1.0"),
-	"presence_penalty":      only("0", "0.0"),
-	"frequency_penalty":     only("0", "0.0"),
-	"logprobs":              only("false"),
-	"store":                 only("false"),
-	"tools":                 only("[]"),
-	"functions":             only("[]"),
-	"stop":                  only("[]"),
-	"logit_bias":            only("{}"),
-	"tool_choice":           only(`"none"`, `"auto"`),
-	"modalities":            only(`["text"]`),
-	"response_format":       only(`{"type":"text"}`),
-	"service_tier":          only(`"auto"`, `"default"`),
+	"max_tokens":            func(b *chatBody, raw json.RawMessage) error { return json.Unmarshal(raw, &b.MaxTokens) },
+	"max_completion_tokens": func(b *chatBody, raw json.RawMessage) error { return json.Unmarshal(raw, &b.MaxCompletionTokens) },
+	"user":                  ignoreField,
+	"metadata":              ignoreField,
+	"safety_identifier":     ignoreField,
+	"prompt_cache_key":      ignoreField,
+	"seed":                  ignoreField,
+	"n":                     allowValues("1"),
+	"temperature":           allowValues("0", "0.0", "1", "1.0"),
+	"top_p":                 allowValues("1", "1.0"),
+	"presence_penalty":      allowValues("0", "0.0"),
+	"frequency_penalty":     allowValues("0", "0.0"),
+	"logprobs":              allowValues("false"),
+	"store":                 allowValues("false"),
+	"tools":                 allowValues("[]"),
+	"functions":             allowValues("[]"),
+	"stop":                  allowValues("[]"),
+	"logit_bias":            allowValues("{}"),
+	"tool_choice":           allowValues(`"none"`, `"auto"`),
+	"modalities":            allowValues(`["text"]`),
+	"response_format":       allowValues(`{"type":"text"}`),
+	"service_tier":          allowValues(`"auto"`, `"default"`),
 }
 
-// pass takes a field that changes nothing in the answer.
-func pass(*chatBody, json.RawMessage) error { return nil }
+// ignoreField takes a field that changes nothing in the answer.
+func ignoreField(*chatBody, json.RawMessage) error { return nil }
 
-// only takes a field at the values that ask for nothing special.
-func only(values ...string) func(*chatBody, json.RawMessage) error {
+// allowValues takes a field at the values that ask for nothing special.
+func allowValues(values ...string) func(*chatBody, json.RawMessage) error {
 	return func(_ *chatBody, raw json.RawMessage) error {
 		var tight bytes.Buffer
 		if err := json.Compact(&tight, raw); err != nil {
@@ -79,17 +79,17 @@
 				return nil
 			}
 		}
-		return errOnly(values)
+		return newAllowedValuesError(values)
 	}
 }
 
-// onlyError says which values of a field are served.
-type onlyError []string
+// allowedValuesError says which values of a field are served.
+type allowedValuesError []string
 
 // Error lists the values.
-func (e onlyError) Error() string { return "only " + strings.Join(e, " or ") + " is served" }
+func (e allowedValuesError) Error() string { return "only " + strings.Join(e, " or ") + " is served" }
 
-func errOnly(values []string) error { return onlyError(values) }
+func newAllowedValuesError(values []string) error { return allowedValuesError(values) }
 
 // parseChat reads the body of a chat request, field by field.
 func parseChat(data []byte) (chatBody, error) {
@@ -99,7 +99,7 @@
 	}
 	var b chatBody
 	for name, value := range raw {
-		take, ok := fields[name]
+		take, ok := fieldReaders[name]
 		if !ok {
 			return chatBody{}, badField("unknown-field", name, "is not known")
 		}
@@ -107,26 +107,26 @@
 			continue
 		}
 		if err := take(&b, value); err != nil {
-			return chatBody{}, refusedField(name, err)
+			return chatBody{}, fieldFault(name, err)
 		}
 	}
 	return b, nil
 }
 
-func refusedField(name string, err error) error {
-	var o onlyError
+func fieldFault(name string, err error) error {
+	var o allowedValuesError
 	if errors.As(err, &o) {
 		return badField("unsupported", name, "has a value that is not served: "+err.Error())
 	}
 	return badField("bad-field", name, "cannot be read: "+err.Error())
 }
 
-// maxName bounds a caller's own text inside a fault.
-const maxName = 64
+// maxFieldNameBytes bounds a caller's own text inside a fault.
+const maxFieldNameBytes = 64
 
 func badField(code, name, text string) error {
-	if len(name) > maxName {
-		name = name[:maxName]
+	if len(name) > maxFieldNameBytes {
+		name = name[:maxFieldNameBytes]
 	}
 	return newFault(http.StatusBadRequest, code, fmt.Sprintf("The field %q %s.", name, text), RanNo)
 }
@@ -147,15 +147,15 @@
 		return fmt.Errorf("the role %q is not served", in.Role)
 	}
 	if len(in.Calls) > 0 && string(in.Calls) != "null" {
-		return onlyError{"messages without tool_calls"}
+		return allowedValuesError{"messages without tool_calls"}
 	}
-	text, err := content(in.Content)
+	text, err := parseContent(in.Content)
 	m.Role, m.Text = in.Role, text
 	return err
 }
 
-// content reads a message's content: a string, or a list of text parts.
-func content(raw json.RawMessage) (string, error) {
+// parseContent reads a message's content: a string, or a list of text parts.
+func parseContent(raw json.RawMessage) (string, error) {
 	if len(raw) == 0 || raw[0] != '[' {
 		var text *string
 		if err := json.Unmarshal(raw, &text); err != nil || text == nil {
@@ -173,7 +173,7 @@
 	var b strings.Builder
 	for _, p := range parts {
 		if p.Type != "text" || p.Text == nil {
-			return "", onlyError{"content of text parts"}
+			return "", allowedValuesError{"content of text parts"}
 		}
 		b.WriteString(*p.Text)
 	}
--- a/internal/wire/entry/limit_test.go
+++ b/internal/wire/entry/limit_test.go
@@ -25,31 +25,31 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// served counts what an Observer is told.
-type served struct {
+// fakeObserver counts what an Observer is told.
+type fakeObserver struct {
 	mu   sync.Mutex
 	ends []string
 }
 
-func (s *served) Served(class spec.Class, _, _, _ time.Duration, ok bool) {
+func (s *fakeObserver) Served(class spec.Class, _, _, _ time.Duration, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ends = append(s.ends, fmt.Sprint(class.Name(), ok))
 }
 
-func (s *served) count() int {
+func (s *fakeObserver) count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.ends)
 }
 
-func TestObserverLearnsEveryEnd(t *testing.T) {
-	s := newServer(&models{words: []string{"a"}})
-	seen := &served{}
+func TestObserverGetsEveryEnd(t *testing.T) {
+	s := newServer(&fakeModels{words: []string{"a"}})
+	seen := &fakeObserver{}
 	s.Observer = seen
-	chat(s, ask)
-	s.Models = &models{err: &chain.RefusedError{}}
-	chat(s, ask)
+	postChat(s, chatBody)
+	s.Models = &fakeModels{err: &chain.RefusedError{}}
+	postChat(s, chatBody)
 	if got, want := fmt.Sprint(seen.ends), "[answertrue answerfalse]"; got != want {
 		t.Errorf("got %s, want %s", got, want)
 	}
@@ -62,14 +62,14 @@
 	}
 }
 
-func TestBodyAboveTheLimit(t *testing.T) {
-	w := chat(newServer(&models{}), ask+strings.Repeat(" ", 5000))
+func TestBodyOverLimit(t *testing.T) {
+	w := postChat(newServer(&fakeModels{}), chatBody+strings.Repeat(" ", 5000))
 	wantFault(t, w, http.StatusRequestEntityTooLarge, "body-size")
 }
 
-// raw sends bytes to a server in the bubble and returns what comes back, if
+// sendRaw sends bytes to a server in the bubble and returns what comes back, if
 // the other end reads.
-func raw(t *testing.T, s *entry.Server, send string, reads bool) *locked {
+func sendRaw(t *testing.T, s *entry.Server, send string, reads bool) *syncBuffer {
 	t.Helper()
 	l := inmem.Listen()
 	server := s.HTTP(s.Handler(), nil)
@@ -81,29 +81,29 @@
 	}
 	t.Cleanup(func() { _ = conn.Close() })
 	go func() { _, _ = io.WriteString(conn, send) }()
-	got := &locked{}
+	got := &syncBuffer{}
 	if reads {
 		go func() { _, _ = io.Copy(got, conn) }()
 	}
 	return got
 }
 
-// locked is a buffer that one goroutine fills while another looks.
-type locked struct {
+// syncBuffer is a buffer that one goroutine fills while another looks.
+type syncBuffer struct {
 	mu  sync.Mutex
-	got bytes.Buffer
+	buf bytes.Buffer
 }
 
-func (l *locked) Write(b []byte) (int, error) {
+func (l *syncBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.got.Write(b)
+	return l.buf.Write(b)
 }
 
-func (l *locked) String() string {
+func (l *syncBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.got.String()
+	return l.buf.String()
 }
 
 // The caller's network stalls in the middle of a body. The instance tells so
@@ -111,10 +111,10 @@
 // moves, however slowly, is read to its end.
 func TestStalledBody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newServer(&models{})
+		s := newServer(&fakeModels{})
 		s.Limits.BodyTime = 10 * time.Second
-		head := "POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nAuthorization: Bearer " + key + "\r\nContent-Length: 100\r\n\r\n{"
-		got := raw(t, s, head, true)
+		head := "POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nAuthorization: Bearer " + firstKey + "\r\nContent-Length: 100\r\n\r\n{"
+		got := sendRaw(t, s, head, true)
 		time.Sleep(9 * time.Second)
 		synctest.Wait()
 		if got.String() != "" {
@@ -128,11 +128,11 @@
 	})
 }
 
-// slowly sends body in pieces of the size given, one every nine seconds, to a
+// sendSlowly sends body in pieces of the size given, one every nine seconds, to a
 // server that allows pauses of ten.
-func slowly(t *testing.T, body string, size int) string {
+func sendSlowly(t *testing.T, body string, size int) string {
 	t.Helper()
-	s := newServer(&models{words: []string{"a"}})
+	s := newServer(&fakeModels{words: []string{"a"}})
 	s.Limits.BodyTime = 10 * time.Second
 	l := inmem.Listen()
 	server := s.HTTP(s.Handler(), nil)
@@ -151,7 +151,7 @@
 		_ = into.Close()
 	})
 	req, _ := http.NewRequest(http.MethodPost, "http://in/v1/chat/completions", out)
-	req.Header.Set("Authorization", "Bearer "+key)
+	req.Header.Set("Authorization", "Bearer "+firstKey)
 	client := l.Client()
 	resp, err := client.Do(req)
 	if err != nil {
@@ -167,10 +167,10 @@
 }
 
 // The caller's link is slow, but its body moves. It is read to its end.
-func TestSlowBodyThatMovesIsRead(t *testing.T) {
+func TestSlowBodyIsRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		body := ask + strings.Repeat(" ", 4000-len(ask))
-		if got := slowly(t, body, 1100); !strings.Contains(got, "[DONE]") {
+		body := chatBody + strings.Repeat(" ", 4000-len(chatBody))
+		if got := sendSlowly(t, body, 1100); !strings.Contains(got, "[DONE]") {
 			t.Errorf("got %q, want the whole answer", got)
 		}
 	})
@@ -178,10 +178,10 @@
 
 // A hostile caller sends a byte just often enough that no pause is too long.
 // It loses its place all the same.
-func TestTrickledBodyIsCut(t *testing.T) {
+func TestTrickledBodyIsRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
-		if got := slowly(t, ask, 1); !strings.Contains(got, "body-slow") {
+		if got := sendSlowly(t, chatBody, 1); !strings.Contains(got, "body-slow") {
 			t.Errorf("got %q, want body-slow", got)
 		}
 		if took := time.Since(began); took > 20*time.Second {
@@ -194,10 +194,10 @@
 // and nothing was kept.
 func TestHeadersAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newServer(&models{})
+		s := newServer(&fakeModels{})
 		s.Limits.HeaderTime = 5 * time.Second
-		large := raw(t, s, "GET /v1/models HTTP/1.1\r\nHost: a\r\nX-A: "+strings.Repeat("a", 20000)+"\r\n\r\n", true)
-		idle := raw(t, s, "GET /v1/models HTTP/1.1\r\nHost:", true)
+		large := sendRaw(t, s, "GET /v1/models HTTP/1.1\r\nHost: a\r\nX-A: "+strings.Repeat("a", 20000)+"\r\n\r\n", true)
+		idle := sendRaw(t, s, "GET /v1/models HTTP/1.1\r\nHost:", true)
 		time.Sleep(6 * time.Second)
 		synctest.Wait()
 		if !strings.Contains(large.String(), "431") {
@@ -209,29 +209,29 @@
 	})
 }
 
-// gated is a model that answers only once its gate opens.
-type gated struct {
+// blockedModel is a model that answers only once its gate opens.
+type blockedModel struct {
 	mu      sync.Mutex
-	running int
-	gate    chan struct{}
+	started int
+	unblock chan struct{}
 }
 
-func (g *gated) Run(ctx context.Context, _ chain.Job, sink chain.Sink) (chain.Result, error) {
+func (g *blockedModel) Run(ctx context.Context, _ chain.Job, sink chain.Sink) (chain.Result, error) {
 	g.mu.Lock()
-	g.running++
+	g.started++
 	g.mu.Unlock()
 	select {
-	case <-g.gate:
+	case <-g.unblock:
 	case <-ctx.Done():
 		return chain.Result{}, ctx.Err()
 	}
 	return chain.Result{Tokens: 1}, sink(chain.Token{Text: "a"})
 }
 
-func (g *gated) count() int {
+func (g *blockedModel) count() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.running
+	return g.started
 }
 
 // A team that opens more streams than it may sees 429 for the next one, at
@@ -239,34 +239,34 @@
 // sees 503. Both are told when to come back, and nothing of theirs ran.
 func TestStreamsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := &gated{gate: make(chan struct{})}
+		g := &blockedModel{unblock: make(chan struct{})}
 		s := newServer(g)
 		s.Limits.Team, s.Limits.Streams = 2, 3
-		for _, bearer := range []string{key, key, other} {
-			go resume(s, bearer, "", ask)
+		for _, bearer := range []string{firstKey, firstKey, secondKey} {
+			go resumeChat(s, bearer, "", chatBody)
 		}
 		synctest.Wait()
-		full := resume(s, other, "", ask)
+		full := resumeChat(s, secondKey, "", chatBody)
 		wantFault(t, full, http.StatusServiceUnavailable, "busy")
 		if full.Header().Get("Retry-After") != "1" || g.count() != 3 {
 			t.Errorf("got Retry-After %q and %d running, want 1 and 3", full.Header().Get("Retry-After"), g.count())
 		}
 		s.Limits.Streams = 0
-		close(g.gate)
+		close(g.unblock)
 		synctest.Wait()
-		if w := chat(s, ask); w.Code != http.StatusOK {
+		if w := postChat(s, chatBody); w.Code != http.StatusOK {
 			t.Errorf("got %d after the others ended, want 200", w.Code)
 		}
 	})
 	synctest.Test(t, func(t *testing.T) {
-		g := &gated{gate: make(chan struct{})}
+		g := &blockedModel{unblock: make(chan struct{})}
 		s := newServer(g)
 		s.Limits.Team, s.Limits.Streams = 2, 10
-		go chat(s, ask)
-		go chat(s, ask)
+		go postChat(s, chatBody)
+		go postChat(s, chatBody)
 		synctest.Wait()
-		wantFault(t, chat(s, ask), http.StatusTooManyRequests, "team-streams")
-		close(g.gate)
+		wantFault(t, postChat(s, chatBody), http.StatusTooManyRequests, "team-streams")
+		close(g.unblock)
 	})
 }
 
@@ -275,7 +275,7 @@
 // whole instance.
 func TestStreamsOfAConnectionAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := &gated{gate: make(chan struct{})}
+		g := &blockedModel{unblock: make(chan struct{})}
 		s := newServer(g)
 		s.Limits.Connection = 2
 		l := inmem.Listen()
@@ -291,7 +291,7 @@
 		var all sync.WaitGroup
 		for range 3 {
 			all.Go(func() {
-				req := request("http://in/v1/chat/completions", ask)
+				req := request("http://in/v1/chat/completions", chatBody)
 				req.RequestURI = ""
 				resp, err := client.Do(req)
 				if err != nil {
@@ -306,7 +306,7 @@
 		if got := g.count(); got != 2 {
 			t.Errorf("got %d running, want 2", got)
 		}
-		close(g.gate)
+		close(g.unblock)
 		all.Wait()
 		if got := g.count(); got != 3 {
 			t.Errorf("got %d run in the end, want 3", got)
@@ -317,7 +317,7 @@
 }
 
 func TestTLSServesHTTP2(t *testing.T) {
-	s := newServer(&models{})
+	s := newServer(&fakeModels{})
 	server := s.HTTP(s.Handler(), &tls.Config{MinVersion: tls.VersionTLS13})
 	if !server.Protocols.HTTP2() || server.Protocols.UnencryptedHTTP2() {
 		t.Errorf("got protocols %s, want HTTP/2 with TLS only", server.Protocols)
@@ -326,25 +326,25 @@
 
 // The trace of the caller goes on to the layers below, whether or not spans
 // are kept here, and no span or log line holds the team's key.
-func TestTraceGoesOnAndKeysStayOut(t *testing.T) {
+func TestTracePropagatesAndKeysAreNotLogged(t *testing.T) {
 	const parent = "4bf92f3577b34da6a3ce929d0e0e4736"
 	recorder := tracetest.NewSpanRecorder()
 	for _, provider := range []trace.TracerProvider{nil, sdk.NewTracerProvider(sdk.WithSpanProcessor(recorder))} {
 		var got string
-		m := &models{words: []string{"a"}, err: &chain.RefusedError{}, seen: func(ctx context.Context, _ chain.Job) {
+		m := &fakeModels{words: []string{"a"}, err: &chain.RefusedError{}, onJob: func(ctx context.Context, _ chain.Job) {
 			got = trace.SpanContextFromContext(ctx).TraceID().String()
 		}}
 		var lines bytes.Buffer
 		s := newServer(m)
 		s.Spans = provider
 		s.Log = zap.New(zapcore.NewCore(zapcore.NewJSONEncoder(zap.NewProductionEncoderConfig()), zapcore.AddSync(&lines), zap.DebugLevel))
-		req := request("/v1/chat/completions", ask)
+		req := request("/v1/chat/completions", chatBody)
 		req.Header.Set("Traceparent", "00-"+parent+"-00f067aa0ba902b7-01")
 		serve(s, req)
 		if got != parent {
 			t.Errorf("got trace %s below, want %s", got, parent)
 		}
-		if lines.Len() == 0 || strings.Contains(lines.String(), key) {
+		if lines.Len() == 0 || strings.Contains(lines.String(), firstKey) {
 			t.Errorf("got log %q, want a line without the key", lines.String())
 		}
 	}
@@ -352,7 +352,7 @@
 		t.Fatalf("got %d spans, want 1", len(recorder.Ended()))
 	}
 	span := recorder.Ended()[0]
-	if got := fmt.Sprint(span.Name(), span.Attributes()); strings.Contains(got, key) || !strings.Contains(got, "answer") {
+	if got := fmt.Sprint(span.Name(), span.Attributes()); strings.Contains(got, firstKey) || !strings.Contains(got, "answer") {
 		t.Errorf("got span %s, want the class and no key", got)
 	}
 }
--- a/internal/wire/entry/models.go
+++ b/internal/wire/entry/models.go
@@ -20,13 +20,13 @@
 	}
 )
 
-// owner is what the list names as the owner of every model.
-const owner = "fulmarwick"
+// modelOwner is what the list names as the owner of every model.
+const modelOwner = "fulmarwick"
 
 // models lists each model that a class in force serves.
 func (s *Server) models(w http.ResponseWriter, req *http.Request) {
-	if _, err := s.team(req); err != nil {
-		s.fault(w, err)
+	if _, err := s.authenticate(req); err != nil {
+		s.writeFault(w, err)
 		return
 	}
 	list := modelList{Object: "list", Data: []modelBody{}}
@@ -37,7 +37,7 @@
 		}
 		seen[c.Model()] = true
 		// The router does not know when a model was made; zero says so.
-		list.Data = append(list.Data, modelBody{ID: string(c.Model()), Object: "model", Owner: owner})
+		list.Data = append(list.Data, modelBody{ID: string(c.Model()), Object: "model", Owner: modelOwner})
 	}
-	s.replyJSON(w, http.StatusOK, list)
+	s.writeJSON(w, http.StatusOK, list)
 }
--- a/internal/wire/entry/page_test.go
+++ b/internal/wire/entry/page_test.go
@@ -12,7 +12,7 @@
 
 // A caller meets a code that the page does not have and cannot tell what to do.
 // Every code in the sources of this package stands in docs/CALLERS.md.
-func TestEveryCodeIsOnThePage(t *testing.T) {
+func TestEveryCodeIsDocumented(t *testing.T) {
 	page, err := os.ReadFile("../../../docs/CALLERS.md")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/wire/entry/resume_test.go
+++ b/internal/wire/entry/resume_test.go
@@ -18,9 +18,9 @@
 	data string
 }
 
-// parse reads a stream; an event without its empty line was cut and counts
+// parseEvents reads a stream; an event without its empty line was cut and counts
 // for nothing, as with any client.
-func parse(stream string) []event {
+func parseEvents(stream string) []event {
 	var out []event
 	blocks := strings.Split(stream, "\n\n")
 	for _, b := range blocks[:len(blocks)-1] {
@@ -38,7 +38,7 @@
 	return out
 }
 
-func text(events []event) string {
+func eventText(events []event) string {
 	var b strings.Builder
 	for _, e := range events {
 		var chunk struct {
@@ -51,7 +51,7 @@
 	return b.String()
 }
 
-func resume(s *entry.Server, bearer, id, body string) *httptest.ResponseRecorder {
+func resumeChat(s *entry.Server, bearer, id, body string) *httptest.ResponseRecorder {
 	req := request("/v1/chat/completions", body)
 	req.Header.Set("Authorization", "Bearer "+bearer)
 	req.Header.Set("Last-Event-ID", id)
@@ -64,12 +64,12 @@
 // another with the last id it has and sees the rest of the answer under the
 // same answer id: no token twice, none missing, [DONE] at the end.
 func TestResumeOnAnotherInstance(t *testing.T) {
-	first := parse(chat(newServer(&models{words: words}), ask).Body.String())
+	first := parseEvents(postChat(newServer(&fakeModels{words: words}), chatBody).Body.String())
 	for n := 1; n <= len(words); n++ {
 		var job chain.Job
-		second := newServer(&models{words: words, seen: func(_ context.Context, j chain.Job) { job = j }})
-		rest := parse(resume(second, key, first[n-1].id, ask).Body.String())
-		if got, want := text(first[:n])+text(rest), strings.Join(words, ""); got != want {
+		second := newServer(&fakeModels{words: words, onJob: func(_ context.Context, j chain.Job) { job = j }})
+		rest := parseEvents(resumeChat(second, firstKey, first[n-1].id, chatBody).Body.String())
+		if got, want := eventText(first[:n])+eventText(rest), strings.Join(words, ""); got != want {
 			t.Errorf("got %q after a break at %d, want %q", got, n, want)
 		}
 		if got := rest[len(rest)-1].data; got != "[DONE]" {
@@ -81,13 +81,13 @@
 		if strings.Contains(first[0].data, string(job.Arrived.Request)) {
 			t.Errorf("got the first request's id again, want a new one")
 		}
-		if got, want := answerOf(t, rest[0]), answerOf(t, first[0]); got != want {
+		if got, want := answerID(t, rest[0]), answerID(t, first[0]); got != want {
 			t.Errorf("got answer id %s, want %s", got, want)
 		}
 	}
 }
 
-func answerOf(t *testing.T, e event) string {
+func answerID(t *testing.T, e event) string {
 	t.Helper()
 	var chunk struct{ ID string }
 	if err := json.Unmarshal([]byte(e.data), &chunk); err != nil {
@@ -100,9 +100,9 @@
 // not the one they hold part of, also when it is shorter: spliced, the two
 // would be an answer that no model gave.
 func TestResumeOfADifferentAnswer(t *testing.T) {
-	first := parse(chat(newServer(&models{words: words}), ask).Body.String())
+	first := parseEvents(postChat(newServer(&fakeModels{words: words}), chatBody).Body.String())
 	for _, other := range [][]string{{"one ", "deux ", "three ", "four "}, {"one ", "two "}} {
-		w := resume(newServer(&models{words: other}), key, first[2].id, ask)
+		w := resumeChat(newServer(&fakeModels{words: other}), firstKey, first[2].id, chatBody)
 		wantFault(t, w, http.StatusConflict, "resume-differs")
 		if strings.Contains(w.Body.String(), "four") {
 			t.Errorf("got %q, want no token", w.Body)
@@ -114,26 +114,26 @@
 // another team or for another body: nobody can ask for the end of an answer
 // that is not theirs, nor make the router skip tokens.
 func TestForgedResumeTokens(t *testing.T) {
-	id := parse(chat(newServer(&models{words: words}), ask).Body.String())[2].id
+	id := parseEvents(postChat(newServer(&fakeModels{words: words}), chatBody).Body.String())[2].id
 	for i := range id {
 		changed := []byte(id)
 		changed[i] ^= 1
-		wantFault(t, resume(newServer(&models{words: words}), key, string(changed), ask), http.StatusBadRequest, "bad-resume")
+		wantFault(t, resumeChat(newServer(&fakeModels{words: words}), firstKey, string(changed), chatBody), http.StatusBadRequest, "bad-resume")
 	}
-	whole := strings.Replace(ask, "true", "false", 1)
+	whole := strings.Replace(chatBody, "true", "false", 1)
 	tests := []struct{ name, bearer, id, body string }{
-		{"other team", other, id, ask},
-		{"other prompt", key, id, strings.Replace(ask, "hi", "ho", 1)},
-		{"other limit", key, id, strings.Replace(ask, `"stream"`, `"max_tokens":50,"stream"`, 1)},
-		{"shorter", key, id[:len(id)-1], ask},
-		{"longer", key, id + "A", ask},
-		{"empty base64", key, "====", ask},
-		{"not a stream", key, id, whole},
+		{"other team", secondKey, id, chatBody},
+		{"other prompt", firstKey, id, strings.Replace(chatBody, "hi", "ho", 1)},
+		{"other limit", firstKey, id, strings.Replace(chatBody, `"stream"`, `"max_tokens":50,"stream"`, 1)},
+		{"shorter", firstKey, id[:len(id)-1], chatBody},
+		{"longer", firstKey, id + "A", chatBody},
+		{"empty base64", firstKey, "====", chatBody},
+		{"not a stream", firstKey, id, whole},
 	}
 	for _, tt := range tests {
 		ran := false
-		s := newServer(&models{words: words, seen: func(context.Context, chain.Job) { ran = true }})
-		wantFault(t, resume(s, tt.bearer, tt.id, tt.body), http.StatusBadRequest, "bad-resume")
+		s := newServer(&fakeModels{words: words, onJob: func(context.Context, chain.Job) { ran = true }})
+		wantFault(t, resumeChat(s, tt.bearer, tt.id, tt.body), http.StatusBadRequest, "bad-resume")
 		if ran {
 			t.Errorf("%s: got it run, want it refused before", tt.name)
 		}
@@ -141,7 +141,7 @@
 }
 
 func FuzzResumeToken(f *testing.F) {
-	sealer := entry.NewSealer(key, 7)
+	sealer := entry.NewSealer(firstKey, 7)
 	f.Add(string(sealer.Append(nil, entry.Position{})))
 	f.Add("AQAAAAE")
 	f.Add(strings.Repeat("A", 60))
--- a/internal/wire/entry/stream.go
+++ b/internal/wire/entry/stream.go
@@ -12,111 +12,111 @@
 	"github.com/go-faster/errors"
 )
 
-// events writes an answer as server-sent events. The status line waits for
+// eventStream writes an answer as server-sent events. The status line waits for
 // the first token, so that a refusal keeps its own status.
-type events struct {
-	server *Server
-	w      http.ResponseWriter
-	ask    *ask
-	stop   context.CancelCauseFunc
-	follow *follow
-	out    *writer
-	// head and tail stand around the text of each token.
-	head string
-	tail string
-	text string
-	role bool
+type eventStream struct {
+	server  *Server
+	w       http.ResponseWriter
+	request *chatRequest
+	cancel  context.CancelCauseFunc
+	prefix  *prefixChecker
+	out     *streamWriter
+	// chunkHead and tail stand around the text of each token.
+	chunkHead string
+	chunkTail string
+	tokenText string
+	sendRole  bool
 }
 
-func (s *Server) stream(w http.ResponseWriter, req *http.Request, a *ask) {
+func (s *Server) streamChat(w http.ResponseWriter, req *http.Request, a *chatRequest) {
 	ctx, stop := context.WithCancelCause(req.Context())
 	defer stop(nil)
-	e := &events{server: s, w: w, ask: a, stop: stop, follow: newFollow(a.from), role: a.from.count == 0}
-	e.frame()
-	if a.from.count > 0 {
-		s.meter.resumed.Inc()
+	e := &eventStream{server: s, w: w, request: a, cancel: stop, prefix: newPrefixChecker(a.resumeFrom), sendRole: a.resumeFrom.count == 0}
+	e.buildFrame()
+	if a.resumeFrom.count > 0 {
+		s.meter.resumedStreams.Inc()
 	}
-	result, err := s.Models.Run(ctx, a.job, e.token)
+	result, err := s.Models.Run(ctx, a.job, e.onToken)
 	if err == nil {
-		err = e.follow.end()
+		err = e.prefix.checkEnd()
 	}
 	// An answer that stops because its caller cannot be written to is the
 	// caller's doing, whatever error comes back through the layers.
-	if cause := context.Cause(ctx); errors.Is(cause, errGone) {
+	if cause := context.Cause(ctx); errors.Is(cause, errCallerGone) {
 		err = cause
 	}
-	err = e.close(result, err)
-	s.ended(req, a, result, cutError(err))
+	err = e.finish(result, err)
+	s.recordChat(req, a, result, callerFault(err))
 	switch {
-	case errors.Is(err, errSlow):
-		s.meter.slow.Inc()
+	case errors.Is(err, errCallerSlow):
+		s.meter.slowCallers.Inc()
 		// The connection is cut without its ending, so that no client takes
 		// the stream for whole. The last event's id resumes it.
 		panic(http.ErrAbortHandler)
-	case errors.Is(err, errGone):
-		s.meter.gone.Inc()
+	case errors.Is(err, errCallerGone):
+		s.meter.goneCallers.Inc()
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// cutError turns the writer's errors into what logs and metrics show.
-func cutError(err error) error {
+// callerFault turns the writer's errors into what logs and metrics show.
+func callerFault(err error) error {
 	switch {
-	case errors.Is(err, errSlow):
-		return newFault(statusGone, "caller-slow", "The caller read more slowly than its answer was made.", RanYes)
-	case errors.Is(err, errGone):
-		return newFault(statusGone, "caller-gone", "The caller went away.", RanYes)
+	case errors.Is(err, errCallerSlow):
+		return newFault(statusCallerGone, "caller-slow", "The caller read more slowly than its answer was made.", RanYes)
+	case errors.Is(err, errCallerGone):
+		return newFault(statusCallerGone, "caller-gone", "The caller went away.", RanYes)
 	}
 	return err
 }
 
-// frame makes the parts that are alike in all chunks.
-func (e *events) frame() {
+// buildFrame makes the parts that are alike in all chunks.
+func (e *eventStream) buildFrame() {
 	var b []byte
 	b = append(b, `data: {"id":`...)
-	b = appendString(b, answerID(e.ask.from))
+	b = appendString(b, answerID(e.request.resumeFrom))
 	b = append(b, `,"object":"chat.completion.chunk","created":`...)
 	b = strconv.AppendInt(b, time.Now().Unix(), 10)
 	b = append(b, `,"model":`...)
-	b = appendString(b, string(e.ask.class.Model()))
+	b = appendString(b, string(e.request.class.Model()))
 	b = append(b, `,"choices":[`...)
-	e.head = string(b)
-	e.tail = "}\n\n"
-	if e.ask.usage {
-		e.tail = `,"usage":null}` + "\n\n"
+	e.chunkHead = string(b)
+	e.chunkTail = "}\n\n"
+	if e.request.includeUsage {
+		e.chunkTail = `,"usage":null}` + "\n\n"
 	}
 }
 
-// token takes the next token from the chain. It runs once per token and takes
+// onToken takes the next token from the chain. It runs once per token and takes
 // no memory.
-func (e *events) token(t chain.Token) error {
-	e.ask.times.token()
-	fresh, err := e.follow.take(t.Text)
+func (e *eventStream) onToken(t chain.Token) error {
+	e.request.timings.markToken()
+	fresh, err := e.prefix.add(t.Text)
 	if err != nil || !fresh {
 		return err
 	}
-	e.begin()
-	e.text = t.Text
-	return e.out.push(e.chunk)
+	e.start()
+	e.tokenText = t.Text
+	return e.out.push(e.appendChunk)
 }
 
-func (e *events) chunk(b []byte) []byte {
+func (e *eventStream) appendChunk(b []byte) []byte {
 	b = append(b, "id: "...)
-	b = e.ask.sealer.Append(b, e.follow.now())
+	b = e.request.sealer.Append(b, e.prefix.position())
 	b = append(b, '\n')
-	b = append(b, e.head...)
+	b = append(b, e.chunkHead...)
 	b = append(b, `{"index":0,"delta":{`...)
-	if e.role {
-		e.role = false
+	if e.sendRole {
+		e.sendRole = false
 		b = append(b, `"role":"assistant",`...)
 	}
 	b = append(b, `"content":`...)
-	b = appendString(b, e.text)
+	b = appendString(b, e.tokenText)
 	b = append(b, `},"finish_reason":null}]`...)
-	return append(b, e.tail...)
+	return append(b, e.chunkTail...)
 }
 
-func (e *events) begin() {
+func (e *eventStream) start() {
 	if e.out != nil {
 		return
 	}
@@ -125,26 +125,26 @@
 	h.Set("Cache-Control", "no-cache")
 	// Proxies that gather answers would turn the stream into one late piece.
 	h.Set("X-Accel-Buffering", "no")
-	e.out = newWriter(e.w, e.server.Limits, e.stop)
+	e.out = newStreamWriter(e.w, e.server.Limits, e.cancel)
 }
 
-// close ends the stream and returns how: as a whole answer, as a plain error
+// finish ends the stream and returns how: as a whole answer, as a plain error
 // before the first token, or as an event without [DONE], so that a cut answer
 // never looks whole.
-func (e *events) close(result chain.Result, err error) error {
+func (e *eventStream) finish(result chain.Result, err error) error {
 	if err != nil && e.out == nil {
-		if !errors.Is(err, errGone) {
-			e.server.fault(e.w, err)
+		if !errors.Is(err, errCallerGone) {
+			e.server.writeFault(e.w, err)
 		}
 		return err
 	}
-	e.begin()
+	e.start()
 	var last error
 	switch {
 	case err == nil:
-		last = e.out.push(func(b []byte) []byte { return e.end(b, result) })
-	case !errors.Is(err, errSlow) && !errors.Is(err, errGone):
-		_ = e.out.push(func(b []byte) []byte { return faultEvent(b, err) })
+		last = e.out.push(func(b []byte) []byte { return e.appendEnd(b, result) })
+	case !errors.Is(err, errCallerSlow) && !errors.Is(err, errCallerGone):
+		_ = e.out.push(func(b []byte) []byte { return appendFaultEvent(b, err) })
 	}
 	if wrote := e.out.finish(); wrote != nil {
 		return wrote
@@ -155,15 +155,15 @@
 	return err
 }
 
-func (e *events) end(b []byte, result chain.Result) []byte {
-	b = append(b, e.head...)
+func (e *eventStream) appendEnd(b []byte, result chain.Result) []byte {
+	b = append(b, e.chunkHead...)
 	b = append(b, `{"index":0,"delta":{},"finish_reason":`...)
 	b = appendString(b, finishReason(result))
 	b = append(b, "}]"...)
-	b = append(b, e.tail...)
-	if e.ask.usage {
-		u := usage(e.ask, result)
-		b = append(b, e.head...)
+	b = append(b, e.chunkTail...)
+	if e.request.includeUsage {
+		u := usage(e.request, result)
+		b = append(b, e.chunkHead...)
 		b = append(b, `],"usage":{"prompt_tokens":`...)
 		b = strconv.AppendInt(b, int64(u.Prompt), 10)
 		b = append(b, `,"completion_tokens":`...)
@@ -175,8 +175,8 @@
 	return append(b, "data: [DONE]\n\n"...)
 }
 
-func faultEvent(b []byte, err error) []byte {
-	data, failed := json.Marshal(faultOf(err).body())
+func appendFaultEvent(b []byte, err error) []byte {
+	data, failed := json.Marshal(toFault(err).body())
 	if failed != nil {
 		return b
 	}
--- a/internal/wire/entry/stream_test.go
+++ b/internal/wire/entry/stream_test.go
@@ -15,8 +15,8 @@
 	"fulmarwick/internal/wire/entry"
 )
 
-// open serves s on a network in the process and posts ask to it.
-func open(t *testing.T, s *entry.Server) *http.Response {
+// openStream serves s on a network in the process and posts ask to it.
+func openStream(t *testing.T, s *entry.Server) *http.Response {
 	t.Helper()
 	l := inmem.Listen()
 	server := s.HTTP(s.Handler(), nil)
@@ -26,11 +26,11 @@
 		client.CloseIdleConnections()
 		_ = server.Close()
 	})
-	req, err := http.NewRequest(http.MethodPost, "http://in/v1/chat/completions", strings.NewReader(ask))
+	req, err := http.NewRequest(http.MethodPost, "http://in/v1/chat/completions", strings.NewReader(chatBody))
 	if err != nil {
 		t.Fatal(err)
 	}
-	req.Header.Set("Authorization", "Bearer "+key)
+	req.Header.Set("Authorization", "Bearer "+firstKey)
 	resp, err := client.Do(req)
 	if err != nil {
 		t.Fatal(err)
@@ -50,9 +50,9 @@
 			many[i] = strings.Repeat(string(rune('a'+i%26)), 50)
 		}
 		made := 0
-		s := newServer(&models{words: many, before: func(i int) { made = i }})
+		s := newServer(&fakeModels{words: many, beforeWord: func(i int) { made = i }})
 		s.Limits.WriteTime = time.Minute
-		resp := open(t, s)
+		resp := openStream(t, s)
 		head := make([]byte, 3000)
 		n, _ := resp.Body.Read(head)
 		synctest.Wait()
@@ -62,24 +62,24 @@
 		time.Sleep(2 * time.Minute)
 		synctest.Wait()
 		var rest strings.Builder
-		_, err := copyTo(&rest, resp)
+		_, err := readUntilError(&rest, resp)
 		if err == nil {
 			t.Error("got a stream that ends as a whole one, want it cut")
 		}
-		had := parse(string(head[:n]) + rest.String())
+		had := parseEvents(string(head[:n]) + rest.String())
 		if len(had) == 0 || strings.Contains(rest.String(), "[DONE]") {
 			t.Fatalf("got %d events, want some and no [DONE]", len(had))
 		}
-		again := newServer(&models{words: many})
+		again := newServer(&fakeModels{words: many})
 		again.Limits.Buffer = 1 << 20
-		more := parse(resume(again, key, had[len(had)-1].id, ask).Body.String())
-		if got, want := text(had)+text(more), strings.Join(many, ""); got != want {
+		more := parseEvents(resumeChat(again, firstKey, had[len(had)-1].id, chatBody).Body.String())
+		if got, want := eventText(had)+eventText(more), strings.Join(many, ""); got != want {
 			t.Errorf("got %d bytes after the resume, want the %d of the answer", len(got), len(want))
 		}
 	})
 }
 
-func copyTo(b *strings.Builder, resp *http.Response) (int, error) {
+func readUntilError(b *strings.Builder, resp *http.Response) (int, error) {
 	buf := make([]byte, 1024)
 	total := 0
 	for {
@@ -98,17 +98,17 @@
 // The caller's proxy closes connections that are silent for a minute. An
 // answer whose next token takes ten minutes reaches the caller whole, since
 // comments go out meanwhile; clients pass them over.
-func TestCommentsKeepASilentStreamOpen(t *testing.T) {
+func TestCommentsKeepIdleStreamOpen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := &models{words: []string{"a", "b"}, before: func(i int) { time.Sleep(time.Duration(i) * 10 * time.Minute) }}
+		m := &fakeModels{words: []string{"a", "b"}, beforeWord: func(i int) { time.Sleep(time.Duration(i) * 10 * time.Minute) }}
 		s := newServer(m)
 		s.Limits.Comment = 15 * time.Second
-		resp := open(t, s)
+		resp := openStream(t, s)
 		got := readAll(t, resp.Body)
 		if n := strings.Count(got, ": wait\n\n"); n < 38 || n > 40 {
 			t.Errorf("got %d comments in ten minutes, want one in 15 s", n)
 		}
-		if text(parse(got)) != "ab" || !strings.HasSuffix(got, "data: [DONE]\n\n") {
+		if eventText(parseEvents(got)) != "ab" || !strings.HasSuffix(got, "data: [DONE]\n\n") {
 			t.Errorf("got %q, want both tokens and [DONE]", got)
 		}
 	})
@@ -116,7 +116,7 @@
 
 // The caller goes away in the middle of a stream. The work behind it must end,
 // or engines would go on for nobody; no class is blamed for the caller's doing.
-func TestCallerGoesAway(t *testing.T) {
+func TestCallerDisconnects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ended := make(chan error, 1)
 		s := newServer(nil)
@@ -126,9 +126,9 @@
 			ended <- ctx.Err()
 			return chain.Result{}, ctx.Err()
 		})
-		seen := &served{}
+		seen := &fakeObserver{}
 		s.Observer = seen
-		resp := open(t, s)
+		resp := openStream(t, s)
 		if _, err := resp.Body.Read(make([]byte, 10)); err != nil {
 			t.Fatal(err)
 		}
@@ -146,19 +146,19 @@
 // The caller asks for a whole answer and reads none of it. The request ends
 // after the write pause and gives its place back; an instance that stops would
 // otherwise wait for that caller for ever.
-func TestWholeAnswerThatNobodyReads(t *testing.T) {
+func TestUnreadAnswerTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newServer(&models{words: []string{strings.Repeat("x", 1<<20)}})
+		s := newServer(&fakeModels{words: []string{strings.Repeat("x", 1<<20)}})
 		s.Limits.WriteTime = time.Minute
 		s.Limits.Streams = 1
-		whole := strings.Replace(ask, "true", "false", 1)
-		raw(t, s, "POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nAuthorization: Bearer "+key+
+		whole := strings.Replace(chatBody, "true", "false", 1)
+		sendRaw(t, s, "POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nAuthorization: Bearer "+firstKey+
 			"\r\nContent-Length: "+strconv.Itoa(len(whole))+"\r\n\r\n"+whole, false)
 		synctest.Wait()
-		wantFault(t, chat(s, ask), http.StatusServiceUnavailable, "busy")
+		wantFault(t, postChat(s, chatBody), http.StatusServiceUnavailable, "busy")
 		time.Sleep(2 * time.Minute)
 		synctest.Wait()
-		if w := chat(s, ask); w.Code != http.StatusOK {
+		if w := postChat(s, chatBody); w.Code != http.StatusOK {
 			t.Errorf("got %d after the write pause, want 200", w.Code)
 		}
 	})
@@ -167,9 +167,9 @@
 // The balancer keeps a connection. Long after a stream on it, when the
 // stream's last write deadline has passed, the next question on it is
 // answered, also by what sets no deadline of its own, such as /readyz.
-func TestConnectionServesAgainAfterAStream(t *testing.T) {
+func TestConnectionReusedAfterStream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newServer(&models{words: []string{"a"}})
+		s := newServer(&fakeModels{words: []string{"a"}})
 		s.Limits.WriteTime = 30 * time.Second
 		mux := http.NewServeMux()
 		mux.Handle("/v1/", s.Handler())
@@ -184,11 +184,11 @@
 		}}
 		client := &http.Client{Transport: transport}
 		for _, path := range []string{"/v1/chat/completions", "/readyz", "/v1/chat/completions"} {
-			req, err := http.NewRequest(http.MethodPost, "http://in"+path, strings.NewReader(ask))
+			req, err := http.NewRequest(http.MethodPost, "http://in"+path, strings.NewReader(chatBody))
 			if err != nil {
 				t.Fatal(err)
 			}
-			req.Header.Set("Authorization", "Bearer "+key)
+			req.Header.Set("Authorization", "Bearer "+firstKey)
 			resp, err := client.Do(req)
 			if err != nil {
 				t.Fatal(err)
@@ -221,11 +221,11 @@
 		for i := range many {
 			many[i] = "word "
 		}
-		s := newServer(&models{words: many})
+		s := newServer(&fakeModels{words: many})
 		s.Limits.Buffer = 1 << 20
 		h := s.Handler()
 		return testing.AllocsPerRun(20, func() {
-			h.ServeHTTP(&discard{header: http.Header{}}, request("/v1/chat/completions", ask))
+			h.ServeHTTP(&discardResponse{header: http.Header{}}, request("/v1/chat/completions", chatBody))
 		})
 	}
 	short, long := allocs(10), allocs(2010)
@@ -234,10 +234,10 @@
 	}
 }
 
-// discard is a response that takes everything and keeps nothing.
-type discard struct{ header http.Header }
+// discardResponse is a response that takes everything and keeps nothing.
+type discardResponse struct{ header http.Header }
 
-func (d *discard) Header() http.Header         { return d.header }
-func (d *discard) Write(b []byte) (int, error) { return len(b), nil }
-func (d *discard) WriteHeader(int)             {}
-func (d *discard) Flush()                      {}
+func (d *discardResponse) Header() http.Header         { return d.header }
+func (d *discardResponse) Write(b []byte) (int, error) { return len(b), nil }
+func (d *discardResponse) WriteHeader(int)             {}
+func (d *discardResponse) Flush()                      {}
