--- a/internal/wire/entry/answer.go
+++ b/internal/wire/entry/answer.go
@@ -10,7 +10,8 @@
 	"go.uber.org/zap"
 )
 
-// The published shapes of an answer that is not streamed.
+// The JSON of a chat completion that is not streamed, as published by the
+// chat completions API.
 type (
 	chatAnswer struct {
 		ID      string       `json:"id"`
@@ -36,43 +37,46 @@
 	}
 )
 
-// answerID is the id under which callers know an answer.
+// answerID returns the completion id that callers see.
 func answerID(p Position) string { return "chatcmpl-" + p.answer.String() }
 
-func (s *Server) completeChat(w http.ResponseWriter, req *http.Request, a *chatRequest) {
+// completeChat runs a chat request and writes the whole answer at once.
+func (s *Server) completeChat(w http.ResponseWriter, req *http.Request, chat *chatRequest) {
 	var text strings.Builder
-	result, err := s.Models.Run(req.Context(), a.job, func(t chain.Token) error {
-		a.timings.markToken()
+	result, err := s.Models.Run(req.Context(), chat.job, func(t chain.Token) error {
+		chat.timings.markToken()
 		text.WriteString(t.Text)
 		return nil
 	})
-	s.recordChat(req, a, result, err)
+	s.recordChat(req, chat, result, err)
 	if err != nil {
 		s.writeFault(w, err)
 		return
 	}
 	s.writeJSON(w, http.StatusOK, chatAnswer{
-		ID: answerID(a.resumeFrom), Object: "chat.completion", Created: time.Now().Unix(), Model: string(a.class.Model()),
+		ID: answerID(chat.resumeFrom), Object: "chat.completion", Created: time.Now().Unix(), Model: string(chat.class.Model()),
 		Choices: []chatChoice{{Message: answerMessage{Role: "assistant", Content: text.String()}, Finish: finishReason(result)}},
-		Usage:   usage(a, result),
+		Usage:   usage(chat, result),
 	})
 }
 
-// recordChat counts a request that ran and tells its end to whoever wants to know.
-func (s *Server) recordChat(req *http.Request, a *chatRequest, result chain.Result, err error) {
-	a.timings.markEnd()
+// recordChat records the end of a request that ran in the metrics, the log, the
+// span and the Observer.
+func (s *Server) recordChat(req *http.Request, chat *chatRequest, result chain.Result, err error) {
+	chat.timings.markEnd()
 	code := "ok"
 	if err != nil {
 		code = toFault(err).Code
 		s.Log.Info("entry: request failed",
-			zap.String("request", string(a.job.Arrived.Request)), zap.String("code", code), zap.Error(err))
+			zap.String("request", string(chat.job.Arrived.Request)), zap.String("code", code), zap.Error(err))
 	}
-	s.meter.countRequest(a.class.Name(), code)
-	s.meter.countAnswer(a.class.Name(), result.Tokens, a.timings)
-	annotateSpan(req, a.class.Name(), result.Tokens, err)
-	// A caller that left says nothing about how the class is served.
+	s.meter.countRequest(chat.class.Name(), code)
+	s.meter.countAnswer(chat.class.Name(), result.Tokens, chat.timings)
+	annotateSpan(req, chat.class.Name(), result.Tokens, err)
+	// Requests whose caller disconnected are left out, because they are no
+	// measure of how well the class is served.
 	if s.Observer != nil && req.Context().Err() == nil {
-		s.Observer.Served(a.class, a.timings.first, a.timings.gap, a.timings.whole, err == nil)
+		s.Observer.Served(chat.class, chat.timings.first, chat.timings.gap, chat.timings.whole, err == nil)
 	}
 }
 
@@ -83,6 +87,6 @@
 	return "length"
 }
 
-func usage(a *chatRequest, r chain.Result) chatUsage {
-	return chatUsage{Prompt: a.job.Arrived.PromptTokens, Completion: r.Tokens, Total: a.job.Arrived.PromptTokens + r.Tokens}
+func usage(chat *chatRequest, r chain.Result) chatUsage {
+	return chatUsage{Prompt: chat.job.Arrived.PromptTokens, Completion: r.Tokens, Total: chat.job.Arrived.PromptTokens + r.Tokens}
 }
--- a/internal/wire/entry/bench_test.go
+++ b/internal/wire/entry/bench_test.go
@@ -8,16 +8,16 @@
 	"fulmarwick/internal/wire/entry"
 )
 
-// BenchmarkStream is the cost of entry alone per token: a model that answers
-// at once and a caller that takes everything.
+// BenchmarkStream measures the cost per token of this package alone: the model
+// answers immediately and the caller accepts everything.
 func BenchmarkStream(b *testing.B) {
 	for _, tokens := range []int{100, 2000} {
 		b.Run(fmt.Sprintf("tokens=%d", tokens), func(b *testing.B) {
-			many := make([]string, tokens)
-			for i := range many {
-				many[i] = "word "
+			words := make([]string, tokens)
+			for i := range words {
+				words[i] = "word "
 			}
-			s := newServer(&fakeModels{words: many})
+			s := newServer(&fakeModels{words: words})
 			s.Limits.Buffer = 256 << 10
 			h := s.Handler()
 			b.ReportAllocs()
@@ -29,7 +29,7 @@
 	}
 }
 
-// BenchmarkSeal is the cost of a resume token.
+// BenchmarkSeal measures the cost of encoding a resume token.
 func BenchmarkSeal(b *testing.B) {
 	sealer := entry.NewSealer(firstKey, 7)
 	var dst []byte
@@ -39,7 +39,7 @@
 	}
 }
 
-// BenchmarkString is the cost of a token's text as JSON.
+// BenchmarkString measures the cost of encoding a token's text as JSON.
 func BenchmarkString(b *testing.B) {
 	var dst []byte
 	b.ReportAllocs()
--- a/internal/wire/entry/body.go
+++ b/internal/wire/entry/body.go
@@ -10,13 +10,14 @@
 	"github.com/go-faster/errors"
 )
 
-// minBodyBytes is how much of a body must come, on average, within one body pause.
-// A body that brings a byte at a time, just often enough, would hold a place
-// and the instance's stop for ever; the slowest honest link is far above it.
+// minBodyBytes is the minimum number of bytes that a caller must send, on
+// average, per Limits.BodyTime. Otherwise a caller that sends single bytes just
+// often enough would occupy a request slot and block the shutdown of the
+// instance forever. The slowest legitimate link is far above this rate.
 const minBodyBytes = 1 << 10
 
-// readBody takes a request's body. A body that stops, or hardly moves, ends with a
-// fault; a slow one is read to its end.
+// readBody reads the body of a request. It returns a fault if the body stalls or
+// falls below the minimum rate; a body that is merely slow is read to its end.
 func (s *Server) readBody(w http.ResponseWriter, req *http.Request) ([]byte, error) {
 	body := http.MaxBytesReader(w, req.Body, s.Limits.Body)
 	control := http.NewResponseController(w)
@@ -28,15 +29,15 @@
 		out.Grow(int(n) + bytes.MinRead)
 	}
 	if _, err := out.ReadFrom(body); err != nil {
-		// The server reads what is left of a body before it answers. That of
-		// a stalled one never comes, so the deadline stays and the connection
-		// ends with the answer.
+		// net/http reads the rest of the body before it sends the response.
+		// The rest of a stalled body never arrives, so the read deadline stays
+		// in place and the connection is closed after the response.
 		w.Header().Set("Connection", "close")
 		return nil, bodyFault(err)
 	}
 	if s.Limits.BodyTime > 0 {
-		// The connection's reader goes on watching for the caller's leaving;
-		// a deadline left behind would look to it like that.
+		// Remove the read deadline: net/http keeps reading from the connection
+		// to detect a disconnect and would mistake an expired deadline for one.
 		_ = control.SetReadDeadline(time.Time{})
 	}
 	return out.Bytes(), nil
@@ -54,7 +55,8 @@
 	}
 }
 
-// deadlineReader moves the read deadline on before each read.
+// deadlineReader extends the connection's read deadline before each read, but
+// never beyond what minBodyBytes allows for the bytes received so far.
 type deadlineReader struct {
 	io.ReadCloser
 	control  *http.ResponseController
@@ -63,15 +65,15 @@
 	received int64
 }
 
-// Read reads with a fresh deadline.
-func (p *deadlineReader) Read(b []byte) (int, error) {
-	deadline := time.Now().Add(p.maxPause)
-	if last := p.start.Add(p.maxPause * time.Duration(1+p.received/minBodyBytes)); last.Before(deadline) {
+// Read sets a new read deadline and reads.
+func (r *deadlineReader) Read(b []byte) (int, error) {
+	deadline := time.Now().Add(r.maxPause)
+	if last := r.start.Add(r.maxPause * time.Duration(1+r.received/minBodyBytes)); last.Before(deadline) {
 		deadline = last
 	}
-	// A connection without deadlines, as in tests, is read without.
-	_ = p.control.SetReadDeadline(deadline)
-	n, err := p.ReadCloser.Read(b)
-	p.received += int64(n)
+	// Connections without deadlines, as in tests, return an error here.
+	_ = r.control.SetReadDeadline(deadline)
+	n, err := r.ReadCloser.Read(b)
+	r.received += int64(n)
 	return n, err
 }
--- a/internal/wire/entry/call.go
+++ b/internal/wire/entry/call.go
@@ -15,9 +15,11 @@
 	"go.uber.org/zap"
 )
 
+// maxKeyBytes is the maximum length of an idempotency key.
 const maxKeyBytes = 255
 
-// outcomeBody answers an outcome look-up, and a call whose end is not known.
+// outcomeBody is the JSON response to an outcome lookup and to a call that is
+// still running.
 type outcomeBody struct {
 	State  string          `json:"state"`
 	Status int             `json:"status,omitempty"`
@@ -25,8 +27,9 @@
 	Text   string          `json:"text,omitempty"`
 }
 
+// call handles POST /v1/calls/{class}: it runs a call of a plain service.
 func (s *Server) call(w http.ResponseWriter, req *http.Request) {
-	began := time.Now()
+	start := time.Now()
 	class, c, err := s.readCall(w, req)
 	if err == nil {
 		err = s.limiter.acquire(c.Team())
@@ -36,10 +39,10 @@
 		return
 	}
 	defer s.limiter.release(c.Team())
-	// A caller that goes away must not cut a payment in the middle: its
-	// answer would be lost and the outcome unsure.
+	// The call must not be canceled when the caller disconnects. A payment
+	// interrupted midway would lose its answer and leave its outcome unknown.
 	out, err := s.Calls.Do(context.WithoutCancel(req.Context()), c)
-	s.recordCall(req, class, out, err, time.Since(began))
+	s.recordCall(req, class, out, err, time.Since(start))
 	if err != nil {
 		s.writeFault(w, err)
 		return
@@ -47,21 +50,23 @@
 	s.writeOutcome(w, out)
 }
 
-// recordCall counts a call and tells its end to whoever wants to know.
-func (s *Server) recordCall(req *http.Request, class spec.Class, out ledger.Outcome, err error, whole time.Duration) {
+// recordCall records the end of a call in the metrics, the log, the span and the
+// Observer.
+func (s *Server) recordCall(req *http.Request, class spec.Class, out ledger.Outcome, err error, duration time.Duration) {
 	code := out.State().String()
 	if err != nil {
 		code = toFault(err).Code
 		s.Log.Info("entry: call failed", zap.String("class", string(class.Name())), zap.String("code", code), zap.Error(err))
 	}
 	s.meter.countRequest(class.Name(), code)
-	s.meter.observeDuration("whole", class.Name(), whole)
+	s.meter.observeDuration("whole", class.Name(), duration)
 	annotateSpan(req, class.Name(), 0, err)
 	if s.Observer != nil {
-		s.Observer.Served(class, 0, 0, whole, err == nil && out.State() == ledger.StateDone)
+		s.Observer.Served(class, 0, 0, duration, err == nil && out.State() == ledger.StateDone)
 	}
 }
 
+// readCall authenticates, checks and reads a call request.
 func (s *Server) readCall(w http.ResponseWriter, req *http.Request) (spec.Class, ledger.Call, error) {
 	team, err := s.authenticate(req)
 	if err != nil {
@@ -82,12 +87,12 @@
 	if err != nil {
 		return class, ledger.Call{}, err
 	}
-	kind := req.Header.Get("Content-Type")
-	return class, ledger.NewCall(team.ID(), class.Name(), class.Service(), key, kind, body), nil
+	contentType := req.Header.Get("Content-Type")
+	return class, ledger.NewCall(team.ID(), class.Name(), class.Service(), key, contentType, body), nil
 }
 
-// callKey is the caller's idempotency key. A call that may be repeated needs
-// none and gets one of its own.
+// callKey returns the idempotency key of a call. Calls of a retryable class need
+// no key; without one they get a new random key.
 func callKey(req *http.Request, class spec.Class) (string, error) {
 	key := req.Header.Get("Idempotency-Key")
 	switch {
@@ -101,7 +106,8 @@
 	return key, nil
 }
 
-// validKey keeps what cannot stand in a row's key or a log line out of them.
+// validKey reports whether key may be used in the key of a stored row and in log
+// lines: printable ASCII without spaces, at most maxKeyBytes long.
 func validKey(key string) bool {
 	if key == "" || len(key) > maxKeyBytes {
 		return false
@@ -114,6 +120,7 @@
 	return true
 }
 
+// plainClass returns the plain class named in the path of a request.
 func (s *Server) plainClass(req *http.Request) (spec.Class, error) {
 	class, ok := s.Book.Class(spec.ClassName(mux.Vars(req)["class"]))
 	if !ok || class.Kind() != spec.KindPlain {
@@ -122,6 +129,8 @@
 	return class, nil
 }
 
+// outcome handles GET /v1/calls/{class}/{key}: it returns the recorded outcome of
+// a call.
 func (s *Server) outcome(w http.ResponseWriter, req *http.Request) {
 	team, err := s.authenticate(req)
 	if err != nil {
@@ -150,7 +159,8 @@
 	s.writeState(w, status, out)
 }
 
-// writeOutcome answers a call: with the service's own answer if it is known.
+// writeOutcome writes the response to a call: the answer of the service if it is
+// known, otherwise the state of the call or a fault.
 func (s *Server) writeOutcome(w http.ResponseWriter, out ledger.Outcome) {
 	switch out.State() {
 	case ledger.StateDone:
@@ -158,7 +168,7 @@
 		s.writeBody(w, a.Status(), a.ContentType(), a.Body())
 	case ledger.StateNotRun:
 		f := newFault(http.StatusServiceUnavailable, "not-run", "The service could not be reached, so the call did not run.", RanNo)
-		f.After = storeRetryAfter
+		f.RetryAfter = storeRetryAfter
 		s.writeFault(w, f)
 	case ledger.StateRunning:
 		w.Header().Set("Retry-After", "1")
@@ -168,6 +178,8 @@
 	}
 }
 
+// writeState writes the state of a call and, once it is done, the service's
+// answer.
 func (s *Server) writeState(w http.ResponseWriter, status int, out ledger.Outcome) {
 	b := outcomeBody{State: out.State().String()}
 	if out.State() == ledger.StateDone {
--- a/internal/wire/entry/call_test.go
+++ b/internal/wire/entry/call_test.go
@@ -11,13 +11,14 @@
 	"github.com/go-faster/errors"
 )
 
-func postCall(t *testing.T, c *fakeCalls, path, idem string) (int, string) {
+// postCall posts a call to path and returns the status and the body.
+func postCall(t *testing.T, c *fakeCalls, path, idempotencyKey string) (int, string) {
 	t.Helper()
 	s := newServer(&fakeModels{})
 	s.Calls = c
 	req := request(path, `{"amount":1}`)
-	if idem != "" {
-		req.Header.Set("Idempotency-Key", idem)
+	if idempotencyKey != "" {
+		req.Header.Set("Idempotency-Key", idempotencyKey)
 	}
 	w := serve(s, req)
 	return w.Code, w.Body.String()
@@ -25,9 +26,9 @@
 
 func TestCallsNeedValidKeys(t *testing.T) {
 	tests := []struct {
-		path, idem string
-		status     int
-		want       string
+		path, idempotencyKey string
+		status               int
+		want                 string
 	}{
 		{"/v1/calls/payment", "", 400, "no-idempotency-key"},
 		{"/v1/calls/payment", strings.Repeat("k", 256), 400, "bad-idempotency-key"},
@@ -39,8 +40,8 @@
 	for _, tt := range tests {
 		ran := false
 		c := &fakeCalls{onDo: func(context.Context, ledger.Call) { ran = true }}
-		if got, body := postCall(t, c, tt.path, tt.idem); got != tt.status || !strings.Contains(body, tt.want) || ran {
-			t.Errorf("got %d %s (ran %v) for %q, want %d %s and not run", got, body, ran, tt.idem, tt.status, tt.want)
+		if got, body := postCall(t, c, tt.path, tt.idempotencyKey); got != tt.status || !strings.Contains(body, tt.want) || ran {
+			t.Errorf("got %d %s (ran %v) for %q, want %d %s and not run", got, body, ran, tt.idempotencyKey, tt.status, tt.want)
 		}
 	}
 }
@@ -51,11 +52,12 @@
 	postCall(t, c, "/v1/calls/lookup", "")
 	postCall(t, c, "/v1/calls/lookup", "")
 	if len(keys) != 2 || keys[0] == "" || keys[0] == keys[1] {
-		t.Errorf("got keys %q, want two of their own", keys)
+		t.Errorf("got keys %q, want two different ones", keys)
 	}
 }
 
-// What the caller is told of a call's end, and whether it ran.
+// The response to a failed call must have the right status and code, and say
+// whether the call ran.
 func TestErrorsOfCalls(t *testing.T) {
 	tests := []struct {
 		err    error
@@ -74,9 +76,9 @@
 	}
 }
 
-// The caller goes away while their payment is under way. The payment goes on
-// to its end and its outcome is recorded; cut in the middle, nobody could tell
-// whether it ran.
+// The caller disconnects while a payment is running. The call must not be
+// canceled, so that its outcome is recorded. If it were interrupted midway, nobody
+// could tell whether it ran.
 func TestCallOutlivesItsCaller(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	var got error
@@ -90,7 +92,7 @@
 	req.Header.Set("Idempotency-Key", "k")
 	serve(s, req)
 	if got != nil {
-		t.Errorf("got %v under way, want the call to go on", got)
+		t.Errorf("got %v during the call, want it not canceled", got)
 	}
 }
 
--- a/internal/wire/entry/chat.go
+++ b/internal/wire/entry/chat.go
@@ -14,15 +14,17 @@
 )
 
 const (
-	// blockBytes is the size of the prompt blocks whose hashes tell shared
-	// prefixes.
+	// blockBytes is the size of the prompt blocks that are hashed to detect
+	// prompts with a common prefix.
 	blockBytes = 256
-	// bytesPerToken estimates the tokens of a prompt.
-	bytesPerToken    = 4
+	// bytesPerToken is the average used to estimate the number of tokens of a
+	// prompt.
+	bytesPerToken = 4
+	// defaultMaxTokens is the token limit of requests that set none.
 	defaultMaxTokens = 256
 )
 
-// chatRequest is a checked chat request.
+// chatRequest is a chat request that has been authenticated and validated.
 type chatRequest struct {
 	team         spec.Team
 	class        spec.Class
@@ -34,26 +36,27 @@
 	timings      timings
 }
 
+// chat handles POST /v1/chat/completions.
 func (s *Server) chat(w http.ResponseWriter, req *http.Request) {
-	began := time.Now()
-	a, err := s.readChat(w, req)
+	start := time.Now()
+	chat, err := s.readChat(w, req)
 	if err == nil {
-		err = s.limiter.acquire(a.team.ID())
+		err = s.limiter.acquire(chat.team.ID())
 	}
 	if err != nil {
-		s.reject(w, req, a.class.Name(), err)
+		s.reject(w, req, chat.class.Name(), err)
 		return
 	}
-	defer s.limiter.release(a.team.ID())
-	a.timings.start = began
-	if a.stream {
-		s.streamChat(w, req, &a)
+	defer s.limiter.release(chat.team.ID())
+	chat.timings.start = start
+	if chat.stream {
+		s.streamChat(w, req, &chat)
 		return
 	}
-	s.completeChat(w, req, &a)
+	s.completeChat(w, req, &chat)
 }
 
-// reject answers a request that ends before it ran.
+// reject records and answers a request that is refused before it runs.
 func (s *Server) reject(w http.ResponseWriter, req *http.Request, class spec.ClassName, err error) {
 	f := toFault(err)
 	s.meter.countRequest(class, f.Code)
@@ -61,6 +64,7 @@
 	s.writeFault(w, f)
 }
 
+// readChat authenticates, reads and validates a chat request.
 func (s *Server) readChat(w http.ResponseWriter, req *http.Request) (chatRequest, error) {
 	team, err := s.authenticate(req)
 	if err != nil {
@@ -84,21 +88,22 @@
 	if err := s.checkAccess(team, class); err != nil {
 		return chatRequest{}, err
 	}
-	a := chatRequest{team: team, class: class, stream: body.Stream, includeUsage: body.Options.Usage}
-	a.job = newJob(requestID(req), team, class, &body)
+	chat := chatRequest{team: team, class: class, stream: body.Stream, includeUsage: body.Options.Usage}
+	chat.job = newJob(requestID(req), team, class, &body)
 	key, _ := bearerKey(req)
-	a.sealer = NewSealer(key, fingerprint(&a.job))
+	chat.sealer = NewSealer(key, fingerprint(&chat.job))
 	if !body.Stream {
-		a.resumeFrom, err = startPosition(req)
+		chat.resumeFrom, err = startPosition(req)
 	} else {
-		a.resumeFrom, err = resumePosition(req, a.sealer, body.MaxTokens)
+		chat.resumeFrom, err = resumePosition(req, chat.sealer, body.MaxTokens)
 	}
-	a.job.Arrived.ReceivedTokens = a.resumeFrom.count
-	return a, err
+	chat.job.Arrived.ReceivedTokens = chat.resumeFrom.count
+	return chat, err
 }
 
-// fingerprint is what a resume token holds to: another prompt or limit is
-// another answer.
+// fingerprint returns a hash of the model, prompt and token limit of a job. A
+// resume token is valid only for requests with the same fingerprint, since
+// another prompt or limit gives another answer.
 func fingerprint(j *chain.Job) uint64 {
 	var limit [8]byte
 	binary.BigEndian.PutUint64(limit[:], uint64(j.Arrived.MaxTokens))
@@ -108,6 +113,7 @@
 	return h.Sum64()
 }
 
+// checkChat validates the body of a chat request and sets its default token limit.
 func (s *Server) checkChat(b *chatBody) error {
 	limit := s.Limits.Tokens
 	switch {
@@ -127,8 +133,8 @@
 	return nil
 }
 
-// modelClass finds the class of a request: the one that it names, else the
-// model's default.
+// modelClass returns the class named by the X-Class header, or the default class
+// of the model if the header is missing.
 func (s *Server) modelClass(req *http.Request, model spec.ModelName) (spec.Class, error) {
 	name := spec.ClassName(req.Header.Get("X-Class"))
 	if name == "" {
@@ -145,9 +151,10 @@
 	return class, nil
 }
 
-// newJob is what the layers below run. Its id is new for every request, also for
-// one that resumes an answer: engines may hold state under the former id, and
-// a caller must not be able to name the request of another.
+// newJob returns the job that wire/chain runs for a request. The request id is
+// always new, also when an answer is resumed: engines may still hold state under
+// the previous id, and a caller must not be able to refer to the request of
+// another caller.
 func newJob(id string, team spec.Team, class spec.Class, b *chatBody) chain.Job {
 	text := prompt(b.Messages)
 	return chain.Job{
@@ -160,6 +167,7 @@
 	}
 }
 
+// prompt joins the messages into the text that engines get.
 func prompt(messages []chatMessage) string {
 	var b strings.Builder
 	for _, m := range messages {
@@ -171,8 +179,8 @@
 	return b.String()
 }
 
-// blockHashes returns a hash per whole block of the text, each covering all text
-// before it too.
+// blockHashes returns one hash per complete block of the text. Each hash covers
+// the block and all text before it.
 func blockHashes(text string) []uint64 {
 	var out []uint64
 	h := xxhash.New()
--- a/internal/wire/entry/chat_test.go
+++ b/internal/wire/entry/chat_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// varying is what differs from run to run in a stream.
+// varying matches the parts of a stream that differ between runs.
 var varying = regexp.MustCompile(`id: \S+\n|"id":"chatcmpl-[^"]*"|"created":\d+`)
 
 func TestStreamHasPublishedShape(t *testing.T) {
@@ -66,9 +66,9 @@
 	}
 }
 
-// The caller sees an error event and no [DONE] when an answer fails midway:
-// the engines died after the first tokens went out, so the status line is
-// gone already, and a client must not take the part for the whole.
+// The engines fail after the first tokens were sent. The status line has already
+// been sent, so the caller must get an error event and no [DONE]. Otherwise a
+// client would take the partial answer for complete.
 func TestFailureMidwayNeverLooksWhole(t *testing.T) {
 	m := &fakeModels{words: []string{"a"}, err: &chain.RefusedError{Ran: true}}
 	w := postChat(newServer(m), chatBody)
@@ -102,7 +102,7 @@
 		{"unknown model", strings.Replace(chatBody, `"m"`, `"x"`, 1), "unknown-model"},
 		{"several answers", with(`"n":2`), "unsupported"},
 		{"tools", with(`"tools":[{"type":"function"}]`), "unsupported"},
-		{"warm", with(`"temperature":0.7`), "unsupported"},
+		{"temperature", with(`"temperature":0.7`), "unsupported"},
 		{"stop", with(`"stop":["x"]`), "unsupported"},
 		{"format", with(`"response_format":{"type":"json_object"}`), "unsupported"},
 		{"unknown field", with(`"foo":1`), "unknown-field"},
@@ -113,7 +113,7 @@
 		{"role", message(`{"role":"tool","content":"a"}`), "bad-field"},
 		{"no content", message(`{"role":"user"}`), "bad-field"},
 		{"null content", message(`{"role":"user","content":null}`), "bad-field"},
-		{"picture", message(`{"role":"user","content":[{"type":"image_url","image_url":{"url":"x"}}]}`), "unsupported"},
+		{"image", message(`{"role":"user","content":[{"type":"image_url","image_url":{"url":"x"}}]}`), "unsupported"},
 		{"tool calls", message(`{"role":"assistant","content":"a","tool_calls":[{}]}`), "unsupported"},
 	}
 	for _, tt := range tests {
@@ -144,7 +144,7 @@
 	}
 }
 
-// checkString compares the encoder with encoding/json.
+// checkString compares AppendString with encoding/json.
 func checkString(t interface {
 	Helper()
 	Errorf(string, ...any)
@@ -182,7 +182,7 @@
 		w := httptest.NewRecorder()
 		newServer(m).Handler().ServeHTTP(w, request("/v1/chat/completions", body))
 		if (w.Code == http.StatusOK) != (ran != nil) {
-			t.Errorf("got status %d and ran %v, want 200 just if it ran", w.Code, ran != nil)
+			t.Errorf("got status %d and ran %v, want 200 only if it ran", w.Code, ran != nil)
 		}
 		if ran != nil && (ran.Arrived.MaxTokens < 1 || ran.Arrived.MaxTokens > 100 || ran.Text == "") {
 			t.Errorf("got job %+v, want its limit in range and a prompt", ran)
--- a/internal/wire/entry/page_test.go
+++ b/internal/wire/entry/codes_test.go
@@ -10,8 +10,8 @@
 	"fulmarwick/internal/route/domain"
 )
 
-// A caller meets a code that the page does not have and cannot tell what to do.
-// Every code in the sources of this package stands in docs/CALLERS.md.
+// Every fault code in the sources of this package must be documented in
+// docs/CALLERS.md. Otherwise a caller that gets the code does not know what to do.
 func TestEveryCodeIsDocumented(t *testing.T) {
 	page, err := os.ReadFile("../../../docs/CALLERS.md")
 	if err != nil {
@@ -21,7 +21,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	made := regexp.MustCompile(`(?:newFault\([^"]*|badField\()"([a-z-]+)"`)
+	codePattern := regexp.MustCompile(`(?:newFault\([^"]*|badField\()"([a-z-]+)"`)
 	codes := map[string]bool{}
 	for _, f := range files {
 		if strings.HasSuffix(f, "_test.go") {
@@ -31,7 +31,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, m := range made.FindAllStringSubmatch(string(data), -1) {
+		for _, m := range codePattern.FindAllStringSubmatch(string(data), -1) {
 			codes[m[1]] = true
 		}
 	}
@@ -43,7 +43,7 @@
 	}
 	for code := range codes {
 		if !strings.Contains(string(page), "`"+code+"`") {
-			t.Errorf("got no %s on the page, want it", code)
+			t.Errorf("code %s is missing in docs/CALLERS.md", code)
 		}
 	}
 }
--- a/internal/wire/entry/entry.go
+++ b/internal/wire/entry/entry.go
@@ -1,12 +1,13 @@
-// Package entry serves callers: chat completions and calls of plain services.
+// Package entry implements the HTTP API for callers: chat completions and calls
+// of plain services.
 //
 // It imports base/spec, state/config, state/ledger and wire/chain. The daemon
-// serves its HTTP. Sizes and names from outside are checked here and nowhere
-// later.
+// serves its handler. Sizes and names that callers send are validated here and
+// not checked again by other packages.
 //
-// An answer that is streamed is made in the goroutine of its request and
-// written by a goroutine of its own, with a bounded buffer between them, so
-// that a caller who reads slowly never holds up an engine.
+// A streamed answer is produced in the goroutine of its request and written by a
+// second goroutine, with a bounded buffer between them. A caller that reads
+// slowly therefore never blocks an engine.
 package entry
 
 import (
@@ -26,7 +27,7 @@
 	"go.uber.org/zap"
 )
 
-// Models runs model requests.
+// Models runs requests for models and passes each token to the sink.
 type Models interface {
 	Run(ctx context.Context, job chain.Job, sink chain.Sink) (chain.Result, error)
 }
@@ -37,61 +38,66 @@
 	Lookup(ctx context.Context, team spec.TeamID, class spec.ClassName, key string) (ledger.Outcome, error)
 }
 
-// Book gives the classes and teams in force. Team takes the key itself and
-// looks up its SHA-256, so that how long it takes tells nothing about the keys
-// of others.
-type Book interface {
+// ActiveConfig returns the classes and teams of the active configuration.
+// TeamByKey takes the key itself and looks up its SHA-256, so that the duration
+// of the lookup reveals nothing about the keys of other teams.
+type ActiveConfig interface {
 	Snapshot() *config.Snapshot
 	Class(name spec.ClassName) (spec.Class, bool)
 	DefaultClass(model spec.ModelName) (spec.Class, bool)
 	TeamByKey(key string) (spec.Team, bool)
 }
 
-// Observer learns how each request of a class ended. Times that do not apply
-// are zero; gap is the longest between two tokens.
+// Observer is notified of how each request of a class ended. first is the time
+// to the first token, gap the longest time between two tokens and whole the total
+// time. Times that do not apply are zero.
 type Observer interface {
 	Served(class spec.Class, first, gap, whole time.Duration, ok bool)
 }
 
-// Limits bound what callers may use. A limit of zero is none, but for Body,
-// Tokens and Buffer, which must be set.
+// Limits bounds the resources that callers may use. Zero means no limit, except
+// for Body, Tokens and Buffer, which must be set.
 type Limits struct {
-	// Body and Header are in bytes.
+	// Body and Header are the maximum sizes of the body and the headers of a
+	// request in bytes.
 	Body   int64
 	Header int64
-	// Tokens is the most tokens of one answer.
+	// Tokens is the maximum number of tokens of one answer.
 	Tokens int
-	// Streams is how many requests run at once, Team how many of one team,
-	// Connection how many on one HTTP/2 connection.
+	// Streams is the maximum number of concurrent requests, Team the maximum
+	// per team and Connection the maximum per HTTP/2 connection.
 	Streams    int
 	Team       int
 	Connection int
-	// Buffer is the most bytes kept for a caller that reads slower than its
-	// answer is made; above it the stream is cut.
+	// Buffer is the maximum number of bytes buffered for a caller that reads
+	// more slowly than its answer is produced. Above it the stream is aborted.
 	Buffer int64
-	// HeaderTime bounds the wait for headers, BodyTime a pause inside the
-	// body, WriteTime a pause of a caller that takes nothing, IdleTime an
-	// unused connection.
+	// HeaderTime is the timeout for reading the headers and BodyTime for each
+	// read of the body. WriteTime is how long a caller may accept no data.
+	// IdleTime is the timeout of an unused connection.
 	HeaderTime time.Duration
 	BodyTime   time.Duration
 	WriteTime  time.Duration
 	IdleTime   time.Duration
-	// Comment is how long a stream is silent before a comment goes out.
+	// Comment is how long a stream may be idle before a comment is sent to keep
+	// the connection open.
 	Comment time.Duration
 }
 
-// Server serves callers. Set the exported fields before Handler.
+// Server serves the API for callers. Set the exported fields before calling
+// Handler or HTTP.
 type Server struct {
 	Models Models
 	Calls  Calls
-	Book   Book
+	Book   ActiveConfig
 	Limits Limits
 	Log    *zap.Logger
-	// Meters takes the metrics; nil makes a private set.
+	// Meters is the set in which metrics are registered; if nil, a private set
+	// is used.
 	Meters *metrics.Set
-	// Spans makes spans; nil makes none.
+	// Spans is the provider of trace spans; if nil, no spans are recorded.
 	Spans trace.TracerProvider
-	// Observer learns how requests ended; nil tells nobody.
+	// Observer is notified of the end of each request; it may be nil.
 	Observer Observer
 
 	once    sync.Once
@@ -106,10 +112,10 @@
 	})
 }
 
-// Handler serves the callers' endpoints.
+// Handler returns the handler of the API for callers.
 func (s *Server) Handler() http.Handler {
 	s.init()
-	// Keys of calls may hold a slash, which stands escaped in the path.
+	// Idempotency keys may contain a slash, which is escaped in the path.
 	r := mux.NewRouter().UseEncodedPath()
 	r.HandleFunc("/v1/chat/completions", s.instrument("chat", s.chat)).Methods(http.MethodPost)
 	r.HandleFunc("/v1/models", s.instrument("models", s.models)).Methods(http.MethodGet)
--- a/internal/wire/entry/entry_test.go
+++ b/internal/wire/entry/entry_test.go
@@ -42,13 +42,13 @@
 	return book
 }
 
-// fakeModels answers with words, at once.
+// fakeModels sends words as tokens, without delay.
 type fakeModels struct {
 	words []string
 	err   error
-	// onJob gets each job, if it is set.
+	// onJob is called with each job, if it is set.
 	onJob func(ctx context.Context, job chain.Job)
-	// beforeWord runs ahead of each word, if it is set.
+	// beforeWord is called before each word, if it is set.
 	beforeWord func(i int)
 }
 
@@ -70,7 +70,7 @@
 	return chain.Result{Tokens: len(m.words), Stop: true}, m.err
 }
 
-// fakeCalls answers every call with out and err.
+// fakeCalls returns out and err for every call.
 type fakeCalls struct {
 	out  ledger.Outcome
 	err  error
@@ -95,7 +95,7 @@
 	}
 }
 
-// request is a POST of body with the key of the first team.
+// request returns a POST request with body and the key of the first team.
 func request(path, body string) *http.Request {
 	req := httptest.NewRequest(http.MethodPost, path, strings.NewReader(body))
 	req.Header.Set("Authorization", "Bearer "+firstKey)
@@ -143,8 +143,8 @@
 	}
 }
 
-// The caller sees 503 and when to come back, not that their key is bad, while
-// the instance has read no configuration: it knows no team yet.
+// Before the instance has read a configuration it knows no team. The caller must
+// get 503 with Retry-After, not an error about its key.
 func TestNoConfigurationYet(t *testing.T) {
 	s := newServer(&fakeModels{})
 	s.Book = &config.Active{}
@@ -155,8 +155,8 @@
 	}
 }
 
-// The caller sees the refusal at once, with its reason, whether it ran and
-// when to come back.
+// A refusal is sent to the caller immediately, with its reason, whether the
+// request ran and when to retry.
 func TestRefusalIsFinal(t *testing.T) {
 	tests := []struct {
 		reason domain.Reason
@@ -198,8 +198,8 @@
 	wantFault(t, serve(newServer(&fakeModels{}), request("/v1/models", "")), http.StatusMethodNotAllowed, "no-method")
 }
 
-// A class that its operators keep for one team is refused to another, for
-// model requests and calls alike, and nothing runs.
+// A class reserved for one team is refused to another team, for model requests
+// and for calls, and nothing runs.
 func TestClassClosedToTeam(t *testing.T) {
 	table := &infra.Table{}
 	text := "[class answer]\nkind = model\nmodel = m\nfirst = 1s\nteams = two\n" +
--- a/internal/wire/entry/escape.go
+++ b/internal/wire/entry/escape.go
@@ -4,9 +4,9 @@
 
 const hexDigits = "0123456789abcdef"
 
-// appendString appends text as a JSON string. It writes what encoding/json
-// writes with HTML escaping off; a test holds the two equal. It exists because
-// it runs for each token and takes no memory.
+// appendString appends text as a JSON string. Its output equals that of
+// encoding/json with HTML escaping off; a test compares the two. It is used
+// instead of encoding/json because it runs for each token and does not allocate.
 func appendString(dst []byte, text string) []byte {
 	dst = append(dst, '"')
 	start := 0
@@ -35,8 +35,9 @@
 	return append(dst, '"')
 }
 
-// runeEscape is the escape of a rune that may not stand as it is: bytes that are
-// no UTF-8, and the two line ends that end a string in JavaScript.
+// runeEscape returns the escape sequence of a rune that must be escaped, or "".
+// These are invalid UTF-8 bytes and U+2028 and U+2029, which end a string in
+// JavaScript.
 func runeEscape(r rune, size int) string {
 	switch {
 	case r == utf8.RuneError && size == 1:
@@ -49,6 +50,7 @@
 	return ""
 }
 
+// appendEscape appends the escape sequence of an ASCII character.
 func appendEscape(dst []byte, b byte) []byte {
 	switch b {
 	case '"', '\\':
--- a/internal/wire/entry/export_test.go
+++ b/internal/wire/entry/export_test.go
@@ -1,4 +1,5 @@
 package entry
 
-// AppendString lets tests compare the encoder with encoding/json.
+// AppendString exports appendString, so that tests can compare it with
+// encoding/json.
 var AppendString = appendString
--- a/internal/wire/entry/fault.go
+++ b/internal/wire/entry/fault.go
@@ -14,32 +14,34 @@
 	"github.com/go-faster/errors"
 )
 
-// Ran says whether a refused request ran.
+// Ran tells the caller whether a failed request was executed.
 type Ran string
 
-// The values of Ran.
+// The values of Ran. RanUnsure means that the request may have been executed.
 const (
 	RanNo     Ran = "no"
 	RanYes    Ran = "yes"
 	RanUnsure Ran = "unsure"
 )
 
-// FaultError is an error as callers see it. Code is stable.
+// FaultError is an error as it is sent to callers. Codes are part of the API and
+// do not change.
 type FaultError struct {
 	Status int
 	Code   string
-	// Text is a sentence for people.
+	// Text is a human-readable sentence.
 	Text string
 	Ran  Ran
-	// After is when to come back; zero if waiting does not help.
-	After time.Duration
+	// RetryAfter is how long the caller should wait before it retries; zero if
+	// waiting does not help.
+	RetryAfter time.Duration
 }
 
-// Error is the sentence of the fault.
+// Error returns the text of the fault.
 func (f *FaultError) Error() string { return f.Text }
 
-// The JSON of a fault. After repeats Retry-After in seconds, for streams that
-// have sent their headers.
+// The JSON of a fault. After is the value of Retry-After in seconds, for streams
+// whose headers have already been sent.
 type (
 	faultBody struct {
 		Error faultJSON `json:"error"`
@@ -52,26 +54,29 @@
 	}
 )
 
+// newFault returns a fault without RetryAfter.
 func newFault(status int, code, text string, ran Ran) *FaultError {
 	return &FaultError{Status: status, Code: code, Text: text, Ran: ran}
 }
 
-func (f *FaultError) seconds() int { return int(math.Ceil(f.After.Seconds())) }
+// seconds returns RetryAfter in whole seconds, rounded up.
+func (f *FaultError) seconds() int { return int(math.Ceil(f.RetryAfter.Seconds())) }
 
 func (f *FaultError) body() faultBody {
 	return faultBody{Error: faultJSON{Code: f.Code, Text: f.Text, Ran: f.Ran, After: f.seconds()}}
 }
 
-// writeFault answers with an error.
+// writeFault writes err as the response.
 func (s *Server) writeFault(w http.ResponseWriter, err error) {
 	f := toFault(err)
-	if f.After > 0 {
+	if f.RetryAfter > 0 {
 		w.Header().Set("Retry-After", strconv.Itoa(f.seconds()))
 	}
 	s.writeJSON(w, f.Status, f.body())
 }
 
-// toFault turns an error of the layers below into what the caller sees.
+// toFault converts an error of wire/chain or state/ledger to the fault that the
+// caller sees.
 func toFault(err error) *FaultError {
 	var f *FaultError
 	if errors.As(err, &f) {
@@ -85,15 +90,15 @@
 	case errors.Is(err, ledger.ErrBodyMismatch):
 		return newFault(http.StatusUnprocessableEntity, "key-reused", "The idempotency key was used with another body.", RanNo)
 	case errors.Is(err, ledger.ErrStoreUnavailable):
-		// This request was not sent. But an earlier one under the key may have
-		// run at an instance that died, and only the record tells: "no" would
-		// have its caller pay again under a new key.
+		// This request was not sent. However, an earlier one with the same key
+		// may have run on an instance that crashed, and only the record shows
+		// this. If "ran" were "no", the caller would pay again under a new key.
 		f := newFault(http.StatusServiceUnavailable, "store-down", "The record of the call is out of reach, so this request was not sent; whether an earlier one under the key ran is not known. Send it again with the same key.", RanUnsure)
-		f.After = storeRetryAfter
+		f.RetryAfter = storeRetryAfter
 		return f
 	case errors.Is(err, ledger.ErrRecordUnreadable):
 		f := newFault(http.StatusServiceUnavailable, "record-unread", "The record of the call could not be read; ask again for its outcome.", RanUnsure)
-		f.After = storeRetryAfter
+		f.RetryAfter = storeRetryAfter
 		return f
 	case errors.Is(err, context.Canceled), errors.Is(err, ledger.ErrCallerLeft):
 		return newFault(statusCallerGone, "caller-gone", "The caller went away.", RanUnsure)
@@ -103,12 +108,14 @@
 }
 
 const (
+	// storeRetryAfter is the Retry-After of faults of the record store.
 	storeRetryAfter = 2 * time.Second
-	// statusCallerGone is what logs and metrics show for a caller that went away;
-	// nobody is there to see it.
+	// statusCallerGone is the status of faults whose caller has disconnected.
+	// It never reaches a caller.
 	statusCallerGone = 499
 )
 
+// refusalFault converts a refusal by the router to a fault.
 func refusalFault(r *chain.RefusedError) *FaultError {
 	text, ok := refusalTexts[r.Reason]
 	if !ok {
@@ -118,7 +125,7 @@
 	if r.Ran {
 		f.Ran = RanYes
 	}
-	f.After = r.After
+	f.RetryAfter = r.After
 	switch r.Reason {
 	case domain.ReasonTeamLimit:
 		f.Status = http.StatusTooManyRequests
@@ -130,6 +137,7 @@
 	return f
 }
 
+// refusalTexts holds the text of the fault for each refusal reason.
 var refusalTexts = map[domain.Reason]string{
 	domain.ReasonOverload:         "The target of the class cannot be met now.",
 	domain.ReasonTeamLimit:        "The team is above its limit, or above its share while others wait.",
--- a/internal/wire/entry/field.go
+++ b/internal/wire/entry/field.go
@@ -10,7 +10,7 @@
 	"github.com/go-faster/errors"
 )
 
-// chatBody is the published chat-completions request, as far as it is served.
+// chatBody holds the supported fields of a chat completions request.
 type chatBody struct {
 	Model               string
 	Messages            []chatMessage
@@ -24,17 +24,17 @@
 	Usage bool `json:"include_usage"`
 }
 
-// chatMessage is one message. Its content comes as a string or as a list of
-// text parts.
+// chatMessage is one message of a chat. In JSON its content is a string or a list
+// of text parts.
 type chatMessage struct {
 	Role string
 	Text string
 }
 
-// fieldReaders says what becomes of each top-level field of the published shape. A
-// field whose value would change the answer and that engines do not serve is
-// refused: a caller who asked for JSON or for tools and got plain text would
-// take it for a fault of the model.
+// fieldReaders maps each top-level field of a chat completions request to the
+// function that reads it. Values that would change the answer but that engines do
+// not support are rejected: a caller that asks for JSON or tools and gets plain
+// text would blame the model.
 var fieldReaders = map[string]func(b *chatBody, raw json.RawMessage) error{
 	"model":                 func(b *chatBody, raw json.RawMessage) error { return json.Unmarshal(raw, &b.Model) },
 	"messages":              func(b *chatBody, raw json.RawMessage) error { return json.Unmarshal(raw, &b.Messages) },
@@ -64,18 +64,19 @@
 	"service_tier":          allowValues(`"auto"`, `"default"`),
 }
 
-// ignoreField takes a field that changes nothing in the answer.
+// ignoreField accepts any value of a field that does not affect the answer.
 func ignoreField(*chatBody, json.RawMessage) error { return nil }
 
-// allowValues takes a field at the values that ask for nothing special.
+// allowValues returns a reader that accepts only the given values of a field,
+// which request the default behaviour.
 func allowValues(values ...string) func(*chatBody, json.RawMessage) error {
 	return func(_ *chatBody, raw json.RawMessage) error {
-		var tight bytes.Buffer
-		if err := json.Compact(&tight, raw); err != nil {
+		var compact bytes.Buffer
+		if err := json.Compact(&compact, raw); err != nil {
 			return err
 		}
 		for _, v := range values {
-			if tight.String() == v {
+			if compact.String() == v {
 				return nil
 			}
 		}
@@ -83,15 +84,16 @@
 	}
 }
 
-// allowedValuesError says which values of a field are served.
+// allowedValuesError reports an unsupported value of a field and lists the
+// supported ones.
 type allowedValuesError []string
 
-// Error lists the values.
+// Error lists the supported values.
 func (e allowedValuesError) Error() string { return "only " + strings.Join(e, " or ") + " is served" }
 
 func newAllowedValuesError(values []string) error { return allowedValuesError(values) }
 
-// parseChat reads the body of a chat request, field by field.
+// parseChat parses the body of a chat request, field by field.
 func parseChat(data []byte) (chatBody, error) {
 	var raw map[string]json.RawMessage
 	if err := json.Unmarshal(data, &raw); err != nil {
@@ -99,20 +101,21 @@
 	}
 	var b chatBody
 	for name, value := range raw {
-		take, ok := fieldReaders[name]
+		read, ok := fieldReaders[name]
 		if !ok {
 			return chatBody{}, badField("unknown-field", name, "is not known")
 		}
 		if string(value) == "null" {
 			continue
 		}
-		if err := take(&b, value); err != nil {
+		if err := read(&b, value); err != nil {
 			return chatBody{}, fieldFault(name, err)
 		}
 	}
 	return b, nil
 }
 
+// fieldFault returns the fault for a field whose reader failed.
 func fieldFault(name string, err error) error {
 	var o allowedValuesError
 	if errors.As(err, &o) {
@@ -121,9 +124,11 @@
 	return badField("bad-field", name, "cannot be read: "+err.Error())
 }
 
-// maxFieldNameBytes bounds a caller's own text inside a fault.
+// maxFieldNameBytes limits how much of a field name sent by the caller is
+// repeated in a fault.
 const maxFieldNameBytes = 64
 
+// badField returns the fault for a field; name is truncated.
 func badField(code, name, text string) error {
 	if len(name) > maxFieldNameBytes {
 		name = name[:maxFieldNameBytes]
@@ -131,7 +136,7 @@
 	return newFault(http.StatusBadRequest, code, fmt.Sprintf("The field %q %s.", name, text), RanNo)
 }
 
-// UnmarshalJSON reads a message of the published shape.
+// UnmarshalJSON parses a message. It rejects unsupported roles and tool calls.
 func (m *chatMessage) UnmarshalJSON(data []byte) error {
 	var in struct {
 		Role    string          `json:"role"`
@@ -154,7 +159,8 @@
 	return err
 }
 
-// parseContent reads a message's content: a string, or a list of text parts.
+// parseContent returns the text of a message's content, which is a string or a
+// list of text parts.
 func parseContent(raw json.RawMessage) (string, error) {
 	if len(raw) == 0 || raw[0] != '[' {
 		var text *string
--- a/internal/wire/entry/limit_test.go
+++ b/internal/wire/entry/limit_test.go
@@ -25,7 +25,7 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// fakeObserver counts what an Observer is told.
+// fakeObserver records the calls of Served.
 type fakeObserver struct {
 	mu   sync.Mutex
 	ends []string
@@ -45,12 +45,12 @@
 
 func TestObserverGetsEveryEnd(t *testing.T) {
 	s := newServer(&fakeModels{words: []string{"a"}})
-	seen := &fakeObserver{}
-	s.Observer = seen
+	observer := &fakeObserver{}
+	s.Observer = observer
 	postChat(s, chatBody)
 	s.Models = &fakeModels{err: &chain.RefusedError{}}
 	postChat(s, chatBody)
-	if got, want := fmt.Sprint(seen.ends), "[answertrue answerfalse]"; got != want {
+	if got, want := fmt.Sprint(observer.ends), "[answertrue answerfalse]"; got != want {
 		t.Errorf("got %s, want %s", got, want)
 	}
 	var b bytes.Buffer
@@ -67,9 +67,9 @@
 	wantFault(t, w, http.StatusRequestEntityTooLarge, "body-size")
 }
 
-// sendRaw sends bytes to a server in the bubble and returns what comes back, if
-// the other end reads.
-func sendRaw(t *testing.T, s *entry.Server, send string, reads bool) *syncBuffer {
+// sendRaw sends bytes to a server on an in-memory network. It returns a buffer that
+// receives the response, if readReply is set.
+func sendRaw(t *testing.T, s *entry.Server, send string, readReply bool) *syncBuffer {
 	t.Helper()
 	l := inmem.Listen()
 	server := s.HTTP(s.Handler(), nil)
@@ -82,33 +82,33 @@
 	t.Cleanup(func() { _ = conn.Close() })
 	go func() { _, _ = io.WriteString(conn, send) }()
 	got := &syncBuffer{}
-	if reads {
+	if readReply {
 		go func() { _, _ = io.Copy(got, conn) }()
 	}
 	return got
 }
 
-// syncBuffer is a buffer that one goroutine fills while another looks.
+// syncBuffer is a buffer that is safe for concurrent use.
 type syncBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
 }
 
-func (l *syncBuffer) Write(b []byte) (int, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.buf.Write(b)
+func (b *syncBuffer) Write(p []byte) (int, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.buf.Write(p)
 }
 
-func (l *syncBuffer) String() string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.buf.String()
+func (b *syncBuffer) String() string {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.buf.String()
 }
 
-// The caller's network stalls in the middle of a body. The instance tells so
-// after the pause allowed and holds the connection no longer; a body that
-// moves, however slowly, is read to its end.
+// The caller's network stalls in the middle of a body. After the body timeout of
+// 10 s the caller must get 408, and the connection is not kept open. Without the
+// timeout it would stay open forever.
 func TestStalledBody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newServer(&fakeModels{})
@@ -118,7 +118,7 @@
 		time.Sleep(9 * time.Second)
 		synctest.Wait()
 		if got.String() != "" {
-			t.Errorf("got %q before the pause ended, want nothing", got)
+			t.Errorf("got %q before the timeout, want nothing", got)
 		}
 		time.Sleep(2 * time.Second)
 		synctest.Wait()
@@ -128,8 +128,8 @@
 	})
 }
 
-// sendSlowly sends body in pieces of the size given, one every nine seconds, to a
-// server that allows pauses of ten.
+// sendSlowly sends body in pieces of the given size, one every 9 s, to a server
+// with a body timeout of 10 s. It returns the response.
 func sendSlowly(t *testing.T, body string, size int) string {
 	t.Helper()
 	s := newServer(&fakeModels{words: []string{"a"}})
@@ -137,20 +137,20 @@
 	l := inmem.Listen()
 	server := s.HTTP(s.Handler(), nil)
 	go func() { _ = server.Serve(l) }()
-	out, into := io.Pipe()
+	reader, writer := io.Pipe()
 	var sender sync.WaitGroup
 	sender.Go(func() {
 		for len(body) > 0 {
 			time.Sleep(9 * time.Second)
-			n, err := into.Write([]byte(body[:min(size, len(body))]))
+			n, err := writer.Write([]byte(body[:min(size, len(body))]))
 			body = body[n:]
 			if err != nil {
 				return
 			}
 		}
-		_ = into.Close()
+		_ = writer.Close()
 	})
-	req, _ := http.NewRequest(http.MethodPost, "http://in/v1/chat/completions", out)
+	req, _ := http.NewRequest(http.MethodPost, "http://in/v1/chat/completions", reader)
 	req.Header.Set("Authorization", "Bearer "+firstKey)
 	client := l.Client()
 	resp, err := client.Do(req)
@@ -159,14 +159,15 @@
 	}
 	got := readAll(t, resp.Body)
 	_ = resp.Body.Close()
-	_ = out.Close()
+	_ = reader.Close()
 	sender.Wait()
 	client.CloseIdleConnections()
 	_ = server.Close()
 	return got
 }
 
-// The caller's link is slow, but its body moves. It is read to its end.
+// The caller's link is slow, but no piece of the body takes longer than the
+// timeout. The body must be read to its end.
 func TestSlowBodyIsRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		body := chatBody + strings.Repeat(" ", 4000-len(chatBody))
@@ -176,8 +177,9 @@
 	})
 }
 
-// A hostile caller sends a byte just often enough that no pause is too long.
-// It loses its place all the same.
+// A malicious caller sends single bytes just often enough that no read times out.
+// Its request must be rejected within two timeouts, because it is below the
+// minimum rate.
 func TestTrickledBodyIsRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
@@ -185,13 +187,14 @@
 			t.Errorf("got %q, want body-slow", got)
 		}
 		if took := time.Since(began); took > 20*time.Second {
-			t.Errorf("got it cut after %s, want within two pauses", took)
+			t.Errorf("got it rejected after %s, want within two timeouts", took)
 		}
 	})
 }
 
-// The caller sends headers without end, or none at all; the connection ends
-// and nothing was kept.
+// One caller sends headers of 20000 bytes with a limit of 8192 and must get 431.
+// Another stops in the middle of its headers for longer than the header timeout of
+// 5 s and must get no answer.
 func TestHeadersAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newServer(&fakeModels{})
@@ -204,79 +207,79 @@
 			t.Errorf("got %q for large headers, want 431", large)
 		}
 		if strings.Contains(idle.String(), "200") {
-			t.Errorf("got %q for cut headers, want no answer", idle)
+			t.Errorf("got %q for incomplete headers, want no answer", idle)
 		}
 	})
 }
 
-// blockedModel is a model that answers only once its gate opens.
+// blockedModel is a model that answers only after unblock is closed.
 type blockedModel struct {
 	mu      sync.Mutex
 	started int
 	unblock chan struct{}
 }
 
-func (g *blockedModel) Run(ctx context.Context, _ chain.Job, sink chain.Sink) (chain.Result, error) {
-	g.mu.Lock()
-	g.started++
-	g.mu.Unlock()
+func (m *blockedModel) Run(ctx context.Context, _ chain.Job, sink chain.Sink) (chain.Result, error) {
+	m.mu.Lock()
+	m.started++
+	m.mu.Unlock()
 	select {
-	case <-g.unblock:
+	case <-m.unblock:
 	case <-ctx.Done():
 		return chain.Result{}, ctx.Err()
 	}
 	return chain.Result{Tokens: 1}, sink(chain.Token{Text: "a"})
 }
 
-func (g *blockedModel) count() int {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.started
+func (m *blockedModel) count() int {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.started
 }
 
-// A team that opens more streams than it may sees 429 for the next one, at
-// once, while another team is served; above the limit of the instance anyone
-// sees 503. Both are told when to come back, and nothing of theirs ran.
+// A request above the team's limit on concurrent streams must get 429 immediately.
+// Above the limit of the instance a request of any team must get 503 with
+// Retry-After. Rejected requests must not run.
 func TestStreamsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := &blockedModel{unblock: make(chan struct{})}
-		s := newServer(g)
+		model := &blockedModel{unblock: make(chan struct{})}
+		s := newServer(model)
 		s.Limits.Team, s.Limits.Streams = 2, 3
 		for _, bearer := range []string{firstKey, firstKey, secondKey} {
 			go resumeChat(s, bearer, "", chatBody)
 		}
 		synctest.Wait()
-		full := resumeChat(s, secondKey, "", chatBody)
-		wantFault(t, full, http.StatusServiceUnavailable, "busy")
-		if full.Header().Get("Retry-After") != "1" || g.count() != 3 {
-			t.Errorf("got Retry-After %q and %d running, want 1 and 3", full.Header().Get("Retry-After"), g.count())
+		rejected := resumeChat(s, secondKey, "", chatBody)
+		wantFault(t, rejected, http.StatusServiceUnavailable, "busy")
+		if rejected.Header().Get("Retry-After") != "1" || model.count() != 3 {
+			t.Errorf("got Retry-After %q and %d running, want 1 and 3", rejected.Header().Get("Retry-After"), model.count())
 		}
 		s.Limits.Streams = 0
-		close(g.unblock)
+		close(model.unblock)
 		synctest.Wait()
 		if w := postChat(s, chatBody); w.Code != http.StatusOK {
 			t.Errorf("got %d after the others ended, want 200", w.Code)
 		}
 	})
 	synctest.Test(t, func(t *testing.T) {
-		g := &blockedModel{unblock: make(chan struct{})}
-		s := newServer(g)
+		model := &blockedModel{unblock: make(chan struct{})}
+		s := newServer(model)
 		s.Limits.Team, s.Limits.Streams = 2, 10
 		go postChat(s, chatBody)
 		go postChat(s, chatBody)
 		synctest.Wait()
 		wantFault(t, postChat(s, chatBody), http.StatusTooManyRequests, "team-streams")
-		close(g.unblock)
+		close(model.unblock)
 	})
 }
 
-// One HTTP/2 connection carries at most the streams set: a third waits at the
-// client until one of two ends, so that a single connection cannot take the
-// whole instance.
+// One HTTP/2 connection carries at most Limits.Connection streams. With a limit of
+// 2, a third request waits at the client until another ends. Otherwise a single
+// connection could occupy the whole instance.
 func TestStreamsOfAConnectionAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := &blockedModel{unblock: make(chan struct{})}
-		s := newServer(g)
+		model := &blockedModel{unblock: make(chan struct{})}
+		s := newServer(model)
 		s.Limits.Connection = 2
 		l := inmem.Listen()
 		server := s.HTTP(s.Handler(), nil)
@@ -288,9 +291,9 @@
 			HTTP2: &http.HTTP2Config{StrictMaxConcurrentRequests: true},
 		}
 		client := &http.Client{Transport: transport}
-		var all sync.WaitGroup
+		var requests sync.WaitGroup
 		for range 3 {
-			all.Go(func() {
+			requests.Go(func() {
 				req := request("http://in/v1/chat/completions", chatBody)
 				req.RequestURI = ""
 				resp, err := client.Do(req)
@@ -303,12 +306,12 @@
 			})
 			synctest.Wait()
 		}
-		if got := g.count(); got != 2 {
+		if got := model.count(); got != 2 {
 			t.Errorf("got %d running, want 2", got)
 		}
-		close(g.unblock)
-		all.Wait()
-		if got := g.count(); got != 3 {
+		close(model.unblock)
+		requests.Wait()
+		if got := model.count(); got != 3 {
 			t.Errorf("got %d run in the end, want 3", got)
 		}
 		transport.CloseIdleConnections()
@@ -324,8 +327,8 @@
 	}
 }
 
-// The trace of the caller goes on to the layers below, whether or not spans
-// are kept here, and no span or log line holds the team's key.
+// The trace of the caller must be passed on to the models, whether or not spans
+// are recorded here. No span or log line may contain the team's key.
 func TestTracePropagatesAndKeysAreNotLogged(t *testing.T) {
 	const parent = "4bf92f3577b34da6a3ce929d0e0e4736"
 	recorder := tracetest.NewSpanRecorder()
@@ -342,7 +345,7 @@
 		req.Header.Set("Traceparent", "00-"+parent+"-00f067aa0ba902b7-01")
 		serve(s, req)
 		if got != parent {
-			t.Errorf("got trace %s below, want %s", got, parent)
+			t.Errorf("got trace %s in the model, want %s", got, parent)
 		}
 		if lines.Len() == 0 || strings.Contains(lines.String(), firstKey) {
 			t.Errorf("got log %q, want a line without the key", lines.String())
--- a/internal/wire/entry/meter.go
+++ b/internal/wire/entry/meter.go
@@ -9,8 +9,9 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// meter holds the metrics of callers. Labels are class names, which operators
-// give, and the stable codes; nothing a caller sends becomes a label.
+// meter holds the metrics of requests by callers. Labels are class names, which
+// operators configure, and the stable fault codes. Nothing that a caller sends
+// becomes a label.
 type meter struct {
 	set            *metrics.Set
 	slowCallers    *metrics.Counter
@@ -18,7 +19,8 @@
 	resumedStreams *metrics.Counter
 }
 
-func (m *meter) register(set *metrics.Set, g *limiter) {
+// register creates the metrics in set, or in a private set if it is nil.
+func (m *meter) register(set *metrics.Set, l *limiter) {
 	if set == nil {
 		set = metrics.NewSet()
 	}
@@ -26,14 +28,16 @@
 	m.slowCallers = set.GetOrCreateCounter("fulmarwick_streams_cut_total")
 	m.goneCallers = set.GetOrCreateCounter("fulmarwick_callers_gone_total")
 	m.resumedStreams = set.GetOrCreateCounter("fulmarwick_streams_resumed_total")
-	set.GetOrCreateGauge("fulmarwick_requests_running", func() float64 { return float64(g.running()) })
+	set.GetOrCreateGauge("fulmarwick_requests_running", func() float64 { return float64(l.running()) })
 }
 
-// countRequest counts a request. The code is "ok" or that of its fault.
+// countRequest counts a finished request. code is "ok", the state of a call or the
+// code of a fault.
 func (m *meter) countRequest(class spec.ClassName, code string) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(`fulmarwick_requests_total{class=%q,code=%q}`, class, code)).Inc()
 }
 
+// countAnswer records the tokens and the timings of an answer.
 func (m *meter) countAnswer(class spec.ClassName, tokens int, t timings) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(`fulmarwick_tokens_total{class=%q}`, class)).Add(tokens)
 	m.observeDuration("first", class, t.first)
@@ -41,13 +45,15 @@
 	m.observeDuration("whole", class, t.whole)
 }
 
-func (m *meter) observeDuration(what string, class spec.ClassName, d time.Duration) {
+// observeDuration adds d to the histogram of the given name; zero is skipped.
+func (m *meter) observeDuration(name string, class spec.ClassName, d time.Duration) {
 	if d > 0 {
-		m.set.GetOrCreateHistogram(fmt.Sprintf(`fulmarwick_%s_seconds{class=%q}`, what, class)).Update(d.Seconds())
+		m.set.GetOrCreateHistogram(fmt.Sprintf(`fulmarwick_%s_seconds{class=%q}`, name, class)).Update(d.Seconds())
 	}
 }
 
-// timings are those of one answer, as its caller sees them but for the network.
+// timings holds the latencies of one answer, excluding the network to the caller:
+// the time to the first token, the longest gap between tokens and the total.
 type timings struct {
 	start time.Time
 	last  time.Time
@@ -56,7 +62,7 @@
 	whole time.Duration
 }
 
-// markToken takes the time of the next token.
+// markToken records the arrival of the next token.
 func (t *timings) markToken() {
 	now := time.Now()
 	if t.last.IsZero() {
@@ -67,4 +73,5 @@
 	t.last = now
 }
 
+// markEnd records the total time.
 func (t *timings) markEnd() { t.whole = time.Since(t.start) }
--- a/internal/wire/entry/hop.go
+++ b/internal/wire/entry/middleware.go
@@ -15,44 +15,47 @@
 	"go.opentelemetry.io/otel/trace/noop"
 )
 
-// tracerName names the spans of this package.
+// tracerName is the name of the tracer of this package.
 const tracerName = "fulmarwick/entry"
 
-// requestIDHeader carries the request's id to its caller, for the logs.
+// requestIDHeader returns the request id to the caller, so that it can be found
+// in the logs.
 const requestIDHeader = "X-Request-Id"
 
-// maxBearerBytes bounds the key of a team in bytes.
+// maxBearerBytes is the maximum length of a team's key in bytes.
 const maxBearerBytes = 512
 
+// requestIDKey is the context key of the request id.
 type requestIDKey struct{}
 
-// instrument wraps a handler: it names the request, starts its span under the trace
-// of the caller and counts the arrival. The trace headers of the caller so go
-// on upstream, whether or not spans are kept here.
+// instrument wraps a handler: it assigns a request id and starts a span in the
+// trace of the caller. The trace context of the caller is therefore passed on
+// upstream whether or not spans are recorded here.
 func (s *Server) instrument(name string, next http.HandlerFunc) http.HandlerFunc {
 	provider := s.Spans
 	if provider == nil {
 		provider = noop.NewTracerProvider()
 	}
-	spans := provider.Tracer(tracerName)
+	tracer := provider.Tracer(tracerName)
 	return func(w http.ResponseWriter, req *http.Request) {
 		id := uuid.NewString()
 		w.Header().Set(requestIDHeader, id)
 		ctx := propagation.TraceContext{}.Extract(req.Context(), propagation.HeaderCarrier(req.Header))
-		ctx, span := spans.Start(ctx, "entry."+name, trace.WithSpanKind(trace.SpanKindServer))
+		ctx, span := tracer.Start(ctx, "entry."+name, trace.WithSpanKind(trace.SpanKindServer))
 		defer span.End()
 		span.SetAttributes(attribute.String("request", id))
 		next(w, req.WithContext(context.WithValue(ctx, requestIDKey{}, id)))
 	}
 }
 
-// requestID is the id that hop gave the request.
+// requestID returns the id that instrument assigned to the request.
 func requestID(req *http.Request) string {
 	id, _ := req.Context().Value(requestIDKey{}).(string)
 	return id
 }
 
-// annotateSpan puts the class and the end of a request on its span.
+// annotateSpan adds the class, the token count and the error of a request to its
+// span.
 func annotateSpan(req *http.Request, class spec.ClassName, tokens int, err error) {
 	span := trace.SpanFromContext(req.Context())
 	if !span.IsRecording() {
@@ -64,7 +67,8 @@
 	}
 }
 
-// bearerKey is the key in the Authorization header.
+// bearerKey returns the bearer key in the Authorization header. It returns false
+// if there is none or if it is too long.
 func bearerKey(req *http.Request) (string, bool) {
 	scheme, key, ok := strings.Cut(req.Header.Get("Authorization"), " ")
 	if !ok || !strings.EqualFold(scheme, "Bearer") || key == "" || len(key) > maxBearerBytes {
@@ -73,12 +77,13 @@
 	return key, true
 }
 
-// authenticate finds the team of a request. Before the first configuration nobody is
-// known, which must not look to callers as if their key were bad.
+// authenticate returns the team of a request. Before the first configuration is
+// loaded no team is known; callers then get "not-ready" instead of an error about
+// their key.
 func (s *Server) authenticate(req *http.Request) (spec.Team, error) {
 	if s.Book.Snapshot() == nil {
 		f := newFault(http.StatusServiceUnavailable, "not-ready", "This instance has no configuration yet.", RanNo)
-		f.After = busyRetryAfter
+		f.RetryAfter = busyRetryAfter
 		return spec.Team{}, f
 	}
 	key, ok := bearerKey(req)
@@ -92,7 +97,7 @@
 	return team, nil
 }
 
-// checkAccess refuses a class that its operators keep for other teams.
+// checkAccess returns a fault if the class is reserved for other teams.
 func (s *Server) checkAccess(team spec.Team, class spec.Class) error {
 	if s.Book.Snapshot().Allows(class.Name(), team.ID()) {
 		return nil
--- a/internal/wire/entry/models.go
+++ b/internal/wire/entry/models.go
@@ -6,7 +6,7 @@
 	"fulmarwick/internal/base/spec"
 )
 
-// The published shape of the list of models.
+// The JSON of the list of models.
 type (
 	modelList struct {
 		Object string      `json:"object"`
@@ -20,10 +20,11 @@
 	}
 )
 
-// modelOwner is what the list names as the owner of every model.
+// modelOwner is the owner given for every model in the list.
 const modelOwner = "fulmarwick"
 
-// models lists each model that a class in force serves.
+// models handles GET /v1/models: it lists each model served by a class of the
+// active configuration.
 func (s *Server) models(w http.ResponseWriter, req *http.Request) {
 	if _, err := s.authenticate(req); err != nil {
 		s.writeFault(w, err)
@@ -36,7 +37,8 @@
 			continue
 		}
 		seen[c.Model()] = true
-		// The router does not know when a model was made; zero says so.
+		// Created stays zero, since the router does not know when a model was
+		// created.
 		list.Data = append(list.Data, modelBody{ID: string(c.Model()), Object: "model", Owner: modelOwner})
 	}
 	s.writeJSON(w, http.StatusOK, list)
--- a/internal/wire/entry/reply.go
+++ b/internal/wire/entry/reply.go
@@ -6,15 +6,16 @@
 	"time"
 )
 
-// writePieceBytes is how much of an answer must go out within one write pause.
+// writePieceBytes is how much of a response the caller must accept within one
+// Limits.WriteTime.
 const writePieceBytes = 32 << 10
 
-// writeBody writes a whole answer. A caller who takes none of it for the write
-// pause is given up; otherwise it would hold a place among the streams, and
-// the instance's stop, for ever.
-func (s *Server) writeBody(w http.ResponseWriter, status int, kind string, body []byte) {
+// writeBody writes a complete response. It gives up if the caller does not accept
+// a piece within Limits.WriteTime. Otherwise such a caller would occupy a request
+// slot and block the shutdown of the instance forever.
+func (s *Server) writeBody(w http.ResponseWriter, status int, contentType string, body []byte) {
 	control := http.NewResponseController(w)
-	w.Header().Set("Content-Type", kind)
+	w.Header().Set("Content-Type", contentType)
 	w.WriteHeader(status)
 	for len(body) > 0 {
 		piece := body[:min(len(body), writePieceBytes)]
@@ -28,7 +29,8 @@
 	}
 }
 
-// writeJSON writes v, which always encodes.
+// writeJSON writes v as JSON. All values passed to it can be encoded; otherwise it
+// writes status 500 without a JSON body.
 func (s *Server) writeJSON(w http.ResponseWriter, status int, v any) {
 	body, err := json.Marshal(v)
 	if err != nil {
--- a/internal/wire/entry/resume.go
+++ b/internal/wire/entry/resume.go
@@ -13,8 +13,8 @@
 	"github.com/google/uuid"
 )
 
-// The layout of a resume token before base64: a version byte, the count of
-// tokens, the hash of their text, the answer's id and the seal.
+// The layout of a resume token before base64 encoding: a version byte, the number
+// of tokens, the hash of their text, the id of the answer and the seal (MAC).
 const (
 	resumeTokenVersion = 1
 	countOffset        = 1
@@ -25,25 +25,26 @@
 	resumeTokenBytes   = sealOffset + sealBytes
 )
 
-// sealDomain keeps the key of the seals apart from the hash under which the
-// team's key is kept.
+// sealDomain is the prefix that separates the MAC key from the hash under which
+// the team's key is stored.
 const sealDomain = "fulmarwick resume\n"
 
-// Position is what the id of a server-sent event says: which answer, how many
-// of its tokens the caller has, and the hash of their text. Any instance can
-// go on from it, given the same key and request.
+// Position is a position in a streamed answer, sent as the id of a server-sent
+// event: the id of the answer, how many of its tokens the caller has received,
+// and the hash of their text. Any instance can resume the answer from it, given
+// the same key and request.
 type Position struct {
 	answer   uuid.UUID
 	count    int
 	textHash uint64
 }
 
-// Count is how many tokens the caller has.
+// Count returns the number of tokens that the caller has received.
 func (p Position) Count() int { return p.count }
 
-// Sealer writes and reads positions for one team and request. The seal is
-// keyed with the team's own key, which both instances learn from the request
-// itself: no secret is shared and no other team can make one.
+// Sealer encodes and authenticates positions for one team and request. The MAC
+// key is derived from the team's key, which every instance gets with the request.
+// Instances therefore share no secret, and no other team can forge a token.
 type Sealer struct {
 	mac         hash.Hash
 	fingerprint [8]byte
@@ -51,16 +52,16 @@
 	sealBuffer  [sha256.Size]byte
 }
 
-// NewSealer returns the sealer for requests with the given fingerprint under
-// the team's bearer key.
-func NewSealer(bearer string, print uint64) *Sealer {
+// NewSealer returns a Sealer for requests with the given fingerprint and the
+// team's bearer key.
+func NewSealer(bearer string, fingerprint uint64) *Sealer {
 	key := sha256.Sum256([]byte(sealDomain + bearer))
 	s := &Sealer{mac: hmac.New(sha256.New, key[:])}
-	binary.BigEndian.PutUint64(s.fingerprint[:], print)
+	binary.BigEndian.PutUint64(s.fingerprint[:], fingerprint)
 	return s
 }
 
-// Append writes the token of p to dst.
+// Append appends the resume token of p to dst.
 func (s *Sealer) Append(dst []byte, p Position) []byte {
 	s.tokenBuffer[0] = resumeTokenVersion
 	binary.BigEndian.PutUint32(s.tokenBuffer[countOffset:], uint32(p.count))
@@ -70,8 +71,8 @@
 	return base64.RawURLEncoding.AppendEncode(dst, s.tokenBuffer[:])
 }
 
-// Parse reads what Append wrote; false for anything else, also if it was
-// written for another team or request.
+// Parse decodes a token written by Append. It returns false for anything else,
+// including tokens of another team or request.
 func (s *Sealer) Parse(token string) (Position, bool) {
 	if len(token) != base64.RawURLEncoding.EncodedLen(resumeTokenBytes) {
 		return Position{}, false
@@ -92,6 +93,7 @@
 	return p, true
 }
 
+// seal returns the truncated MAC of the request's fingerprint and data.
 func (s *Sealer) seal(data []byte) []byte {
 	s.mac.Reset()
 	_, _ = s.mac.Write(s.fingerprint[:])
@@ -99,8 +101,8 @@
 	return s.mac.Sum(s.sealBuffer[:0])[:sealBytes]
 }
 
-// resumePosition takes the position from the Last-Event-ID header, if there is
-// one.
+// resumePosition returns the position in the Last-Event-ID header, or the start of
+// a new answer if there is none.
 func resumePosition(req *http.Request, s *Sealer, limit int) (Position, error) {
 	id := req.Header.Get("Last-Event-ID")
 	if id == "" {
@@ -114,8 +116,8 @@
 	return p, nil
 }
 
-// startPosition refuses to resume an answer that is not a stream: the caller has
-// none of it yet.
+// startPosition returns the start of a new answer. It rejects requests to resume
+// an answer that is not a stream, since the caller has received no part of it.
 func startPosition(req *http.Request) (Position, error) {
 	if req.Header.Get("Last-Event-ID") != "" {
 		return Position{}, newFault(http.StatusBadRequest, "bad-resume", "Only a stream can be resumed.", RanNo)
@@ -123,47 +125,50 @@
 	return Position{answer: uuid.New()}, nil
 }
 
-// prefixChecker checks an answer against the part that the caller has already.
+// prefixChecker compares a regenerated answer with the part that the caller has
+// already received.
 type prefixChecker struct {
 	from     Position
 	textHash *xxhash.Digest
 	count    int
 }
 
+// newPrefixChecker returns a checker for an answer resumed at from.
 func newPrefixChecker(from Position) *prefixChecker {
 	return &prefixChecker{from: from, textHash: xxhash.New()}
 }
 
-// add adds the next token; fresh is false while the caller has it already.
-// The error says that the answer made anew differs from what the caller has,
-// which must not be spliced: the caller would see an answer that no model
-// gave.
-func (f *prefixChecker) add(text string) (fresh bool, err error) {
-	_, _ = f.textHash.WriteString(text)
-	f.count++
-	if f.count > f.from.count {
+// add adds the next token. isNew is false if the caller has already received it.
+// It returns an error if the regenerated answer differs from what the caller has.
+// The two must not be joined, since the caller would see an answer that no model
+// generated.
+func (c *prefixChecker) add(text string) (isNew bool, err error) {
+	_, _ = c.textHash.WriteString(text)
+	c.count++
+	if c.count > c.from.count {
 		return true, nil
 	}
-	if f.count == f.from.count && f.textHash.Sum64() != f.from.textHash {
+	if c.count == c.from.count && c.textHash.Sum64() != c.from.textHash {
 		return false, errResumeDiffers()
 	}
 	return false, nil
 }
 
-// checkEnd checks an answer that is over: one shorter than what the caller has is
-// another answer.
-func (f *prefixChecker) checkEnd() error {
-	if f.count < f.from.count {
+// checkEnd checks a complete answer. If it is shorter than the part that the
+// caller has received, it is a different answer.
+func (c *prefixChecker) checkEnd() error {
+	if c.count < c.from.count {
 		return errResumeDiffers()
 	}
 	return nil
 }
 
-// position is the position after the last token taken.
-func (f *prefixChecker) position() Position {
-	return Position{answer: f.from.answer, count: f.count, textHash: f.textHash.Sum64()}
+// position returns the position after the last token added.
+func (c *prefixChecker) position() Position {
+	return Position{answer: c.from.answer, count: c.count, textHash: c.textHash.Sum64()}
 }
 
+// errResumeDiffers returns the fault for a regenerated answer that differs.
 func errResumeDiffers() error {
 	return newFault(http.StatusConflict, "resume-differs",
 		"The answer made anew differs from the part already sent; ask again without Last-Event-ID.", RanYes)
--- a/internal/wire/entry/resume_test.go
+++ b/internal/wire/entry/resume_test.go
@@ -18,8 +18,8 @@
 	data string
 }
 
-// parseEvents reads a stream; an event without its empty line was cut and counts
-// for nothing, as with any client.
+// parseEvents parses a stream. Like any client, it ignores a truncated event, which
+// lacks the empty line at its end.
 func parseEvents(stream string) []event {
 	var out []event
 	blocks := strings.Split(stream, "\n\n")
@@ -38,6 +38,7 @@
 	return out
 }
 
+// eventText returns the text of the answer in events.
 func eventText(events []event) string {
 	var b strings.Builder
 	for _, e := range events {
@@ -51,6 +52,7 @@
 	return b.String()
 }
 
+// resumeChat posts a chat request with the given key and Last-Event-ID.
 func resumeChat(s *entry.Server, bearer, id, body string) *httptest.ResponseRecorder {
 	req := request("/v1/chat/completions", body)
 	req.Header.Set("Authorization", "Bearer "+bearer)
@@ -60,9 +62,9 @@
 
 var words = []string{"one ", "two ", "three ", "four ", "five "}
 
-// The caller's instance dies after any token. The caller sends the request to
-// another with the last id it has and sees the rest of the answer under the
-// same answer id: no token twice, none missing, [DONE] at the end.
+// The caller's instance crashes after any token. The caller sends the request to
+// another instance with the last event id. It must get the rest of the answer
+// under the same completion id: no token twice, none missing, [DONE] at the end.
 func TestResumeOnAnotherInstance(t *testing.T) {
 	first := parseEvents(postChat(newServer(&fakeModels{words: words}), chatBody).Body.String())
 	for n := 1; n <= len(words); n++ {
@@ -76,10 +78,10 @@
 			t.Errorf("got last event %q, want [DONE]", got)
 		}
 		if job.Arrived.ReceivedTokens != n {
-			t.Errorf("got Done %d, want %d", job.Arrived.ReceivedTokens, n)
+			t.Errorf("got ReceivedTokens %d, want %d", job.Arrived.ReceivedTokens, n)
 		}
 		if strings.Contains(first[0].data, string(job.Arrived.Request)) {
-			t.Errorf("got the first request's id again, want a new one")
+			t.Errorf("got the same request id as the first request, want a new one")
 		}
 		if got, want := answerID(t, rest[0]), answerID(t, first[0]); got != want {
 			t.Errorf("got answer id %s, want %s", got, want)
@@ -87,6 +89,7 @@
 	}
 }
 
+// answerID returns the completion id in an event.
 func answerID(t *testing.T, e event) string {
 	t.Helper()
 	var chunk struct{ ID string }
@@ -96,9 +99,9 @@
 	return chunk.ID
 }
 
-// The caller sees resume-differs and no token when the answer made anew is
-// not the one they hold part of, also when it is shorter: spliced, the two
-// would be an answer that no model gave.
+// The regenerated answer differs from the part that the caller has, or is shorter.
+// The caller must get resume-differs and no token. Otherwise the joined parts
+// would be an answer that no model generated.
 func TestResumeOfADifferentAnswer(t *testing.T) {
 	first := parseEvents(postChat(newServer(&fakeModels{words: words}), chatBody).Body.String())
 	for _, other := range [][]string{{"one ", "deux ", "three ", "four "}, {"one ", "two "}} {
@@ -110,9 +113,9 @@
 	}
 }
 
-// The caller sees bad-resume for an id that was changed, made up, or given to
-// another team or for another body: nobody can ask for the end of an answer
-// that is not theirs, nor make the router skip tokens.
+// Event ids that were modified, forged, or issued to another team or for another
+// body must be rejected with bad-resume. Otherwise a caller could get the end of
+// another team's answer or make the router skip tokens.
 func TestForgedResumeTokens(t *testing.T) {
 	id := parseEvents(postChat(newServer(&fakeModels{words: words}), chatBody).Body.String())[2].id
 	for i := range id {
@@ -135,7 +138,7 @@
 		s := newServer(&fakeModels{words: words, onJob: func(context.Context, chain.Job) { ran = true }})
 		wantFault(t, resumeChat(s, tt.bearer, tt.id, tt.body), http.StatusBadRequest, "bad-resume")
 		if ran {
-			t.Errorf("%s: got it run, want it refused before", tt.name)
+			t.Errorf("%s: got it run, want it rejected before", tt.name)
 		}
 	}
 }
--- a/internal/wire/entry/stream.go
+++ b/internal/wire/entry/stream.go
@@ -12,8 +12,8 @@
 	"github.com/go-faster/errors"
 )
 
-// eventStream writes an answer as server-sent events. The status line waits for
-// the first token, so that a refusal keeps its own status.
+// eventStream writes an answer as server-sent events. The status line is sent with
+// the first token, so that a refusal before it can have its own status.
 type eventStream struct {
 	server  *Server
 	w       http.ResponseWriter
@@ -21,37 +21,39 @@
 	cancel  context.CancelCauseFunc
 	prefix  *prefixChecker
 	out     *streamWriter
-	// chunkHead and tail stand around the text of each token.
+	// chunkHead and chunkTail are the parts of each chunk before and after its
+	// choice.
 	chunkHead string
 	chunkTail string
 	tokenText string
 	sendRole  bool
 }
 
-func (s *Server) streamChat(w http.ResponseWriter, req *http.Request, a *chatRequest) {
-	ctx, stop := context.WithCancelCause(req.Context())
-	defer stop(nil)
-	e := &eventStream{server: s, w: w, request: a, cancel: stop, prefix: newPrefixChecker(a.resumeFrom), sendRole: a.resumeFrom.count == 0}
+// streamChat runs a chat request and streams the answer.
+func (s *Server) streamChat(w http.ResponseWriter, req *http.Request, chat *chatRequest) {
+	ctx, cancel := context.WithCancelCause(req.Context())
+	defer cancel(nil)
+	e := &eventStream{server: s, w: w, request: chat, cancel: cancel, prefix: newPrefixChecker(chat.resumeFrom), sendRole: chat.resumeFrom.count == 0}
 	e.buildFrame()
-	if a.resumeFrom.count > 0 {
+	if chat.resumeFrom.count > 0 {
 		s.meter.resumedStreams.Inc()
 	}
-	result, err := s.Models.Run(ctx, a.job, e.onToken)
+	result, err := s.Models.Run(ctx, chat.job, e.onToken)
 	if err == nil {
 		err = e.prefix.checkEnd()
 	}
-	// An answer that stops because its caller cannot be written to is the
-	// caller's doing, whatever error comes back through the layers.
+	// If the request was canceled because writing to the caller failed, report
+	// that as the cause, whatever error Run returned.
 	if cause := context.Cause(ctx); errors.Is(cause, errCallerGone) {
 		err = cause
 	}
 	err = e.finish(result, err)
-	s.recordChat(req, a, result, callerFault(err))
+	s.recordChat(req, chat, result, callerFault(err))
 	switch {
 	case errors.Is(err, errCallerSlow):
 		s.meter.slowCallers.Inc()
-		// The connection is cut without its ending, so that no client takes
-		// the stream for whole. The last event's id resumes it.
+		// Abort the connection without ending the stream, so that no client
+		// takes the answer for complete. The id of the last event resumes it.
 		panic(http.ErrAbortHandler)
 	case errors.Is(err, errCallerGone):
 		s.meter.goneCallers.Inc()
@@ -59,7 +61,7 @@
 	}
 }
 
-// callerFault turns the writer's errors into what logs and metrics show.
+// callerFault converts the errors of streamWriter to faults for logs and metrics.
 func callerFault(err error) error {
 	switch {
 	case errors.Is(err, errCallerSlow):
@@ -70,7 +72,7 @@
 	return err
 }
 
-// buildFrame makes the parts that are alike in all chunks.
+// buildFrame prepares the parts that are the same in all chunks.
 func (e *eventStream) buildFrame() {
 	var b []byte
 	b = append(b, `data: {"id":`...)
@@ -87,12 +89,12 @@
 	}
 }
 
-// onToken takes the next token from the chain. It runs once per token and takes
-// no memory.
+// onToken handles the next token from the chain. It runs once per token and does
+// not allocate.
 func (e *eventStream) onToken(t chain.Token) error {
 	e.request.timings.markToken()
-	fresh, err := e.prefix.add(t.Text)
-	if err != nil || !fresh {
+	isNew, err := e.prefix.add(t.Text)
+	if err != nil || !isNew {
 		return err
 	}
 	e.start()
@@ -100,6 +102,7 @@
 	return e.out.push(e.appendChunk)
 }
 
+// appendChunk appends the event of the current token.
 func (e *eventStream) appendChunk(b []byte) []byte {
 	b = append(b, "id: "...)
 	b = e.request.sealer.Append(b, e.prefix.position())
@@ -116,6 +119,7 @@
 	return append(b, e.chunkTail...)
 }
 
+// start sets the response headers and starts the writer, once.
 func (e *eventStream) start() {
 	if e.out != nil {
 		return
@@ -123,14 +127,15 @@
 	h := e.w.Header()
 	h.Set("Content-Type", "text/event-stream")
 	h.Set("Cache-Control", "no-cache")
-	// Proxies that gather answers would turn the stream into one late piece.
+	// A buffering proxy would deliver the whole stream at once at the end.
 	h.Set("X-Accel-Buffering", "no")
 	e.out = newStreamWriter(e.w, e.server.Limits, e.cancel)
 }
 
-// finish ends the stream and returns how: as a whole answer, as a plain error
-// before the first token, or as an event without [DONE], so that a cut answer
-// never looks whole.
+// finish ends the stream and returns the error with which it ended. An error
+// before the first token is sent as a plain error response. A later one is sent
+// as an event without [DONE], so that clients never take a truncated answer for
+// complete.
 func (e *eventStream) finish(result chain.Result, err error) error {
 	if err != nil && e.out == nil {
 		if !errors.Is(err, errCallerGone) {
@@ -139,22 +144,23 @@
 		return err
 	}
 	e.start()
-	var last error
+	var pushErr error
 	switch {
 	case err == nil:
-		last = e.out.push(func(b []byte) []byte { return e.appendEnd(b, result) })
+		pushErr = e.out.push(func(b []byte) []byte { return e.appendEnd(b, result) })
 	case !errors.Is(err, errCallerSlow) && !errors.Is(err, errCallerGone):
 		_ = e.out.push(func(b []byte) []byte { return appendFaultEvent(b, err) })
 	}
-	if wrote := e.out.finish(); wrote != nil {
-		return wrote
+	if writeErr := e.out.finish(); writeErr != nil {
+		return writeErr
 	}
 	if err == nil {
-		err = last
+		err = pushErr
 	}
 	return err
 }
 
+// appendEnd appends the final events of a complete answer.
 func (e *eventStream) appendEnd(b []byte, result chain.Result) []byte {
 	b = append(b, e.chunkHead...)
 	b = append(b, `{"index":0,"delta":{},"finish_reason":`...)
@@ -175,9 +181,10 @@
 	return append(b, "data: [DONE]\n\n"...)
 }
 
+// appendFaultEvent appends err as an event.
 func appendFaultEvent(b []byte, err error) []byte {
-	data, failed := json.Marshal(toFault(err).body())
-	if failed != nil {
+	data, marshalErr := json.Marshal(toFault(err).body())
+	if marshalErr != nil {
 		return b
 	}
 	b = append(b, "data: "...)
--- a/internal/wire/entry/stream_test.go
+++ b/internal/wire/entry/stream_test.go
@@ -15,7 +15,7 @@
 	"fulmarwick/internal/wire/entry"
 )
 
-// openStream serves s on a network in the process and posts ask to it.
+// openStream serves s on an in-memory network and posts chatBody to it.
 func openStream(t *testing.T, s *entry.Server) *http.Response {
 	t.Helper()
 	l := inmem.Listen()
@@ -39,46 +39,47 @@
 	return resp
 }
 
-// The caller stops reading a stream in the middle. The engine goes on making
-// tokens until the bounded buffer is full; then the request ends and the
-// connection is cut without an ending. The caller takes up what they had with
-// the last whole event's id on another instance and sees every token once.
+// The caller stops reading in the middle of a stream. The engine produces tokens
+// until the bounded buffer is full. Then the request must end and the connection
+// must be aborted without [DONE]. The caller resumes on another instance with the
+// id of the last complete event and must get every token exactly once.
 func TestSlowReaderIsCutAndCanResume(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		many := make([]string, 400)
-		for i := range many {
-			many[i] = strings.Repeat(string(rune('a'+i%26)), 50)
+		tokens := make([]string, 400)
+		for i := range tokens {
+			tokens[i] = strings.Repeat(string(rune('a'+i%26)), 50)
 		}
 		made := 0
-		s := newServer(&fakeModels{words: many, beforeWord: func(i int) { made = i }})
+		s := newServer(&fakeModels{words: tokens, beforeWord: func(i int) { made = i }})
 		s.Limits.WriteTime = time.Minute
 		resp := openStream(t, s)
 		head := make([]byte, 3000)
 		n, _ := resp.Body.Read(head)
 		synctest.Wait()
 		if made > 100 {
-			t.Errorf("got %d tokens made for a caller that reads none, want them bounded", made)
+			t.Errorf("got %d tokens produced for a caller that reads none, want at most 100", made)
 		}
 		time.Sleep(2 * time.Minute)
 		synctest.Wait()
 		var rest strings.Builder
 		_, err := readUntilError(&rest, resp)
 		if err == nil {
-			t.Error("got a stream that ends as a whole one, want it cut")
+			t.Error("got a stream that ends normally, want it aborted")
 		}
-		had := parseEvents(string(head[:n]) + rest.String())
-		if len(had) == 0 || strings.Contains(rest.String(), "[DONE]") {
-			t.Fatalf("got %d events, want some and no [DONE]", len(had))
+		received := parseEvents(string(head[:n]) + rest.String())
+		if len(received) == 0 || strings.Contains(rest.String(), "[DONE]") {
+			t.Fatalf("got %d events, want some and no [DONE]", len(received))
 		}
-		again := newServer(&fakeModels{words: many})
-		again.Limits.Buffer = 1 << 20
-		more := parseEvents(resumeChat(again, firstKey, had[len(had)-1].id, chatBody).Body.String())
-		if got, want := eventText(had)+eventText(more), strings.Join(many, ""); got != want {
+		second := newServer(&fakeModels{words: tokens})
+		second.Limits.Buffer = 1 << 20
+		resumed := parseEvents(resumeChat(second, firstKey, received[len(received)-1].id, chatBody).Body.String())
+		if got, want := eventText(received)+eventText(resumed), strings.Join(tokens, ""); got != want {
 			t.Errorf("got %d bytes after the resume, want the %d of the answer", len(got), len(want))
 		}
 	})
 }
 
+// readUntilError copies the body of resp to b. It returns nil at its end.
 func readUntilError(b *strings.Builder, resp *http.Response) (int, error) {
 	buf := make([]byte, 1024)
 	total := 0
@@ -95,9 +96,9 @@
 	}
 }
 
-// The caller's proxy closes connections that are silent for a minute. An
-// answer whose next token takes ten minutes reaches the caller whole, since
-// comments go out meanwhile; clients pass them over.
+// The caller's proxy closes connections that are idle for a minute. If the next
+// token takes ten minutes, comments sent every 15 s must keep the connection open.
+// Clients ignore comments.
 func TestCommentsKeepIdleStreamOpen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := &fakeModels{words: []string{"a", "b"}, beforeWord: func(i int) { time.Sleep(time.Duration(i) * 10 * time.Minute) }}
@@ -114,8 +115,9 @@
 	})
 }
 
-// The caller goes away in the middle of a stream. The work behind it must end,
-// or engines would go on for nobody; no class is blamed for the caller's doing.
+// The caller disconnects in the middle of a stream. The request must be canceled,
+// or engines would continue without a reader. The Observer must not be notified,
+// because the class is not at fault.
 func TestCallerDisconnects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ended := make(chan error, 1)
@@ -126,26 +128,26 @@
 			ended <- ctx.Err()
 			return chain.Result{}, ctx.Err()
 		})
-		seen := &fakeObserver{}
-		s.Observer = seen
+		observer := &fakeObserver{}
+		s.Observer = observer
 		resp := openStream(t, s)
 		if _, err := resp.Body.Read(make([]byte, 10)); err != nil {
 			t.Fatal(err)
 		}
 		_ = resp.Body.Close()
 		if err := <-ended; err == nil {
-			t.Error("got no end of the work, want its context ended")
+			t.Error("got a request that was not canceled, want it canceled")
 		}
 		synctest.Wait()
-		if seen.count() != 0 {
-			t.Errorf("got %d observed ends, want 0", seen.count())
+		if observer.count() != 0 {
+			t.Errorf("got %d observed ends, want 0", observer.count())
 		}
 	})
 }
 
-// The caller asks for a whole answer and reads none of it. The request ends
-// after the write pause and gives its place back; an instance that stops would
-// otherwise wait for that caller for ever.
+// The caller requests an answer that is not streamed and reads none of it. The
+// request must end after the write timeout and free its slot. Otherwise the
+// shutdown of the instance would wait for that caller forever.
 func TestUnreadAnswerTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newServer(&fakeModels{words: []string{strings.Repeat("x", 1<<20)}})
@@ -159,14 +161,14 @@
 		time.Sleep(2 * time.Minute)
 		synctest.Wait()
 		if w := postChat(s, chatBody); w.Code != http.StatusOK {
-			t.Errorf("got %d after the write pause, want 200", w.Code)
+			t.Errorf("got %d after the write timeout, want 200", w.Code)
 		}
 	})
 }
 
-// The balancer keeps a connection. Long after a stream on it, when the
-// stream's last write deadline has passed, the next question on it is
-// answered, also by what sets no deadline of its own, such as /readyz.
+// A load balancer reuses a connection long after a stream on it, when the write
+// deadline of the stream has passed. The next request on it must be answered, also
+// by handlers that set no deadline, such as /readyz.
 func TestConnectionReusedAfterStream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newServer(&fakeModels{words: []string{"a"}})
@@ -213,15 +215,16 @@
 	return f(ctx, job, sink)
 }
 
-// Each token takes no memory, however long the answer: encoder, resume token
-// and buffer are reused. The counts are of whole streams of two lengths.
+// Streaming must not allocate per token, however long the answer: the encoder, the
+// resume token and the buffer are reused. The test compares the allocations of
+// streams of 10 and 2010 tokens.
 func TestMemoryDoesNotGrowWithTheAnswer(t *testing.T) {
 	allocs := func(n int) float64 {
-		many := make([]string, n)
-		for i := range many {
-			many[i] = "word "
+		tokens := make([]string, n)
+		for i := range tokens {
+			tokens[i] = "word "
 		}
-		s := newServer(&fakeModels{words: many})
+		s := newServer(&fakeModels{words: tokens})
 		s.Limits.Buffer = 1 << 20
 		h := s.Handler()
 		return testing.AllocsPerRun(20, func() {
@@ -234,7 +237,7 @@
 	}
 }
 
-// discardResponse is a response that takes everything and keeps nothing.
+// discardResponse is a ResponseWriter that discards all data.
 type discardResponse struct{ header http.Header }
 
 func (d *discardResponse) Header() http.Header         { return d.header }
--- a/internal/wire/entry/writer.go
+++ b/internal/wire/entry/writer.go
@@ -9,38 +9,40 @@
 	"github.com/go-faster/errors"
 )
 
-// Errors that end a stream whose caller cannot be served.
+// Errors that abort a stream because of its caller.
 var (
-	// errCallerSlow means that the caller read slower than its answer was made for
-	// longer than the buffer holds.
+	// errCallerSlow means that the buffer stayed full because the caller read
+	// more slowly than its answer was produced.
 	errCallerSlow = errors.New("entry: caller reads too slowly")
 	// errCallerGone means that writing to the caller failed.
 	errCallerGone = errors.New("entry: caller is gone")
 )
 
-// maxFullWait is how long a full buffer may hold up its own request before the
-// caller counts as slow. An engine that gives many tokens at once is no fault
-// of the caller, whose writer only needs its turn; the time is short, since
-// the streams that share the engine's connection wait too.
+// maxFullWait is how long a request waits for space in a full buffer before its
+// caller counts as slow. When an engine sends many tokens at once, the caller is
+// not at fault and the writer goroutine only needs to be scheduled. The time is
+// short because other streams on the same engine connection wait too.
 const maxFullWait = 50 * time.Millisecond
 
-// keepAliveComment is a line of the event stream that clients pass over.
+// keepAliveComment is a comment line of the event stream, which clients ignore.
 const keepAliveComment = ": wait\n\n"
 
 const (
-	// maxPooledBytes is the most bytes of a buffer that is kept for another stream; a
-	// burst's large one goes back to the memory manager.
+	// maxPooledBytes is the maximum capacity of a buffer that is returned to the
+	// pool. Larger ones, grown by a burst, are left to the garbage collector.
 	maxPooledBytes = 32 << 10
-	// newBufferBytes is the size of a new buffer.
+	// newBufferBytes is the initial capacity of a new buffer.
 	newBufferBytes = 4 << 10
-	// deadlineSlack is the part of the write pause by which a deadline may be old.
-	// Moving it with each token costs as much as sealing the token's id.
+	// deadlineSlack limits how often the write deadline is extended: only after
+	// 1/deadlineSlack of the write timeout has passed. Extending it for each
+	// token costs as much as computing the MAC of the token's id.
 	deadlineSlack = 8
 )
 
-// bufferPool are reused among streams.
+// bufferPool holds buffers for reuse by other streams.
 var bufferPool = sync.Pool{New: func() any { b := make([]byte, 0, newBufferBytes); return &b }}
 
+// releaseBuffer returns b to the pool, unless it is too large.
 func releaseBuffer(b []byte) {
 	if cap(b) > 0 && cap(b) <= maxPooledBytes {
 		b = b[:0]
@@ -48,22 +50,23 @@
 	}
 }
 
-// streamWriter brings the pieces of a stream to its caller from a goroutine of its
-// own. The request's goroutine only appends to a buffer: were it to wait for
-// the caller's network, the engine's connection behind it would fill up and
-// hold up the streams of others.
+// streamWriter writes a stream to its caller in a separate goroutine. The goroutine
+// of the request only appends to a buffer. If it waited for the caller's network,
+// the connection to the engine would fill up and block other streams.
 type streamWriter struct {
 	w               http.ResponseWriter
 	control         *http.ResponseController
 	limit           int
 	writeTimeout    time.Duration
 	commentInterval time.Duration
-	// cancel ends the request when the caller cannot be written to.
+	// cancel cancels the request when writing to the caller fails.
 	cancel context.CancelCauseFunc
 
-	// deadlineSetAt is when the write deadline was set last.
+	// deadlineSetAt is when the write deadline was last set.
 	deadlineSetAt time.Time
 
+	// wake signals new data or the end of the stream, drained signals that the
+	// buffer was taken or writing failed, done is closed when run returns.
 	wake    chan struct{}
 	drained chan struct{}
 	done    chan struct{}
@@ -74,11 +77,12 @@
 	err     error
 }
 
-// newStreamWriter starts the goroutine; finish or abort ends it.
-func newStreamWriter(w http.ResponseWriter, l Limits, stop context.CancelCauseFunc) *streamWriter {
+// newStreamWriter starts the writer goroutine. It ends after finish is called or
+// when writing fails.
+func newStreamWriter(w http.ResponseWriter, l Limits, cancel context.CancelCauseFunc) *streamWriter {
 	out := &streamWriter{
 		w: w, control: http.NewResponseController(w), limit: int(l.Buffer),
-		writeTimeout: l.WriteTime, commentInterval: l.Comment, cancel: stop,
+		writeTimeout: l.WriteTime, commentInterval: l.Comment, cancel: cancel,
 		wake: make(chan struct{}, 1), drained: make(chan struct{}, 1), done: make(chan struct{}),
 	}
 	out.pending = (*bufferPool.Get().(*[]byte))[:0]
@@ -86,7 +90,8 @@
 	return out
 }
 
-// push adds a piece; fill appends it to the slice it gets.
+// push adds data to the buffer; fill appends the data to the slice it gets. If the
+// buffer is full, push waits up to maxFullWait.
 func (o *streamWriter) push(fill func([]byte) []byte) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -104,8 +109,9 @@
 	return nil
 }
 
-// waitForSpace waits for the writer to take the buffer, and gives the stream up if
-// it does not in time. It is called, and returns, with the lock held.
+// waitForSpace waits until the writer goroutine takes the full buffer. After
+// maxFullWait it fails the stream with errCallerSlow. The caller must hold o.mu,
+// which is released while waiting.
 func (o *streamWriter) waitForSpace() {
 	timer := time.NewTimer(maxFullWait)
 	defer timer.Stop()
@@ -124,6 +130,7 @@
 	}
 }
 
+// signal wakes the writer goroutine.
 func (o *streamWriter) signal() {
 	select {
 	case o.wake <- struct{}{}:
@@ -131,8 +138,8 @@
 	}
 }
 
-// finish waits until all pieces are with the caller and returns why that
-// could not be, or nil.
+// finish waits until all data is written to the caller and returns the error that
+// prevented it, if any.
 func (o *streamWriter) finish() error {
 	o.mu.Lock()
 	o.ended = true
@@ -144,22 +151,23 @@
 	return o.err
 }
 
-// run writes what is pending until the end or an error.
+// run writes pending data until the stream ends or writing fails. It sends a
+// comment whenever the stream is idle for commentInterval.
 func (o *streamWriter) run() {
 	defer close(o.done)
-	var quiet <-chan time.Time
+	var idle <-chan time.Time
 	var timer *time.Timer
 	if o.commentInterval > 0 {
 		timer = time.NewTimer(o.commentInterval)
 		defer timer.Stop()
-		quiet = timer.C
+		idle = timer.C
 	}
 	spare := (*bufferPool.Get().(*[]byte))[:0]
 	defer func() { releaseBuffer(spare) }()
 	for {
 		data, ended := o.swap(spare)
-		// The buffer given away is the other's now; only the one got back may
-		// be given next.
+		// push now owns the buffer passed to swap. Only the one returned by swap
+		// may be passed next.
 		spare = data[:0]
 		if len(data) > 0 {
 			if err := o.write(data); err != nil {
@@ -176,7 +184,7 @@
 		}
 		select {
 		case <-o.wake:
-		case <-quiet:
+		case <-idle:
 			if err := o.write([]byte(keepAliveComment)); err != nil {
 				o.fail(err)
 				return
@@ -186,8 +194,8 @@
 	}
 }
 
-// swap takes what is pending and leaves an empty buffer. A stream that failed
-// ends without the rest.
+// swap takes the pending data and replaces it with the empty buffer spare. If the
+// stream has failed, the pending data is not written.
 func (o *streamWriter) swap(spare []byte) (data []byte, ended bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -203,10 +211,11 @@
 	return data, o.ended
 }
 
+// write writes and flushes data under the write timeout.
 func (o *streamWriter) write(data []byte) error {
 	if now := time.Now(); o.writeTimeout > 0 && now.Sub(o.deadlineSetAt) > o.writeTimeout/deadlineSlack {
 		o.deadlineSetAt = now
-		// A writer without deadlines, as in tests, is written without.
+		// Response writers without deadlines, as in tests, return an error here.
 		_ = o.control.SetWriteDeadline(now.Add(o.writeTimeout))
 	}
 	if _, err := o.w.Write(data); err != nil {
@@ -215,6 +224,7 @@
 	return o.control.Flush()
 }
 
+// fail records a failed write, wakes a waiting push and cancels the request.
 func (o *streamWriter) fail(err error) {
 	o.mu.Lock()
 	o.err = errors.Wrap(errCallerGone, err.Error())
