--- a/internal/wire/entry/chat.go
+++ b/internal/wire/entry/chat.go
@@ -14,91 +14,96 @@
 )
 
 const (
-	// blockBytes is the size of the prompt blocks whose hashes tell shared
-	// prefixes.
+	// blockBytes is the size of the prompt blocks that are hashed to detect
+	// prompts with a common prefix.
 	blockBytes = 256
-	// bytesPerToken estimates the tokens of a prompt.
+	// bytesPerToken is the average used to estimate the number of tokens of a
+	// prompt.
 	bytesPerToken = 4
-	defaultTokens = 256
+	// defaultMaxTokens is the token limit of requests that set none.
+	defaultMaxTokens = 256
 )
 
-// ask is a checked chat request.
-type ask struct {
-	team   spec.Team
-	class  spec.Class
-	job    chain.Job
-	stream bool
-	usage  bool
-	from   Position
-	sealer *Sealer
-	times  times
+// chatRequest is a chat request that has been authenticated and validated.
+type chatRequest struct {
+	team         spec.Team
+	class        spec.Class
+	job          chain.Job
+	stream       bool
+	includeUsage bool
+	resumeFrom   Position
+	sealer       *Sealer
+	timings      timings
 }
 
+// chat handles POST /v1/chat/completions.
 func (s *Server) chat(w http.ResponseWriter, req *http.Request) {
-	began := time.Now()
-	a, err := s.readChat(w, req)
+	start := time.Now()
+	chat, err := s.readChat(w, req)
 	if err == nil {
-		err = s.gate.enter(a.team.ID())
+		err = s.limiter.acquire(chat.team.ID())
 	}
 	if err != nil {
-		s.refuse(w, req, a.class.Name(), err)
+		s.reject(w, req, chat.class.Name(), err)
 		return
 	}
-	defer s.gate.leave(a.team.ID())
-	a.times.began = began
-	if a.stream {
-		s.stream(w, req, &a)
+	defer s.limiter.release(chat.team.ID())
+	chat.timings.start = start
+	if chat.stream {
+		s.streamChat(w, req, &chat)
 		return
 	}
-	s.whole(w, req, &a)
+	s.completeChat(w, req, &chat)
 }
 
-// refuse answers a request that ends before it ran.
-func (s *Server) refuse(w http.ResponseWriter, req *http.Request, class spec.ClassName, err error) {
-	f := faultOf(err)
-	s.meter.ended(class, f.Code)
-	noted(req, class, 0, err)
-	s.fault(w, f)
+// reject records and answers a request that is refused before it runs.
+func (s *Server) reject(w http.ResponseWriter, req *http.Request, class spec.ClassName, err error) {
+	f := toFault(err)
+	s.meter.countRequest(class, f.Code)
+	annotateSpan(req, class, 0, err)
+	s.writeFault(w, f)
 }
 
-func (s *Server) readChat(w http.ResponseWriter, req *http.Request) (ask, error) {
-	team, err := s.team(req)
+// readChat authenticates, reads and validates a chat request.
+func (s *Server) readChat(w http.ResponseWriter, req *http.Request) (chatRequest, error) {
+	team, err := s.authenticate(req)
 	if err != nil {
-		return ask{}, err
+		return chatRequest{}, err
 	}
-	data, err := s.read(w, req)
+	data, err := s.readBody(w, req)
 	if err != nil {
-		return ask{}, err
+		return chatRequest{}, err
 	}
 	body, err := parseChat(data)
 	if err != nil {
-		return ask{}, err
+		return chatRequest{}, err
 	}
 	if err := s.checkChat(&body); err != nil {
-		return ask{}, err
+		return chatRequest{}, err
 	}
 	class, err := s.modelClass(req, spec.ModelName(body.Model))
 	if err != nil {
-		return ask{}, err
+		return chatRequest{}, err
 	}
-	if err := s.allowed(team, class); err != nil {
-		return ask{}, err
+	if err := s.checkAccess(team, class); err != nil {
+		return chatRequest{}, err
 	}
-	a := ask{team: team, class: class, stream: body.Stream, usage: body.Options.Usage}
-	a.job = job(requestID(req), team, class, &body)
-	key, _ := bearer(req)
-	a.sealer = NewSealer(key, fingerprint(&a.job))
+	chat := chatRequest{team: team, class: class, stream: body.Stream, includeUsage: body.Options.Usage}
+	chat.job = newJob(requestID(req), team, class, &body)
+	key, _ := bearerKey(req)
+	chat.sealer = NewSealer(key, fingerprint(&chat.job))
 	if !body.Stream {
-		a.from, err = readWhole(req)
+		chat.resumeFrom, err = startPosition(req)
 	} else {
-		a.from, err = readResume(req, a.sealer, body.Max)
+		chat.resumeFrom, err = resumePosition(req, chat.sealer, body.MaxTokens)
 	}
-	a.job.Arrived.ReceivedTokens = a.from.count
-	return a, err
+	chat.job.Arrived.ReceivedTokens = chat.resumeFrom.count
+	return chat, err
 }
 
-// fingerprint is what a resume token holds to: another prompt or limit is
-// another answer.
+// fingerprint returns a hash of the model, prompt and token limit of a job. A
+// resume token is valid only for requests with the same fingerprint, since
+// another prompt or limit gives another answer.
 func fingerprint(j *chain.Job) uint64 {
 	var limit [8]byte
 	binary.BigEndian.PutUint64(limit[:], uint64(j.Arrived.MaxTokens))
@@ -108,6 +113,7 @@
 	return h.Sum64()
 }
 
+// checkChat validates the body of a chat request and sets its default token limit.
 func (s *Server) checkChat(b *chatBody) error {
 	limit := s.Limits.Tokens
 	switch {
@@ -115,20 +121,20 @@
 		return newFault(http.StatusBadRequest, "no-model", "The field model is missing.", RanNo)
 	case len(b.Messages) == 0:
 		return newFault(http.StatusBadRequest, "no-messages", "The field messages is empty.", RanNo)
-	case b.Max < 0 || b.MaxNew < 0 || b.Max > limit || b.MaxNew > limit:
+	case b.MaxTokens < 0 || b.MaxCompletionTokens < 0 || b.MaxTokens > limit || b.MaxCompletionTokens > limit:
 		return newFault(http.StatusBadRequest, "bad-tokens", "The field max_tokens is out of range.", RanNo)
 	case b.Options.Usage && !b.Stream:
 		return badField("bad-field", "stream_options", "needs stream")
 	}
-	b.Max = max(b.Max, b.MaxNew)
-	if b.Max == 0 {
-		b.Max = min(defaultTokens, limit)
+	b.MaxTokens = max(b.MaxTokens, b.MaxCompletionTokens)
+	if b.MaxTokens == 0 {
+		b.MaxTokens = min(defaultMaxTokens, limit)
 	}
 	return nil
 }
 
-// modelClass finds the class of a request: the one that it names, else the
-// model's default.
+// modelClass returns the class named by the X-Class header, or the default class
+// of the model if the header is missing.
 func (s *Server) modelClass(req *http.Request, model spec.ModelName) (spec.Class, error) {
 	name := spec.ClassName(req.Header.Get("X-Class"))
 	if name == "" {
@@ -145,21 +151,23 @@
 	return class, nil
 }
 
-// job is what the layers below run. Its id is new for every request, also for
-// one that resumes an answer: engines may hold state under the former id, and
-// a caller must not be able to name the request of another.
-func job(id string, team spec.Team, class spec.Class, b *chatBody) chain.Job {
+// newJob returns the job that wire/chain runs for a request. The request id is
+// always new, also when an answer is resumed: engines may still hold state under
+// the previous id, and a caller must not be able to refer to the request of
+// another caller.
+func newJob(id string, team spec.Team, class spec.Class, b *chatBody) chain.Job {
 	text := prompt(b.Messages)
 	return chain.Job{
 		Text: text,
 		Arrived: domain.RequestArrived{
 			Request: spec.RequestID(id), Team: team.ID(), Class: class.Name(), Model: class.Model(),
-			PromptTokens: 1 + len(text)/bytesPerToken, MaxTokens: b.Max, BlockHashes: blocks(text),
+			PromptTokens: 1 + len(text)/bytesPerToken, MaxTokens: b.MaxTokens, BlockHashes: blockHashes(text),
 			Fingerprint: xxhash.Sum64String(string(class.Model()) + "\n" + text),
 		},
 	}
 }
 
+// prompt joins the messages into the text that engines get.
 func prompt(messages []chatMessage) string {
 	var b strings.Builder
 	for _, m := range messages {
@@ -171,9 +179,9 @@
 	return b.String()
 }
 
-// blocks returns a hash per whole block of the text, each covering all text
-// before it too.
-func blocks(text string) []uint64 {
+// blockHashes returns one hash per complete block of the text. Each hash covers
+// the block and all text before it.
+func blockHashes(text string) []uint64 {
 	var out []uint64
 	h := xxhash.New()
 	for len(text) >= blockBytes {
--- a/internal/wire/entry/field.go
+++ b/internal/wire/entry/field.go
@@ -10,88 +10,90 @@
 	"github.com/go-faster/errors"
 )
 
-// chatBody is the published chat-completions request, as far as it is served.
+// chatBody holds the supported fields of a chat completions request.
 type chatBody struct {
-	Model    string
-	Messages []chatMessage
-	Stream   bool
-	Options  streamOptions
-	Max      int
-	MaxNew   int
+	Model               string
+	Messages            []chatMessage
+	Stream              bool
+	Options             streamOptions
+	MaxTokens           int
+	MaxCompletionTokens int
 }
 
 type streamOptions struct {
 	Usage bool `json:"include_usage"`
 }
 
-// chatMessage is one message. Its content comes as a string or as a list of
-// text parts.
+// chatMessage is one message of a chat. In JSON its content is a string or a list
+// of text parts.
 type chatMessage struct {
 	Role string
 	Text string
 }
 
-// fields says what becomes of each top-level field of the published shape. A
-// field whose value would change the answer and that engines do not serve is
-// refused: a caller who asked for JSON or for tools and got plain text would
-// take it for a fault of the model.
-var fields = map[string]func(b *chatBody, raw json.RawMessage) error{
+// fieldReaders maps each top-level field of a chat completions request to the
+// function that reads it. Values that would change the answer but that engines do
+// not support are rejected: a caller that asks for JSON or tools and gets plain
+// text would blame the model.
+var fieldReaders = map[string]func(b *chatBody, raw json.RawMessage) error{
 	"model":                 func(b *chatBody, raw json.RawMessage) error { return json.Unmarshal(raw, &b.Model) },
 	"messages":              func(b *chatBody, raw json.RawMessage) error { return json.Unmarshal(raw, &b.Messages) },
 	"stream":                func(b *chatBody, raw json.RawMessage) error { return json.Unmarshal(raw, &b.Stream) },
 	"stream_options":        func(b *chatBody, raw json.RawMessage) error { return json.Unmarshal(raw, &b.Options) },
-	"max_tokens":            func(b *chatBody, raw json.RawMessage) error { return json.Unmarshal(raw, &b.Max) },
-	"max_completion_tokens": func(b *chatBody, raw json.RawMessage) error { return json.Unmarshal(raw, &b.MaxNew) },
-	"user":                  pass,
-	"metadata":              pass,
-	"safety_identifier":     pass,
-	"prompt_cache_key":      pass,
-	"seed":                  pass,
-	"n":                     only("1"),
-	"temperature":           only("0", "0.0", "1", "1.0"),
-	"top_p":                 only("1", "1.0"),
-	"presence_penalty":      only("0", "0.0"),
-	"frequency_penalty":     only("0", "0.0"),
-	"logprobs":              only("false"),
-	"store":                 only("false"),
-	"tools":                 only("[]"),
-	"functions":             only("[]"),
-	"stop":                  only("[]"),
-	"logit_bias":            only("{}"),
-	"tool_choice":           only(`"none"`, `"auto"`),
-	"modalities":            only(`["text"]`),
-	"response_format":       only(`{"type":"text"}`),
-	"service_tier":          only(`"auto"`, `"default"`),
+	"max_tokens":            func(b *chatBody, raw json.RawMessage) error { return json.Unmarshal(raw, &b.MaxTokens) },
+	"max_completion_tokens": func(b *chatBody, raw json.RawMessage) error { return json.Unmarshal(raw, &b.MaxCompletionTokens) },
+	"user":                  ignoreField,
+	"metadata":              ignoreField,
+	"safety_identifier":     ignoreField,
+	"prompt_cache_key":      ignoreField,
+	"seed":                  ignoreField,
+	"n":                     allowValues("1"),
+	"temperature":           allowValues("0", "0.0", "1", "1.0"),
+	"top_p":                 allowValues("1", "1.0"),
+	"presence_penalty":      allowValues("0", "0.0"),
+	"frequency_penalty":     allowValues("0", "0.0"),
+	"logprobs":              allowValues("false"),
+	"store":                 allowValues("false"),
+	"tools":                 allowValues("[]"),
+	"functions":             allowValues("[]"),
+	"stop":                  allowValues("[]"),
+	"logit_bias":            allowValues("{}"),
+	"tool_choice":           allowValues(`"none"`, `"auto"`),
+	"modalities":            allowValues(`["text"]`),
+	"response_format":       allowValues(`{"type":"text"}`),
+	"service_tier":          allowValues(`"auto"`, `"default"`),
 }
 
-// pass takes a field that changes nothing in the answer.
-func pass(*chatBody, json.RawMessage) error { return nil }
+// ignoreField accepts any value of a field that does not affect the answer.
+func ignoreField(*chatBody, json.RawMessage) error { return nil }
 
-// only takes a field at the values that ask for nothing special.
-func only(values ...string) func(*chatBody, json.RawMessage) error {
+// allowValues returns a reader that accepts only the given values of a field,
+// which request the default behaviour.
+func allowValues(values ...string) func(*chatBody, json.RawMessage) error {
 	return func(_ *chatBody, raw json.RawMessage) error {
-		var tight bytes.Buffer
-		if err := json.Compact(&tight, raw); err != nil {
+		var compact bytes.Buffer
+		if err := json.Compact(&compact, raw); err != nil {
 			return err
 		}
 		for _, v := range values {
-			if tight.String() == v {
+			if compact.String() == v {
 				return nil
 			}
 		}
-		return errOnly(values)
+		return newAllowedValuesError(values)
 	}
 }
 
-// onlyError says which values of a field are served.
-type onlyError []string
+// allowedValuesError reports an unsupported value of a field and lists the
+// supported ones.
+type allowedValuesError []string
 
-// Error lists the values.
-func (e onlyError) Error() string { return "only " + strings.Join(e, " or ") + " is served" }
+// Error lists the supported values.
+func (e allowedValuesError) Error() string { return "only " + strings.Join(e, " or ") + " is served" }
 
-func errOnly(values []string) error { return onlyError(values) }
+func newAllowedValuesError(values []string) error { return allowedValuesError(values) }
 
-// parseChat reads the body of a chat request, field by field.
+// parseChat parses the body of a chat request, field by field.
 func parseChat(data []byte) (chatBody, error) {
 	var raw map[string]json.RawMessage
 	if err := json.Unmarshal(data, &raw); err != nil {
@@ -99,39 +101,42 @@
 	}
 	var b chatBody
 	for name, value := range raw {
-		take, ok := fields[name]
+		read, ok := fieldReaders[name]
 		if !ok {
 			return chatBody{}, badField("unknown-field", name, "is not known")
 		}
 		if string(value) == "null" {
 			continue
 		}
-		if err := take(&b, value); err != nil {
-			return chatBody{}, refusedField(name, err)
+		if err := read(&b, value); err != nil {
+			return chatBody{}, fieldFault(name, err)
 		}
 	}
 	return b, nil
 }
 
-func refusedField(name string, err error) error {
-	var o onlyError
+// fieldFault returns the fault for a field whose reader failed.
+func fieldFault(name string, err error) error {
+	var o allowedValuesError
 	if errors.As(err, &o) {
 		return badField("unsupported", name, "has a value that is not served: "+err.Error())
 	}
 	return badField("bad-field", name, "cannot be read: "+err.Error())
 }
 
-// maxName bounds a caller's own text inside a fault.
-const maxName = 64
+// maxFieldNameBytes limits how much of a field name sent by the caller is
+// repeated in a fault.
+const maxFieldNameBytes = 64
 
+// badField returns the fault for a field; name is truncated.
 func badField(code, name, text string) error {
-	if len(name) > maxName {
-		name = name[:maxName]
+	if len(name) > maxFieldNameBytes {
+		name = name[:maxFieldNameBytes]
 	}
 	return newFault(http.StatusBadRequest, code, fmt.Sprintf("The field %q %s.", name, text), RanNo)
 }
 
-// UnmarshalJSON reads a message of the published shape.
+// UnmarshalJSON parses a message. It rejects unsupported roles and tool calls.
 func (m *chatMessage) UnmarshalJSON(data []byte) error {
 	var in struct {
 		Role    string          `json:"role"`
@@ -147,15 +152,16 @@
 		return fmt.Errorf("the role %q is not served", in.Role)
 	}
 	if len(in.Calls) > 0 && string(in.Calls) != "null" {
-		return onlyError{"messages without tool_calls"}
+		return allowedValuesError{"messages without tool_calls"}
 	}
-	text, err := content(in.Content)
+	text, err := parseContent(in.Content)
 	m.Role, m.Text = in.Role, text
 	return err
 }
 
-// content reads a message's content: a string, or a list of text parts.
-func content(raw json.RawMessage) (string, error) {
+// parseContent returns the text of a message's content, which is a string or a
+// list of text parts.
+func parseContent(raw json.RawMessage) (string, error) {
 	if len(raw) == 0 || raw[0] != '[' {
 		var text *string
 		if err := json.Unmarshal(raw, &text); err != nil || text == nil {
@@ -173,7 +179,7 @@
 	var b strings.Builder
 	for _, p := range parts {
 		if p.Type != "text" || p.Text == nil {
-			return "", onlyError{"content of text parts"}
+			return "", allowedValuesError{"content of text parts"}
 		}
 		b.WriteString(*p.Text)
 	}
--- a/internal/wire/entry/meter.go
+++ b/internal/wire/entry/meter.go
@@ -9,62 +9,69 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// meter holds the metrics of callers. Labels are class names, which operators
-// give, and the stable codes; nothing a caller sends becomes a label.
+// meter holds the metrics of requests by callers. Labels are class names, which
+// operators configure, and the stable fault codes. Nothing that a caller sends
+// becomes a label.
 type meter struct {
-	set     *metrics.Set
-	slow    *metrics.Counter
-	gone    *metrics.Counter
-	resumed *metrics.Counter
+	set            *metrics.Set
+	slowCallers    *metrics.Counter
+	goneCallers    *metrics.Counter
+	resumedStreams *metrics.Counter
 }
 
-func (m *meter) open(set *metrics.Set, g *gate) {
+// register creates the metrics in set, or in a private set if it is nil.
+func (m *meter) register(set *metrics.Set, l *limiter) {
 	if set == nil {
 		set = metrics.NewSet()
 	}
 	m.set = set
-	m.slow = set.GetOrCreateCounter("fulmarwick_streams_cut_total")
-	m.gone = set.GetOrCreateCounter("fulmarwick_callers_gone_total")
-	m.resumed = set.GetOrCreateCounter("fulmarwick_streams_resumed_total")
-	set.GetOrCreateGauge("fulmarwick_requests_running", func() float64 { return float64(g.inside()) })
+	m.slowCallers = set.GetOrCreateCounter("fulmarwick_streams_cut_total")
+	m.goneCallers = set.GetOrCreateCounter("fulmarwick_callers_gone_total")
+	m.resumedStreams = set.GetOrCreateCounter("fulmarwick_streams_resumed_total")
+	set.GetOrCreateGauge("fulmarwick_requests_running", func() float64 { return float64(l.running()) })
 }
 
-// ended counts a request. The code is "ok" or that of its fault.
-func (m *meter) ended(class spec.ClassName, code string) {
+// countRequest counts a finished request. code is "ok", the state of a call or the
+// code of a fault.
+func (m *meter) countRequest(class spec.ClassName, code string) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(`fulmarwick_requests_total{class=%q,code=%q}`, class, code)).Inc()
 }
 
-func (m *meter) answered(class spec.ClassName, tokens int, t times) {
+// countAnswer records the tokens and the timings of an answer.
+func (m *meter) countAnswer(class spec.ClassName, tokens int, t timings) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(`fulmarwick_tokens_total{class=%q}`, class)).Add(tokens)
-	m.took("first", class, t.first)
-	m.took("gap", class, t.gap)
-	m.took("whole", class, t.whole)
+	m.observeDuration("first", class, t.first)
+	m.observeDuration("gap", class, t.gap)
+	m.observeDuration("whole", class, t.whole)
 }
 
-func (m *meter) took(what string, class spec.ClassName, d time.Duration) {
+// observeDuration adds d to the histogram of the given name; zero is skipped.
+func (m *meter) observeDuration(name string, class spec.ClassName, d time.Duration) {
 	if d > 0 {
-		m.set.GetOrCreateHistogram(fmt.Sprintf(`fulmarwick_%s_seconds{class=%q}`, what, class)).Update(d.Seconds())
+		m.set.GetOrCreateHistogram(fmt.Sprintf(`fulmarwick_%s_seconds{class=%q}`, name, class)).Update(d.Seconds())
 	}
 }
 
-// times are those of one answer, as its caller sees them but for the network.
-type times struct {
-	began time.Time
+// timings holds the latencies of one answer, excluding the network to the caller:
+// the time to the first token, the longest gap between tokens and the total.
+type timings struct {
+	start time.Time
 	last  time.Time
 	first time.Duration
 	gap   time.Duration
 	whole time.Duration
 }
 
-// token takes the time of the next token.
-func (t *times) token() {
+// markToken records the arrival of the next token.
+func (t *timings) markToken() {
 	now := time.Now()
 	if t.last.IsZero() {
-		t.first = now.Sub(t.began)
+		t.first = now.Sub(t.start)
 	} else {
 		t.gap = max(t.gap, now.Sub(t.last))
 	}
 	t.last = now
 }
 
-func (t *times) end() { t.whole = time.Since(t.began) }
+// markEnd records the total time.
+func (t *timings) markEnd() { t.whole = time.Since(t.start) }
--- a/internal/wire/entry/models.go
+++ b/internal/wire/entry/models.go
@@ -6,7 +6,7 @@
 	"fulmarwick/internal/base/spec"
 )
 
-// The published shape of the list of models.
+// The JSON of the list of models.
 type (
 	modelList struct {
 		Object string      `json:"object"`
@@ -20,13 +20,14 @@
 	}
 )
 
-// owner is what the list names as the owner of every model.
-const owner = "fulmarwick"
+// modelOwner is the owner given for every model in the list.
+const modelOwner = "fulmarwick"
 
-// models lists each model that a class in force serves.
+// models handles GET /v1/models: it lists each model served by a class of the
+// active configuration.
 func (s *Server) models(w http.ResponseWriter, req *http.Request) {
-	if _, err := s.team(req); err != nil {
-		s.fault(w, err)
+	if _, err := s.authenticate(req); err != nil {
+		s.writeFault(w, err)
 		return
 	}
 	list := modelList{Object: "list", Data: []modelBody{}}
@@ -36,8 +37,9 @@
 			continue
 		}
 		seen[c.Model()] = true
-		// The router does not know when a model was made; zero says so.
-		list.Data = append(list.Data, modelBody{ID: string(c.Model()), Object: "model", Owner: owner})
+		// Created stays zero, since the router does not know when a model was
+		// created.
+		list.Data = append(list.Data, modelBody{ID: string(c.Model()), Object: "model", Owner: modelOwner})
 	}
-	s.replyJSON(w, http.StatusOK, list)
+	s.writeJSON(w, http.StatusOK, list)
 }
--- a/internal/wire/entry/resume.go
+++ b/internal/wire/entry/resume.go
@@ -13,95 +13,97 @@
 	"github.com/google/uuid"
 )
 
-// The layout of a resume token before base64: a version byte, the count of
-// tokens, the hash of their text, the answer's id and the seal.
+// The layout of a resume token before base64 encoding: a version byte, the number
+// of tokens, the hash of their text, the id of the answer and the seal (MAC).
 const (
-	resumeVersion = 1
-	resumeCount   = 1
-	resumeSum     = resumeCount + 4
-	resumeID      = resumeSum + 8
-	resumeSeal    = resumeID + 16
-	sealBytes     = 16
-	resumeBytes   = resumeSeal + sealBytes
+	resumeTokenVersion = 1
+	countOffset        = 1
+	hashOffset         = countOffset + 4
+	idOffset           = hashOffset + 8
+	sealOffset         = idOffset + 16
+	sealBytes          = 16
+	resumeTokenBytes   = sealOffset + sealBytes
 )
 
-// sealDomain keeps the key of the seals apart from the hash under which the
-// team's key is kept.
+// sealDomain is the prefix that separates the MAC key from the hash under which
+// the team's key is stored.
 const sealDomain = "fulmarwick resume\n"
 
-// Position is what the id of a server-sent event says: which answer, how many
-// of its tokens the caller has, and the hash of their text. Any instance can
-// go on from it, given the same key and request.
+// Position is a position in a streamed answer, sent as the id of a server-sent
+// event: the id of the answer, how many of its tokens the caller has received,
+// and the hash of their text. Any instance can resume the answer from it, given
+// the same key and request.
 type Position struct {
-	answer uuid.UUID
-	count  int
-	sum    uint64
+	answer   uuid.UUID
+	count    int
+	textHash uint64
 }
 
-// Count is how many tokens the caller has.
+// Count returns the number of tokens that the caller has received.
 func (p Position) Count() int { return p.count }
 
-// Sealer writes and reads positions for one team and request. The seal is
-// keyed with the team's own key, which both instances learn from the request
-// itself: no secret is shared and no other team can make one.
+// Sealer encodes and authenticates positions for one team and request. The MAC
+// key is derived from the team's key, which every instance gets with the request.
+// Instances therefore share no secret, and no other team can forge a token.
 type Sealer struct {
-	mac   hash.Hash
-	print [8]byte
-	raw   [resumeBytes]byte
-	sum   [sha256.Size]byte
+	mac         hash.Hash
+	fingerprint [8]byte
+	tokenBuffer [resumeTokenBytes]byte
+	sealBuffer  [sha256.Size]byte
 }
 
-// NewSealer returns the sealer for requests with the given fingerprint under
-// the team's bearer key.
-func NewSealer(bearer string, print uint64) *Sealer {
+// NewSealer returns a Sealer for requests with the given fingerprint and the
+// team's bearer key.
+func NewSealer(bearer string, fingerprint uint64) *Sealer {
 	key := sha256.Sum256([]byte(sealDomain + bearer))
 	s := &Sealer{mac: hmac.New(sha256.New, key[:])}
-	binary.BigEndian.PutUint64(s.print[:], print)
+	binary.BigEndian.PutUint64(s.fingerprint[:], fingerprint)
 	return s
 }
 
-// Append writes the token of p to dst.
+// Append appends the resume token of p to dst.
 func (s *Sealer) Append(dst []byte, p Position) []byte {
-	s.raw[0] = resumeVersion
-	binary.BigEndian.PutUint32(s.raw[resumeCount:], uint32(p.count))
-	binary.BigEndian.PutUint64(s.raw[resumeSum:], p.sum)
-	copy(s.raw[resumeID:], p.answer[:])
-	copy(s.raw[resumeSeal:], s.seal(s.raw[:resumeSeal]))
-	return base64.RawURLEncoding.AppendEncode(dst, s.raw[:])
+	s.tokenBuffer[0] = resumeTokenVersion
+	binary.BigEndian.PutUint32(s.tokenBuffer[countOffset:], uint32(p.count))
+	binary.BigEndian.PutUint64(s.tokenBuffer[hashOffset:], p.textHash)
+	copy(s.tokenBuffer[idOffset:], p.answer[:])
+	copy(s.tokenBuffer[sealOffset:], s.seal(s.tokenBuffer[:sealOffset]))
+	return base64.RawURLEncoding.AppendEncode(dst, s.tokenBuffer[:])
 }
 
-// Parse reads what Append wrote; false for anything else, also if it was
-// written for another team or request.
+// Parse decodes a token written by Append. It returns false for anything else,
+// including tokens of another team or request.
 func (s *Sealer) Parse(token string) (Position, bool) {
-	if len(token) != base64.RawURLEncoding.EncodedLen(resumeBytes) {
+	if len(token) != base64.RawURLEncoding.EncodedLen(resumeTokenBytes) {
 		return Position{}, false
 	}
 	raw, err := base64.RawURLEncoding.Strict().DecodeString(token)
-	if err != nil || raw[0] != resumeVersion {
+	if err != nil || raw[0] != resumeTokenVersion {
 		return Position{}, false
 	}
-	if !hmac.Equal(raw[resumeSeal:], s.seal(raw[:resumeSeal])) {
+	if !hmac.Equal(raw[sealOffset:], s.seal(raw[:sealOffset])) {
 		return Position{}, false
 	}
-	count := binary.BigEndian.Uint32(raw[resumeCount:])
+	count := binary.BigEndian.Uint32(raw[countOffset:])
 	if count == 0 || count > math.MaxInt32 {
 		return Position{}, false
 	}
-	p := Position{count: int(count), sum: binary.BigEndian.Uint64(raw[resumeSum:])}
-	copy(p.answer[:], raw[resumeID:])
+	p := Position{count: int(count), textHash: binary.BigEndian.Uint64(raw[hashOffset:])}
+	copy(p.answer[:], raw[idOffset:])
 	return p, true
 }
 
+// seal returns the truncated MAC of the request's fingerprint and data.
 func (s *Sealer) seal(data []byte) []byte {
 	s.mac.Reset()
-	_, _ = s.mac.Write(s.print[:])
+	_, _ = s.mac.Write(s.fingerprint[:])
 	_, _ = s.mac.Write(data)
-	return s.mac.Sum(s.sum[:0])[:sealBytes]
+	return s.mac.Sum(s.sealBuffer[:0])[:sealBytes]
 }
 
-// readResume takes the position from the Last-Event-ID header, if there is
-// one.
-func readResume(req *http.Request, s *Sealer, limit int) (Position, error) {
+// resumePosition returns the position in the Last-Event-ID header, or the start of
+// a new answer if there is none.
+func resumePosition(req *http.Request, s *Sealer, limit int) (Position, error) {
 	id := req.Header.Get("Last-Event-ID")
 	if id == "" {
 		return Position{answer: uuid.New()}, nil
@@ -114,57 +116,60 @@
 	return p, nil
 }
 
-// readWhole refuses to resume an answer that is not a stream: the caller has
-// none of it yet.
-func readWhole(req *http.Request) (Position, error) {
+// startPosition returns the start of a new answer. It rejects requests to resume
+// an answer that is not a stream, since the caller has received no part of it.
+func startPosition(req *http.Request) (Position, error) {
 	if req.Header.Get("Last-Event-ID") != "" {
 		return Position{}, newFault(http.StatusBadRequest, "bad-resume", "Only a stream can be resumed.", RanNo)
 	}
 	return Position{answer: uuid.New()}, nil
 }
 
-// follow checks an answer against the part that the caller has already.
-type follow struct {
-	from Position
-	sum  *xxhash.Digest
-	at   int
+// prefixChecker compares a regenerated answer with the part that the caller has
+// already received.
+type prefixChecker struct {
+	from     Position
+	textHash *xxhash.Digest
+	count    int
 }
 
-func newFollow(from Position) *follow {
-	return &follow{from: from, sum: xxhash.New()}
+// newPrefixChecker returns a checker for an answer resumed at from.
+func newPrefixChecker(from Position) *prefixChecker {
+	return &prefixChecker{from: from, textHash: xxhash.New()}
 }
 
-// take adds the next token; fresh is false while the caller has it already.
-// The error says that the answer made anew differs from what the caller has,
-// which must not be spliced: the caller would see an answer that no model
-// gave.
-func (f *follow) take(text string) (fresh bool, err error) {
-	_, _ = f.sum.WriteString(text)
-	f.at++
-	if f.at > f.from.count {
+// add adds the next token. isNew is false if the caller has already received it.
+// It returns an error if the regenerated answer differs from what the caller has.
+// The two must not be joined, since the caller would see an answer that no model
+// generated.
+func (c *prefixChecker) add(text string) (isNew bool, err error) {
+	_, _ = c.textHash.WriteString(text)
+	c.count++
+	if c.count > c.from.count {
 		return true, nil
 	}
-	if f.at == f.from.count && f.sum.Sum64() != f.from.sum {
-		return false, errDiffers()
+	if c.count == c.from.count && c.textHash.Sum64() != c.from.textHash {
+		return false, errResumeDiffers()
 	}
 	return false, nil
 }
 
-// end checks an answer that is over: one shorter than what the caller has is
-// another answer.
-func (f *follow) end() error {
-	if f.at < f.from.count {
-		return errDiffers()
+// checkEnd checks a complete answer. If it is shorter than the part that the
+// caller has received, it is a different answer.
+func (c *prefixChecker) checkEnd() error {
+	if c.count < c.from.count {
+		return errResumeDiffers()
 	}
 	return nil
 }
 
-// now is the position after the last token taken.
-func (f *follow) now() Position {
-	return Position{answer: f.from.answer, count: f.at, sum: f.sum.Sum64()}
+// position returns the position after the last token added.
+func (c *prefixChecker) position() Position {
+	return Position{answer: c.from.answer, count: c.count, textHash: c.textHash.Sum64()}
 }
 
-func errDiffers() error {
+// errResumeDiffers returns the fault for a regenerated answer that differs.
+func errResumeDiffers() error {
 	return newFault(http.StatusConflict, "resume-differs",
 		"The answer made anew differs from the part already sent; ask again without Last-Event-ID.", RanYes)
 }
--- a/internal/wire/entry/stream.go
+++ b/internal/wire/entry/stream.go
@@ -12,158 +12,164 @@
 	"github.com/go-faster/errors"
 )
 
-// events writes an answer as server-sent events. The status line waits for
-// the first token, so that a refusal keeps its own status.
-type events struct {
-	server *Server
-	w      http.ResponseWriter
-	ask    *ask
-	stop   context.CancelCauseFunc
-	follow *follow
-	out    *writer
-	// head and tail stand around the text of each token.
-	head string
-	tail string
-	text string
-	role bool
+// eventStream writes an answer as server-sent events. The status line is sent with
+// the first token, so that a refusal before it can have its own status.
+type eventStream struct {
+	server  *Server
+	w       http.ResponseWriter
+	request *chatRequest
+	cancel  context.CancelCauseFunc
+	prefix  *prefixChecker
+	out     *streamWriter
+	// chunkHead and chunkTail are the parts of each chunk before and after its
+	// choice.
+	chunkHead string
+	chunkTail string
+	tokenText string
+	sendRole  bool
 }
 
-func (s *Server) stream(w http.ResponseWriter, req *http.Request, a *ask) {
-	ctx, stop := context.WithCancelCause(req.Context())
-	defer stop(nil)
-	e := &events{server: s, w: w, ask: a, stop: stop, follow: newFollow(a.from), role: a.from.count == 0}
-	e.frame()
-	if a.from.count > 0 {
-		s.meter.resumed.Inc()
+// streamChat runs a chat request and streams the answer.
+func (s *Server) streamChat(w http.ResponseWriter, req *http.Request, chat *chatRequest) {
+	ctx, cancel := context.WithCancelCause(req.Context())
+	defer cancel(nil)
+	e := &eventStream{server: s, w: w, request: chat, cancel: cancel, prefix: newPrefixChecker(chat.resumeFrom), sendRole: chat.resumeFrom.count == 0}
+	e.buildFrame()
+	if chat.resumeFrom.count > 0 {
+		s.meter.resumedStreams.Inc()
 	}
-	result, err := s.Models.Run(ctx, a.job, e.token)
+	result, err := s.Models.Run(ctx, chat.job, e.onToken)
 	if err == nil {
-		err = e.follow.end()
+		err = e.prefix.checkEnd()
 	}
-	// An answer that stops because its caller cannot be written to is the
-	// caller's doing, whatever error comes back through the layers.
-	if cause := context.Cause(ctx); errors.Is(cause, errGone) {
+	// If the request was canceled because writing to the caller failed, report
+	// that as the cause, whatever error Run returned.
+	if cause := context.Cause(ctx); errors.Is(cause, errCallerGone) {
 		err = cause
 	}
-	err = e.close(result, err)
-	s.ended(req, a, result, cutError(err))
+	err = e.finish(result, err)
+	s.recordChat(req, chat, result, callerFault(err))
 	switch {
-	case errors.Is(err, errSlow):
-		s.meter.slow.Inc()
-		// The connection is cut without its ending, so that no client takes
-		// the stream for whole. The last event's id resumes it.
+	case errors.Is(err, errCallerSlow):
+		s.meter.slowCallers.Inc()
+		// Abort the connection without ending the stream, so that no client
+		// takes the answer for complete. The id of the last event resumes it.
 		panic(http.ErrAbortHandler)
-	case errors.Is(err, errGone):
-		s.meter.gone.Inc()
+	case errors.Is(err, errCallerGone):
+		s.meter.goneCallers.Inc()
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// cutError turns the writer's errors into what logs and metrics show.
-func cutError(err error) error {
+// callerFault converts the errors of streamWriter to faults for logs and metrics.
+func callerFault(err error) error {
 	switch {
-	case errors.Is(err, errSlow):
-		return newFault(statusGone, "caller-slow", "The caller read more slowly than its answer was made.", RanYes)
-	case errors.Is(err, errGone):
-		return newFault(statusGone, "caller-gone", "The caller went away.", RanYes)
+	case errors.Is(err, errCallerSlow):
+		return newFault(statusCallerGone, "caller-slow", "The caller read more slowly than its answer was made.", RanYes)
+	case errors.Is(err, errCallerGone):
+		return newFault(statusCallerGone, "caller-gone", "The caller went away.", RanYes)
 	}
 	return err
 }
 
-// frame makes the parts that are alike in all chunks.
-func (e *events) frame() {
+// buildFrame prepares the parts that are the same in all chunks.
+func (e *eventStream) buildFrame() {
 	var b []byte
 	b = append(b, `data: {"id":`...)
-	b = appendString(b, answerID(e.ask.from))
+	b = appendString(b, answerID(e.request.resumeFrom))
 	b = append(b, `,"object":"chat.completion.chunk","created":`...)
 	b = strconv.AppendInt(b, time.Now().Unix(), 10)
 	b = append(b, `,"model":`...)
-	b = appendString(b, string(e.ask.class.Model()))
+	b = appendString(b, string(e.request.class.Model()))
 	b = append(b, `,"choices":[`...)
-	e.head = string(b)
-	e.tail = "}\n\n"
-	if e.ask.usage {
-		e.tail = `,"usage":null}` + "\n\n"
+	e.chunkHead = string(b)
+	e.chunkTail = "}\n\n"
+	if e.request.includeUsage {
+		e.chunkTail = `,"usage":null}` + "\n\n"
 	}
 }
 
-// token takes the next token from the chain. It runs once per token and takes
-// no memory.
-func (e *events) token(t chain.Token) error {
-	e.ask.times.token()
-	fresh, err := e.follow.take(t.Text)
-	if err != nil || !fresh {
+// onToken handles the next token from the chain. It runs once per token and does
+// not allocate.
+func (e *eventStream) onToken(t chain.Token) error {
+	e.request.timings.markToken()
+	isNew, err := e.prefix.add(t.Text)
+	if err != nil || !isNew {
 		return err
 	}
-	e.begin()
-	e.text = t.Text
-	return e.out.push(e.chunk)
+	e.start()
+	e.tokenText = t.Text
+	return e.out.push(e.appendChunk)
 }
 
-func (e *events) chunk(b []byte) []byte {
+// appendChunk appends the event of the current token.
+func (e *eventStream) appendChunk(b []byte) []byte {
 	b = append(b, "id: "...)
-	b = e.ask.sealer.Append(b, e.follow.now())
+	b = e.request.sealer.Append(b, e.prefix.position())
 	b = append(b, '\n')
-	b = append(b, e.head...)
+	b = append(b, e.chunkHead...)
 	b = append(b, `{"index":0,"delta":{`...)
-	if e.role {
-		e.role = false
+	if e.sendRole {
+		e.sendRole = false
 		b = append(b, `"role":"assistant",`...)
 	}
 	b = append(b, `"content":`...)
-	b = appendString(b, e.text)
+	b = appendString(b, e.tokenText)
 	b = append(b, `},"finish_reason":null}]`...)
-	return append(b, e.tail...)
+	return append(b, e.chunkTail...)
 }
 
-func (e *events) begin() {
+// start sets the response headers and starts the writer, once.
+func (e *eventStream) start() {
 	if e.out != nil {
 		return
 	}
 	h := e.w.Header()
 	h.Set("Content-Type", "text/event-stream")
 	h.Set("Cache-Control", "no-cache")
-	// Proxies that gather answers would turn the stream into one late piece.
+	// A buffering proxy would deliver the whole stream at once at the end.
 	h.Set("X-Accel-Buffering", "no")
-	e.out = newWriter(e.w, e.server.Limits, e.stop)
+	e.out = newStreamWriter(e.w, e.server.Limits, e.cancel)
 }
 
-// close ends the stream and returns how: as a whole answer, as a plain error
-// before the first token, or as an event without [DONE], so that a cut answer
-// never looks whole.
-func (e *events) close(result chain.Result, err error) error {
+// finish ends the stream and returns the error with which it ended. An error
+// before the first token is sent as a plain error response. A later one is sent
+// as an event without [DONE], so that clients never take a truncated answer for
+// complete.
+func (e *eventStream) finish(result chain.Result, err error) error {
 	if err != nil && e.out == nil {
-		if !errors.Is(err, errGone) {
-			e.server.fault(e.w, err)
+		if !errors.Is(err, errCallerGone) {
+			e.server.writeFault(e.w, err)
 		}
 		return err
 	}
-	e.begin()
-	var last error
+	e.start()
+	var pushErr error
 	switch {
 	case err == nil:
-		last = e.out.push(func(b []byte) []byte { return e.end(b, result) })
-	case !errors.Is(err, errSlow) && !errors.Is(err, errGone):
-		_ = e.out.push(func(b []byte) []byte { return faultEvent(b, err) })
+		pushErr = e.out.push(func(b []byte) []byte { return e.appendEnd(b, result) })
+	case !errors.Is(err, errCallerSlow) && !errors.Is(err, errCallerGone):
+		_ = e.out.push(func(b []byte) []byte { return appendFaultEvent(b, err) })
 	}
-	if wrote := e.out.finish(); wrote != nil {
-		return wrote
+	if writeErr := e.out.finish(); writeErr != nil {
+		return writeErr
 	}
 	if err == nil {
-		err = last
+		err = pushErr
 	}
 	return err
 }
 
-func (e *events) end(b []byte, result chain.Result) []byte {
-	b = append(b, e.head...)
+// appendEnd appends the final events of a complete answer.
+func (e *eventStream) appendEnd(b []byte, result chain.Result) []byte {
+	b = append(b, e.chunkHead...)
 	b = append(b, `{"index":0,"delta":{},"finish_reason":`...)
 	b = appendString(b, finishReason(result))
 	b = append(b, "}]"...)
-	b = append(b, e.tail...)
-	if e.ask.usage {
-		u := usage(e.ask, result)
-		b = append(b, e.head...)
+	b = append(b, e.chunkTail...)
+	if e.request.includeUsage {
+		u := usage(e.request, result)
+		b = append(b, e.chunkHead...)
 		b = append(b, `],"usage":{"prompt_tokens":`...)
 		b = strconv.AppendInt(b, int64(u.Prompt), 10)
 		b = append(b, `,"completion_tokens":`...)
@@ -175,9 +181,10 @@
 	return append(b, "data: [DONE]\n\n"...)
 }
 
-func faultEvent(b []byte, err error) []byte {
-	data, failed := json.Marshal(faultOf(err).body())
-	if failed != nil {
+// appendFaultEvent appends err as an event.
+func appendFaultEvent(b []byte, err error) []byte {
+	data, marshalErr := json.Marshal(toFault(err).body())
+	if marshalErr != nil {
 		return b
 	}
 	b = append(b, "data: "...)
--- a/internal/wire/entry/writer.go
+++ b/internal/wire/entry/writer.go
@@ -9,64 +9,67 @@
 	"github.com/go-faster/errors"
 )
 
-// Errors that end a stream whose caller cannot be served.
+// Errors that abort a stream because of its caller.
 var (
-	// errSlow means that the caller read slower than its answer was made for
-	// longer than the buffer holds.
-	errSlow = errors.New("entry: caller reads too slowly")
-	// errGone means that writing to the caller failed.
-	errGone = errors.New("entry: caller is gone")
+	// errCallerSlow means that the buffer stayed full because the caller read
+	// more slowly than its answer was produced.
+	errCallerSlow = errors.New("entry: caller reads too slowly")
+	// errCallerGone means that writing to the caller failed.
+	errCallerGone = errors.New("entry: caller is gone")
 )
 
-// burst is how long a full buffer may hold up its own request before the
-// caller counts as slow. An engine that gives many tokens at once is no fault
-// of the caller, whose writer only needs its turn; the time is short, since
-// the streams that share the engine's connection wait too.
-const burst = 50 * time.Millisecond
+// maxFullWait is how long a request waits for space in a full buffer before its
+// caller counts as slow. When an engine sends many tokens at once, the caller is
+// not at fault and the writer goroutine only needs to be scheduled. The time is
+// short because other streams on the same engine connection wait too.
+const maxFullWait = 50 * time.Millisecond
 
-// comment is a line of the event stream that clients pass over.
-const comment = ": wait\n\n"
+// keepAliveComment is a comment line of the event stream, which clients ignore.
+const keepAliveComment = ": wait\n\n"
 
 const (
-	// pooled is the most bytes of a buffer that is kept for another stream; a
-	// burst's large one goes back to the memory manager.
-	pooled = 32 << 10
-	// fresh is the size of a new buffer.
-	fresh = 4 << 10
-	// slack is the part of the write pause by which a deadline may be old.
-	// Moving it with each token costs as much as sealing the token's id.
-	slack = 8
+	// maxPooledBytes is the maximum capacity of a buffer that is returned to the
+	// pool. Larger ones, grown by a burst, are left to the garbage collector.
+	maxPooledBytes = 32 << 10
+	// newBufferBytes is the initial capacity of a new buffer.
+	newBufferBytes = 4 << 10
+	// deadlineSlack limits how often the write deadline is extended: only after
+	// 1/deadlineSlack of the write timeout has passed. Extending it for each
+	// token costs as much as computing the MAC of the token's id.
+	deadlineSlack = 8
 )
 
-// buffers are reused among streams.
-var buffers = sync.Pool{New: func() any { b := make([]byte, 0, fresh); return &b }}
+// bufferPool holds buffers for reuse by other streams.
+var bufferPool = sync.Pool{New: func() any { b := make([]byte, 0, newBufferBytes); return &b }}
 
-func release(b []byte) {
-	if cap(b) > 0 && cap(b) <= pooled {
+// releaseBuffer returns b to the pool, unless it is too large.
+func releaseBuffer(b []byte) {
+	if cap(b) > 0 && cap(b) <= maxPooledBytes {
 		b = b[:0]
-		buffers.Put(&b)
+		bufferPool.Put(&b)
 	}
 }
 
-// writer brings the pieces of a stream to its caller from a goroutine of its
-// own. The request's goroutine only appends to a buffer: were it to wait for
-// the caller's network, the engine's connection behind it would fill up and
-// hold up the streams of others.
-type writer struct {
-	w       http.ResponseWriter
-	control *http.ResponseController
-	limit   int
-	pause   time.Duration
-	comment time.Duration
-	// stop ends the request when the caller cannot be written to.
-	stop context.CancelCauseFunc
-
-	// moved is when the write deadline was set last.
-	moved time.Time
-
-	wake chan struct{}
-	room chan struct{}
-	done chan struct{}
+// streamWriter writes a stream to its caller in a separate goroutine. The goroutine
+// of the request only appends to a buffer. If it waited for the caller's network,
+// the connection to the engine would fill up and block other streams.
+type streamWriter struct {
+	w               http.ResponseWriter
+	control         *http.ResponseController
+	limit           int
+	writeTimeout    time.Duration
+	commentInterval time.Duration
+	// cancel cancels the request when writing to the caller fails.
+	cancel context.CancelCauseFunc
+
+	// deadlineSetAt is when the write deadline was last set.
+	deadlineSetAt time.Time
+
+	// wake signals new data or the end of the stream, drained signals that the
+	// buffer was taken or writing failed, done is closed when run returns.
+	wake    chan struct{}
+	drained chan struct{}
+	done    chan struct{}
 
 	mu      sync.Mutex
 	pending []byte
@@ -74,24 +77,26 @@
 	err     error
 }
 
-// newWriter starts the goroutine; finish or abort ends it.
-func newWriter(w http.ResponseWriter, l Limits, stop context.CancelCauseFunc) *writer {
-	out := &writer{
+// newStreamWriter starts the writer goroutine. It ends after finish is called or
+// when writing fails.
+func newStreamWriter(w http.ResponseWriter, l Limits, cancel context.CancelCauseFunc) *streamWriter {
+	out := &streamWriter{
 		w: w, control: http.NewResponseController(w), limit: int(l.Buffer),
-		pause: l.WriteTime, comment: l.Comment, stop: stop,
-		wake: make(chan struct{}, 1), room: make(chan struct{}, 1), done: make(chan struct{}),
+		writeTimeout: l.WriteTime, commentInterval: l.Comment, cancel: cancel,
+		wake: make(chan struct{}, 1), drained: make(chan struct{}, 1), done: make(chan struct{}),
 	}
-	out.pending = (*buffers.Get().(*[]byte))[:0]
+	out.pending = (*bufferPool.Get().(*[]byte))[:0]
 	go out.run()
 	return out
 }
 
-// push adds a piece; fill appends it to the slice it gets.
-func (o *writer) push(fill func([]byte) []byte) error {
+// push adds data to the buffer; fill appends the data to the slice it gets. If the
+// buffer is full, push waits up to maxFullWait.
+func (o *streamWriter) push(fill func([]byte) []byte) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.err == nil && len(o.pending) > o.limit {
-		o.patient()
+		o.waitForSpace()
 	}
 	if o.err != nil {
 		return o.err
@@ -104,62 +109,65 @@
 	return nil
 }
 
-// patient waits for the writer to take the buffer, and gives the stream up if
-// it does not in time. It is called, and returns, with the lock held.
-func (o *writer) patient() {
-	timer := time.NewTimer(burst)
+// waitForSpace waits until the writer goroutine takes the full buffer. After
+// maxFullWait it fails the stream with errCallerSlow. The caller must hold o.mu,
+// which is released while waiting.
+func (o *streamWriter) waitForSpace() {
+	timer := time.NewTimer(maxFullWait)
 	defer timer.Stop()
 	for o.err == nil && len(o.pending) > o.limit {
 		o.mu.Unlock()
 		timeout := false
 		select {
-		case <-o.room:
+		case <-o.drained:
 		case <-timer.C:
 			timeout = true
 		}
 		o.mu.Lock()
 		if timeout && o.err == nil && len(o.pending) > o.limit {
-			o.err = errSlow
+			o.err = errCallerSlow
 		}
 	}
 }
 
-func (o *writer) signal() {
+// signal wakes the writer goroutine.
+func (o *streamWriter) signal() {
 	select {
 	case o.wake <- struct{}{}:
 	default:
 	}
 }
 
-// finish waits until all pieces are with the caller and returns why that
-// could not be, or nil.
-func (o *writer) finish() error {
+// finish waits until all data is written to the caller and returns the error that
+// prevented it, if any.
+func (o *streamWriter) finish() error {
 	o.mu.Lock()
 	o.ended = true
 	o.mu.Unlock()
 	o.signal()
 	<-o.done
-	release(o.pending)
+	releaseBuffer(o.pending)
 	o.pending = nil
 	return o.err
 }
 
-// run writes what is pending until the end or an error.
-func (o *writer) run() {
+// run writes pending data until the stream ends or writing fails. It sends a
+// comment whenever the stream is idle for commentInterval.
+func (o *streamWriter) run() {
 	defer close(o.done)
-	var quiet <-chan time.Time
+	var idle <-chan time.Time
 	var timer *time.Timer
-	if o.comment > 0 {
-		timer = time.NewTimer(o.comment)
+	if o.commentInterval > 0 {
+		timer = time.NewTimer(o.commentInterval)
 		defer timer.Stop()
-		quiet = timer.C
+		idle = timer.C
 	}
-	spare := (*buffers.Get().(*[]byte))[:0]
-	defer func() { release(spare) }()
+	spare := (*bufferPool.Get().(*[]byte))[:0]
+	defer func() { releaseBuffer(spare) }()
 	for {
 		data, ended := o.swap(spare)
-		// The buffer given away is the other's now; only the one got back may
-		// be given next.
+		// push now owns the buffer passed to swap. Only the one returned by swap
+		// may be passed next.
 		spare = data[:0]
 		if len(data) > 0 {
 			if err := o.write(data); err != nil {
@@ -167,7 +175,7 @@
 				return
 			}
 			if timer != nil {
-				timer.Reset(o.comment)
+				timer.Reset(o.commentInterval)
 			}
 			continue
 		}
@@ -176,19 +184,19 @@
 		}
 		select {
 		case <-o.wake:
-		case <-quiet:
-			if err := o.write([]byte(comment)); err != nil {
+		case <-idle:
+			if err := o.write([]byte(keepAliveComment)); err != nil {
 				o.fail(err)
 				return
 			}
-			timer.Reset(o.comment)
+			timer.Reset(o.commentInterval)
 		}
 	}
 }
 
-// swap takes what is pending and leaves an empty buffer. A stream that failed
-// ends without the rest.
-func (o *writer) swap(spare []byte) (data []byte, ended bool) {
+// swap takes the pending data and replaces it with the empty buffer spare. If the
+// stream has failed, the pending data is not written.
+func (o *streamWriter) swap(spare []byte) (data []byte, ended bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.err != nil {
@@ -197,17 +205,18 @@
 	data = o.pending
 	o.pending = spare
 	select {
-	case o.room <- struct{}{}:
+	case o.drained <- struct{}{}:
 	default:
 	}
 	return data, o.ended
 }
 
-func (o *writer) write(data []byte) error {
-	if now := time.Now(); o.pause > 0 && now.Sub(o.moved) > o.pause/slack {
-		o.moved = now
-		// A writer without deadlines, as in tests, is written without.
-		_ = o.control.SetWriteDeadline(now.Add(o.pause))
+// write writes and flushes data under the write timeout.
+func (o *streamWriter) write(data []byte) error {
+	if now := time.Now(); o.writeTimeout > 0 && now.Sub(o.deadlineSetAt) > o.writeTimeout/deadlineSlack {
+		o.deadlineSetAt = now
+		// Response writers without deadlines, as in tests, return an error here.
+		_ = o.control.SetWriteDeadline(now.Add(o.writeTimeout))
 	}
 	if _, err := o.w.Write(data); err != nil {
 		return err
@@ -215,13 +224,14 @@
 	return o.control.Flush()
 }
 
-func (o *writer) fail(err error) {
+// fail records a failed write, wakes a waiting push and cancels the request.
+func (o *streamWriter) fail(err error) {
 	o.mu.Lock()
-	o.err = errors.Wrap(errGone, err.Error())
+	o.err = errors.Wrap(errCallerGone, err.Error())
 	o.mu.Unlock()
 	select {
-	case o.room <- struct{}{}:
+	case o.drained <- struct{}{}:
 	default:
 	}
-	o.stop(o.err)
+	o.cancel(o.err)
 }
