--- a/internal/wire/chain/api.go
+++ b/internal/wire/chain/api.go
@@ -56,22 +56,22 @@
 // Error names the instance.
 func (f *ForwardError) Error() string { return "chain: forwarded to " + string(f.To) }
 
-// lostError says which stage the routing logic must replace.
-type lostError struct {
+// stageLostError says which stage the routing logic must replace.
+type stageLostError struct {
 	engine spec.UpstreamID
 	cause  domain.Cause
 }
 
-func (l *lostError) Error() string {
+func (l *stageLostError) Error() string {
 	return "chain: stage on " + string(l.engine) + " lost: " + l.cause.String()
 }
 
-// errAgain means that a stage was set up anew and the loop goes on with it.
-var errAgain = errors.New("chain: stage set up anew")
+// errStageReset means that a stage was set up anew and the loop goes on with it.
+var errStageReset = errors.New("chain: stage set up anew")
 
-// errStuck means that no stage can go on though the answer is not whole; it
+// errNoProgress means that no stage can go on though the answer is not whole; it
 // is a fault of this package.
-var errStuck = errors.New("chain: no stage can go on")
+var errNoProgress = errors.New("chain: no stage can go on")
 
 // Job is a request for model work.
 type Job struct {
--- a/internal/wire/chain/bench_test.go
+++ b/internal/wire/chain/bench_test.go
@@ -18,20 +18,20 @@
 
 const benchTokens = 256
 
-// fixed is a router that always gives the same chain.
-type fixed struct {
+// fixedRouter is a router that always gives the same chain.
+type fixedRouter struct {
 	chain spec.Chain
 }
 
-func (f *fixed) Post(domain.Event) {}
+func (f *fixedRouter) Post(domain.Event) {}
 
-func (f *fixed) Watch(id spec.RequestID) <-chan domain.Command {
+func (f *fixedRouter) Watch(id spec.RequestID) <-chan domain.Command {
 	ch := make(chan domain.Command, 1)
 	ch <- domain.Start{Request: id, Attempt: 1, Chain: f.chain, Depth: depth}
 	return ch
 }
 
-func (f *fixed) Unwatch(spec.RequestID) {}
+func (f *fixedRouter) Unwatch(spec.RequestID) {}
 
 // longText is a prompt whose answer is as long as the bench wants.
 func longText() string {
@@ -43,9 +43,9 @@
 	}
 }
 
-// processor is the processor time that this process took so far, which other
+// cpuTime is the processor time that this process took so far, which other
 // work on the machine disturbs less than the clock.
-func processor(b *testing.B) time.Duration {
+func cpuTime(b *testing.B) time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		b.Fatal(err)
@@ -63,20 +63,20 @@
 			b.Run(fmt.Sprintf("stages=%d/callers=%d", stages, callers), func(b *testing.B) {
 				pool := &engine.Pool{}
 				defer pool.Close()
-				router := &fixed{}
+				router := &fixedRouter{}
 				for i := range stages {
 					name := fmt.Sprint("e", i)
-					e := hold(name, depth, i*depth/stages, (i+1)*depth/stages)
+					e := newEngine(name, depth, i*depth/stages, (i+1)*depth/stages)
 					e.Layer, e.Slots = 0, 64
 					server := httptest.NewServer(e.Handler())
 					defer server.Close()
 					pool.Locate(spec.UpstreamID(name), server.URL)
-					router.chain = append(router.chain, on(name, i*depth/stages, (i+1)*depth/stages))
+					router.chain = append(router.chain, stageOn(name, i*depth/stages, (i+1)*depth/stages))
 				}
 				r := &chain.Runner{Engines: pool, Router: router}
 				var next atomic.Int64
 				b.SetParallelism(callers)
-				began := processor(b)
+				began := cpuTime(b)
 				b.ReportAllocs()
 				each := func() {
 					job := chain.Job{Text: text, Arrived: domain.RequestArrived{
@@ -99,7 +99,7 @@
 						}
 					})
 				}
-				b.ReportMetric(float64(processor(b)-began)/float64(next.Load()*benchTokens), "cpu-ns/token")
+				b.ReportMetric(float64(cpuTime(b)-began)/float64(next.Load()*benchTokens), "cpu-ns/token")
 				b.ReportMetric(float64(next.Load())*benchTokens/b.Elapsed().Seconds(), "tokens/s")
 			})
 		}
--- a/internal/wire/chain/call.go
+++ b/internal/wire/chain/call.go
@@ -16,15 +16,15 @@
 	// connection broke; a request waits for no longer than this before its
 	// stage is replaced.
 	reconnectTimeout = 300 * time.Millisecond
-	// maxRepeats is how often one step is sent again, under the same number.
-	maxRepeats = 2
+	// maxResends is how often one step is sent again, under the same number.
+	maxResends = 2
 	// maxStalls is how often a run is asked for again without a token between.
 	maxStalls = 8
 )
 
-// begin puts s.step on its way. What goes wrong shows when its reply is waited
+// startStep puts s.step on its way. What goes wrong shows when its reply is waited
 // for.
-func (j *run) begin(ctx context.Context, s *stage) {
+func (j *run) startStep(ctx context.Context, s *stage) {
 	if s.sent {
 		return
 	}
@@ -40,12 +40,12 @@
 	if s.step.Seq == 1 {
 		s.step.Trace = s.trace
 	}
-	return s.on.Send(&s.step)
+	return s.stream.Send(&s.step)
 }
 
-// call leaves the reply to s.step in j.reply. A step that got none is sent
+// awaitReply leaves the reply to s.step in j.reply. A step that got none is sent
 // again where that is safe.
-func (j *run) call(ctx context.Context, s *stage) error {
+func (j *run) awaitReply(ctx context.Context, s *stage) error {
 	defer func() { s.sent = false }()
 	for tries := 0; ; tries++ {
 		err := s.err
@@ -54,9 +54,9 @@
 			err = j.recv(ctx, s, s.step.Seq)
 		}
 		if err == nil {
-			return j.checked(s)
+			return j.checkCode(s)
 		}
-		if err := j.mend(ctx, s, err, tries); err != nil {
+		if err := j.handleError(ctx, s, err, tries); err != nil {
 			return err
 		}
 		s.err = j.send(ctx, s)
@@ -68,85 +68,85 @@
 // awaited shows that replies are missing, which the engine can give again.
 func (j *run) recv(ctx context.Context, s *stage, base uint64) error {
 	for {
-		if err := s.on.Recv(ctx, j.within(s), &j.reply); err != nil {
+		if err := s.stream.Recv(ctx, j.timeoutOf(s), &j.reply); err != nil {
 			return err
 		}
 		r := &j.reply
 		// A reply of a run that was asked for again counts from elsewhere.
-		current := j.mine(s) && r.Seq >= base && (r.Code != frame.CodeOK || r.Index == int(r.Seq-base))
+		current := j.matches(s) && r.Seq >= base && (r.Code != frame.CodeOK || r.Index == int(r.Seq-base))
 		switch {
 		case current && r.Seq == s.step.Seq:
 			return nil
 		case current && r.Seq > s.step.Seq:
-			return engine.ErrMissed
+			return engine.ErrOverflow
 		}
 		j.meters.stale.Inc()
 	}
 }
 
-// within is how long the stage may take for a step.
-func (j *run) within(s *stage) time.Duration {
-	wait := j.patience
+// timeoutOf is how long the stage may take for a step.
+func (j *run) timeoutOf(s *stage) time.Duration {
+	wait := j.stepTimeout
 	if s.seq == 0 {
-		wait = j.prefill
+		wait = j.prefillTimeout
 	}
 	if wait <= 0 {
-		return defaultPatience
+		return defaultStepTimeout
 	}
 	return wait
 }
 
-// mine reports whether the reply is of this run and of the stage's present
+// matches reports whether the reply is of this run and of the stage's present
 // state. One of another request or an older attempt would put foreign layers
 // into the answer.
-func (j *run) mine(s *stage) bool {
+func (j *run) matches(s *stage) bool {
 	r := &j.reply
-	return r.Req == j.name && r.Try == s.try && r.From == s.from()
+	return r.Req == j.reqID && r.Try == s.try && r.From == s.from()
 }
 
-// checked turns the reply's code into what it means for the stage.
-func (j *run) checked(s *stage) error {
+// checkCode turns the reply's code into what it means for the stage.
+func (j *run) checkCode(s *stage) error {
 	switch j.reply.Code {
 	case frame.CodeOK:
 		return nil
 	case frame.CodeGap, frame.CodeStale:
 		// The engine lives but its state is not the one that was left there,
 		// for it expired or was dropped.
-		return j.anew(s)
+		return j.rebuild(s)
 	case frame.CodeLeave, frame.CodeFull:
-		return j.lose(s, domain.CauseLeaving)
+		return j.markLost(s, domain.CauseLeaving)
 	default:
-		return j.lose(s, domain.CauseStateLost)
+		return j.markLost(s, domain.CauseStateLost)
 	}
 }
 
-// mend returns nil if the step may be sent again under its number: the engine
+// handleError returns nil if the step may be sent again under its number: the engine
 // answers a step that it did already from memory.
-func (j *run) mend(ctx context.Context, s *stage, err error, tries int) error {
+func (j *run) handleError(ctx context.Context, s *stage, err error, tries int) error {
 	switch {
 	case ctx.Err() != nil:
 		return canceled(ctx)
 	case errors.Is(err, engine.ErrRefused):
-		return j.lose(s, domain.CauseRefused)
+		return j.markLost(s, domain.CauseRefused)
 	case errors.Is(err, engine.ErrBroken):
-		if tries >= maxRepeats {
-			return j.lose(s, domain.CauseBroken)
+		if tries >= maxResends {
+			return j.markLost(s, domain.CauseBroken)
 		}
 		return j.reconnect(ctx, s)
-	case errors.Is(err, engine.ErrMissed):
+	case errors.Is(err, engine.ErrOverflow):
 		if tries >= maxStalls {
-			return j.lose(s, domain.CauseStateLost)
+			return j.markLost(s, domain.CauseStateLost)
 		}
 		j.meters.resends.Inc()
 		return nil
-	case errors.Is(err, engine.ErrLate):
-		if tries >= maxRepeats {
-			return j.lose(s, domain.CauseTimeout)
+	case errors.Is(err, engine.ErrTimeout):
+		if tries >= maxResends {
+			return j.markLost(s, domain.CauseTimeout)
 		}
 		j.meters.resends.Inc()
 		return nil
 	default:
-		return j.lose(s, domain.CauseStateLost)
+		return j.markLost(s, domain.CauseStateLost)
 	}
 }
 
@@ -156,20 +156,20 @@
 func (j *run) reconnect(ctx context.Context, s *stage) error {
 	wait, cancel := context.WithTimeout(ctx, reconnectTimeout)
 	defer cancel()
-	if s.on != nil {
-		s.on.Leave()
+	if s.stream != nil {
+		s.stream.Leave()
 	}
-	s.on = nil
-	on, err := j.Engines.Open(wait, s.is.Engine(), j.name, s.try, s.from())
+	s.stream = nil
+	on, err := j.Engines.Open(wait, s.spec.Engine(), j.reqID, s.try, s.from())
 	if err != nil {
 		if ctx.Err() != nil {
 			return canceled(ctx)
 		}
-		return j.lose(s, domain.CauseBroken)
+		return j.markLost(s, domain.CauseBroken)
 	}
-	s.on = on
-	if on.Incarnation() != s.life || s.life == 0 {
-		return j.lose(s, domain.CauseBroken)
+	s.stream = on
+	if on.Incarnation() != s.incarnation || s.incarnation == 0 {
+		return j.markLost(s, domain.CauseBroken)
 	}
 	j.meters.reconnects.Inc()
 	return nil
--- a/internal/wire/chain/chain_test.go
+++ b/internal/wire/chain/chain_test.go
@@ -40,29 +40,29 @@
 	return n
 }
 
-// three is a site of three stages with a spare for the middle one, on which
+// threeStageSite is a site of three stages with a spare for the middle one, on which
 // every chain but the first runs it.
-func three() *site {
-	s := newSite(depth, hold("a", depth, 0, 4), hold("b", depth, 4, 8), hold("c", depth, 8, 12), hold("d", depth, 4, 8))
+func threeStageSite() *site {
+	s := newSite(depth, newEngine("a", depth, 0, 4), newEngine("b", depth, 4, 8), newEngine("c", depth, 8, 12), newEngine("d", depth, 4, 8))
 	s.router.plan = func(attempt uint32, _ []spec.UpstreamID) spec.Chain {
 		if attempt == 1 {
-			return spec.Chain{on("a", 0, 4), on("b", 4, 8), on("c", 8, 12)}
+			return spec.Chain{stageOn("a", 0, 4), stageOn("b", 4, 8), stageOn("c", 8, 12)}
 		}
-		return spec.Chain{on("a", 0, 4), on("d", 4, 8), on("c", 8, 12)}
+		return spec.Chain{stageOn("a", 0, 4), stageOn("d", 4, 8), stageOn("c", 8, 12)}
 	}
 	return s
 }
 
-// alone is a site of one engine that holds the whole model.
-func alone() *site {
-	s := newSite(depth, hold("a", depth, 0, depth))
-	s.router.plan = func(uint32, []spec.UpstreamID) spec.Chain { return spec.Chain{on("a", 0, depth)} }
+// singleEngineSite is a site of one engine that holds the whole model.
+func singleEngineSite() *site {
+	s := newSite(depth, newEngine("a", depth, 0, depth))
+	s.router.plan = func(uint32, []spec.UpstreamID) spec.Chain { return spec.Chain{stageOn("a", 0, depth)} }
 	return s
 }
 
-func count(s *site, name string) uint64 { return s.runner.Meters.GetOrCreateCounter(name).Get() }
+func counter(s *site, name string) uint64 { return s.runner.Meters.GetOrCreateCounter(name).Get() }
 
-func steps(t *testing.T, s *site, engine int, want int64) {
+func checkLayerRuns(t *testing.T, s *site, engine int, want int64) {
 	t.Helper()
 	if got := s.engines[engine].Steps(); got != want {
 		t.Errorf("got %d layer runs on %s, want %d", got, s.engines[engine].Name, want)
@@ -75,18 +75,18 @@
 // their states still stand.
 func TestSurvivingStagesRunNothingAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := three()
+		s := threeStageSite()
 		defer s.close()
 		a := s.ask(t.Context(), "r", prompt, limit, func(n int) {
 			if n == 10 {
 				s.engines[1].Kill()
 			}
 		})
-		a.must(t, prompt, depth, limit)
+		a.mustMatch(t, prompt, depth, limit)
 		once := 4 * positions(prompt, limit)
-		steps(t, s, 0, once)
-		steps(t, s, 2, once)
-		steps(t, s, 3, once)
+		checkLayerRuns(t, s, 0, once)
+		checkLayerRuns(t, s, 2, once)
+		checkLayerRuns(t, s, 3, once)
 		if lost := s.router.lost(); len(lost) != 1 || lost[0].Cause != domain.CauseBroken {
 			t.Errorf("got lost stages %v, want one that broke", lost)
 		}
@@ -101,7 +101,7 @@
 	for _, fault := range []stage.Fault{stage.FaultCut, stage.FaultDrop, stage.FaultDouble} {
 		t.Run(fault.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := three()
+				s := threeStageSite()
 				defer s.close()
 				s.runner.Meters = metrics.NewSet()
 				// Longer than the patience with a lost reply of another stage.
@@ -119,14 +119,14 @@
 						s.engines[2].Cut()
 					}
 				})
-				a.must(t, prompt, depth, limit)
+				a.mustMatch(t, prompt, depth, limit)
 				for i := range 3 {
-					steps(t, s, i, 4*positions(prompt, limit))
+					checkLayerRuns(t, s, i, 4*positions(prompt, limit))
 				}
 				if lost := s.router.lost(); len(lost) != 0 {
 					t.Errorf("got lost stages %v, want none", lost)
 				}
-				if got := count(s, "fulmarwick_chain_reconnects_total"); got == 0 {
+				if got := counter(s, "fulmarwick_chain_reconnects_total"); got == 0 {
 					t.Error("got no reconnect, want some")
 				}
 			})
@@ -134,13 +134,13 @@
 	}
 }
 
-// reviver has a crashed engine run again before anybody connects to it.
-type reviver struct {
+// revivingOpener has a crashed engine run again before anybody connects to it.
+type revivingOpener struct {
 	chain.Opener
 	engine *stage.Engine
 }
 
-func (r *reviver) Open(ctx context.Context, id spec.UpstreamID, req string, try uint32, from int) (frame.Stream, error) {
+func (r *revivingOpener) Open(ctx context.Context, id spec.UpstreamID, req string, try uint32, from int) (frame.Stream, error) {
 	r.engine.Revive()
 	return r.Opener.Open(ctx, id, req, try, from)
 }
@@ -148,18 +148,18 @@
 // The caller sees a refusal. Its prompt crashes the engine that runs it, which
 // restarts at once. The run must not send the prompt to the restarted engine:
 // the routing logic would then count one crash where there were many.
-func TestRestartedEngineGetsNothingUnasked(t *testing.T) {
+func TestRestartedEngineGetsNoStepBeforeDecision(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := alone()
+		s := singleEngineSite()
 		defer s.close()
 		s.engines[0].Poison = "door"
 		s.router.plan = func(attempt uint32, _ []spec.UpstreamID) spec.Chain {
 			if attempt > 1 {
 				return nil
 			}
-			return spec.Chain{on("a", 0, depth)}
+			return spec.Chain{stageOn("a", 0, depth)}
 		}
-		s.runner.Engines = &reviver{Opener: s.pool, engine: s.engines[0]}
+		s.runner.Engines = &revivingOpener{Opener: s.pool, engine: s.engines[0]}
 		a := s.ask(t.Context(), "r", prompt, limit, nil)
 		var refused *chain.RefusedError
 		if !errors.As(a.err, &refused) || !refused.Ran {
@@ -176,7 +176,7 @@
 // it does not.
 func TestJournalBeyondBoundRebuildsFromTokens(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := three()
+		s := threeStageSite()
 		defer s.close()
 		s.runner.Journal = 1
 		a := s.ask(t.Context(), "r", prompt, limit, func(n int) {
@@ -184,9 +184,9 @@
 				s.engines[1].Kill()
 			}
 		})
-		a.must(t, prompt, depth, limit)
+		a.mustMatch(t, prompt, depth, limit)
 		once := 4 * positions(prompt, limit)
-		steps(t, s, 2, once)
+		checkLayerRuns(t, s, 2, once)
 		if got := s.engines[0].Steps(); got <= once {
 			t.Errorf("got %d layer runs on a, want more than %d: nothing was kept", got, once)
 		}
@@ -203,20 +203,20 @@
 		for i := 0; len(layer.Whole(text, depth, long)) < long; i++ {
 			text = fmt.Sprintf("%s %d", prompt, i)
 		}
-		s := newSite(depth, hold("a", depth, 0, 6), hold("b", depth, 6, 12), hold("c", depth, 0, 6))
+		s := newSite(depth, newEngine("a", depth, 0, 6), newEngine("b", depth, 6, 12), newEngine("c", depth, 0, 6))
 		defer s.close()
 		s.router.plan = func(attempt uint32, _ []spec.UpstreamID) spec.Chain {
 			first := []string{"a", "c"}[min(1, attempt-1)]
-			return spec.Chain{on(first, 0, 6), on("b", 6, 12)}
+			return spec.Chain{stageOn(first, 0, 6), stageOn("b", 6, 12)}
 		}
 		a := s.ask(t.Context(), "r", text, long, func(n int) {
 			if n == 1200 {
 				s.engines[0].Kill()
 			}
 		})
-		a.must(t, text, depth, long)
-		steps(t, s, 1, 6*positions(text, long))
-		steps(t, s, 2, 6*positions(text, long))
+		a.mustMatch(t, text, depth, long)
+		checkLayerRuns(t, s, 1, 6*positions(text, long))
+		checkLayerRuns(t, s, 2, 6*positions(text, long))
 	})
 }
 
@@ -225,7 +225,7 @@
 // each other: while a stage runs a part, the one before it runs the next.
 func TestLongPromptRunsOnAllStagesAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := three()
+		s := threeStageSite()
 		defer s.close()
 		s.runner.Positions = 10
 		text := prompt + strings.Repeat(" door", 94)
@@ -235,7 +235,7 @@
 			if n == 1 {
 				first = time.Since(began)
 			}
-		}).must(t, text, depth, limit)
+		}).mustMatch(t, text, depth, limit)
 		// Ten parts and two stages more, four layers of a millisecond each.
 		if want := 12 * 4 * time.Millisecond; first != want {
 			t.Errorf("got the first token after %v, want %v", first, want)
@@ -246,9 +246,9 @@
 // The caller sees a whole answer. Replies of the middle stage are lost while
 // parts of the prompt are under way on all stages. Each is asked for again under
 // its number and answered from memory; no stage is lost and nothing runs twice.
-func TestLostReplyOfPartIsAskedForAgain(t *testing.T) {
+func TestLostReplyIsRequestedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := three()
+		s := threeStageSite()
 		defer s.close()
 		s.runner.Positions = 10
 		n := 0
@@ -260,12 +260,12 @@
 			return stage.FaultNone
 		}
 		text := prompt + strings.Repeat(" door", 94)
-		s.ask(t.Context(), "r", text, limit, nil).must(t, text, depth, limit)
+		s.ask(t.Context(), "r", text, limit, nil).mustMatch(t, text, depth, limit)
 		if lost := s.router.lost(); len(lost) != 0 {
 			t.Errorf("got lost stages %v, want none", lost)
 		}
 		for i := range 3 {
-			steps(t, s, i, 4*positions(text, limit))
+			checkLayerRuns(t, s, i, 4*positions(text, limit))
 		}
 	})
 }
@@ -274,7 +274,7 @@
 // engine and layers, and one more for the stage that replaced a lost one.
 func TestSpanForEachStage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := three()
+		s := threeStageSite()
 		defer s.close()
 		seen := tracetest.NewSpanRecorder()
 		provider := sdktrace.NewTracerProvider(sdktrace.WithSpanProcessor(seen))
@@ -294,7 +294,7 @@
 			}
 		})
 		root.End()
-		a.must(t, prompt, depth, limit)
+		a.mustMatch(t, prompt, depth, limit)
 		var engines []string
 		for _, span := range seen.Ended() {
 			if span.Parent().SpanID() != root.SpanContext().SpanID() {
@@ -321,28 +321,28 @@
 // the layers elsewhere; the cache of the first stage, whose engine lives, is
 // copied to the stage that takes its layers over, which so runs only what is
 // new.
-func TestMovedCacheIsNotRunAgain(t *testing.T) {
+func TestMovedCacheIsNotRecomputed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const long = 100
-		s := newSite(depth, hold("a", depth, 0, 6), hold("b", depth, 6, 12), hold("c", depth, 0, 6), hold("d", depth, 6, 12))
+		s := newSite(depth, newEngine("a", depth, 0, 6), newEngine("b", depth, 6, 12), newEngine("c", depth, 0, 6), newEngine("d", depth, 6, 12))
 		defer s.close()
 		s.runner.KV = s.pool
 		s.runner.Meters = metrics.NewSet()
 		s.router.plan = func(attempt uint32, _ []spec.UpstreamID) spec.Chain {
 			if attempt == 1 {
-				return spec.Chain{on("a", 0, 6), on("b", 6, 12)}
+				return spec.Chain{stageOn("a", 0, 6), stageOn("b", 6, 12)}
 			}
-			return spec.Chain{on("c", 0, 6), on("d", 6, 12)}
+			return spec.Chain{stageOn("c", 0, 6), stageOn("d", 6, 12)}
 		}
 		a := s.ask(t.Context(), "r", prompt, long, func(n int) {
 			if n == 80 {
 				s.engines[1].Kill()
 			}
 		})
-		a.must(t, prompt, depth, long)
-		if got := count(s, "fulmarwick_chain_kv_moves_total"); got != 1 {
+		a.mustMatch(t, prompt, depth, long)
+		if got := counter(s, "fulmarwick_chain_kv_moves_total"); got != 1 {
 			t.Errorf("got %d moves, want 1", got)
 		}
-		steps(t, s, 2, 6*positions(prompt, long)-s.engines[0].Steps())
+		checkLayerRuns(t, s, 2, 6*positions(prompt, long)-s.engines[0].Steps())
 	})
 }
--- a/internal/wire/chain/whole_test.go
+++ b/internal/wire/chain/faults_test.go
@@ -19,39 +19,39 @@
 	"pgregory.net/rapid"
 )
 
-// scene is one random case of the differential test.
-type scene struct {
-	seed    uint64
-	depth   int
-	holds   [][2]int
-	faults  []int
-	kills   []kill
-	limit   int
-	callers int
-	journal int
-	chunk   int
-	part    int
-	words   int
-	moves   bool
+// scenario is one random case of the differential test.
+type scenario struct {
+	seed      uint64
+	depth     int
+	holds     [][2]int
+	faults    []int
+	outages   []outage
+	limit     int
+	callers   int
+	journal   int
+	chunk     int
+	positions int
+	words     int
+	moves     bool
 }
 
-// kill has an engine crash, or lose its connections, after a token.
-type kill struct {
+// outage has an engine crash, or lose its connections, after a token.
+type outage struct {
 	engine, token int
 	crash         bool
 }
 
-func drawScene(t *rapid.T) scene {
-	s := scene{
-		seed:    rapid.Uint64().Draw(t, "seed"),
-		depth:   rapid.IntRange(1, 10).Draw(t, "depth"),
-		limit:   rapid.IntRange(1, 40).Draw(t, "limit"),
-		callers: rapid.IntRange(1, 3).Draw(t, "callers"),
-		journal: rapid.SampledFrom([]int{0, 64, 512}).Draw(t, "journal"),
-		chunk:   rapid.SampledFrom([]int{0, 1, 50}).Draw(t, "chunk"),
-		part:    rapid.SampledFrom([]int{0, 1, 7}).Draw(t, "part"),
-		words:   rapid.SampledFrom([]int{1, 5, 90}).Draw(t, "words"),
-		moves:   rapid.Bool().Draw(t, "moves"),
+func drawScenario(t *rapid.T) scenario {
+	s := scenario{
+		seed:      rapid.Uint64().Draw(t, "seed"),
+		depth:     rapid.IntRange(1, 10).Draw(t, "depth"),
+		limit:     rapid.IntRange(1, 40).Draw(t, "limit"),
+		callers:   rapid.IntRange(1, 3).Draw(t, "callers"),
+		journal:   rapid.SampledFrom([]int{0, 64, 512}).Draw(t, "journal"),
+		chunk:     rapid.SampledFrom([]int{0, 1, 50}).Draw(t, "chunk"),
+		positions: rapid.SampledFrom([]int{0, 1, 7}).Draw(t, "part"),
+		words:     rapid.SampledFrom([]int{1, 5, 90}).Draw(t, "words"),
+		moves:     rapid.Bool().Draw(t, "moves"),
 	}
 	// Two ranges cover the model for sure; the others overlap them at random.
 	cut := rapid.IntRange(0, s.depth-1).Draw(t, "cut")
@@ -67,7 +67,7 @@
 		s.faults = append(s.faults, rapid.SampledFrom([]int{0, 0, 5, 20}).Draw(t, "faults"))
 	}
 	for range rapid.IntRange(0, 4).Draw(t, "kills") {
-		s.kills = append(s.kills, kill{
+		s.outages = append(s.outages, outage{
 			engine: rapid.IntRange(0, len(s.holds)-1).Draw(t, "victim"),
 			token:  rapid.IntRange(1, s.limit).Draw(t, "when"),
 			crash:  rapid.Bool().Draw(t, "crash"),
@@ -112,10 +112,10 @@
 	return n, err
 }
 
-func (s *scene) build() *site {
+func (s *scenario) build() *site {
 	var engines []*stage.Engine
 	for i, h := range s.holds {
-		e := hold(fmt.Sprintf("e%d", i), s.depth, h[0], h[1])
+		e := newEngine(fmt.Sprintf("e%d", i), s.depth, h[0], h[1])
 		e.Late = 50 * time.Millisecond
 		e.Faults = faults(s.seed+uint64(i), s.faults[i])
 		engines = append(engines, e)
@@ -123,22 +123,22 @@
 	built := newSite(s.depth, engines...)
 	built.router.rand = rand.New(rand.NewPCG(s.seed, 2))
 	built.router.limit = 1000
-	built.runner.Journal, built.runner.Chunk, built.runner.Positions = s.journal, s.chunk, s.part
+	built.runner.Journal, built.runner.Chunk, built.runner.Positions = s.journal, s.chunk, s.positions
 	if s.moves {
 		built.runner.KV = &flakyMover{Mover: built.pool, rand: rand.New(rand.NewPCG(s.seed, 4))}
 	}
 	return built
 }
 
-// play runs the scene and says what a caller saw that it must not see.
-func (s *scene) play() error {
+// run runs the scene and says what a caller saw that it must not see.
+func (s *scenario) run() error {
 	site := s.build()
 	defer site.close()
 	errs := make(chan error, s.callers)
 	for c := range s.callers {
 		go func() {
 			text := fmt.Sprint("caller", c, strings.Repeat(" door", s.words-1))
-			a := site.ask(context.Background(), fmt.Sprintf("r%d", c), text, s.limit, func(n int) { s.strike(site, n) })
+			a := site.ask(context.Background(), fmt.Sprintf("r%d", c), text, s.limit, func(n int) { s.injectOutages(site, n) })
 			errs <- a.check(text, s.depth, s.limit)
 		}()
 	}
@@ -158,8 +158,8 @@
 	return nil
 }
 
-func (s *scene) strike(site *site, token int) {
-	for _, k := range s.kills {
+func (s *scenario) injectOutages(site *site, token int) {
+	for _, k := range s.outages {
 		switch {
 		case k.token != token:
 		case k.crash:
@@ -176,11 +176,11 @@
 // their connections in its midst and replies are lost, doubled, delayed and
 // crossed with those of the other callers. A layer that ran twice, not at all
 // or out of order would change every later token.
-func TestAnswerEqualsOneMachineUnderFaults(t *testing.T) {
+func TestAnswerMatchesOneMachineUnderFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		s := drawScene(rt)
+		s := drawScenario(rt)
 		var err error
-		synctest.Test(t, func(*testing.T) { err = s.play() })
+		synctest.Test(t, func(*testing.T) { err = s.run() })
 		if err != nil {
 			rt.Fatal(err)
 		}
--- a/internal/wire/chain/flow_test.go
+++ b/internal/wire/chain/flow_test.go
@@ -19,10 +19,10 @@
 func TestCallerGoneLeavesNoState(t *testing.T) {
 	for _, whole := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			s := three()
+			s := threeStageSite()
 			if whole {
 				s.close()
-				s = alone()
+				s = singleEngineSite()
 			}
 			defer s.close()
 			ctx, cancel := context.WithCancel(t.Context())
@@ -45,10 +45,10 @@
 // The caller of a short answer waits behind one that reads slowly. The slow
 // reader's replies fill its own queue only; what did not fit it is asked for
 // again when it reads on, so that it misses nothing either.
-func TestSlowReaderHoldsUpNobody(t *testing.T) {
+func TestSlowReaderBlocksNoOtherStream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const long = 1000
-		s := alone()
+		s := singleEngineSite()
 		defer s.close()
 		// The first prompt whose answer is long enough to overflow the queue.
 		text := prompt
@@ -65,13 +65,13 @@
 			})
 		}()
 		time.Sleep(time.Minute)
-		s.ask(t.Context(), "fast", prompt, limit, nil).must(t, prompt, depth, limit)
+		s.ask(t.Context(), "fast", prompt, limit, nil).mustMatch(t, prompt, depth, limit)
 		if got := s.pool.Meters.GetOrCreateCounter("fulmarwick_engine_overflows_total").Get(); got != 1 {
 			t.Errorf("got %d full queues, want 1", got)
 		}
 		close(read)
-		(<-done).must(t, text, depth, long)
-		steps(t, s, 0, depth*(positions(text, long)+positions(prompt, limit)))
+		(<-done).mustMatch(t, text, depth, long)
+		checkLayerRuns(t, s, 0, depth*(positions(text, long)+positions(prompt, limit)))
 	})
 }
 
@@ -79,14 +79,14 @@
 // urgent one, although it came last, is served before the other.
 func TestUrgentRequestRunsFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := alone()
+		s := singleEngineSite()
 		defer s.close()
 		s.engines[0].Slots = 1
 		order := make(chan string, 3)
 		s.router.prio = map[spec.RequestID]int{"busy": 2, "patient": 1}
 		for _, id := range []string{"busy", "patient", "urgent"} {
 			go func() {
-				s.ask(t.Context(), id, prompt, limit, nil).must(t, prompt, depth, limit)
+				s.ask(t.Context(), id, prompt, limit, nil).mustMatch(t, prompt, depth, limit)
 				order <- id
 			}()
 			time.Sleep(time.Millisecond)
@@ -101,13 +101,13 @@
 
 // The routing logic learns of progress and of hop times while a long answer
 // lasts, and neither once per token.
-func TestProgressAndHopsAreTold(t *testing.T) {
+func TestProgressAndHopsAreReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := alone()
+		s := singleEngineSite()
 		defer s.close()
 		s.engines[0].Layer = 20 * time.Millisecond
 		s.engines[0].Link = 3 * time.Millisecond
-		s.ask(t.Context(), "r", prompt, limit, nil).must(t, prompt, depth, limit)
+		s.ask(t.Context(), "r", prompt, limit, nil).mustMatch(t, prompt, depth, limit)
 		told, hops := 0, 0
 		for _, ev := range s.router.events {
 			switch ev := ev.(type) {
@@ -125,7 +125,7 @@
 		}
 		s.engines[0].Layer = 0
 		time.Sleep(time.Second)
-		s.ask(t.Context(), "r2", prompt, limit, nil).must(t, prompt, depth, limit)
+		s.ask(t.Context(), "r2", prompt, limit, nil).mustMatch(t, prompt, depth, limit)
 		if hops > 1 {
 			t.Errorf("got %d hop events in one second, want 1 at most", hops)
 		}
--- a/internal/wire/chain/frames_test.go
+++ b/internal/wire/chain/frames_test.go
@@ -28,54 +28,54 @@
 	if err != nil {
 		return nil, err
 	}
-	return &mangled{Stream: s, m: m}, nil
+	return &mangled{Stream: s, mangler: m}, nil
 }
 
 type mangled struct {
 	frame.Stream
-	m *mangler
-	// waiting are replies that come before the next one from the engine.
-	waiting []frame.Reply
+	mangler *mangler
+	// queued are replies that come before the next one from the engine.
+	queued []frame.Reply
 }
 
 func (s *mangled) Recv(ctx context.Context, within time.Duration, r *frame.Reply) error {
-	if len(s.waiting) > 0 {
-		*r, s.waiting = s.waiting[0], s.waiting[1:]
+	if len(s.queued) > 0 {
+		*r, s.queued = s.queued[0], s.queued[1:]
 		return nil
 	}
 	if err := s.Stream.Recv(ctx, within, r); err != nil {
 		return err
 	}
-	if s.m.rand.IntN(100) >= s.m.percent {
+	if s.mangler.rand.IntN(100) >= s.mangler.percent {
 		return nil
 	}
-	return s.spoil(ctx, within, r)
+	return s.corrupt(ctx, within, r)
 }
 
-func (s *mangled) spoil(ctx context.Context, within time.Duration, r *frame.Reply) error {
+func (s *mangled) corrupt(ctx context.Context, within time.Duration, r *frame.Reply) error {
 	good := *r
-	switch s.m.rand.IntN(10) {
+	switch s.mangler.rand.IntN(10) {
 	case 0: // lost
 		return s.Recv(ctx, within, r)
 	case 1: // doubled
-		s.waiting = append(s.waiting, good)
+		s.queued = append(s.queued, good)
 	case 2: // crossed with the one after
 		if err := s.Stream.Recv(ctx, within, r); err != nil {
 			return err
 		}
-		s.waiting = append(s.waiting, good)
+		s.queued = append(s.queued, good)
 	case 3: // cut
 		return engine.ErrBroken
 	case 4: // another request's
-		s.waiting = append(s.waiting, good)
+		s.queued = append(s.queued, good)
 		r.Req, r.Token, r.Text = "another", r.Token+1, "foreign "
 	case 5: // an older attempt's
-		s.waiting = append(s.waiting, good)
+		s.queued = append(s.queued, good)
 		r.Try, r.Token, r.Text = r.Try-1, r.Token+1, "stale "
 	case 6: // an end that is none
 		r.End, r.Last, r.Total = true, true, r.Next+1000
 	case 7: // a number of another run
-		s.waiting = append(s.waiting, good)
+		s.queued = append(s.queued, good)
 		r.Index, r.Text = r.Index+3, "misplaced "
 	case 8: // of more inputs than there were
 		// How long a prompt is only the engine can tell.
@@ -87,7 +87,7 @@
 			r.Hidden = append(r.Hidden, r.Hidden[0])
 		}
 	default: // dropped by a full queue
-		return engine.ErrMissed
+		return engine.ErrOverflow
 	}
 	return nil
 }
@@ -96,7 +96,7 @@
 // order, while replies are lost, doubled, crossed, cut, belong to another
 // request or an older attempt, claim an end that their count belies,
 // or tell of more inputs than were sent.
-func TestOwnWholeAnswerFromSpoiledFrames(t *testing.T) {
+func TestWholeAnswerDespiteCorruptReplies(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		seed := rapid.Uint64().Draw(rt, "seed")
 		percent := rapid.SampledFrom([]int{2, 10, 25}).Draw(rt, "percent")
@@ -104,10 +104,10 @@
 		whole := rapid.Bool().Draw(rt, "whole")
 		var err error
 		synctest.Test(t, func(t *testing.T) {
-			s := three()
+			s := threeStageSite()
 			if whole {
 				s.close()
-				s = alone()
+				s = singleEngineSite()
 			}
 			defer s.close()
 			s.router.limit = 1000
--- a/internal/wire/chain/inputs.go
+++ b/internal/wire/chain/inputs.go
@@ -10,12 +10,12 @@
 	tokens []uint32
 	// prompt is how many positions the prompt took; known after the first
 	// stage's first reply.
-	prompt  int
-	journal map[int]*journal
-	limit   int
-	bytes   int
-	// bounded is set once the limit was passed.
-	bounded bool
+	prompt   int
+	journals map[int]*journal
+	limit    int
+	bytes    int
+	// overLimit is set once the limit was passed.
+	overLimit bool
 }
 
 // journal is the hidden values at one boundary from position base on.
@@ -37,13 +37,13 @@
 // put stores the hidden values that left the stage before boundary, for the
 // positions from pos on. Positions known already are kept as they were.
 func (in *inputs) put(boundary, pos int, values [][]byte) {
-	if in.journal == nil {
-		in.journal = map[int]*journal{}
+	if in.journals == nil {
+		in.journals = map[int]*journal{}
 	}
-	l := in.journal[boundary]
+	l := in.journals[boundary]
 	if l == nil {
 		l = &journal{base: pos}
-		in.journal[boundary] = l
+		in.journals[boundary] = l
 	}
 	for i, v := range values {
 		if pos+i == l.end() {
@@ -55,32 +55,32 @@
 
 // from returns the values at boundary from position pos on.
 func (in *inputs) from(boundary, pos int) [][]byte {
-	l := in.journal[boundary]
+	l := in.journals[boundary]
 	if l == nil || pos < l.base || pos >= l.end() {
 		return nil
 	}
 	return l.values[pos-l.base:]
 }
 
-// serve reports whether a stage at boundary that has run done positions gets
+// covers reports whether a stage at boundary that has run done positions gets
 // all that follow, when the stage before has made the outputs of made ones:
 // what is kept must begin early enough and go on without a gap.
-func (in *inputs) serve(boundary, done, made int) bool {
-	l := in.journal[boundary]
+func (in *inputs) covers(boundary, done, made int) bool {
+	l := in.journals[boundary]
 	if l == nil {
 		return made <= done
 	}
 	return l.base <= done && made <= l.end()
 }
 
-// ran tells that the stage at boundary has run all positions below pos; past
+// release tells that the stage at boundary has run all positions below pos; past
 // the limit they are dropped.
-func (in *inputs) ran(boundary, pos int) {
+func (in *inputs) release(boundary, pos int) {
 	if in.bytes > in.limit {
-		in.bounded = true
+		in.overLimit = true
 	}
-	l := in.journal[boundary]
-	if !in.bounded || l == nil {
+	l := in.journals[boundary]
+	if !in.overLimit || l == nil {
 		return
 	}
 	in.trim(l, pos)
@@ -100,8 +100,8 @@
 
 // drop forgets a boundary, so that its stage before fills it again.
 func (in *inputs) drop(boundary int) {
-	if l := in.journal[boundary]; l != nil {
+	if l := in.journals[boundary]; l != nil {
 		in.trim(l, l.end())
-		delete(in.journal, boundary)
+		delete(in.journals, boundary)
 	}
 }
--- a/internal/wire/chain/run.go
+++ b/internal/wire/chain/run.go
@@ -23,8 +23,8 @@
 	defaultChunk = 1 << 20
 	// defaultPositions bounds the positions of one step.
 	defaultPositions = 256
-	// defaultPatience is how long a step may take unless the logic says.
-	defaultPatience = 30 * time.Second
+	// defaultStepTimeout is how long a step may take unless the logic says.
+	defaultStepTimeout = 30 * time.Second
 	// progressEvery is the least time between two Progress events.
 	progressEvery = time.Second
 )
@@ -74,28 +74,28 @@
 type run struct {
 	*Runner
 	job Job
-	// name is the request's name towards engines. It differs for each run of
+	// reqID is the request's name towards engines. It differs for each run of
 	// the same request: after a resume at another instance both may be alive
 	// for a while, and their steps must not meet in one state.
-	name     string
+	reqID    string
 	sink     Sink
-	decided  <-chan domain.Command
+	commands <-chan domain.Command
 	attempt  uint32
 	rebuilds uint32
 	depth    int
 	prio     int
-	// patience is for a step of one token, prefill for the first of a state.
-	patience time.Duration
-	prefill  time.Duration
-	stages   []*stage
-	inputs   inputs
-	reply    frame.Reply
-	stop     bool
-	began    time.Time
-	first    time.Duration
-	last     time.Time
-	told     time.Time
-	gap      time.Duration
+	// stepTimeout is for a step of one token, prefill for the first of a state.
+	stepTimeout    time.Duration
+	prefillTimeout time.Duration
+	stages         []*stage
+	inputs         inputs
+	reply          frame.Reply
+	stop           bool
+	start          time.Time
+	firstToken     time.Duration
+	lastToken      time.Time
+	lastProgress   time.Time
+	longestGap     time.Duration
 }
 
 // Run brings the whole answer to sink, or returns why that cannot be:
@@ -105,14 +105,14 @@
 	id := job.Arrived.Request
 	now := time.Now()
 	j := &run{
-		Runner: r, job: job, sink: sink, decided: r.Router.Watch(id), began: now, told: now,
-		name:   string(id) + "~" + r.nonce + "-" + strconv.FormatUint(r.runs.Add(1), 10),
+		Runner: r, job: job, sink: sink, commands: r.Router.Watch(id), start: now, lastProgress: now,
+		reqID:  string(id) + "~" + r.nonce + "-" + strconv.FormatUint(r.runs.Add(1), 10),
 		inputs: inputs{limit: r.Journal},
 	}
 	defer r.Router.Unwatch(id)
 	defer j.closeAll()
 	r.Router.Post(job.Arrived)
-	err := j.whole(ctx)
+	err := j.runLoop(ctx)
 	j.report(ctx, err)
 	return Result{Tokens: j.count(), Stop: j.stop}, err
 }
@@ -127,20 +127,20 @@
 		return
 	}
 	j.Router.Post(domain.RequestFinished{
-		Request: id, Tokens: j.count(), FirstToken: j.first, LongestGap: j.gap,
-		TotalTime: time.Since(j.began), OK: err == nil,
+		Request: id, Tokens: j.count(), FirstToken: j.firstToken, LongestGap: j.longestGap,
+		TotalTime: time.Since(j.start), OK: err == nil,
 	})
 }
 
-func (j *run) whole(ctx context.Context) error {
-	if err := j.await(ctx); err != nil {
+func (j *run) runLoop(ctx context.Context) error {
+	if err := j.awaitDecision(ctx); err != nil {
 		return err
 	}
 	for !j.ended() {
 		err := j.advance(ctx)
-		var lost *lostError
+		var lost *stageLostError
 		switch {
-		case err == nil, errors.Is(err, errAgain):
+		case err == nil, errors.Is(err, errStageReset):
 			continue
 		case !errors.As(err, &lost):
 			return err
@@ -149,7 +149,7 @@
 			Request: j.job.Arrived.Request, Attempt: j.attempt,
 			Engine: lost.engine, Cause: lost.cause, Tokens: j.count(),
 		})
-		if err := j.await(ctx); err != nil {
+		if err := j.awaitDecision(ctx); err != nil {
 			return err
 		}
 	}
@@ -160,13 +160,13 @@
 	return j.stop || j.count() >= j.job.Arrived.MaxTokens
 }
 
-// await takes the next decision and sets the stages to it.
-func (j *run) await(ctx context.Context) error {
+// awaitDecision takes the next decision and sets the stages to it.
+func (j *run) awaitDecision(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return errors.Wrap(ctx.Err(), "chain: wait for a decision")
-		case c := <-j.decided:
+		case c := <-j.commands:
 			switch c := c.(type) {
 			case domain.Refuse:
 				return &RefusedError{Reason: c.Reason, After: c.RetryAfter, Ran: c.Ran}
@@ -192,8 +192,8 @@
 		return j.stream(ctx, j.stages[0])
 	}
 	for _, s := range j.stages {
-		if j.next(s) {
-			j.begin(ctx, s)
+		if j.prepare(s) {
+			j.startStep(ctx, s)
 		}
 	}
 	moved := false
@@ -202,40 +202,40 @@
 			continue
 		}
 		moved = true
-		if err := j.call(ctx, s); err != nil {
+		if err := j.awaitReply(ctx, s); err != nil {
 			return err
 		}
-		if err := j.take(s); err != nil {
+		if err := j.applyReply(s); err != nil {
 			return err
 		}
 	}
 	if !moved {
 		// Inputs that nobody keeps and nobody makes would have the loop spin
 		// on a core while the caller waits.
-		return errStuck
+		return errNoProgress
 	}
 	return nil
 }
 
-// give hands the next token to the caller.
-func (j *run) give(token uint32, text string) error {
+// deliver hands the next token to the caller.
+func (j *run) deliver(token uint32, text string) error {
 	index := j.count()
 	j.inputs.tokens = append(j.inputs.tokens, token)
 	j.meters.tokens.Inc()
-	j.timed()
+	j.recordTime()
 	return j.sink(Token{Index: index, Text: text})
 }
 
-func (j *run) timed() {
+func (j *run) recordTime() {
 	now := time.Now()
-	if j.first == 0 {
-		j.first = now.Sub(j.began)
+	if j.firstToken == 0 {
+		j.firstToken = now.Sub(j.start)
 	} else {
-		j.gap = max(j.gap, now.Sub(j.last))
+		j.longestGap = max(j.longestGap, now.Sub(j.lastToken))
 	}
-	j.last = now
-	if now.Sub(j.told) >= progressEvery {
-		j.told = now
+	j.lastToken = now
+	if now.Sub(j.lastProgress) >= progressEvery {
+		j.lastProgress = now
 		j.Router.Post(domain.RequestProgress{Request: j.job.Arrived.Request, Tokens: j.count()})
 	}
 }
@@ -246,8 +246,8 @@
 	}
 }
 
-// stageOf is a stage that has run nothing, under a number that no state of
+// newStage is a stage that has run nothing, under a number that no state of
 // this run had before.
-func (j *run) stageOf(is spec.Stage) *stage {
-	return &stage{is: is, try: j.attempt<<rebuildBits | j.rebuilds}
+func (j *run) newStage(is spec.Stage) *stage {
+	return &stage{spec: is, try: j.attempt<<rebuildBits | j.rebuilds}
 }
--- a/internal/wire/chain/site_test.go
+++ b/internal/wire/chain/site_test.go
@@ -44,7 +44,7 @@
 		return listeners[strings.TrimSuffix(address, ":80")].Dial(ctx, network, address)
 	}
 	transport := &http.Transport{DialContext: dial, DisableKeepAlives: true}
-	s.router = &router{site: s, waits: map[spec.RequestID]*routed{}}
+	s.router = &router{site: s, requests: map[spec.RequestID]*routedRequest{}}
 	s.pool = &engine.Pool{
 		Dial: dial, HTTP: &http.Client{Transport: transport}, Post: s.router.Post, Meters: metrics.NewSet(),
 	}
@@ -88,12 +88,12 @@
 	limit uint32
 	prio  map[spec.RequestID]int
 
-	mu     sync.Mutex
-	waits  map[spec.RequestID]*routed
-	events []domain.Event
+	mu       sync.Mutex
+	requests map[spec.RequestID]*routedRequest
+	events   []domain.Event
 }
 
-type routed struct {
+type routedRequest struct {
 	ch      chan domain.Command
 	attempt uint32
 	lost    []spec.UpstreamID
@@ -102,15 +102,15 @@
 func (r *router) Watch(id spec.RequestID) <-chan domain.Command {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	w := &routed{ch: make(chan domain.Command, 4)}
-	r.waits[id] = w
+	w := &routedRequest{ch: make(chan domain.Command, 4)}
+	r.requests[id] = w
 	return w.ch
 }
 
 func (r *router) Unwatch(id spec.RequestID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.waits, id)
+	delete(r.requests, id)
 }
 
 func (r *router) Post(ev domain.Event) {
@@ -121,7 +121,7 @@
 	case domain.RequestArrived:
 		r.decide(ev.Request)
 	case domain.StageLost:
-		w := r.waits[ev.Request]
+		w := r.requests[ev.Request]
 		if ev.Attempt != w.attempt {
 			return
 		}
@@ -131,7 +131,7 @@
 }
 
 func (r *router) decide(id spec.RequestID) {
-	w := r.waits[id]
+	w := r.requests[id]
 	w.attempt++
 	c := r.choose(w)
 	if c == nil {
@@ -141,28 +141,28 @@
 	w.ch <- domain.Start{Request: id, Attempt: w.attempt, Chain: c, Depth: r.site.depth, Priority: r.prio[id]}
 }
 
-func (r *router) choose(w *routed) spec.Chain {
+func (r *router) choose(w *routedRequest) spec.Chain {
 	if w.attempt > max(r.limit, 20) {
 		return nil
 	}
 	if r.plan != nil {
 		return r.plan(w.attempt, w.lost)
 	}
-	return r.random()
+	return r.randomChain()
 }
 
-// random picks, from layer 0 up, an engine that holds the next layer and where
+// randomChain picks, from layer 0 up, an engine that holds the next layer and where
 // to leave it; a choice that leads nowhere is tried again.
-func (r *router) random() spec.Chain {
+func (r *router) randomChain() spec.Chain {
 	for range 1000 {
-		if c := r.walk(); c != nil {
+		if c := r.tryRandomChain(); c != nil {
 			return c
 		}
 	}
 	return nil
 }
 
-func (r *router) walk() spec.Chain {
+func (r *router) tryRandomChain() spec.Chain {
 	var c spec.Chain
 	for at := 0; at < r.site.depth; {
 		e := r.site.engines[r.rand.IntN(len(r.site.engines))]
@@ -236,20 +236,20 @@
 	return nil
 }
 
-func (a *answer) must(t *testing.T, text string, depth, limit int) {
+func (a *answer) mustMatch(t *testing.T, text string, depth, limit int) {
 	t.Helper()
 	if err := a.check(text, depth, limit); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func hold(name string, depth, from, to int) *stage.Engine {
+func newEngine(name string, depth, from, to int) *stage.Engine {
 	return &stage.Engine{
 		Name: name, Slots: 8, Layer: time.Millisecond,
 		Holds: []frame.Hold{{Model: model, Version: "1", Depth: depth, From: from, To: to}},
 	}
 }
 
-func on(name string, from, to int) spec.Stage {
+func stageOn(name string, from, to int) spec.Stage {
 	return spec.NewStage(spec.UpstreamID(name), spec.NewLayers(from, to))
 }
--- a/internal/wire/chain/stream.go
+++ b/internal/wire/chain/stream.go
@@ -9,8 +9,8 @@
 
 // stream runs a whole-model stage: one step, a reply per token.
 func (j *run) stream(ctx context.Context, s *stage) error {
-	if !j.build(s) {
-		return j.lose(s, domain.CauseStateLost)
+	if !j.buildStep(s) {
+		return j.markLost(s, domain.CauseStateLost)
 	}
 	if s.done == 0 {
 		// No hidden values come back, so the whole prompt goes in one step.
@@ -19,71 +19,71 @@
 	left := j.job.Arrived.MaxTokens - j.count()
 	s.step.Verb, s.step.Count = frame.VerbRun, left
 	base := s.step.Seq
-	j.begin(ctx, s)
-	if err := j.call(ctx, s); err != nil {
+	j.startStep(ctx, s)
+	if err := j.awaitReply(ctx, s); err != nil {
 		return err
 	}
 	for i := 0; ; i++ {
-		if err := j.counted(s, i); err != nil {
+		if err := j.applyRunReply(s, i); err != nil {
 			return err
 		}
-		if err := j.token(); err != nil {
+		if err := j.emitToken(); err != nil {
 			return err
 		}
 		if j.ended() || j.reply.End {
 			return nil
 		}
-		j.proceed(s)
+		j.setNextStep(s)
 		if err := j.recv(ctx, s, base); err != nil {
 			return j.resume(ctx, s, err)
 		}
-		if err := j.checked(s); err != nil {
+		if err := j.checkCode(s); err != nil {
 			return err
 		}
 	}
 }
 
-// proceed sets s.step to the one that the engine makes of its last token.
-func (j *run) proceed(s *stage) {
+// setNextStep sets s.step to the one that the engine makes of its last token.
+func (j *run) setNextStep(s *stage) {
 	s.step.Seq++
 	s.step.Pos = j.reply.Next
 	s.step.Text = ""
 	s.step.Tokens = j.inputs.tokens[j.count()-1:]
 }
 
-// counted takes reply i of a run into the stage's numbers. An end whose count
+// applyRunReply takes reply i of a run into the stage's numbers. An end whose count
 // differs from what came is not an end: the rest is asked for again.
-func (j *run) counted(s *stage, i int) error {
+func (j *run) applyRunReply(s *stage, i int) error {
 	r := &j.reply
-	if r.Left != 0 || !j.accounts(s) {
-		return j.lose(s, domain.CauseStateLost)
+	if r.Left != 0 || !j.coversStep(s) {
+		return j.markLost(s, domain.CauseStateLost)
 	}
 	want := i + 1
 	if r.Last {
 		want = i
 	}
 	if r.Index != i || r.Last && !r.End || r.End && r.Total != want {
-		return j.stalled(s)
+		return j.countStall(s)
 	}
-	j.sized(s)
-	s.seq, s.done, s.anew, s.stalls = r.Seq, r.Next, 0, 0
+	j.setPromptSize(s)
+	s.seq, s.done, s.rebuilds, s.stalls = r.Seq, r.Next, 0, 0
 	return nil
 }
 
 // resume has the run asked for again from the next token on.
 func (j *run) resume(ctx context.Context, s *stage, err error) error {
 	s.stalls++
-	if err := j.mend(ctx, s, err, s.stalls-1); err != nil {
+	if err := j.handleError(ctx, s, err, s.stalls-1); err != nil {
 		return err
 	}
-	return errAgain
+	return errStageReset
 }
 
-func (j *run) stalled(s *stage) error {
+func (j *run) countStall(s *stage) error {
 	s.stalls++
 	if s.stalls > maxStalls {
-		return j.lose(s, domain.CauseStateLost)
+		return j.markLost(s, domain.CauseStateLost)
 	}
 	j.meters.resends.Inc()
-	return errAgain
+	return errStageReset
 }
--- a/internal/wire/engine/check.go
+++ b/internal/wire/engine/check.go
@@ -14,15 +14,15 @@
 // engine; a value beyond them would overflow or starve the decisions, so the
 // whole report is refused and the former one stays in force.
 const (
-	maxHolds    = 256
-	maxLayers   = 1 << 12
-	maxWidth    = 1 << 24
-	maxSlots    = 1 << 16
-	maxNumber   = 1 << 31
-	maxNameLen  = 256
-	maxLayerRun = int64(time.Minute)
-	maxLink     = int64(time.Minute / time.Microsecond)
-	maxRate     = int64(1) << 50
+	maxHolds     = 256
+	maxLayers    = 1 << 12
+	maxWidth     = 1 << 24
+	maxSlots     = 1 << 16
+	maxCount     = 1 << 31
+	maxNameLen   = 256
+	maxLayerTime = int64(time.Minute)
+	maxLink      = int64(time.Minute / time.Microsecond)
+	maxBandwidth = int64(1) << 50
 )
 
 func checkEngine(b *frame.Engine) error {
@@ -37,15 +37,15 @@
 		value  int64
 		bounds int64
 	}{
-		{"layer", b.Layer, maxLayerRun},
+		{"layer", b.Layer, maxLayerTime},
 		{"slots", int64(b.Slots), maxSlots},
-		{"memory", int64(b.Memory), maxNumber},
-		{"cache", int64(b.Cache), maxNumber},
-		{"cached", int64(b.Cached), maxNumber},
-		{"queued", int64(b.Queued), maxNumber},
-		{"active", int64(b.Active), maxNumber},
+		{"memory", int64(b.Memory), maxCount},
+		{"cache", int64(b.Cache), maxCount},
+		{"cached", int64(b.Cached), maxCount},
+		{"queued", int64(b.Queued), maxCount},
+		{"active", int64(b.Active), maxCount},
 		{"link", b.Link, maxLink},
-		{"bandwidth", b.Bandwidth, maxRate},
+		{"bandwidth", b.Bandwidth, maxBandwidth},
 	}
 	for _, n := range numbers {
 		if n.value < 0 || n.value > n.bounds {
--- a/internal/wire/engine/conn.go
+++ b/internal/wire/engine/conn.go
@@ -26,8 +26,8 @@
 	probeEvery = 2 * time.Second
 )
 
-// route names the stream that a reply belongs to.
-type route struct {
+// streamKey names the stream that a reply belongs to.
+type streamKey struct {
 	req  string
 	try  uint32
 	from int
@@ -38,11 +38,11 @@
 	ws          *websocket.Conn
 	incarnation uint64
 	meters      *meters
-	hops        *hops
+	hops        *hopRecorder
 	out         outbox
 	mu          sync.Mutex
-	streams     map[route]*Stream
-	heard       atomic.Int64
+	streams     map[streamKey]*Stream
+	received    atomic.Int64
 	// reply is what the reading goroutine decodes into; streams copy it.
 	reply  frame.Reply
 	closed chan struct{}
@@ -50,7 +50,7 @@
 }
 
 // connect makes a connection over the dialer d.
-func connect(ctx context.Context, d *websocket.Dialer, base string, m *meters, h *hops) (*Conn, error) {
+func connect(ctx context.Context, d *websocket.Dialer, base string, m *meters, h *hopRecorder) (*Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	ws, resp, err := d.DialContext(ctx, wsURL(base)+"/v1/steps", http.Header{})
@@ -63,11 +63,11 @@
 	ws.SetReadLimit(frame.MaxBytes)
 	c := &Conn{
 		ws: ws, incarnation: incarnation(resp.Header), meters: m, hops: h,
-		streams: map[route]*Stream{}, closed: make(chan struct{}),
+		streams: map[streamKey]*Stream{}, closed: make(chan struct{}),
 	}
 	c.out.init()
 	ws.SetPongHandler(func(string) error {
-		c.heard.Add(1)
+		c.received.Add(1)
 		return nil
 	})
 	go c.read()
@@ -96,9 +96,9 @@
 
 // Open returns the stream of one request's state on this engine.
 func (c *Conn) Open(req string, try uint32, from int) *Stream {
-	s := newStream(c, route{req: req, try: try, from: from})
+	s := newStream(c, streamKey{req: req, try: try, from: from})
 	c.mu.Lock()
-	c.streams[s.at] = s
+	c.streams[s.key] = s
 	c.mu.Unlock()
 	return s
 }
@@ -115,34 +115,34 @@
 		if _, err := buf.ReadFrom(r); err != nil {
 			return
 		}
-		c.heard.Add(1)
-		if err := c.message(buf.Bytes()); err != nil {
-			c.meters.bad.Inc()
+		c.received.Add(1)
+		if err := c.handleMessage(buf.Bytes()); err != nil {
+			c.meters.badFrames.Inc()
 			return
 		}
 	}
 }
 
-// message hands out every frame of one message.
-func (c *Conn) message(data []byte) error {
+// handleMessage hands out every frame of one message.
+func (c *Conn) handleMessage(data []byte) error {
 	for len(data) > 0 {
 		c.reply = frame.Reply{}
 		rest, err := frame.NextReply(data, &c.reply)
 		if err != nil {
 			return err
 		}
-		c.hand(&c.reply)
+		c.dispatch(&c.reply)
 		data = rest
 	}
 	return nil
 }
 
-// hand gives r to its stream. A reply of an older attempt or of a request
+// dispatch gives r to its stream. A reply of an older attempt or of a request
 // that ended has no stream and is dropped: late answers reach nobody. It
 // never waits, so a slow reader of one stream does not hold up the others.
-func (c *Conn) hand(r *frame.Reply) {
+func (c *Conn) dispatch(r *frame.Reply) {
 	c.mu.Lock()
-	s := c.streams[route{req: r.Req, try: r.Try, from: r.From}]
+	s := c.streams[streamKey{req: r.Req, try: r.Try, from: r.From}]
 	c.mu.Unlock()
 	if s == nil {
 		c.meters.stale.Inc()
@@ -165,7 +165,7 @@
 				return
 			}
 		case <-probe.C:
-			if heard := c.heard.Load(); heard != last || c.idle() {
+			if heard := c.received.Load(); heard != last || c.idle() {
 				last, silent = heard, 0
 				continue
 			}
@@ -182,7 +182,7 @@
 	if buf == nil {
 		return nil
 	}
-	defer c.out.give(buf)
+	defer c.out.release(buf)
 	if err := c.ws.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return errors.Wrap(ErrBroken, err.Error())
 	}
@@ -202,11 +202,11 @@
 	return len(c.streams) == 0
 }
 
-func (c *Conn) forget(s *Stream) {
+func (c *Conn) remove(s *Stream) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.streams[s.at] == s {
-		delete(c.streams, s.at)
+	if c.streams[s.key] == s {
+		delete(c.streams, s.key)
 	}
 }
 
--- a/internal/wire/engine/control.go
+++ b/internal/wire/engine/control.go
@@ -136,7 +136,7 @@
 	case http.StatusOK, http.StatusAccepted, http.StatusNoContent:
 		return nil
 	case http.StatusConflict:
-		return ErrFence
+		return ErrStaleFence
 	default:
 		return errors.Wrapf(ErrRefused, "status %d", code)
 	}
--- a/internal/wire/engine/control_test.go
+++ b/internal/wire/engine/control_test.go
@@ -19,23 +19,23 @@
 	"fulmarwick/internal/wire/engine"
 )
 
-// says answers every call with the same body.
-type says string
+// fixedBody answers every call with the same body.
+type fixedBody string
 
-func (s says) RoundTrip(*http.Request) (*http.Response, error) {
+func (s fixedBody) RoundTrip(*http.Request) (*http.Response, error) {
 	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(strings.NewReader(string(s)))}, nil
 }
 
-func asked(body string) *engine.Control {
-	return &engine.Control{HTTP: &http.Client{Transport: says(body)}, Base: "http://e"}
+func controlFor(body string) *engine.Control {
+	return &engine.Control{HTTP: &http.Client{Transport: fixedBody(body)}, Base: "http://e"}
 }
 
-const fair = `{"name":"e","state":"live","slots":4,"layer":1000,"seq":7,"holds":[{"model":"m","version":"1","depth":8,"from":0,"to":4}]}`
+const validReport = `{"name":"e","state":"live","slots":4,"layer":1000,"seq":7,"holds":[{"model":"m","version":"1","depth":8,"from":0,"to":4}]}`
 
 // The operators see one engine left out with a reason. It reports what cannot
 // be true; taking it would overflow predictions or plan layers twice.
 func TestHostileReportsAreRefused(t *testing.T) {
-	if _, err := asked(fair).Report(t.Context()); err != nil {
+	if _, err := controlFor(validReport).Report(t.Context()); err != nil {
 		t.Fatalf("got %v for a fair report, want nil", err)
 	}
 	for name, change := range map[string][2]string{
@@ -60,25 +60,25 @@
 		"negative memory": {`"slots":4`, `"memory":-1`},
 	} {
 		t.Run(name, func(t *testing.T) {
-			body := strings.Replace(fair, change[0], change[1], 1)
-			if body == fair {
+			body := strings.Replace(validReport, change[0], change[1], 1)
+			if body == validReport {
 				t.Fatal("the case changes nothing")
 			}
-			if got, err := asked(body).Report(t.Context()); !errors.Is(err, engine.ErrBody) {
+			if got, err := controlFor(body).Report(t.Context()); !errors.Is(err, engine.ErrBody) {
 				t.Errorf("got %+v and %v, want ErrBody", got, err)
 			}
 		})
 	}
 }
 
-func TestEndlessAnswerIsCut(t *testing.T) {
-	body := fair[:len(fair)-1] + strings.Repeat(" ", 2<<20) + "}"
-	if _, err := asked(body).Report(t.Context()); !errors.Is(err, engine.ErrBody) {
+func TestOversizedAnswerIsRefused(t *testing.T) {
+	body := validReport[:len(validReport)-1] + strings.Repeat(" ", 2<<20) + "}"
+	if _, err := controlFor(body).Report(t.Context()); !errors.Is(err, engine.ErrBody) {
 		t.Errorf("got %v, want ErrBody", err)
 	}
 }
 
-func TestEventsMustRise(t *testing.T) {
+func TestEventSequenceMustIncrease(t *testing.T) {
 	for body, fine := range map[string]bool{
 		`{"seq":9,"events":[{"seq":8},{"seq":9}]}`:  true,
 		`{"seq":9,"events":[{"seq":6},{"seq":9}]}`:  true, // a gap is the logic's to see
@@ -87,17 +87,17 @@
 		`{"seq":9,"events":[{"seq":10}]}`:           false,
 		`{"seq":2,"reset":true,"blocks":[1,2,3,4]}`: true,
 	} {
-		if _, err := asked(body).Events(t.Context(), 5); (err == nil) != fine {
+		if _, err := controlFor(body).Events(t.Context(), 5); (err == nil) != fine {
 			t.Errorf("got %v for %s, want fine %t", err, body, fine)
 		}
 	}
 }
 
 func FuzzReport(f *testing.F) {
-	f.Add([]byte(fair))
+	f.Add([]byte(validReport))
 	f.Add([]byte(`{"holds":[{}]}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		got, err := asked(string(data)).Report(context.Background())
+		got, err := controlFor(string(data)).Report(context.Background())
 		if err != nil {
 			return
 		}
@@ -114,7 +114,7 @@
 	f.Add([]byte(`{"seq":9,"events":[{"seq":8,"added":true,"block":5}]}`))
 	f.Add([]byte(`{"seq":9,"reset":true,"blocks":[1]}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		page, err := asked(string(data)).Events(context.Background(), 3)
+		page, err := controlFor(string(data)).Events(context.Background(), 3)
 		if err != nil {
 			return
 		}
@@ -131,15 +131,15 @@
 func FuzzExport(f *testing.F) {
 	f.Add([]byte(`{"req":"r","from":0,"to":2,"pos":3,"data":"AAAA"}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		kv, err := asked(string(data)).Export(context.Background(), "r", 0, 2)
+		kv, err := controlFor(string(data)).Export(context.Background(), "r", 0, 2)
 		if err == nil && (kv.Req != "r" || kv.From != 0 || kv.To != 2 || kv.Pos < 0) {
 			t.Errorf("got %+v from %q, want a refusal", kv, data)
 		}
 	})
 }
 
-// running serves a stand-in engine in memory.
-func running(e *stage.Engine) (*engine.Control, *engine.Pool, func()) {
+// serveEngine serves a stand-in engine in memory.
+func serveEngine(e *stage.Engine) (*engine.Control, *engine.Pool, func()) {
 	l := inmem.Listen()
 	server := &http.Server{Handler: e.Handler()}
 	done := make(chan struct{})
@@ -168,15 +168,15 @@
 // A former holder of the duty wakes after a pause and sends its order late. An
 // engine that checks fencing numbers refuses it; one that does not takes it,
 // which is why routing trusts only what an engine reports.
-func TestOldOrder(t *testing.T) {
+func TestOrderWithOldFencingToken(t *testing.T) {
 	for _, fenced := range []bool{true, false} {
 		e := &stage.Engine{Name: "e", Fenced: fenced, Memory: 50}
-		c, _, stop := running(e)
+		c, _, stop := serveEngine(e)
 		if err := c.Order(t.Context(), frame.Order{Fence: 8, Holds: holds("m", 0, 40)}); err != nil {
 			t.Fatal(err)
 		}
 		err := c.Order(t.Context(), frame.Order{Fence: 7, Holds: holds("m", 40, 80)})
-		if got := errors.Is(err, engine.ErrFence); got != fenced {
+		if got := errors.Is(err, engine.ErrStaleFence); got != fenced {
 			t.Errorf("got %v from an engine with fencing %t, want ErrFence %t", err, fenced, fenced)
 		}
 		want := "40-80"
@@ -199,13 +199,13 @@
 
 // Two engines are ordered to load at once from one store. What they held and
 // keep serves on, the rest comes at the store's rate, one after the other.
-func TestLoadingTakesTheStoresTime(t *testing.T) {
+func TestLoadingWaitsForStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &stage.Weights{Rate: 10}
 		var reports []func() string
 		for i := range 2 {
 			e := &stage.Engine{Name: fmt.Sprint(i), Holds: holds("m", 0, 30), Store: store}
-			c, _, stop := running(e)
+			c, _, stop := serveEngine(e)
 			defer stop()
 			if err := c.Order(t.Context(), frame.Order{Fence: 1, Holds: holds("m", 20, 50)}); err != nil {
 				t.Fatal(err)
@@ -231,7 +231,7 @@
 // show late, some never do, and after too many only the whole content is told.
 func TestCacheEventsLateAndWithGaps(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c, p, stop := running(&stage.Engine{
+		c, p, stop := serveEngine(&stage.Engine{
 			Name: "e", Holds: holds("m", 0, 100), Cache: 3, EventLag: time.Second,
 			Gap: func(seq uint64) bool { return seq == 2 },
 		})
@@ -269,7 +269,7 @@
 func TestReportLags(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &stage.Engine{Name: "e", Holds: holds("m", 0, 100), Layer: 30 * time.Millisecond, Lag: 2 * time.Second}
-		_, p, stop := running(e)
+		_, p, stop := serveEngine(e)
 		defer stop()
 		if got := e.Report().Active; got != 0 {
 			t.Errorf("got %d active, want 0", got)
@@ -296,7 +296,7 @@
 func TestRunOfDeadConnectionLeavesNoState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &stage.Engine{Name: "e", Holds: holds("m", 0, 100), Layer: time.Millisecond}
-		_, p, stop := running(e)
+		_, p, stop := serveEngine(e)
 		defer stop()
 		s, err := p.Open(t.Context(), "e", "r", 1, 0)
 		if err != nil {
@@ -317,10 +317,10 @@
 // The platform lists an engine at another address, and later not at all. Work
 // on the old connection ends at once, new work goes to the new address, and
 // none to an engine that is gone.
-func TestEngineMovesAndGoes(t *testing.T) {
+func TestEngineMovesAndIsRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &stage.Engine{Name: "e", Holds: holds("m", 0, 100)}
-		_, p, stop := running(e)
+		_, p, stop := serveEngine(e)
 		defer stop()
 		s, err := p.Open(t.Context(), "e", "r", 1, 0)
 		if err != nil {
@@ -344,13 +344,13 @@
 // A link is cut without a word: no packet comes, and none says so. The
 // connection is given up after two silent periods, so that its streams go on
 // elsewhere; one that is only idle is left alone.
-func TestSilentConnectionIsGivenUp(t *testing.T) {
+func TestUnresponsiveConnectionIsClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &stage.Engine{Name: "e", Holds: holds("m", 0, 100), Layer: time.Second}
 		l := inmem.Listen()
 		server := &http.Server{Handler: e.Handler()}
 		go func() { _ = server.Serve(l) }()
-		silent := &mute{}
+		silent := &silentConn{}
 		p := &engine.Pool{Dial: func(ctx context.Context, network, address string) (net.Conn, error) {
 			c, err := l.Dial(ctx, network, address)
 			silent.Conn = c
@@ -362,7 +362,7 @@
 			t.Fatal(err)
 		}
 		var r frame.Reply
-		if err := s.Recv(t.Context(), time.Minute, &r); !errors.Is(err, engine.ErrLate) {
+		if err := s.Recv(t.Context(), time.Minute, &r); !errors.Is(err, engine.ErrTimeout) {
 			t.Errorf("got %v after a minute on a good link, want ErrLate", err)
 		}
 		silent.cut.Store(true)
@@ -375,13 +375,13 @@
 	})
 }
 
-// mute is a connection whose bytes stop to arrive.
-type mute struct {
+// silentConn is a connection whose bytes stop to arrive.
+type silentConn struct {
 	net.Conn
 	cut atomic.Bool
 }
 
-func (m *mute) Write(b []byte) (int, error) {
+func (m *silentConn) Write(b []byte) (int, error) {
 	if m.cut.Load() {
 		return len(b), nil
 	}
@@ -391,10 +391,10 @@
 // An engine hangs with its connections open and is found down by its missing
 // reports. Work on it must end at once rather than wait out its patience; a
 // hasty judgement costs nothing, since the engine is reached again.
-func TestDownEngineBreaksItsConnection(t *testing.T) {
+func TestBreakEndsStreamsOfDownEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &stage.Engine{Name: "e", Holds: holds("m", 0, 100)}
-		_, p, stop := running(e)
+		_, p, stop := serveEngine(e)
 		defer stop()
 		s, err := p.Open(t.Context(), "e", "r", 1, 0)
 		if err != nil {
--- a/internal/wire/engine/doc.go
+++ b/internal/wire/engine/doc.go
@@ -13,14 +13,14 @@
 	ErrRefused = errors.New("engine: refused")
 	// ErrBroken means that the connection broke; sent steps may have run.
 	ErrBroken = errors.New("engine: connection broken")
-	// ErrLate means that no reply came within the time given; the step may
+	// ErrTimeout means that no reply came within the time given; the step may
 	// have run, or may run yet.
-	ErrLate = errors.New("engine: no reply in time")
-	// ErrMissed means that the stream's reader was too slow and replies were
+	ErrTimeout = errors.New("engine: no reply in time")
+	// ErrOverflow means that the stream's reader was too slow and replies were
 	// dropped; the engine can give them again.
-	ErrMissed = errors.New("engine: replies dropped")
-	// ErrFence means that the engine took an order with a higher number.
-	ErrFence = errors.New("engine: fencing number too old")
+	ErrOverflow = errors.New("engine: replies dropped")
+	// ErrStaleFence means that the engine took an order with a higher number.
+	ErrStaleFence = errors.New("engine: fencing number too old")
 	// ErrBody means that the engine's answer is not one that it may give.
 	ErrBody = errors.New("engine: bad answer")
 )
--- a/internal/wire/engine/hops.go
+++ b/internal/wire/engine/hops.go
@@ -14,14 +14,14 @@
 	// hopEvery is the least time between two HopTimed events of an engine.
 	hopEvery = time.Second
 	// hopMax is the longest hop that the histogram tells apart.
-	hopMax    = time.Minute
-	hopDigits = 2
-	median    = 50
-	tail      = 99
+	hopMax           = time.Minute
+	hopDigits        = 2
+	medianPercentile = 50
+	tailPercentile   = 99
 )
 
-// hops gathers the hop times of one engine and posts them now and then.
-type hops struct {
+// hopRecorder gathers the hop times of one engine and posts them now and then.
+type hopRecorder struct {
 	engine spec.UpstreamID
 	post   func(domain.Event)
 
@@ -30,12 +30,12 @@
 	since time.Time
 }
 
-func newHops(engine spec.UpstreamID, post func(domain.Event)) *hops {
+func newHopRecorder(engine spec.UpstreamID, post func(domain.Event)) *hopRecorder {
 	hist := hdrhistogram.New(1, hopMax.Microseconds(), hopDigits)
-	return &hops{engine: engine, post: post, hist: hist, since: time.Now()}
+	return &hopRecorder{engine: engine, post: post, hist: hist, since: time.Now()}
 }
 
-func (h *hops) record(hop time.Duration) {
+func (h *hopRecorder) record(hop time.Duration) {
 	if h.post == nil {
 		return
 	}
@@ -48,15 +48,15 @@
 	}
 }
 
-func (h *hops) due() (domain.HopMeasured, bool) {
+func (h *hopRecorder) due() (domain.HopMeasured, bool) {
 	now := time.Now()
 	if now.Sub(h.since) < hopEvery {
 		return domain.HopMeasured{}, false
 	}
 	ev := domain.HopMeasured{
 		Engine: h.engine, Count: int(h.hist.TotalCount()),
-		P50: time.Duration(h.hist.ValueAtQuantile(median)) * time.Microsecond,
-		P99: time.Duration(h.hist.ValueAtQuantile(tail)) * time.Microsecond,
+		P50: time.Duration(h.hist.ValueAtQuantile(medianPercentile)) * time.Microsecond,
+		P99: time.Duration(h.hist.ValueAtQuantile(tailPercentile)) * time.Microsecond,
 	}
 	h.hist.Reset()
 	h.since = now
--- a/internal/wire/engine/move.go
+++ b/internal/wire/engine/move.go
@@ -32,7 +32,7 @@
 
 func (p *Pool) control(id spec.UpstreamID) (*Control, error) {
 	p.init()
-	base, _ := p.place(id)
+	base, _ := p.lookup(id)
 	if base == "" {
 		return nil, ErrRefused
 	}
--- a/internal/wire/engine/outbox.go
+++ b/internal/wire/engine/outbox.go
@@ -15,17 +15,17 @@
 // outbox gathers encoded steps while the writer is busy, so that many streams
 // share one write.
 type outbox struct {
-	mu     sync.Mutex
-	room   *sync.Cond
-	fill   *bytes.Buffer
-	spare  *bytes.Buffer
-	closed bool
-	wake   chan struct{}
+	mu      sync.Mutex
+	notFull *sync.Cond
+	pending *bytes.Buffer
+	spare   *bytes.Buffer
+	closed  bool
+	wake    chan struct{}
 }
 
 func (o *outbox) init() {
-	o.room = sync.NewCond(&o.mu)
-	o.fill, o.spare = new(bytes.Buffer), new(bytes.Buffer)
+	o.notFull = sync.NewCond(&o.mu)
+	o.pending, o.spare = new(bytes.Buffer), new(bytes.Buffer)
 	o.wake = make(chan struct{}, 1)
 }
 
@@ -34,19 +34,19 @@
 func (o *outbox) add(s *frame.Step) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	for o.fill.Len() > outboxBytes && !o.closed {
-		o.room.Wait()
+	for o.pending.Len() > outboxBytes && !o.closed {
+		o.notFull.Wait()
 	}
 	if o.closed {
 		return ErrBroken
 	}
-	before := o.fill.Len()
-	err := frame.AppendStep(o.fill, s)
-	if err == nil && o.fill.Len()-before > frame.MaxBytes-outboxBytes {
+	before := o.pending.Len()
+	err := frame.AppendStep(o.pending, s)
+	if err == nil && o.pending.Len()-before > frame.MaxBytes-outboxBytes {
 		err = errors.New("step too large")
 	}
 	if err != nil {
-		o.fill.Truncate(before)
+		o.pending.Truncate(before)
 		return errors.Wrap(err, "engine: encode")
 	}
 	select {
@@ -60,19 +60,19 @@
 func (o *outbox) take() *bytes.Buffer {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.fill.Len() == 0 {
+	if o.pending.Len() == 0 {
 		return nil
 	}
-	full := o.fill
-	o.fill, o.spare = o.spare, nil
-	if o.fill == nil {
-		o.fill = new(bytes.Buffer)
+	full := o.pending
+	o.pending, o.spare = o.spare, nil
+	if o.pending == nil {
+		o.pending = new(bytes.Buffer)
 	}
-	o.room.Broadcast()
+	o.notFull.Broadcast()
 	return full
 }
 
-func (o *outbox) give(b *bytes.Buffer) {
+func (o *outbox) release(b *bytes.Buffer) {
 	// A buffer that one large prompt grew is not kept for the small steps.
 	if b.Cap() > outboxBytes {
 		b = new(bytes.Buffer)
@@ -87,5 +87,5 @@
 	o.mu.Lock()
 	o.closed = true
 	o.mu.Unlock()
-	o.room.Broadcast()
+	o.notFull.Broadcast()
 }
--- a/internal/wire/engine/pool.go
+++ b/internal/wire/engine/pool.go
@@ -32,25 +32,25 @@
 	// Meters takes the counters; nil makes a private set.
 	Meters *metrics.Set
 
-	once   sync.Once
-	meters *meters
-	dials  singleflight.Group
-	mu     sync.Mutex
-	known  map[spec.UpstreamID]*known
-	closed bool
+	once    sync.Once
+	meters  *meters
+	dials   singleflight.Group
+	mu      sync.Mutex
+	engines map[spec.UpstreamID]*engineEntry
+	closed  bool
 }
 
-// known is what the pool keeps of one engine.
-type known struct {
+// engineEntry is what the pool keeps of one engine.
+type engineEntry struct {
 	base string
-	hops *hops
+	hops *hopRecorder
 	conn *Conn
 }
 
 func (p *Pool) init() {
 	p.once.Do(func() {
 		p.meters = newMeters(p.Meters)
-		p.known = map[spec.UpstreamID]*known{}
+		p.engines = map[spec.UpstreamID]*engineEntry{}
 	})
 }
 
@@ -60,14 +60,14 @@
 	p.init()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	k := p.known[id]
+	k := p.engines[id]
 	if k == nil {
-		p.known[id] = &known{base: base, hops: newHops(id, p.Post)}
+		p.engines[id] = &engineEntry{base: base, hops: newHopRecorder(id, p.Post)}
 		return
 	}
 	if k.base != base {
 		k.base = base
-		k.drop()
+		k.closeConn()
 	}
 }
 
@@ -78,8 +78,8 @@
 	p.init()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if k := p.known[id]; k != nil {
-		k.drop()
+	if k := p.engines[id]; k != nil {
+		k.closeConn()
 	}
 }
 
@@ -88,13 +88,13 @@
 	p.init()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if k := p.known[id]; k != nil {
-		k.drop()
-		delete(p.known, id)
+	if k := p.engines[id]; k != nil {
+		k.closeConn()
+		delete(p.engines, id)
 	}
 }
 
-func (k *known) drop() {
+func (k *engineEntry) closeConn() {
 	if k.conn != nil {
 		k.conn.Close()
 		k.conn = nil
@@ -118,13 +118,13 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
-	for _, k := range p.known {
-		k.drop()
+	for _, k := range p.engines {
+		k.closeConn()
 	}
 }
 
 func (p *Pool) conn(ctx context.Context, id spec.UpstreamID) (*Conn, error) {
-	if c := p.live(id); c != nil {
+	if c := p.liveConn(id); c != nil {
 		return c, nil
 	}
 	// Many requests lose a connection at once; they share one dial, which
@@ -143,10 +143,10 @@
 	}
 }
 
-func (p *Pool) live(id spec.UpstreamID) *Conn {
+func (p *Pool) liveConn(id spec.UpstreamID) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	k := p.known[id]
+	k := p.engines[id]
 	if k == nil || k.conn == nil || !k.conn.alive() {
 		return nil
 	}
@@ -154,10 +154,10 @@
 }
 
 func (p *Pool) dial(ctx context.Context, id spec.UpstreamID) (*Conn, error) {
-	if c := p.live(id); c != nil {
+	if c := p.liveConn(id); c != nil {
 		return c, nil
 	}
-	base, h := p.place(id)
+	base, h := p.lookup(id)
 	if base == "" {
 		return nil, ErrRefused
 	}
@@ -168,27 +168,27 @@
 	p.meters.dials.Inc()
 	c, err := connect(ctx, d, base, p.meters, h)
 	if err != nil {
-		p.meters.failed.Inc()
+		p.meters.dialFailures.Inc()
 		return nil, err
 	}
-	return p.keep(id, base, c)
+	return p.store(id, base, c)
 }
 
-func (p *Pool) place(id spec.UpstreamID) (string, *hops) {
+func (p *Pool) lookup(id spec.UpstreamID) (string, *hopRecorder) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	k := p.known[id]
+	k := p.engines[id]
 	if k == nil {
 		return "", nil
 	}
 	return k.base, k.hops
 }
 
-// keep stores c unless the engine moved or left while it was dialled.
-func (p *Pool) keep(id spec.UpstreamID, base string, c *Conn) (*Conn, error) {
+// store stores c unless the engine moved or left while it was dialled.
+func (p *Pool) store(id spec.UpstreamID, base string, c *Conn) (*Conn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	k := p.known[id]
+	k := p.engines[id]
 	if p.closed || k == nil || k.base != base {
 		c.Close()
 		return nil, ErrRefused
--- a/internal/wire/engine/stream.go
+++ b/internal/wire/engine/stream.go
@@ -16,31 +16,31 @@
 // Stream is one request's state on one engine. One goroutine uses it.
 type Stream struct {
 	conn  *Conn
-	at    route
+	key   streamKey
 	ready chan struct{}
 	timer *time.Timer
 
-	mu     sync.Mutex
-	queue  []frame.Reply
-	head   int
-	missed bool
-	seq    uint64
-	sent   time.Time
+	mu         sync.Mutex
+	queue      []frame.Reply
+	head       int
+	overflowed bool
+	seq        uint64
+	sentAt     time.Time
 }
 
 var _ frame.Stream = (*Stream)(nil)
 
-func newStream(c *Conn, at route) *Stream {
-	return &Stream{conn: c, at: at, ready: make(chan struct{}, 1)}
+func newStream(c *Conn, at streamKey) *Stream {
+	return &Stream{conn: c, key: at, ready: make(chan struct{}, 1)}
 }
 
 // Send queues a step; the request, attempt and first layer are the stream's.
 func (s *Stream) Send(step *frame.Step) error {
-	step.Req = s.at.req
-	step.Try = s.at.try
-	step.From = s.at.from
+	step.Req = s.key.req
+	step.Try = s.key.try
+	step.From = s.key.from
 	s.mu.Lock()
-	s.seq, s.sent = step.Seq, time.Now()
+	s.seq, s.sentAt = step.Seq, time.Now()
 	s.mu.Unlock()
 	s.conn.meters.steps.Inc()
 	return s.conn.out.add(step)
@@ -55,8 +55,8 @@
 	if ok, err := s.pop(r); ok || err != nil {
 		return err
 	}
-	late := s.alarm(within)
-	defer s.quiet()
+	late := s.startTimer(within)
+	defer s.stopTimer()
 	for {
 		select {
 		case <-s.ready:
@@ -67,7 +67,7 @@
 			}
 			return ErrBroken
 		case <-late:
-			return ErrLate
+			return ErrTimeout
 		case <-ctx.Done():
 			return errors.Wrap(ctx.Err(), "engine: wait")
 		}
@@ -77,7 +77,7 @@
 	}
 }
 
-func (s *Stream) alarm(within time.Duration) <-chan time.Time {
+func (s *Stream) startTimer(within time.Duration) <-chan time.Time {
 	if within <= 0 {
 		return nil
 	}
@@ -89,7 +89,7 @@
 	return s.timer.C
 }
 
-func (s *Stream) quiet() {
+func (s *Stream) stopTimer() {
 	if s.timer != nil {
 		s.timer.Stop()
 	}
@@ -107,9 +107,9 @@
 		}
 		return true, nil
 	}
-	if s.missed {
-		s.missed = false
-		return false, ErrMissed
+	if s.overflowed {
+		s.overflowed = false
+		return false, ErrOverflow
 	}
 	return false, nil
 }
@@ -119,12 +119,12 @@
 // be asked for again.
 func (s *Stream) put(r *frame.Reply) {
 	s.mu.Lock()
-	s.timed(r)
+	s.recordHop(r)
 	switch {
-	case s.missed:
+	case s.overflowed:
 	case len(s.queue)-s.head >= streamReplies:
-		s.missed = true
-		s.conn.meters.missed.Inc()
+		s.overflowed = true
+		s.conn.meters.overflows.Inc()
 	default:
 		s.push(r)
 	}
@@ -144,23 +144,23 @@
 	s.queue = append(s.queue, *r)
 }
 
-// timed takes the hop time of the step that r answers first.
-func (s *Stream) timed(r *frame.Reply) {
-	if r.Seq != s.seq || s.sent.IsZero() {
+// recordHop takes the hop time of the step that r answers first.
+func (s *Stream) recordHop(r *frame.Reply) {
+	if r.Seq != s.seq || s.sentAt.IsZero() {
 		return
 	}
-	hop := time.Since(s.sent) - time.Duration(r.Took)*time.Microsecond
-	s.sent = time.Time{}
+	hop := time.Since(s.sentAt) - time.Duration(r.Took)*time.Microsecond
+	s.sentAt = time.Time{}
 	s.conn.hops.record(max(0, hop))
 }
 
 // Leave drops the stream and keeps the engine's state.
-func (s *Stream) Leave() { s.conn.forget(s) }
+func (s *Stream) Leave() { s.conn.remove(s) }
 
 // Close drops the stream and the engine's state for it. An engine whose
 // connection broke drops the state by itself after its grace time.
 func (s *Stream) Close() {
-	s.conn.forget(s)
-	step := frame.Step{Verb: frame.VerbCancel, Req: s.at.req, Try: s.at.try, From: s.at.from}
+	s.conn.remove(s)
+	step := frame.Step{Verb: frame.VerbCancel, Req: s.key.req, Try: s.key.try, From: s.key.from}
 	_ = s.conn.out.add(&step)
 }
