--- a/internal/wire/chain/adopt.go
+++ b/internal/wire/chain/adopt.go
@@ -9,12 +9,14 @@
 	"fulmarwick/internal/route/domain"
 )
 
-// minMovePositions is the least cache worth moving; a shorter one is replayed in
-// one step for less than the two calls of a move.
+// minMovePositions is the smallest KV cache, in positions, that is moved
+// between engines. A shorter one is replayed in one step, which takes less
+// time than the two calls of a move.
 const minMovePositions = 64
 
-// adopt keeps the stages that stand unchanged in the new chain and drops the
-// others. A stage that was lost never stands unchanged.
+// adopt switches the run to the chain of c. It keeps the stages that are
+// unchanged in the new chain and closes the others. A lost stage is never
+// kept.
 func (j *run) adopt(ctx context.Context, c domain.Start) error {
 	if err := c.Chain.Check(c.Depth); err != nil {
 		return err
@@ -22,7 +24,8 @@
 	old := j.stages
 	j.attempt, j.rebuilds, j.depth, j.prio = c.Attempt, 0, c.Depth, c.Priority
 	j.stepTimeout, j.prefillTimeout = c.StepTimeout, c.PrefillTimeout
-	// The next token is told at once: it clears a suspect of poison.
+	// Report progress with the next token: it clears a request that is
+	// suspected of crashing engines.
 	j.lastProgress = time.Time{}
 	j.stages = make([]*stage, 0, len(c.Chain))
 	for _, s := range c.Chain {
@@ -47,38 +50,38 @@
 	return j.newStage(want)
 }
 
-// dropInputs drops the inputs at boundaries that the chain no longer has.
+// dropInputs drops the inputs at boundaries that the new chain does not have.
 func (j *run) dropInputs(c spec.Chain) {
-	now := map[int]bool{}
+	boundaries := map[int]bool{}
 	for _, s := range c {
-		now[s.Layers().From()] = true
+		boundaries[s.Layers().From()] = true
 	}
 	for boundary := range j.inputs.journals {
-		if !now[boundary] {
+		if !boundaries[boundary] {
 			j.inputs.drop(boundary)
 		}
 	}
 }
 
-// repair makes stages run again whose outputs a later stage needs and that
-// are not kept. It goes from the last stage to the first, since a stage that
-// runs again needs its own inputs from the start.
+// repair resets stages whose outputs are needed by a later stage but are no
+// longer kept. It goes from the last stage to the first, since a stage that is
+// reset needs its own inputs from the start.
 func (j *run) repair() {
 	for i := len(j.stages) - 1; i > 0; i-- {
-		s, before := j.stages[i], j.stages[i-1]
-		if j.inputs.covers(s.from(), s.done, before.done) {
+		s, previous := j.stages[i], j.stages[i-1]
+		if j.inputs.covers(s.from(), s.done, previous.done) {
 			continue
 		}
 		j.inputs.drop(s.from())
-		if s.done < before.done {
-			j.reset(before)
+		if s.done < previous.done {
+			j.reset(previous)
 		}
 	}
 }
 
-// moveCaches fills new stages from the caches of replaced ones whose engines still
-// have them, where that saves a replay: the stage after must not need outputs
-// that only a replay gives.
+// moveCaches fills new stages from the KV caches of replaced stages whose
+// engines still hold them. It does so only where this saves a replay: the
+// stage after must not need outputs that only a replay produces.
 func (j *run) moveCaches(ctx context.Context, old []*stage) {
 	if j.KV == nil {
 		return
@@ -96,7 +99,8 @@
 	}
 }
 
-// cacheSource is the replaced stage whose cache covers that of s.
+// cacheSource returns a replaced stage whose KV cache covers the layers of s,
+// or nil.
 func cacheSource(old []*stage, s *stage) *stage {
 	for _, o := range old {
 		if !o.lost && o.done >= minMovePositions && o.spec.Layers().Covers(s.spec.Layers()) {
@@ -106,8 +110,9 @@
 	return nil
 }
 
-// moveCache copies the cache. A cache that holds another number of positions than
-// this run knows of is not used: it may hold a step whose output was lost.
+// moveCache copies the KV cache of from to the engine of to. The copy is not
+// used if it holds another number of positions than this run has recorded: it
+// may contain a step whose output was lost.
 func (j *run) moveCache(ctx context.Context, from, to *stage) {
 	want := frame.KV{
 		Req: j.reqID, Model: string(j.job.Arrived.Model), Try: to.try,
--- a/internal/wire/chain/bench_test.go
+++ b/internal/wire/chain/bench_test.go
@@ -18,7 +18,7 @@
 
 const benchTokens = 256
 
-// fixedRouter is a router that always gives the same chain.
+// fixedRouter always gives the same chain.
 type fixedRouter struct {
 	chain spec.Chain
 }
@@ -33,7 +33,7 @@
 
 func (f *fixedRouter) Unwatch(spec.RequestID) {}
 
-// longText is a prompt whose answer is as long as the bench wants.
+// longText returns a prompt whose answer has benchTokens tokens.
 func longText() string {
 	for i := 0; ; i++ {
 		text := fmt.Sprint("notice ", i)
@@ -43,8 +43,8 @@
 	}
 }
 
-// cpuTime is the processor time that this process took so far, which other
-// work on the machine disturbs less than the clock.
+// cpuTime returns the CPU time that this process has used so far. Other work
+// on the machine affects it less than wall-clock time.
 func cpuTime(b *testing.B) time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -53,9 +53,9 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkRun streams answers through chain and engine client on loopback
-// from stand-ins that answer at once, which share the processor and whose
-// allocations count too.
+// BenchmarkRun streams answers through package chain and the engine client
+// over loopback. The fake engines answer at once; they share the CPU with the
+// code under test, and their allocations are counted too.
 func BenchmarkRun(b *testing.B) {
 	text := longText()
 	for _, stages := range []int{1, 3} {
@@ -76,9 +76,9 @@
 				r := &chain.Runner{Engines: pool, Router: router}
 				var next atomic.Int64
 				b.SetParallelism(callers)
-				began := cpuTime(b)
+				start := cpuTime(b)
 				b.ReportAllocs()
-				each := func() {
+				runOnce := func() {
 					job := chain.Job{Text: text, Arrived: domain.RequestArrived{
 						Request: spec.RequestID(fmt.Sprint(next.Add(1))), Model: model, MaxTokens: benchTokens,
 					}}
@@ -90,16 +90,16 @@
 				}
 				if callers == 1 {
 					for b.Loop() {
-						each()
+						runOnce()
 					}
 				} else {
 					b.RunParallel(func(pb *testing.PB) {
 						for pb.Next() {
-							each()
+							runOnce()
 						}
 					})
 				}
-				b.ReportMetric(float64(cpuTime(b)-began)/float64(next.Load()*benchTokens), "cpu-ns/token")
+				b.ReportMetric(float64(cpuTime(b)-start)/float64(next.Load()*benchTokens), "cpu-ns/token")
 				b.ReportMetric(float64(next.Load())*benchTokens/b.Elapsed().Seconds(), "tokens/s")
 			})
 		}
--- a/internal/wire/chain/call.go
+++ b/internal/wire/chain/call.go
@@ -12,18 +12,20 @@
 )
 
 const (
-	// reconnectTimeout bounds the attempt to reach an engine again whose
-	// connection broke; a request waits for no longer than this before its
-	// stage is replaced.
+	// reconnectTimeout bounds the attempt to reconnect to an engine after its
+	// connection broke. A request waits at most this long before its stage is
+	// replaced.
 	reconnectTimeout = 300 * time.Millisecond
-	// maxResends is how often one step is sent again, under the same number.
+	// maxResends is how often one step is sent again under the same sequence
+	// number.
 	maxResends = 2
-	// maxStalls is how often a run is asked for again without a token between.
+	// maxStalls is how often the rest of a run is requested again without a
+	// token in between.
 	maxStalls = 8
 )
 
-// startStep puts s.step on its way. What goes wrong shows when its reply is waited
-// for.
+// startStep sends s.step unless it was sent already. An error is kept in
+// s.err; awaitReply handles it.
 func (j *run) startStep(ctx context.Context, s *stage) {
 	if s.sent {
 		return
@@ -43,11 +45,11 @@
 	return s.stream.Send(&s.step)
 }
 
-// awaitReply leaves the reply to s.step in j.reply. A step that got none is sent
-// again where that is safe.
+// awaitReply waits for the reply to s.step and stores it in j.reply. If there
+// is none, it sends the step again where that is safe.
 func (j *run) awaitReply(ctx context.Context, s *stage) error {
 	defer func() { s.sent = false }()
-	for tries := 0; ; tries++ {
+	for retries := 0; ; retries++ {
 		err := s.err
 		s.err = nil
 		if err == nil {
@@ -56,23 +58,25 @@
 		if err == nil {
 			return j.checkCode(s)
 		}
-		if err := j.handleError(ctx, s, err, tries); err != nil {
+		if err := j.handleError(ctx, s, err, retries); err != nil {
 			return err
 		}
 		s.err = j.send(ctx, s)
 	}
 }
 
-// recv waits for the reply to s.step. Base is the number of the step that was
-// sent; in a run the engine goes on by itself, and a reply from beyond the one
-// awaited shows that replies are missing, which the engine can give again.
+// recv waits for the reply to s.step. base is the sequence number of the step
+// that was sent. In a run the engine continues on its own: a reply beyond the
+// expected one shows that replies are missing, and the engine can send those
+// again.
 func (j *run) recv(ctx context.Context, s *stage, base uint64) error {
 	for {
 		if err := s.stream.Recv(ctx, j.timeoutOf(s), &j.reply); err != nil {
 			return err
 		}
 		r := &j.reply
-		// A reply of a run that was asked for again counts from elsewhere.
+		// The index of a reply counts from the step that requested the run, so
+		// a reply to an earlier request of the run has another index.
 		current := j.matches(s) && r.Seq >= base && (r.Code != frame.CodeOK || r.Index == int(r.Seq-base))
 		switch {
 		case current && r.Seq == s.step.Seq:
@@ -84,34 +88,34 @@
 	}
 }
 
-// timeoutOf is how long the stage may take for a step.
+// timeoutOf returns how long the stage may take for its next step.
 func (j *run) timeoutOf(s *stage) time.Duration {
-	wait := j.stepTimeout
+	timeout := j.stepTimeout
 	if s.seq == 0 {
-		wait = j.prefillTimeout
+		timeout = j.prefillTimeout
 	}
-	if wait <= 0 {
+	if timeout <= 0 {
 		return defaultStepTimeout
 	}
-	return wait
+	return timeout
 }
 
-// matches reports whether the reply is of this run and of the stage's present
-// state. One of another request or an older attempt would put foreign layers
-// into the answer.
+// matches reports whether the reply belongs to this run and to the current
+// state of the stage. A reply to another request or an older attempt would put
+// outputs of foreign layers into the answer.
 func (j *run) matches(s *stage) bool {
 	r := &j.reply
 	return r.Req == j.reqID && r.Try == s.try && r.From == s.from()
 }
 
-// checkCode turns the reply's code into what it means for the stage.
+// checkCode returns the error that the code of the reply means for the stage.
 func (j *run) checkCode(s *stage) error {
 	switch j.reply.Code {
 	case frame.CodeOK:
 		return nil
 	case frame.CodeGap, frame.CodeStale:
-		// The engine lives but its state is not the one that was left there,
-		// for it expired or was dropped.
+		// The engine is up, but the state it was left with has expired or was
+		// dropped.
 		return j.rebuild(s)
 	case frame.CodeLeave, frame.CodeFull:
 		return j.markLost(s, domain.CauseLeaving)
@@ -120,27 +124,28 @@
 	}
 }
 
-// handleError returns nil if the step may be sent again under its number: the engine
-// answers a step that it did already from memory.
-func (j *run) handleError(ctx context.Context, s *stage, err error, tries int) error {
+// handleError returns nil if the step may be sent again under its sequence
+// number. This is safe because the engine answers a step that it has already
+// run from memory.
+func (j *run) handleError(ctx context.Context, s *stage, err error, retries int) error {
 	switch {
 	case ctx.Err() != nil:
 		return canceled(ctx)
 	case errors.Is(err, engine.ErrRefused):
 		return j.markLost(s, domain.CauseRefused)
 	case errors.Is(err, engine.ErrBroken):
-		if tries >= maxResends {
+		if retries >= maxResends {
 			return j.markLost(s, domain.CauseBroken)
 		}
 		return j.reconnect(ctx, s)
 	case errors.Is(err, engine.ErrOverflow):
-		if tries >= maxStalls {
+		if retries >= maxStalls {
 			return j.markLost(s, domain.CauseStateLost)
 		}
 		j.meters.resends.Inc()
 		return nil
 	case errors.Is(err, engine.ErrTimeout):
-		if tries >= maxResends {
+		if retries >= maxResends {
 			return j.markLost(s, domain.CauseTimeout)
 		}
 		j.meters.resends.Inc()
@@ -150,25 +155,26 @@
 	}
 }
 
-// reconnect opens the stage's stream again on an engine that still has its
-// state. An engine that restarted has not, and what killed it may be this
-// very request: nothing is sent to it before the routing logic knows.
+// reconnect reopens the stream of the stage on an engine that still has its
+// state. An engine that restarted has lost it, and this request may be what
+// crashed the engine: nothing is sent to it until the routing logic has
+// decided.
 func (j *run) reconnect(ctx context.Context, s *stage) error {
-	wait, cancel := context.WithTimeout(ctx, reconnectTimeout)
+	timeoutCtx, cancel := context.WithTimeout(ctx, reconnectTimeout)
 	defer cancel()
 	if s.stream != nil {
 		s.stream.Leave()
 	}
 	s.stream = nil
-	on, err := j.Engines.Open(wait, s.spec.Engine(), j.reqID, s.try, s.from())
+	stream, err := j.Engines.Open(timeoutCtx, s.spec.Engine(), j.reqID, s.try, s.from())
 	if err != nil {
 		if ctx.Err() != nil {
 			return canceled(ctx)
 		}
 		return j.markLost(s, domain.CauseBroken)
 	}
-	s.stream = on
-	if on.Incarnation() != s.incarnation || s.incarnation == 0 {
+	s.stream = stream
+	if stream.Incarnation() != s.incarnation || s.incarnation == 0 {
 		return j.markLost(s, domain.CauseBroken)
 	}
 	j.meters.reconnects.Inc()
--- a/internal/wire/chain/chain_test.go
+++ b/internal/wire/chain/chain_test.go
@@ -29,8 +29,9 @@
 	limit  = 30
 )
 
-// positions is how many positions a whole answer takes through each layer:
-// the prompt and every token but the last, which is run only if more follow.
+// positions returns how many positions a whole answer takes through each
+// layer: the prompt and every token but the last, which runs only if more
+// tokens follow.
 func positions(text string, limit int) int64 {
 	tokens := layer.Whole(text, depth, limit)
 	n := int64(len(layer.Split(text)) + len(tokens))
@@ -40,8 +41,8 @@
 	return n
 }
 
-// threeStageSite is a site of three stages with a spare for the middle one, on which
-// every chain but the first runs it.
+// threeStageSite returns a site of three stages with a spare engine for the
+// middle one. Every chain after the first uses the spare.
 func threeStageSite() *site {
 	s := newSite(depth, newEngine("a", depth, 0, 4), newEngine("b", depth, 4, 8), newEngine("c", depth, 8, 12), newEngine("d", depth, 4, 8))
 	s.router.plan = func(attempt uint32, _ []spec.UpstreamID) spec.Chain {
@@ -53,7 +54,7 @@
 	return s
 }
 
-// singleEngineSite is a site of one engine that holds the whole model.
+// singleEngineSite returns a site of one engine that holds the whole model.
 func singleEngineSite() *site {
 	s := newSite(depth, newEngine("a", depth, 0, depth))
 	s.router.plan = func(uint32, []spec.UpstreamID) spec.Chain { return spec.Chain{stageOn("a", 0, depth)} }
@@ -69,10 +70,10 @@
 	}
 }
 
-// The caller sees a whole answer without a pause to start over. The middle
-// stage crashes after ten tokens; its spare runs all positions from the inputs
-// kept at its boundary, and the first and last stages run none again, since
-// their states still stand.
+// The middle stage crashes after ten tokens. The spare must run all positions
+// from the inputs kept at its boundary. The first and last stages must not run
+// any position again, since their states are intact, and the caller gets the
+// whole answer.
 func TestSurvivingStagesRunNothingAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := threeStageSite()
@@ -83,20 +84,20 @@
 			}
 		})
 		a.mustMatch(t, prompt, depth, limit)
-		once := 4 * positions(prompt, limit)
-		checkLayerRuns(t, s, 0, once)
-		checkLayerRuns(t, s, 2, once)
-		checkLayerRuns(t, s, 3, once)
+		onePass := 4 * positions(prompt, limit)
+		checkLayerRuns(t, s, 0, onePass)
+		checkLayerRuns(t, s, 2, onePass)
+		checkLayerRuns(t, s, 3, onePass)
 		if lost := s.router.lost(); len(lost) != 1 || lost[0].Cause != domain.CauseBroken {
 			t.Errorf("got lost stages %v, want one that broke", lost)
 		}
 	})
 }
 
-// The caller sees nothing. The connection to a living engine breaks between
-// two steps, or after a step whose reply is lost with it; the run connects
-// again and sends the same step number, which the engine answers from memory
-// if it did the step. No stage is lost and nothing runs twice.
+// The connection to a running engine breaks between two steps, or after a step
+// so that its reply is lost. The run must reconnect and send the same sequence
+// number, which the engine answers from memory if it ran the step. The caller
+// notices nothing, no stage is lost and no layer runs twice.
 func TestBrokenConnectionRunsNothingAgain(t *testing.T) {
 	for _, fault := range []stage.Fault{stage.FaultCut, stage.FaultDrop, stage.FaultDouble} {
 		t.Run(fault.String(), func(t *testing.T) {
@@ -104,7 +105,7 @@
 				s := threeStageSite()
 				defer s.close()
 				s.runner.Meters = metrics.NewSet()
-				// Longer than the patience with a lost reply of another stage.
+				// Longer than the wait for a lost reply of another stage.
 				s.engines[2].Grace = time.Minute
 				n := 0
 				s.engines[1].Faults = func(*frame.Step) stage.Fault {
@@ -134,7 +135,7 @@
 	}
 }
 
-// revivingOpener has a crashed engine run again before anybody connects to it.
+// revivingOpener restarts a crashed engine before each connection to it.
 type revivingOpener struct {
 	chain.Opener
 	engine *stage.Engine
@@ -145,9 +146,10 @@
 	return r.Opener.Open(ctx, id, req, try, from)
 }
 
-// The caller sees a refusal. Its prompt crashes the engine that runs it, which
-// restarts at once. The run must not send the prompt to the restarted engine:
-// the routing logic would then count one crash where there were many.
+// A prompt crashes the engine that runs it, and the engine restarts at once.
+// The run must not send the prompt to the restarted engine: the engine would
+// crash many times, and the routing logic would count one crash. The caller
+// gets a refusal.
 func TestRestartedEngineGetsNoStepBeforeDecision(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := singleEngineSite()
@@ -171,9 +173,9 @@
 	})
 }
 
-// The caller sees a whole answer. A stage dies while the run may keep almost
-// no inputs; the stages before it run again from the tokens, and the one after
-// it does not.
+// A stage crashes while the run may keep almost no inputs. The stages before
+// it must run again from the tokens, the stage after it must not, and the
+// caller gets the whole answer.
 func TestJournalBeyondBoundRebuildsFromTokens(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := threeStageSite()
@@ -185,17 +187,17 @@
 			}
 		})
 		a.mustMatch(t, prompt, depth, limit)
-		once := 4 * positions(prompt, limit)
-		checkLayerRuns(t, s, 2, once)
-		if got := s.engines[0].Steps(); got <= once {
-			t.Errorf("got %d layer runs on a, want more than %d: nothing was kept", got, once)
+		onePass := 4 * positions(prompt, limit)
+		checkLayerRuns(t, s, 2, onePass)
+		if got := s.engines[0].Steps(); got <= onePass {
+			t.Errorf("got %d layer runs on a, want more than %d: no inputs were kept", got, onePass)
 		}
 	})
 }
 
-// The caller sees a whole answer of many tokens. The first stage dies near its
-// end and its spare runs the prompt and the tokens so far in several steps, so
-// that one reply's hidden values fit a message.
+// The first stage crashes at token 1200 of 1300. Its spare must run the prompt
+// and the tokens so far in several steps, so that the hidden values of one
+// reply fit into a message, and the caller gets the whole answer.
 func TestLongAnswerIsRebuiltInParts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const long = 1300
@@ -220,32 +222,34 @@
 	})
 }
 
-// The caller of a long prompt waits for its first token no longer than the
-// parts of the prompt take one after another on one stage, plus one part on
-// each other: while a stage runs a part, the one before it runs the next.
+// A long prompt is run in parts. While a stage runs one part, the stage before
+// it must run the next one. The first token must then take no longer than all
+// parts take on one stage, plus one part for each other stage.
 func TestLongPromptRunsOnAllStagesAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := threeStageSite()
 		defer s.close()
 		s.runner.Positions = 10
 		text := prompt + strings.Repeat(" door", 94)
-		began := time.Now()
+		start := time.Now()
 		var first time.Duration
 		s.ask(t.Context(), "r", text, limit, func(n int) {
 			if n == 1 {
-				first = time.Since(began)
+				first = time.Since(start)
 			}
 		}).mustMatch(t, text, depth, limit)
-		// Ten parts and two stages more, four layers of a millisecond each.
+		// Ten parts and two further stages; each part takes four layers of one
+		// millisecond.
 		if want := 12 * 4 * time.Millisecond; first != want {
 			t.Errorf("got the first token after %v, want %v", first, want)
 		}
 	})
 }
 
-// The caller sees a whole answer. Replies of the middle stage are lost while
-// parts of the prompt are under way on all stages. Each is asked for again under
-// its number and answered from memory; no stage is lost and nothing runs twice.
+// Replies of the middle stage are lost while parts of the prompt are in
+// progress on all stages. Each must be requested again under its sequence
+// number and answered from memory. No stage is lost, no layer runs twice, and
+// the caller gets the whole answer.
 func TestLostReplyIsRequestedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := threeStageSite()
@@ -270,22 +274,23 @@
 	})
 }
 
-// Whoever reads a trace sees a span for each stage of the chain, with its
-// engine and layers, and one more for the stage that replaced a lost one.
+// A trace must contain a span for each stage of the chain, with its engine and
+// layers, and one more for the stage that replaced a lost one. The engines
+// must receive these spans as traceparents.
 func TestSpanForEachStage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := threeStageSite()
 		defer s.close()
-		seen := tracetest.NewSpanRecorder()
-		provider := sdktrace.NewTracerProvider(sdktrace.WithSpanProcessor(seen))
+		recorder := tracetest.NewSpanRecorder()
+		provider := sdktrace.NewTracerProvider(sdktrace.WithSpanProcessor(recorder))
 		ctx, root := provider.Tracer("test").Start(t.Context(), "request")
 		var mu sync.Mutex
-		told := map[string]bool{}
+		traceparents := map[string]bool{}
 		for _, e := range s.engines {
 			e.Traced = func(traceparent string) {
 				mu.Lock()
 				defer mu.Unlock()
-				told[traceparent] = true
+				traceparents[traceparent] = true
 			}
 		}
 		a := s.ask(ctx, "r", prompt, limit, func(n int) {
@@ -296,13 +301,13 @@
 		root.End()
 		a.mustMatch(t, prompt, depth, limit)
 		var engines []string
-		for _, span := range seen.Ended() {
+		for _, span := range recorder.Ended() {
 			if span.Parent().SpanID() != root.SpanContext().SpanID() {
 				continue
 			}
 			id := span.SpanContext()
-			if want := "00-" + id.TraceID().String() + "-" + id.SpanID().String() + "-01"; !told[want] {
-				t.Errorf("got traces %v at the engines, want %s", told, want)
+			if want := "00-" + id.TraceID().String() + "-" + id.SpanID().String() + "-01"; !traceparents[want] {
+				t.Errorf("got traces %v at the engines, want %s", traceparents, want)
 			}
 			for _, at := range span.Attributes() {
 				if at.Key == "engine" {
@@ -317,10 +322,10 @@
 	})
 }
 
-// The caller sees a whole answer. The last stage dies and the new chain cuts
-// the layers elsewhere; the cache of the first stage, whose engine lives, is
-// copied to the stage that takes its layers over, which so runs only what is
-// new.
+// The last stage crashes, and the new chain runs the layers of the first stage
+// on another engine as well. The old engine of the first stage is still up:
+// its KV cache must be copied to the new engine, which then runs new positions
+// only. The caller gets the whole answer.
 func TestMovedCacheIsNotRecomputed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const long = 100
--- a/internal/wire/chain/faults_test.go
+++ b/internal/wire/chain/faults_test.go
@@ -35,7 +35,7 @@
 	moves     bool
 }
 
-// outage has an engine crash, or lose its connections, after a token.
+// outage makes an engine crash, or lose its connections, after a token.
 type outage struct {
 	engine, token int
 	crash         bool
@@ -53,7 +53,7 @@
 		words:     rapid.SampledFrom([]int{1, 5, 90}).Draw(t, "words"),
 		moves:     rapid.Bool().Draw(t, "moves"),
 	}
-	// Two ranges cover the model for sure; the others overlap them at random.
+	// Two ranges always cover the model; the others overlap them at random.
 	cut := rapid.IntRange(0, s.depth-1).Draw(t, "cut")
 	s.holds = append(s.holds, [2]int{cut, s.depth})
 	if cut > 0 {
@@ -76,7 +76,7 @@
 	return s
 }
 
-// faults drops, doubles, delays or cuts so many of 100 replies.
+// faults drops, doubles, delays or cuts the given percentage of replies.
 func faults(seed uint64, percent int) func(*frame.Step) stage.Fault {
 	var mu sync.Mutex
 	r := rand.New(rand.NewPCG(seed, 1))
@@ -100,13 +100,13 @@
 
 func (f *flakyMover) Move(ctx context.Context, from, to spec.UpstreamID, want frame.KV) (int, error) {
 	f.mu.Lock()
-	fate := f.rand.IntN(3)
+	outcome := f.rand.IntN(3)
 	f.mu.Unlock()
-	if fate == 0 {
+	if outcome == 0 {
 		return 0, engine.ErrRefused
 	}
 	n, err := f.Mover.Move(ctx, from, to, want)
-	if fate == 1 {
+	if outcome == 1 {
 		return 0, engine.ErrRefused
 	}
 	return n, err
@@ -130,7 +130,8 @@
 	return built
 }
 
-// run runs the scene and says what a caller saw that it must not see.
+// run runs the scenario and returns an error if a caller got a wrong answer or
+// an engine kept a state.
 func (s *scenario) run() error {
 	site := s.build()
 	defer site.close()
@@ -171,11 +172,11 @@
 	}
 }
 
-// Each caller sees the answer that one machine with all layers gives, token by
-// token, while engines with overlapping ranges crash with their states or lose
-// their connections in its midst and replies are lost, doubled, delayed and
-// crossed with those of the other callers. A layer that ran twice, not at all
-// or out of order would change every later token.
+// Engines with overlapping layer ranges crash with their states or lose their
+// connections during the answers, and replies are lost, doubled, delayed and
+// interleaved with those of other callers. Each caller must get, token by
+// token, the answer of one machine with all layers. A layer that ran twice,
+// not at all or out of order would change every later token.
 func TestAnswerMatchesOneMachineUnderFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := drawScenario(rt)
--- a/internal/wire/chain/flow_test.go
+++ b/internal/wire/chain/flow_test.go
@@ -13,9 +13,9 @@
 	"fulmarwick/internal/route/domain"
 )
 
-// Nobody waits any more: the caller goes away in the midst of its answer. All
-// stages must forget the request at once, or the memory of engines fills with
-// the states of callers that left.
+// The caller disconnects in the middle of its answer. All stages must drop the
+// request at once, or the memory of engines fills with the states of callers
+// that disconnected.
 func TestCallerGoneLeavesNoState(t *testing.T) {
 	for _, whole := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
@@ -42,9 +42,10 @@
 	}
 }
 
-// The caller of a short answer waits behind one that reads slowly. The slow
-// reader's replies fill its own queue only; what did not fit it is asked for
-// again when it reads on, so that it misses nothing either.
+// One caller reads slowly while another requests a short answer from the same
+// engine. The replies to the slow caller must fill only its own queue and not
+// delay the other. Replies that did not fit are requested again when the slow
+// caller continues, so that it misses none.
 func TestSlowReaderBlocksNoOtherStream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const long = 1000
@@ -75,8 +76,8 @@
 	})
 }
 
-// Two callers of unlike priority ask an engine with one slot that is busy. The
-// urgent one, although it came last, is served before the other.
+// Two requests of different priority wait for an engine with one slot that is
+// busy. The urgent one must run before the other although it arrived last.
 func TestUrgentRequestRunsFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := singleEngineSite()
@@ -99,8 +100,8 @@
 	})
 }
 
-// The routing logic learns of progress and of hop times while a long answer
-// lasts, and neither once per token.
+// During a long answer the routing logic must receive progress and hop times,
+// but not once for each token.
 func TestProgressAndHopsAreReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := singleEngineSite()
@@ -108,11 +109,11 @@
 		s.engines[0].Layer = 20 * time.Millisecond
 		s.engines[0].Link = 3 * time.Millisecond
 		s.ask(t.Context(), "r", prompt, limit, nil).mustMatch(t, prompt, depth, limit)
-		told, hops := 0, 0
+		progress, hops := 0, 0
 		for _, ev := range s.router.events {
 			switch ev := ev.(type) {
 			case domain.RequestProgress:
-				told++
+				progress++
 			case domain.HopMeasured:
 				hops++
 				if ev.P50 < 5*time.Millisecond || ev.P50 > 8*time.Millisecond {
@@ -120,8 +121,8 @@
 				}
 			}
 		}
-		if told == 0 || told > limit/2 {
-			t.Errorf("got %d progress events, want some, fewer than tokens", told)
+		if progress == 0 || progress > limit/2 {
+			t.Errorf("got %d progress events, want some, fewer than tokens", progress)
 		}
 		s.engines[0].Layer = 0
 		time.Sleep(time.Second)
--- a/internal/wire/chain/frames_test.go
+++ b/internal/wire/chain/frames_test.go
@@ -16,7 +16,7 @@
 	"pgregory.net/rapid"
 )
 
-// mangler spoils the replies of the streams that it opens.
+// mangler corrupts a percentage of the replies of the streams that it opens.
 type mangler struct {
 	chain.Opener
 	rand    *rand.Rand
@@ -34,7 +34,8 @@
 type mangled struct {
 	frame.Stream
 	mangler *mangler
-	// queued are replies that come before the next one from the engine.
+	// queued holds replies that are returned before the next one from the
+	// engine.
 	queued []frame.Reply
 }
 
@@ -59,26 +60,26 @@
 		return s.Recv(ctx, within, r)
 	case 1: // doubled
 		s.queued = append(s.queued, good)
-	case 2: // crossed with the one after
+	case 2: // swapped with the next one
 		if err := s.Stream.Recv(ctx, within, r); err != nil {
 			return err
 		}
 		s.queued = append(s.queued, good)
 	case 3: // cut
 		return engine.ErrBroken
-	case 4: // another request's
+	case 4: // belongs to another request
 		s.queued = append(s.queued, good)
 		r.Req, r.Token, r.Text = "another", r.Token+1, "foreign "
-	case 5: // an older attempt's
+	case 5: // belongs to an older attempt
 		s.queued = append(s.queued, good)
 		r.Try, r.Token, r.Text = r.Try-1, r.Token+1, "stale "
-	case 6: // an end that is none
+	case 6: // claims a false end
 		r.End, r.Last, r.Total = true, true, r.Next+1000
-	case 7: // a number of another run
+	case 7: // has the index of another run
 		s.queued = append(s.queued, good)
 		r.Index, r.Text = r.Index+3, "misplaced "
-	case 8: // of more inputs than there were
-		// How long a prompt is only the engine can tell.
+	case 8: // accounts for more inputs than were sent
+		// Only the engine knows the length of the prompt.
 		if r.From == 0 && r.Seq == 1 {
 			return nil
 		}
@@ -86,16 +87,16 @@
 		if len(r.Hidden) > 0 {
 			r.Hidden = append(r.Hidden, r.Hidden[0])
 		}
-	default: // dropped by a full queue
+	default: // dropped because the queue is full
 		return engine.ErrOverflow
 	}
 	return nil
 }
 
-// The caller sees the whole answer to its own request, each token once and in
-// order, while replies are lost, doubled, crossed, cut, belong to another
-// request or an older attempt, claim an end that their count belies,
-// or tell of more inputs than were sent.
+// Replies are lost, doubled, swapped or cut off, belong to another request or
+// an older attempt, claim an end that their token count contradicts, or
+// account for more inputs than were sent. The caller must still get the whole
+// answer to its own request, each token once and in order.
 func TestWholeAnswerDespiteCorruptReplies(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		seed := rapid.Uint64().Draw(rt, "seed")
--- a/internal/wire/chain/inputs.go
+++ b/internal/wire/chain/inputs.go
@@ -1,24 +1,24 @@
 package chain
 
-// inputs keeps what each boundary's stage must run: the tokens for layer 0
-// and, for later boundaries, hidden values by position.
+// inputs keeps the inputs of the stage at each layer boundary: the tokens for
+// layer 0 and, for later boundaries, the hidden values by position.
 //
-// The tokens cost four bytes each and are all that a chain of one stage
-// keeps. The hidden values are bounded by limit: beyond it only those that
-// their stage has yet to run are kept.
+// The tokens take four bytes each and are all that a chain of one stage keeps.
+// The hidden values are bounded by limit: once it is exceeded, only the values
+// that their stage has not run yet are kept.
 type inputs struct {
 	tokens []uint32
-	// prompt is how many positions the prompt took; known after the first
-	// stage's first reply.
+	// prompt is the number of positions of the prompt; it is known from the
+	// first reply of the first stage.
 	prompt   int
 	journals map[int]*journal
 	limit    int
 	bytes    int
-	// overLimit is set once the limit was passed.
+	// overLimit is set once the limit was exceeded.
 	overLimit bool
 }
 
-// journal is the hidden values at one boundary from position base on.
+// journal holds the hidden values at one boundary, starting at position base.
 type journal struct {
 	base   int
 	values [][]byte
@@ -26,7 +26,8 @@
 
 func (l *journal) end() int { return l.base + len(l.values) }
 
-// positions is how many positions exist so far; zero before the prompt ran.
+// positions returns how many positions exist so far. It is zero before the
+// prompt has run.
 func (in *inputs) positions() int {
 	if in.prompt == 0 {
 		return 0
@@ -34,8 +35,8 @@
 	return in.prompt + len(in.tokens)
 }
 
-// put stores the hidden values that left the stage before boundary, for the
-// positions from pos on. Positions known already are kept as they were.
+// put stores the hidden values that the stage before boundary produced for the
+// positions from pos on. Values of positions that are stored already are kept.
 func (in *inputs) put(boundary, pos int, values [][]byte) {
 	if in.journals == nil {
 		in.journals = map[int]*journal{}
@@ -53,7 +54,7 @@
 	}
 }
 
-// from returns the values at boundary from position pos on.
+// from returns the values at boundary, starting at position pos.
 func (in *inputs) from(boundary, pos int) [][]byte {
 	l := in.journals[boundary]
 	if l == nil || pos < l.base || pos >= l.end() {
@@ -62,9 +63,10 @@
 	return l.values[pos-l.base:]
 }
 
-// covers reports whether a stage at boundary that has run done positions gets
-// all that follow, when the stage before has made the outputs of made ones:
-// what is kept must begin early enough and go on without a gap.
+// covers reports whether a stage at boundary that has run done positions can
+// get all inputs that follow, if the stage before has produced outputs for
+// made positions. For this the stored values must begin early enough and
+// continue without a gap.
 func (in *inputs) covers(boundary, done, made int) bool {
 	l := in.journals[boundary]
 	if l == nil {
@@ -73,8 +75,8 @@
 	return l.base <= done && made <= l.end()
 }
 
-// release tells that the stage at boundary has run all positions below pos; past
-// the limit they are dropped.
+// release marks all positions below pos as run by the stage at boundary. Once
+// the limit was exceeded, their values are dropped.
 func (in *inputs) release(boundary, pos int) {
 	if in.bytes > in.limit {
 		in.overLimit = true
@@ -98,7 +100,8 @@
 	l.base += n
 }
 
-// drop forgets a boundary, so that its stage before fills it again.
+// drop discards all values at a boundary, so that the stage before it produces
+// them again.
 func (in *inputs) drop(boundary int) {
 	if l := in.journals[boundary]; l != nil {
 		in.trim(l, l.end())
--- a/internal/wire/chain/meters.go
+++ b/internal/wire/chain/meters.go
@@ -2,7 +2,7 @@
 
 import "github.com/VictoriaMetrics/metrics"
 
-// meters are the counters of all runs of a Runner.
+// meters holds the counters shared by all runs of a Runner.
 type meters struct {
 	steps      *metrics.Counter
 	tokens     *metrics.Counter
--- a/internal/wire/chain/run.go
+++ b/internal/wire/chain/run.go
@@ -17,35 +17,40 @@
 )
 
 const (
-	// defaultJournal bounds the hidden inputs kept of one request, in bytes.
+	// defaultJournal bounds the hidden inputs kept for one request, in bytes.
 	defaultJournal = 4 << 20
 	// defaultChunk bounds the hidden inputs of one step, in bytes.
 	defaultChunk = 1 << 20
 	// defaultPositions bounds the positions of one step.
 	defaultPositions = 256
-	// defaultStepTimeout is how long a step may take unless the logic says.
+	// defaultStepTimeout is how long a step may take if the routing logic sets
+	// no timeout.
 	defaultStepTimeout = 30 * time.Second
-	// progressEvery is the least time between two Progress events.
+	// progressEvery is the minimum time between two RequestProgress events.
 	progressEvery = time.Second
 )
 
-// Runner runs jobs. Set the exported fields before Run.
+// Runner runs jobs. Set the exported fields before the first call of Run.
 type Runner struct {
 	Engines Opener
 	Router  Router
-	// KV moves caches between engines that live; nil replays always.
+	// KV moves KV caches between engines that are up. If nil, a new stage
+	// always replays its inputs.
 	KV Mover
-	// Journal bounds the bytes of hidden inputs that are kept of one request
-	// to rebuild a lost stage alone; zero takes 4 MiB. Beyond it a lost stage
-	// costs the run of all stages before it from the tokens.
+	// Journal bounds the hidden inputs kept for one request, in bytes; zero
+	// means 4 MiB. They allow a lost stage to be rebuilt alone. Beyond the
+	// bound, a lost stage makes all stages before it run again from the
+	// tokens.
 	Journal int
-	// Chunk bounds the hidden inputs of one step in bytes, so that a rebuild
-	// does not hold up the other streams of a connection; zero takes 1 MiB.
+	// Chunk bounds the hidden inputs of one step, in bytes, so that a rebuild
+	// does not block the other streams of a connection; zero means 1 MiB.
 	Chunk int
-	// Positions bounds the positions of the prompt, or of tokens run again, in
-	// one step, so that their hidden values fit a reply; zero takes 256.
+	// Positions bounds how many positions of the prompt, or of tokens that run
+	// again, are sent in one step, so that their hidden values fit into a
+	// reply; zero means 256.
 	Positions int
-	// Meters takes the counters; nil makes a private set.
+	// Meters is the set in which the counters are registered; nil means a
+	// private set.
 	Meters *metrics.Set
 
 	once   sync.Once
@@ -74,9 +79,9 @@
 type run struct {
 	*Runner
 	job Job
-	// reqID is the request's name towards engines. It differs for each run of
-	// the same request: after a resume at another instance both may be alive
-	// for a while, and their steps must not meet in one state.
+	// reqID is the request ID sent to engines. It differs for each run of the
+	// same request: after a resume on another instance both runs may exist for
+	// a while, and their steps must not reach the same state on an engine.
 	reqID    string
 	sink     Sink
 	commands <-chan domain.Command
@@ -84,7 +89,8 @@
 	rebuilds uint32
 	depth    int
 	prio     int
-	// stepTimeout is for a step of one token, prefill for the first of a state.
+	// stepTimeout applies to a step of one token, prefillTimeout to the first
+	// step of a state.
 	stepTimeout    time.Duration
 	prefillTimeout time.Duration
 	stages         []*stage
@@ -98,8 +104,9 @@
 	longestGap     time.Duration
 }
 
-// Run brings the whole answer to sink, or returns why that cannot be:
-// *RefusedError, *ForwardError, the sink's error, or the context's.
+// Run runs the job and passes the whole answer to sink. If that is not
+// possible it returns a *RefusedError, a *ForwardError, the error of sink, or
+// the error of the context.
 func (r *Runner) Run(ctx context.Context, job Job, sink Sink) (Result, error) {
 	r.init()
 	id := job.Arrived.Request
@@ -117,7 +124,7 @@
 	return Result{Tokens: j.count(), Stop: j.stop}, err
 }
 
-// count is how many tokens the caller got.
+// count returns how many tokens were passed to the sink.
 func (j *run) count() int { return len(j.inputs.tokens) }
 
 func (j *run) report(ctx context.Context, err error) {
@@ -160,12 +167,13 @@
 	return j.stop || j.count() >= j.job.Arrived.MaxTokens
 }
 
-// awaitDecision takes the next decision and sets the stages to it.
+// awaitDecision waits for the next command of the routing logic and applies
+// it.
 func (j *run) awaitDecision(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
-			return errors.Wrap(ctx.Err(), "chain: wait for a decision")
+			return errors.Wrap(ctx.Err(), "chain: wait for a routing decision")
 		case c := <-j.commands:
 			switch c := c.(type) {
 			case domain.Refuse:
@@ -183,10 +191,10 @@
 	}
 }
 
-// advance brings each stage nearer to its boundary by a step. All steps that
-// can run are sent before the first reply is waited for: the parts of a long
-// prompt or rebuild so run on all stages at once, each a part behind the one
-// before.
+// advance moves every stage that is behind one step towards its boundary. All
+// steps that can run are sent before the first reply is awaited. The parts of
+// a long prompt or rebuild therefore run on all stages at once, each stage one
+// part behind the stage before it.
 func (j *run) advance(ctx context.Context) error {
 	if len(j.stages) == 1 {
 		return j.stream(ctx, j.stages[0])
@@ -196,12 +204,12 @@
 			j.startStep(ctx, s)
 		}
 	}
-	moved := false
+	progressed := false
 	for _, s := range j.stages {
 		if !s.pending {
 			continue
 		}
-		moved = true
+		progressed = true
 		if err := j.awaitReply(ctx, s); err != nil {
 			return err
 		}
@@ -209,15 +217,15 @@
 			return err
 		}
 	}
-	if !moved {
-		// Inputs that nobody keeps and nobody makes would have the loop spin
-		// on a core while the caller waits.
+	if !progressed {
+		// Without this check, inputs that are neither kept nor produced again
+		// would make the loop spin on a core while the caller waits.
 		return errNoProgress
 	}
 	return nil
 }
 
-// deliver hands the next token to the caller.
+// deliver passes the next token to the sink.
 func (j *run) deliver(token uint32, text string) error {
 	index := j.count()
 	j.inputs.tokens = append(j.inputs.tokens, token)
@@ -246,8 +254,8 @@
 	}
 }
 
-// newStage is a stage that has run nothing, under a number that no state of
-// this run had before.
-func (j *run) newStage(is spec.Stage) *stage {
-	return &stage{spec: is, try: j.attempt<<rebuildBits | j.rebuilds}
+// newStage returns a stage that has run nothing. Its Try differs from that of
+// every earlier state of this run.
+func (j *run) newStage(want spec.Stage) *stage {
+	return &stage{spec: want, try: j.attempt<<rebuildBits | j.rebuilds}
 }
--- a/internal/wire/chain/site_test.go
+++ b/internal/wire/chain/site_test.go
@@ -25,8 +25,8 @@
 
 const model = "levy-13b"
 
-// site is stand-in engines behind a pool, and a router of fixed or random
-// choice.
+// site is a set of fake engines behind a pool, with a router that uses a fixed
+// plan or random chains.
 type site struct {
 	depth   int
 	engines []*stage.Engine
@@ -66,7 +66,7 @@
 		_ = server.Close()
 	}
 	s.served.Wait()
-	// Steps and frames under way on the stand-ins come to their end.
+	// Lets steps and frames in progress on the fake engines finish.
 	time.Sleep(time.Second)
 }
 
@@ -78,13 +78,15 @@
 	return n
 }
 
-// router gives each request a chain, and another when a stage is lost.
+// router gives each request a chain, and another one when a stage is lost.
 type router struct {
 	site *site
-	// plan, if set, gives the chain of attempt n; else rand picks one.
+	// plan, if set, returns the chain of the attempt; otherwise rand picks
+	// one.
 	plan func(attempt uint32, lost []spec.UpstreamID) spec.Chain
 	rand *rand.Rand
-	// limit is the most attempts of a request; zero is 20.
+	// limit is the maximum number of attempts of a request; values below 20
+	// mean 20.
 	limit uint32
 	prio  map[spec.RequestID]int
 
@@ -151,8 +153,7 @@
 	return r.randomChain()
 }
 
-// randomChain picks, from layer 0 up, an engine that holds the next layer and where
-// to leave it; a choice that leads nowhere is tried again.
+// randomChain picks chains at random until one covers the whole model.
 func (r *router) randomChain() spec.Chain {
 	for range 1000 {
 		if c := r.tryRandomChain(); c != nil {
@@ -200,7 +201,7 @@
 	err    error
 }
 
-// ask runs one request; each, if set, is called after every token.
+// ask runs one request. If each is set, it is called after every token.
 func (s *site) ask(ctx context.Context, id, text string, limit int, each func(n int)) *answer {
 	a := &answer{}
 	job := chain.Job{Text: text, Arrived: domain.RequestArrived{Request: spec.RequestID(id), Model: model, MaxTokens: limit}}
@@ -218,7 +219,7 @@
 	return a
 }
 
-// check compares with the run of the whole model on one machine.
+// check compares the answer with the output of the whole model on one machine.
 func (a *answer) check(text string, depth, limit int) error {
 	if a.err != nil {
 		return fmt.Errorf("got error %w, want none", a.err)
--- a/internal/wire/chain/stage.go
+++ b/internal/wire/chain/stage.go
@@ -14,18 +14,18 @@
 )
 
 const (
-	// rebuildBits of a Try count the states that were set up anew within one
-	// attempt; the attempt stands above them.
+	// rebuildBits is the number of low bits of a Try that count the resets of
+	// states within one attempt. The bits above hold the attempt.
 	rebuildBits = 8
 	maxRebuilds = 1<<rebuildBits - 1
-	// maxStageRebuilds bounds how often one stage is set up anew on its engine
-	// without a step between.
+	// maxStageRebuilds bounds how often one stage is reset on its engine
+	// without a completed step in between.
 	maxStageRebuilds = 2
-	// tracerName names the spans of this package.
+	// tracerName is the name of the tracer of this package.
 	tracerName = "fulmarwick/chain"
 )
 
-// stage is the state of one link of the chain.
+// stage is the state of one stage of the chain.
 type stage struct {
 	spec   spec.Stage
 	try    uint32
@@ -33,20 +33,24 @@
 	done   int
 	lost   bool
 	stream frame.Stream
-	// step is what the stage is to run next. While pending it stays as it is:
-	// the engine may have run it, and knows it by its number only. sent says
-	// that a reply is awaited, err what went wrong with sending.
+	// step is the next step of the stage. While pending is true it must not
+	// change: the engine may have run it, and identifies it only by its
+	// sequence number. sent means that a reply is awaited, and err is the
+	// error of sending the step.
 	step    frame.Step
 	pending bool
 	sent    bool
 	err     error
-	// incarnation is the engine's incarnation when the state was opened.
+	// incarnation is the incarnation of the engine when the state was opened
+	// on it.
 	incarnation uint64
-	// rebuilds and stalls count set-ups and repeats without a step between.
+	// rebuilds and stalls count the resets and the repeated requests without a
+	// completed step in between.
 	rebuilds int
 	stalls   int
 	span     trace.Span
-	// trace is the span as a traceparent, for the engine's own spans.
+	// trace is the span as a traceparent header value, for the spans of the
+	// engine.
 	trace string
 }
 
@@ -64,17 +68,17 @@
 	}
 }
 
-// open opens the stage's stream and its span, which last until close.
+// open opens the stream and the span of the stage. Both last until close.
 func (j *run) open(ctx context.Context, s *stage) error {
 	if s.stream != nil {
 		return nil
 	}
-	on, err := j.Engines.Open(ctx, s.spec.Engine(), j.reqID, s.try, s.from())
+	stream, err := j.Engines.Open(ctx, s.spec.Engine(), j.reqID, s.try, s.from())
 	if err != nil {
 		return err
 	}
-	s.stream = on
-	s.incarnation = on.Incarnation()
+	s.stream = stream
+	s.incarnation = stream.Incarnation()
 	_, s.span = trace.SpanFromContext(ctx).TracerProvider().Tracer(tracerName).Start(ctx, "stage",
 		trace.WithSpanKind(trace.SpanKindClient),
 		trace.WithAttributes(
@@ -86,15 +90,16 @@
 	return nil
 }
 
-// traceparent is the span of ctx as a W3C header value; "" if nobody traces.
+// traceparent returns the span of ctx as a W3C traceparent header value, or ""
+// if tracing is off.
 func traceparent(ctx context.Context) string {
 	carrier := propagation.MapCarrier{}
 	propagation.TraceContext{}.Inject(ctx, carrier)
 	return carrier.Get("traceparent")
 }
 
-// prepare sets s.step to what brings s up to date, or a part of it, unless one is
-// under way; false if nothing is missing.
+// prepare sets s.step to the next step that s needs, unless a step is pending
+// already. It returns false if s is up to date.
 func (j *run) prepare(s *stage) bool {
 	if !s.pending {
 		s.pending = j.buildStep(s)
@@ -126,12 +131,13 @@
 	}
 }
 
-// inPrompt reports whether s is to run a part of the prompt.
+// inPrompt reports whether the next step of s runs a part of the prompt.
 func (j *run) inPrompt(s *stage) bool {
 	return s.from() == 0 && (j.inputs.prompt == 0 || s.done < j.inputs.prompt)
 }
 
-// limitBytes is the first of values, within limit bytes, one at least.
+// limitBytes returns the first values that together have at most limit bytes,
+// but at least one value.
 func limitBytes(values [][]byte, limit int) [][]byte {
 	size := 0
 	for i, v := range values {
@@ -143,8 +149,8 @@
 	return values
 }
 
-// applyReply records what a stage made from its inputs. A reply that does not
-// account for every input cannot be trusted with the layers.
+// applyReply records the outputs of the step in j.reply. A reply that does not
+// account for every input cannot be trusted, and the stage is lost.
 func (j *run) applyReply(s *stage) error {
 	r := &j.reply
 	if !j.coversStep(s) {
@@ -164,21 +170,22 @@
 		j.inputs.put(s.spec.Layers().To(), begin, r.Hidden)
 		return nil
 	}
-	// Only the output of the newest position is a token that was not there.
+	// Only the output for the newest position is a new token.
 	if s.done < j.inputs.positions() {
 		return nil
 	}
 	return j.emitToken()
 }
 
-// coversStep reports whether the reply tells of just the inputs of s.step.
+// coversStep reports whether the reply accounts for exactly the inputs of
+// s.step.
 func (j *run) coversStep(s *stage) bool {
 	r, n := &j.reply, len(s.step.Hidden)+len(s.step.Tokens)
 	if j.inPrompt(s) {
-		// Only the engine knows how many positions the prompt takes; it must
-		// not change its mind.
-		whole := r.Next + r.Left - len(s.step.Tokens)
-		if whole <= 0 || j.inputs.prompt > 0 && whole != j.inputs.prompt {
+		// Only the engine knows how many positions the prompt takes. The
+		// number must be the same in all its replies.
+		total := r.Next + r.Left - len(s.step.Tokens)
+		if total <= 0 || j.inputs.prompt > 0 && total != j.inputs.prompt {
 			return false
 		}
 		n = max(1, r.Next-s.done)
@@ -189,14 +196,16 @@
 	return s.spec.Layers().To() == j.depth || len(r.Hidden) == n
 }
 
-// setPromptSize takes the size of the prompt from its first reply.
+// setPromptSize sets the number of positions of the prompt from its first
+// reply.
 func (j *run) setPromptSize(s *stage) {
 	if s.from() == 0 && j.inputs.prompt == 0 {
 		j.inputs.prompt = j.reply.Next + j.reply.Left - len(s.step.Tokens)
 	}
 }
 
-// emitToken takes the last stage's token to the caller and back to layer 0.
+// emitToken passes the token of the last stage to the caller and adds it to
+// the inputs of layer 0.
 func (j *run) emitToken() error {
 	if j.reply.Last {
 		j.stop = true
@@ -205,16 +214,16 @@
 	return j.deliver(j.reply.Token, j.reply.Text)
 }
 
-// markLost drops the stage's state. It is rebuilt under a new attempt, since a
-// step whose reply was lost may have been applied.
-func (j *run) markLost(s *stage, why domain.Cause) error {
+// markLost marks the stage as lost. Its state is rebuilt under a new attempt,
+// since a step whose reply was lost may have been applied.
+func (j *run) markLost(s *stage, cause domain.Cause) error {
 	s.lost = true
 	j.meters.lost.Inc()
-	return &stageLostError{engine: s.spec.Engine(), cause: why}
+	return &stageLostError{engine: s.spec.Engine(), cause: cause}
 }
 
-// rebuild sets the stage's state up again on its own engine, under a number that
-// makes whatever the engine still has for it stale.
+// rebuild resets the stage on its own engine. The new Try makes any state that
+// the engine still has for the stage stale.
 func (j *run) rebuild(s *stage) error {
 	s.rebuilds++
 	if s.rebuilds > maxStageRebuilds || j.rebuilds >= maxRebuilds {
@@ -226,7 +235,7 @@
 	return errStageReset
 }
 
-// reset makes the stage run all its positions again under a new number.
+// reset makes the stage run all its positions again under a new Try.
 func (j *run) reset(s *stage) {
 	s.close()
 	j.rebuilds++
--- a/internal/wire/chain/stream.go
+++ b/internal/wire/chain/stream.go
@@ -7,13 +7,15 @@
 	"fulmarwick/internal/route/domain"
 )
 
-// stream runs a whole-model stage: one step, a reply per token.
+// stream runs a stage that covers the whole model: one step is sent, and each
+// token is a reply.
 func (j *run) stream(ctx context.Context, s *stage) error {
 	if !j.buildStep(s) {
 		return j.markLost(s, domain.CauseStateLost)
 	}
 	if s.done == 0 {
-		// No hidden values come back, so the whole prompt goes in one step.
+		// No hidden values are returned, so the size of a reply does not
+		// matter and the whole prompt is sent in one step.
 		s.step.Tokens = j.inputs.tokens
 	}
 	left := j.job.Arrived.MaxTokens - j.count()
@@ -43,7 +45,8 @@
 	}
 }
 
-// setNextStep sets s.step to the one that the engine makes of its last token.
+// setNextStep sets s.step to the step that the engine derives from its last
+// token.
 func (j *run) setNextStep(s *stage) {
 	s.step.Seq++
 	s.step.Pos = j.reply.Next
@@ -51,8 +54,9 @@
 	s.step.Tokens = j.inputs.tokens[j.count()-1:]
 }
 
-// applyRunReply takes reply i of a run into the stage's numbers. An end whose count
-// differs from what came is not an end: the rest is asked for again.
+// applyRunReply checks reply i of a run and updates the stage. If an end
+// reports another number of tokens than were received, replies are missing and
+// the rest of the run is requested again.
 func (j *run) applyRunReply(s *stage, i int) error {
 	r := &j.reply
 	if r.Left != 0 || !j.coversStep(s) {
@@ -70,7 +74,8 @@
 	return nil
 }
 
-// resume has the run asked for again from the next token on.
+// resume handles err and makes the loop request the run again from the next
+// token on.
 func (j *run) resume(ctx context.Context, s *stage, err error) error {
 	s.stalls++
 	if err := j.handleError(ctx, s, err, s.stalls-1); err != nil {
