--- a/internal/wire/engine/check.go
+++ b/internal/wire/engine/check.go
@@ -10,9 +10,10 @@
 	"github.com/go-faster/errors"
 )
 
-// Bounds of what an engine may say about itself. They are far above any real
-// engine; a value beyond them would overflow or starve the decisions, so the
-// whole report is refused and the former one stays in force.
+// Bounds on the values that an engine may report. They are far above the
+// values of any real engine. A larger value would overflow or starve the
+// routing decisions, so the whole report is rejected and the previous one
+// stays in effect.
 const (
 	maxHolds     = 256
 	maxLayers    = 1 << 12
@@ -27,7 +28,7 @@
 
 func checkEngine(b *frame.Engine) error {
 	if b.State != frame.StateLive && b.State != frame.StateLeaving {
-		return errors.Wrapf(ErrBody, "state %.20q", b.State)
+		return errors.Wrapf(ErrBody, "unknown state %.20q", b.State)
 	}
 	if tooLong(b.Name, b.DataCentre, b.Kind, b.Role) {
 		return errors.Wrap(ErrBody, "name too long")
@@ -49,7 +50,7 @@
 	}
 	for _, n := range numbers {
 		if n.value < 0 || n.value > n.bounds {
-			return errors.Wrapf(ErrBody, "%s is %d", n.name, n.value)
+			return errors.Wrapf(ErrBody, "%s %d is out of range", n.name, n.value)
 		}
 	}
 	return checkHolds(b.Holds)
@@ -64,23 +65,23 @@
 	return false
 }
 
-// checkHolds refuses ranges that are empty, outside their model, or overlap
-// within one version: a layer that is held twice by one engine would be
-// counted twice.
+// checkHolds rejects ranges that are empty, exceed their model, or overlap
+// within one version. A layer that one engine reports twice would be counted
+// twice.
 func checkHolds(holds []frame.Hold) error {
 	if len(holds) > maxHolds {
-		return errors.Wrapf(ErrBody, "%d ranges", len(holds))
+		return errors.Wrapf(ErrBody, "too many layer ranges: %d", len(holds))
 	}
 	for i, h := range holds {
 		switch {
 		case h.Model == "" || tooLong(h.Model, h.Version):
-			return errors.Wrapf(ErrBody, "range %d has no model or a long name", i)
+			return errors.Wrapf(ErrBody, "range %d has no model or a name that is too long", i)
 		case h.From < 0 || h.From >= h.To || h.To > h.Depth || h.Depth > maxLayers:
-			return errors.Wrapf(ErrBody, "range %d is %d-%d of %d", i, h.From, h.To, h.Depth)
+			return errors.Wrapf(ErrBody, "range %d is invalid: layers %d-%d of %d", i, h.From, h.To, h.Depth)
 		case h.Width < 0 || h.Width > maxWidth:
-			return errors.Wrapf(ErrBody, "range %d has width %d", i, h.Width)
+			return errors.Wrapf(ErrBody, "range %d has invalid width %d", i, h.Width)
 		case overlaps(holds[:i], h):
-			return errors.Wrapf(ErrBody, "range %d overlaps another", i)
+			return errors.Wrapf(ErrBody, "range %d overlaps another range", i)
 		}
 	}
 	return nil
@@ -95,7 +96,8 @@
 	return false
 }
 
-// checkEvents refuses events that do not rise from since to the page's Seq.
+// checkEvents rejects events whose Seq does not increase, starting above
+// since, up to the Seq of the page.
 func checkEvents(b *frame.Events, since uint64) error {
 	if b.Reset {
 		return nil
@@ -103,14 +105,14 @@
 	last := since
 	for _, ev := range b.Events {
 		if ev.Seq <= last || ev.Seq > b.Seq {
-			return errors.Wrapf(ErrBody, "event %d after %d of %d", ev.Seq, last, b.Seq)
+			return errors.Wrapf(ErrBody, "event %d must be above %d and at most %d", ev.Seq, last, b.Seq)
 		}
 		last = ev.Seq
 	}
 	return nil
 }
 
-// Row turns a checked report into a row of the world.
+// Row converts a checked report to the engine type of the routing logic.
 func Row(id spec.UpstreamID, b frame.Engine) domain.Engine {
 	row := domain.Engine{
 		ID: id, DataCentre: spec.DataCentre(b.DataCentre), Kind: b.Kind,
@@ -127,8 +129,8 @@
 	return row
 }
 
-// Seen turns a page of cache events into events for the logic, one per Seq,
-// so that the logic sees each gap.
+// Seen converts a page of cache events to events of the routing logic, one per
+// Seq, so that the routing logic detects each gap.
 func Seen(id spec.UpstreamID, page frame.Events) []domain.CacheReport {
 	if page.Reset {
 		return []domain.CacheReport{{Engine: id, Seq: page.Seq, Added: page.Blocks, Reset: true}}
--- a/internal/wire/engine/conn.go
+++ b/internal/wire/engine/conn.go
@@ -20,20 +20,21 @@
 	dialTimeout  = 2 * time.Second
 	writeTimeout = 5 * time.Second
 	bufferBytes  = 64 << 10
-	// probeEvery is how often a connection with open streams that is silent is
-	// probed; a second silent period closes it. Patience with a step is the
-	// chain's affair; this finds links that were cut without a word.
+	// probeEvery is how often a connection with open streams is pinged if no
+	// message arrived; after a second period without a message it is closed.
+	// This detects links that fail without an error. Timeouts of single steps
+	// are up to package chain.
 	probeEvery = 2 * time.Second
 )
 
-// streamKey names the stream that a reply belongs to.
+// streamKey identifies the stream that a reply belongs to.
 type streamKey struct {
 	req  string
 	try  uint32
 	from int
 }
 
-// Conn is one connection to an engine that many streams share.
+// Conn is one connection to an engine, shared by many streams.
 type Conn struct {
 	ws          *websocket.Conn
 	incarnation uint64
@@ -43,13 +44,13 @@
 	mu          sync.Mutex
 	streams     map[streamKey]*Stream
 	received    atomic.Int64
-	// reply is what the reading goroutine decodes into; streams copy it.
+	// reply is the decode buffer of the reading goroutine; streams copy it.
 	reply  frame.Reply
 	closed chan struct{}
 	once   sync.Once
 }
 
-// connect makes a connection over the dialer d.
+// connect opens a connection with the dialer d.
 func connect(ctx context.Context, d *websocket.Dialer, base string, m *meters, h *hopRecorder) (*Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
@@ -75,8 +76,9 @@
 	return c, nil
 }
 
-// incarnation reads the header of the upgrade; an engine that gives none
-// counts as never restarted, and a lost state shows as a gap.
+// incarnation reads the incarnation from the headers of the upgrade response.
+// It returns zero if the engine sends none; such an engine is treated as never
+// restarted, and a lost state shows as a gap.
 func incarnation(h http.Header) uint64 {
 	n, err := strconv.ParseUint(h.Get(frame.HeaderIncarnation), 10, 64)
 	if err != nil {
@@ -85,7 +87,7 @@
 	return n
 }
 
-// Close ends the connection; its streams see ErrBroken.
+// Close closes the connection. Its streams return ErrBroken.
 func (c *Conn) Close() {
 	c.once.Do(func() {
 		close(c.closed)
@@ -94,7 +96,7 @@
 	})
 }
 
-// Open returns the stream of one request's state on this engine.
+// Open returns the stream for the state of one request on this engine.
 func (c *Conn) Open(req string, try uint32, from int) *Stream {
 	s := newStream(c, streamKey{req: req, try: try, from: from})
 	c.mu.Lock()
@@ -123,7 +125,7 @@
 	}
 }
 
-// handleMessage hands out every frame of one message.
+// handleMessage dispatches every frame of one message.
 func (c *Conn) handleMessage(data []byte) error {
 	for len(data) > 0 {
 		c.reply = frame.Reply{}
@@ -137,9 +139,9 @@
 	return nil
 }
 
-// dispatch gives r to its stream. A reply of an older attempt or of a request
-// that ended has no stream and is dropped: late answers reach nobody. It
-// never waits, so a slow reader of one stream does not hold up the others.
+// dispatch passes r to its stream. A reply to an older attempt or to a request
+// that ended has no stream and is dropped. dispatch never blocks, so a slow
+// reader of one stream does not delay the others.
 func (c *Conn) dispatch(r *frame.Reply) {
 	c.mu.Lock()
 	s := c.streams[streamKey{req: r.Req, try: r.Try, from: r.From}]
@@ -155,7 +157,7 @@
 	defer c.Close()
 	probe := time.NewTicker(probeEvery)
 	defer probe.Stop()
-	last, silent := int64(-1), 0
+	last, silentPeriods := int64(-1), 0
 	for {
 		select {
 		case <-c.closed:
@@ -165,12 +167,12 @@
 				return
 			}
 		case <-probe.C:
-			if heard := c.received.Load(); heard != last || c.idle() {
-				last, silent = heard, 0
+			if received := c.received.Load(); received != last || c.idle() {
+				last, silentPeriods = received, 0
 				continue
 			}
-			silent++
-			if silent > 1 || c.ping() != nil {
+			silentPeriods++
+			if silentPeriods > 1 || c.ping() != nil {
 				return
 			}
 		}
--- a/internal/wire/engine/control.go
+++ b/internal/wire/engine/control.go
@@ -25,20 +25,22 @@
 	kvBytes     = 256 << 20
 )
 
-// Control makes the JSON calls to one engine. Set the fields before use.
+// Control makes the JSON control calls to one engine. Set the fields before
+// use.
 type Control struct {
 	HTTP *http.Client
-	// Base is where the engine answers, such as "http://10.0.0.7:9000".
+	// Base is the base URL of the engine, such as "http://10.0.0.7:9000".
 	Base string
 }
 
-// Report asks the engine at base for its report.
+// Report requests the report of the engine at base.
 func Report(ctx context.Context, client *http.Client, base string) (frame.Engine, error) {
 	return (&Control{HTTP: client, Base: base}).Report(ctx)
 }
 
-// Report asks for the engine's report. It returns ErrRefused if the engine
-// does not answer and ErrBody if the answer cannot be true.
+// Report requests the report of the engine. It returns ErrRefused if the
+// engine does not respond or refuses the call, and ErrBody if the response is
+// invalid.
 func (c *Control) Report(ctx context.Context) (frame.Engine, error) {
 	var body frame.Engine
 	q := call{method: http.MethodGet, path: "/v1/engine", timeout: reportTimeout, limit: reportBytes}
@@ -51,7 +53,7 @@
 	return body, nil
 }
 
-// Events asks for the cache events after since.
+// Events requests the cache events after since.
 func (c *Control) Events(ctx context.Context, since uint64) (frame.Events, error) {
 	var body frame.Events
 	path := "/v1/events?since=" + strconv.FormatUint(since, 10)
@@ -65,19 +67,20 @@
 	return body, nil
 }
 
-// Order sends an order. ErrFence means that the engine knows a higher fencing
-// number. After any other error the order may have been taken; sending it
-// again is safe, and only the engine's report tells what it holds.
+// Order sends a load order. ErrStaleFence means that the engine has seen a
+// higher fencing token. After any other error the engine may have accepted the
+// order. Sending it again is safe, and only the report of the engine shows
+// which layers it holds.
 func (c *Control) Order(ctx context.Context, o frame.Order) error {
 	data, err := json.Marshal(o)
 	if err != nil {
-		return errors.Wrap(err, "engine: order")
+		return errors.Wrap(err, "engine: encode order")
 	}
 	q := call{method: http.MethodPost, path: "/v1/orders", body: data, timeout: orderTimeout, limit: reportBytes}
 	return c.do(ctx, q, nil)
 }
 
-// Export reads the KV cache of layers [from, to) of a request's state.
+// Export reads the KV cache of layers [from, to) of the state of a request.
 func (c *Control) Export(ctx context.Context, req string, from, to int) (frame.KV, error) {
 	v := url.Values{"req": {req}, "from": {strconv.Itoa(from)}, "to": {strconv.Itoa(to)}}
 	var body frame.KV
@@ -86,22 +89,23 @@
 		return frame.KV{}, err
 	}
 	if body.Req != req || body.From != from || body.To != to || body.Pos < 0 {
-		return frame.KV{}, errors.Wrap(ErrBody, "KV cache of another range")
+		return frame.KV{}, errors.Wrap(ErrBody, "KV cache has a wrong request, layer range or position")
 	}
 	return body, nil
 }
 
-// Import gives the engine a KV cache; the state opens under kv.Try.
+// Import sends a KV cache to the engine. The engine opens the state under
+// kv.Try.
 func (c *Control) Import(ctx context.Context, kv *frame.KV) error {
 	data, err := json.Marshal(kv)
 	if err != nil {
-		return errors.Wrap(err, "engine: KV import")
+		return errors.Wrap(err, "engine: encode KV cache")
 	}
 	q := call{method: http.MethodPut, path: "/v1/kv", body: data, timeout: kvTimeout, limit: reportBytes}
 	return c.do(ctx, q, nil)
 }
 
-// call is one request to an engine; limit bounds its answer in bytes.
+// call is one control call; limit bounds its response in bytes.
 type call struct {
 	method  string
 	path    string
@@ -115,7 +119,7 @@
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, q.method, c.Base+q.path, bytes.NewReader(q.body))
 	if err != nil {
-		return errors.Wrap(err, "engine: request")
+		return errors.Wrap(err, "engine: create request")
 	}
 	resp, err := c.HTTP.Do(req)
 	if err != nil {
@@ -143,13 +147,13 @@
 }
 
 // decode reads one JSON value of at most limit bytes.
-func decode(from io.Reader, limit int64, into any) error {
-	data, err := io.ReadAll(io.LimitReader(from, limit+1))
+func decode(r io.Reader, limit int64, into any) error {
+	data, err := io.ReadAll(io.LimitReader(r, limit+1))
 	if err != nil {
 		return errors.Wrap(ErrRefused, err.Error())
 	}
 	if int64(len(data)) > limit {
-		return errors.Wrapf(ErrBody, "more than %d bytes", limit)
+		return errors.Wrapf(ErrBody, "response exceeds %d bytes", limit)
 	}
 	if err := json.Unmarshal(data, into); err != nil {
 		return errors.Wrap(ErrBody, err.Error())
--- a/internal/wire/engine/control_test.go
+++ b/internal/wire/engine/control_test.go
@@ -32,11 +32,11 @@
 
 const validReport = `{"name":"e","state":"live","slots":4,"layer":1000,"seq":7,"holds":[{"model":"m","version":"1","depth":8,"from":0,"to":4}]}`
 
-// The operators see one engine left out with a reason. It reports what cannot
-// be true; taking it would overflow predictions or plan layers twice.
+// An engine reports values that cannot be true. The report must be rejected
+// with a reason: its values would overflow predictions or place layers twice.
 func TestHostileReportsAreRefused(t *testing.T) {
 	if _, err := controlFor(validReport).Report(t.Context()); err != nil {
-		t.Fatalf("got %v for a fair report, want nil", err)
+		t.Fatalf("got %v for a valid report, want nil", err)
 	}
 	for name, change := range map[string][2]string{
 		"not JSON":        {`{"name"`, `{name`},
@@ -79,16 +79,16 @@
 }
 
 func TestEventSequenceMustIncrease(t *testing.T) {
-	for body, fine := range map[string]bool{
+	for body, valid := range map[string]bool{
 		`{"seq":9,"events":[{"seq":8},{"seq":9}]}`:  true,
-		`{"seq":9,"events":[{"seq":6},{"seq":9}]}`:  true, // a gap is the logic's to see
+		`{"seq":9,"events":[{"seq":6},{"seq":9}]}`:  true, // the routing logic handles gaps
 		`{"seq":9,"events":[{"seq":9},{"seq":8}]}`:  false,
 		`{"seq":9,"events":[{"seq":5}]}`:            false,
 		`{"seq":9,"events":[{"seq":10}]}`:           false,
 		`{"seq":2,"reset":true,"blocks":[1,2,3,4]}`: true,
 	} {
-		if _, err := controlFor(body).Events(t.Context(), 5); (err == nil) != fine {
-			t.Errorf("got %v for %s, want fine %t", err, body, fine)
+		if _, err := controlFor(body).Events(t.Context(), 5); (err == nil) != valid {
+			t.Errorf("got %v for %s, want valid %t", err, body, valid)
 		}
 	}
 }
@@ -104,7 +104,7 @@
 		row := engine.Row("e", got)
 		for _, h := range row.Loaded {
 			if h.Layers.From() < 0 || h.Layers.Len() <= 0 || h.Layers.To() > h.Depth || row.Slots < 0 || row.LayerTime < 0 {
-				t.Errorf("got row %+v from %q, want a refusal", row, data)
+				t.Errorf("got row %+v from %q, want an error", row, data)
 			}
 		}
 	})
@@ -121,7 +121,7 @@
 		last := uint64(3)
 		for _, seen := range engine.Seen("e", page) {
 			if !seen.Reset && seen.Seq <= last {
-				t.Errorf("got event %d after %d from %q, want rising", seen.Seq, last, data)
+				t.Errorf("got event %d after %d from %q, want increasing numbers", seen.Seq, last, data)
 			}
 			last = seen.Seq
 		}
@@ -133,12 +133,12 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		kv, err := controlFor(string(data)).Export(context.Background(), "r", 0, 2)
 		if err == nil && (kv.Req != "r" || kv.From != 0 || kv.To != 2 || kv.Pos < 0) {
-			t.Errorf("got %+v from %q, want a refusal", kv, data)
+			t.Errorf("got %+v from %q, want an error", kv, data)
 		}
 	})
 }
 
-// serveEngine serves a stand-in engine in memory.
+// serveEngine serves a fake engine in memory.
 func serveEngine(e *stage.Engine) (*engine.Control, *engine.Pool, func()) {
 	l := inmem.Listen()
 	server := &http.Server{Handler: e.Handler()}
@@ -165,9 +165,9 @@
 	return out
 }
 
-// A former holder of the duty wakes after a pause and sends its order late. An
-// engine that checks fencing numbers refuses it; one that does not takes it,
-// which is why routing trusts only what an engine reports.
+// A former lease holder resumes after a pause and sends its order late. An
+// engine that checks fencing tokens must refuse it. An engine that does not
+// check accepts it, so routing trusts only what engines report.
 func TestOrderWithOldFencingToken(t *testing.T) {
 	for _, fenced := range []bool{true, false} {
 		e := &stage.Engine{Name: "e", Fenced: fenced, Memory: 50}
@@ -177,7 +177,7 @@
 		}
 		err := c.Order(t.Context(), frame.Order{Fence: 7, Holds: holds("m", 40, 80)})
 		if got := errors.Is(err, engine.ErrStaleFence); got != fenced {
-			t.Errorf("got %v from an engine with fencing %t, want ErrFence %t", err, fenced, fenced)
+			t.Errorf("got %v from an engine with fencing %t, want ErrStaleFence %t", err, fenced, fenced)
 		}
 		want := "40-80"
 		if fenced {
@@ -197,8 +197,9 @@
 	}
 }
 
-// Two engines are ordered to load at once from one store. What they held and
-// keep serves on, the rest comes at the store's rate, one after the other.
+// Two engines are ordered at once to load from the same store. Layers that
+// they already hold and keep must stay available, and the rest must load at
+// the rate of the store, one engine after the other.
 func TestLoadingWaitsForStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &stage.Weights{Rate: 10}
@@ -227,8 +228,10 @@
 	})
 }
 
-// The logic asks for cache events of a prompt that came a second ago. They
-// show late, some never do, and after too many only the whole content is told.
+// The cache events of a prompt are requested right after its reply and a
+// second later. They must appear after the lag of one second, without the
+// event that the engine skips. For a sequence number that the engine does not
+// know, such as one from before a restart, it must report the whole content.
 func TestCacheEventsLateAndWithGaps(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, p, stop := serveEngine(&stage.Engine{
@@ -264,8 +267,8 @@
 	})
 }
 
-// The logic sees the load of some time ago: a step that runs shows only when
-// the report's lag is over, and one that ended shows as long after.
+// The load in a report lags behind. A running step must appear only after the
+// lag of the report, and a finished one must stay for as long.
 func TestReportLags(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &stage.Engine{Name: "e", Holds: holds("m", 0, 100), Layer: 30 * time.Millisecond, Lag: 2 * time.Second}
@@ -290,9 +293,9 @@
 	})
 }
 
-// The caller is gone with its connection before its run begins. The engine
-// must not keep a state that it opens for the run after that: nobody is left
-// to cancel it.
+// The connection of a caller breaks before its run begins. The engine must not
+// keep a state that it opens for the run afterwards: no one is left to cancel
+// it.
 func TestRunOfDeadConnectionLeavesNoState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &stage.Engine{Name: "e", Holds: holds("m", 0, 100), Layer: time.Millisecond}
@@ -314,9 +317,9 @@
 	})
 }
 
-// The platform lists an engine at another address, and later not at all. Work
-// on the old connection ends at once, new work goes to the new address, and
-// none to an engine that is gone.
+// An engine is listed at another address, and later not at all. Streams on the
+// old connection must end at once, new streams must use the new address, and
+// none may open on a removed engine.
 func TestEngineMovesAndIsRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &stage.Engine{Name: "e", Holds: holds("m", 0, 100)}
@@ -336,25 +339,25 @@
 		}
 		p.Forget("e")
 		if _, err := p.Open(t.Context(), "e", "r", 1, 0); !errors.Is(err, engine.ErrRefused) {
-			t.Errorf("got %v for an engine that is gone, want ErrRefused", err)
+			t.Errorf("got %v for a removed engine, want ErrRefused", err)
 		}
 	})
 }
 
-// A link is cut without a word: no packet comes, and none says so. The
-// connection is given up after two silent periods, so that its streams go on
-// elsewhere; one that is only idle is left alone.
+// A link fails without an error: packets are lost silently. The connection
+// must be closed after two periods without a message, so that its streams
+// continue elsewhere. A connection that is only idle must stay open.
 func TestUnresponsiveConnectionIsClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &stage.Engine{Name: "e", Holds: holds("m", 0, 100), Layer: time.Second}
 		l := inmem.Listen()
 		server := &http.Server{Handler: e.Handler()}
 		go func() { _ = server.Serve(l) }()
-		silent := &silentConn{}
+		link := &silentConn{}
 		p := &engine.Pool{Dial: func(ctx context.Context, network, address string) (net.Conn, error) {
 			c, err := l.Dial(ctx, network, address)
-			silent.Conn = c
-			return silent, err
+			link.Conn = c
+			return link, err
 		}}
 		p.Locate("e", "http://e")
 		s, err := p.Open(t.Context(), "e", "r", 1, 0)
@@ -363,9 +366,9 @@
 		}
 		var r frame.Reply
 		if err := s.Recv(t.Context(), time.Minute, &r); !errors.Is(err, engine.ErrTimeout) {
-			t.Errorf("got %v after a minute on a good link, want ErrLate", err)
+			t.Errorf("got %v after a minute on a good link, want ErrTimeout", err)
 		}
-		silent.cut.Store(true)
+		link.cut.Store(true)
 		if err := s.Recv(t.Context(), time.Minute, &r); !errors.Is(err, engine.ErrBroken) {
 			t.Errorf("got %v on a dead link, want ErrBroken", err)
 		}
@@ -375,7 +378,7 @@
 	})
 }
 
-// silentConn is a connection whose bytes stop to arrive.
+// silentConn is a connection that discards all written bytes once cut is set.
 type silentConn struct {
 	net.Conn
 	cut atomic.Bool
@@ -388,9 +391,10 @@
 	return m.Conn.Write(b)
 }
 
-// An engine hangs with its connections open and is found down by its missing
-// reports. Work on it must end at once rather than wait out its patience; a
-// hasty judgement costs nothing, since the engine is reached again.
+// An engine hangs with its connections open and is declared dead because its
+// reports are missing. Streams on it must end at once instead of waiting for
+// their timeouts. A false declaration costs nothing, since the pool can
+// reconnect to the engine.
 func TestBreakEndsStreamsOfDownEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &stage.Engine{Name: "e", Holds: holds("m", 0, 100)}
@@ -406,7 +410,7 @@
 			t.Errorf("got %v, want ErrBroken", err)
 		}
 		if _, err := p.Open(t.Context(), "e", "r", 1, 0); err != nil {
-			t.Errorf("got %v when the engine is reached again, want nil", err)
+			t.Errorf("got %v on reconnecting to the engine, want nil", err)
 		}
 	})
 }
--- a/internal/wire/engine/doc.go
+++ b/internal/wire/engine/doc.go
@@ -1,26 +1,30 @@
-// Package engine is the client of model engines: steps over one multiplexed
-// WebSocket per engine, and the JSON control calls.
+// Package engine is the client of model engines. It sends steps over one
+// multiplexed WebSocket per engine and makes the JSON control calls.
 //
 // It imports base and route/domain. Package chain opens streams on a Pool;
-// package watch reads reports and cache events; package order sends orders.
+// package watch reads reports and cache events; package order sends load
+// orders.
 package engine
 
 import "github.com/go-faster/errors"
 
 // Errors of this package.
 var (
-	// ErrRefused means that no connection came about, so nothing ran.
+	// ErrRefused means that the engine could not be reached or refused the
+	// call. On opening a stream it means that nothing ran.
 	ErrRefused = errors.New("engine: refused")
-	// ErrBroken means that the connection broke; sent steps may have run.
+	// ErrBroken means that the connection broke. Steps that were sent may have
+	// run.
 	ErrBroken = errors.New("engine: connection broken")
-	// ErrTimeout means that no reply came within the time given; the step may
-	// have run, or may run yet.
-	ErrTimeout = errors.New("engine: no reply in time")
-	// ErrOverflow means that the stream's reader was too slow and replies were
-	// dropped; the engine can give them again.
-	ErrOverflow = errors.New("engine: replies dropped")
-	// ErrStaleFence means that the engine took an order with a higher number.
-	ErrStaleFence = errors.New("engine: fencing number too old")
-	// ErrBody means that the engine's answer is not one that it may give.
-	ErrBody = errors.New("engine: bad answer")
+	// ErrTimeout means that no reply came in time. The step may have run, or
+	// may still run.
+	ErrTimeout = errors.New("engine: reply timed out")
+	// ErrOverflow means that the reader of the stream was too slow and replies
+	// were dropped. The engine can send them again.
+	ErrOverflow = errors.New("engine: stream queue full, replies dropped")
+	// ErrStaleFence means that the engine has accepted an order with a higher
+	// fencing token.
+	ErrStaleFence = errors.New("engine: fencing token too old")
+	// ErrBody means that the response of the engine is invalid.
+	ErrBody = errors.New("engine: invalid response")
 )
--- a/internal/wire/engine/hops.go
+++ b/internal/wire/engine/hops.go
@@ -11,16 +11,19 @@
 )
 
 const (
-	// hopEvery is the least time between two HopTimed events of an engine.
+	// hopEvery is the minimum time between two HopMeasured events of an
+	// engine.
 	hopEvery = time.Second
-	// hopMax is the longest hop that the histogram tells apart.
+	// hopMax is the upper bound of the histogram; longer hops are recorded as
+	// hopMax.
 	hopMax           = time.Minute
 	hopDigits        = 2
 	medianPercentile = 50
 	tailPercentile   = 99
 )
 
-// hopRecorder gathers the hop times of one engine and posts them now and then.
+// hopRecorder collects the hop times of one engine and posts a summary at most
+// once per hopEvery.
 type hopRecorder struct {
 	engine spec.UpstreamID
 	post   func(domain.Event)
--- a/internal/wire/engine/meters.go
+++ b/internal/wire/engine/meters.go
@@ -2,7 +2,7 @@
 
 import "github.com/VictoriaMetrics/metrics"
 
-// meters are the counters of all connections of a pool.
+// meters holds the counters shared by all connections of a pool.
 type meters struct {
 	steps        *metrics.Counter
 	stale        *metrics.Counter
--- a/internal/wire/engine/move.go
+++ b/internal/wire/engine/move.go
@@ -8,8 +8,9 @@
 	"fulmarwick/internal/base/spec"
 )
 
-// Move copies the KV cache of want's request and layers from one engine to
-// another under want.Try, and returns how many positions it holds.
+// Move copies the KV cache of the request and layers of want from one engine
+// to another, where it is stored under want.Try. It returns the number of
+// positions in the cache.
 func (p *Pool) Move(ctx context.Context, from, to spec.UpstreamID, want frame.KV) (int, error) {
 	source, err := p.control(from)
 	if err != nil {
--- a/internal/wire/engine/outbox.go
+++ b/internal/wire/engine/outbox.go
@@ -9,10 +9,10 @@
 	"github.com/go-faster/errors"
 )
 
-// outboxBytes is how much may wait for the writer before Send waits too.
+// outboxBytes is how much may be pending before Send blocks.
 const outboxBytes = 1 << 20
 
-// outbox gathers encoded steps while the writer is busy, so that many streams
+// outbox collects encoded steps while the writer is busy, so that many streams
 // share one write.
 type outbox struct {
 	mu      sync.Mutex
@@ -29,8 +29,8 @@
 	o.wake = make(chan struct{}, 1)
 }
 
-// add encodes s. A step that is larger than a message may be is refused here,
-// since the engine would close the connection under all other streams.
+// add encodes s. A step above the message size limit is rejected here: the
+// engine would close the connection and break all other streams on it.
 func (o *outbox) add(s *frame.Step) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -43,11 +43,11 @@
 	before := o.pending.Len()
 	err := frame.AppendStep(o.pending, s)
 	if err == nil && o.pending.Len()-before > frame.MaxBytes-outboxBytes {
-		err = errors.New("step too large")
+		err = errors.New("step exceeds the message size limit")
 	}
 	if err != nil {
 		o.pending.Truncate(before)
-		return errors.Wrap(err, "engine: encode")
+		return errors.Wrap(err, "engine: encode step")
 	}
 	select {
 	case o.wake <- struct{}{}:
@@ -56,7 +56,8 @@
 	return nil
 }
 
-// take returns what waits, or nil; give returns the buffer for reuse.
+// take returns the pending bytes, or nil if there are none. The caller returns
+// the buffer with release.
 func (o *outbox) take() *bytes.Buffer {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -73,7 +74,7 @@
 }
 
 func (o *outbox) release(b *bytes.Buffer) {
-	// A buffer that one large prompt grew is not kept for the small steps.
+	// A buffer that grew for one large prompt is not kept for the small steps.
 	if b.Cap() > outboxBytes {
 		b = new(bytes.Buffer)
 	}
--- a/internal/wire/engine/pool.go
+++ b/internal/wire/engine/pool.go
@@ -17,19 +17,22 @@
 	"golang.org/x/sync/singleflight"
 )
 
-// Pool keeps one connection per engine. The zero value is ready; set the
-// exported fields before use.
+// Pool keeps one connection per engine. The zero value is ready to use; set
+// the exported fields before the first call.
 type Pool struct {
-	// TLS is for engines at https addresses; nil takes the system's roots.
+	// TLS is the configuration for engines at https addresses; nil means the
+	// root certificates of the system.
 	TLS *tls.Config
-	// HTTP makes the calls that move KV caches; nil takes the default client.
+	// HTTP is the client for calls that move KV caches; nil means the default
+	// client.
 	HTTP *http.Client
-	// Dial makes the connections below; nil dials TCP.
+	// Dial opens the network connections; nil dials TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// Post takes HopTimed events, at most one a second per engine; nil drops
-	// them.
+	// Post receives HopMeasured events, at most one a second per engine; nil
+	// drops them.
 	Post func(domain.Event)
-	// Meters takes the counters; nil makes a private set.
+	// Meters is the set in which the counters are registered; nil means a
+	// private set.
 	Meters *metrics.Set
 
 	once    sync.Once
@@ -40,7 +43,7 @@
 	closed  bool
 }
 
-// engineEntry is what the pool keeps of one engine.
+// engineEntry holds the address, hop times and connection of one engine.
 type engineEntry struct {
 	base string
 	hops *hopRecorder
@@ -54,55 +57,57 @@
 	})
 }
 
-// Locate sets the base URL of an engine. A connection to another address
-// under the same name is closed.
+// Locate sets the base URL of an engine. If the URL changed, the connection to
+// the old one is closed.
 func (p *Pool) Locate(id spec.UpstreamID, base string) {
 	p.init()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	k := p.engines[id]
-	if k == nil {
+	e := p.engines[id]
+	if e == nil {
 		p.engines[id] = &engineEntry{base: base, hops: newHopRecorder(id, p.Post)}
 		return
 	}
-	if k.base != base {
-		k.base = base
-		k.closeConn()
+	if e.base != base {
+		e.base = base
+		e.closeConn()
 	}
 }
 
-// Break closes the connection of an engine that counts as down. One that hangs
-// keeps its connections open, and its requests would wait out their patience;
-// one that does not is reached again, and answers what it did from memory.
+// Break closes the connection of an engine that was declared dead. An engine
+// that hangs keeps its connections open, and its requests would wait for their
+// timeouts. An engine that is in fact up is reconnected to, and answers the
+// steps that it has already run from memory.
 func (p *Pool) Break(id spec.UpstreamID) {
 	p.init()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if k := p.engines[id]; k != nil {
-		k.closeConn()
+	if e := p.engines[id]; e != nil {
+		e.closeConn()
 	}
 }
 
-// Forget closes the connection of an engine that left the list.
+// Forget closes the connection of an engine that was removed from the list of
+// engines.
 func (p *Pool) Forget(id spec.UpstreamID) {
 	p.init()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if k := p.engines[id]; k != nil {
-		k.closeConn()
+	if e := p.engines[id]; e != nil {
+		e.closeConn()
 		delete(p.engines, id)
 	}
 }
 
-func (k *engineEntry) closeConn() {
-	if k.conn != nil {
-		k.conn.Close()
-		k.conn = nil
+func (e *engineEntry) closeConn() {
+	if e.conn != nil {
+		e.conn.Close()
+		e.conn = nil
 	}
 }
 
-// Open returns a stream on the engine, over a connection that lives. It
-// returns ErrRefused if there is none and none can be made.
+// Open returns a stream on the engine, over an open connection. It returns
+// ErrRefused if there is none and none can be made.
 func (p *Pool) Open(ctx context.Context, id spec.UpstreamID, req string, try uint32, from int) (frame.Stream, error) {
 	p.init()
 	c, err := p.conn(ctx, id)
@@ -112,14 +117,14 @@
 	return c.Open(req, try, from), nil
 }
 
-// Close ends all connections.
+// Close closes all connections.
 func (p *Pool) Close() {
 	p.init()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
-	for _, k := range p.engines {
-		k.closeConn()
+	for _, e := range p.engines {
+		e.closeConn()
 	}
 }
 
@@ -127,14 +132,14 @@
 	if c := p.liveConn(id); c != nil {
 		return c, nil
 	}
-	// Many requests lose a connection at once; they share one dial, which
-	// outlives the one that began it.
+	// Many requests lose a connection at once. They share one dial, which
+	// continues if the request that started it is canceled.
 	detached := context.WithoutCancel(ctx)
-	made := p.dials.DoChan(string(id), func() (any, error) { return p.dial(detached, id) })
+	dialed := p.dials.DoChan(string(id), func() (any, error) { return p.dial(detached, id) })
 	select {
 	case <-ctx.Done():
 		return nil, errors.Wrap(ctx.Err(), "engine: connect")
-	case r := <-made:
+	case r := <-dialed:
 		c, ok := r.Val.(*Conn)
 		if r.Err != nil || !ok {
 			return nil, r.Err
@@ -146,11 +151,11 @@
 func (p *Pool) liveConn(id spec.UpstreamID) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	k := p.engines[id]
-	if k == nil || k.conn == nil || !k.conn.alive() {
+	e := p.engines[id]
+	if e == nil || e.conn == nil || !e.conn.alive() {
 		return nil
 	}
-	return k.conn
+	return e.conn
 }
 
 func (p *Pool) dial(ctx context.Context, id spec.UpstreamID) (*Conn, error) {
@@ -177,22 +182,22 @@
 func (p *Pool) lookup(id spec.UpstreamID) (string, *hopRecorder) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	k := p.engines[id]
-	if k == nil {
+	e := p.engines[id]
+	if e == nil {
 		return "", nil
 	}
-	return k.base, k.hops
+	return e.base, e.hops
 }
 
-// store stores c unless the engine moved or left while it was dialled.
+// store keeps c unless the engine moved or was removed during the dial.
 func (p *Pool) store(id spec.UpstreamID, base string, c *Conn) (*Conn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	k := p.engines[id]
-	if p.closed || k == nil || k.base != base {
+	e := p.engines[id]
+	if p.closed || e == nil || e.base != base {
 		c.Close()
 		return nil, ErrRefused
 	}
-	k.conn = c
+	e.conn = c
 	return c, nil
 }
--- a/internal/wire/engine/stream.go
+++ b/internal/wire/engine/stream.go
@@ -10,10 +10,11 @@
 	"github.com/go-faster/errors"
 )
 
-// streamReplies bounds the replies that wait for one stream's reader.
+// streamReplies bounds the replies queued for the reader of one stream.
 const streamReplies = 256
 
-// Stream is one request's state on one engine. One goroutine uses it.
+// Stream is the state of one request on one engine. Only one goroutine may use
+// it.
 type Stream struct {
 	conn  *Conn
 	key   streamKey
@@ -30,11 +31,12 @@
 
 var _ frame.Stream = (*Stream)(nil)
 
-func newStream(c *Conn, at streamKey) *Stream {
-	return &Stream{conn: c, key: at, ready: make(chan struct{}, 1)}
+func newStream(c *Conn, key streamKey) *Stream {
+	return &Stream{conn: c, key: key, ready: make(chan struct{}, 1)}
 }
 
-// Send queues a step; the request, attempt and first layer are the stream's.
+// Send queues a step. It sets the request, Try and first layer of the step to
+// those of the stream.
 func (s *Stream) Send(step *frame.Step) error {
 	step.Req = s.key.req
 	step.Try = s.key.try
@@ -46,30 +48,32 @@
 	return s.conn.out.add(step)
 }
 
-// Incarnation is the engine's, as of when the connection was made.
+// Incarnation returns the incarnation of the engine at the time the connection
+// was made.
 func (s *Stream) Incarnation() uint64 { return s.conn.incarnation }
 
-// Recv reads the next reply of this stream into r. ErrBroken, ErrLate and
-// ErrMissed say that none came.
+// Recv stores the next reply of this stream in r. It returns ErrBroken,
+// ErrTimeout or ErrOverflow if there is none.
 func (s *Stream) Recv(ctx context.Context, within time.Duration, r *frame.Reply) error {
 	if ok, err := s.pop(r); ok || err != nil {
 		return err
 	}
-	late := s.startTimer(within)
+	timeout := s.startTimer(within)
 	defer s.stopTimer()
 	for {
 		select {
 		case <-s.ready:
 		case <-s.conn.closed:
-			// What arrived before the connection broke still counts.
+			// Replies that arrived before the connection broke are still
+			// returned.
 			if ok, err := s.pop(r); ok || err != nil {
 				return err
 			}
 			return ErrBroken
-		case <-late:
+		case <-timeout:
 			return ErrTimeout
 		case <-ctx.Done():
-			return errors.Wrap(ctx.Err(), "engine: wait")
+			return errors.Wrap(ctx.Err(), "engine: wait for a reply")
 		}
 		if ok, err := s.pop(r); ok || err != nil {
 			return err
@@ -114,9 +118,9 @@
 	return false, nil
 }
 
-// put queues r. When the reader is too far behind, r and all after it are
-// dropped until the reader has seen ErrMissed: a gap in the middle would only
-// be asked for again.
+// put queues r. If the queue is full, r and all later replies are dropped
+// until the reader has received ErrOverflow: replies after a gap would only be
+// requested again.
 func (s *Stream) put(r *frame.Reply) {
 	s.mu.Lock()
 	s.recordHop(r)
@@ -144,7 +148,7 @@
 	s.queue = append(s.queue, *r)
 }
 
-// recordHop takes the hop time of the step that r answers first.
+// recordHop records the hop time of a step at its first reply.
 func (s *Stream) recordHop(r *frame.Reply) {
 	if r.Seq != s.seq || s.sentAt.IsZero() {
 		return
@@ -154,11 +158,11 @@
 	s.conn.hops.record(max(0, hop))
 }
 
-// Leave drops the stream and keeps the engine's state.
+// Leave drops the stream but keeps the state on the engine.
 func (s *Stream) Leave() { s.conn.remove(s) }
 
-// Close drops the stream and the engine's state for it. An engine whose
-// connection broke drops the state by itself after its grace time.
+// Close drops the stream and the state on the engine. If the connection is
+// broken, the engine drops the state on its own after its grace period.
 func (s *Stream) Close() {
 	s.conn.remove(s)
 	step := frame.Step{Verb: frame.VerbCancel, Req: s.key.req, Try: s.key.try, From: s.key.from}
