--- a/internal/wire/chain/bench_test.go
+++ b/internal/wire/chain/bench_test.go
@@ -18,22 +18,22 @@
 
 const benchTokens = 256
 
-// fixed is a router that always gives the same chain.
-type fixed struct {
+// fixedRouter always gives the same chain.
+type fixedRouter struct {
 	chain spec.Chain
 }
 
-func (f *fixed) Post(domain.Event) {}
+func (f *fixedRouter) Post(domain.Event) {}
 
-func (f *fixed) Watch(id spec.RequestID) <-chan domain.Command {
+func (f *fixedRouter) Watch(id spec.RequestID) <-chan domain.Command {
 	ch := make(chan domain.Command, 1)
 	ch <- domain.Start{Request: id, Attempt: 1, Chain: f.chain, Depth: depth}
 	return ch
 }
 
-func (f *fixed) Unwatch(spec.RequestID) {}
+func (f *fixedRouter) Unwatch(spec.RequestID) {}
 
-// longText is a prompt whose answer is as long as the bench wants.
+// longText returns a prompt whose answer has benchTokens tokens.
 func longText() string {
 	for i := 0; ; i++ {
 		text := fmt.Sprint("notice ", i)
@@ -43,9 +43,9 @@
 	}
 }
 
-// processor is the processor time that this process took so far, which other
-// work on the machine disturbs less than the clock.
-func processor(b *testing.B) time.Duration {
+// cpuTime returns the CPU time that this process has used so far. Other work
+// on the machine affects it less than wall-clock time.
+func cpuTime(b *testing.B) time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		b.Fatal(err)
@@ -53,9 +53,9 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkRun streams answers through chain and engine client on loopback
-// from stand-ins that answer at once, which share the processor and whose
-// allocations count too.
+// BenchmarkRun streams answers through package chain and the engine client
+// over loopback. The fake engines answer at once; they share the CPU with the
+// code under test, and their allocations are counted too.
 func BenchmarkRun(b *testing.B) {
 	text := longText()
 	for _, stages := range []int{1, 3} {
@@ -63,22 +63,22 @@
 			b.Run(fmt.Sprintf("stages=%d/callers=%d", stages, callers), func(b *testing.B) {
 				pool := &engine.Pool{}
 				defer pool.Close()
-				router := &fixed{}
+				router := &fixedRouter{}
 				for i := range stages {
 					name := fmt.Sprint("e", i)
-					e := hold(name, depth, i*depth/stages, (i+1)*depth/stages)
+					e := newEngine(name, depth, i*depth/stages, (i+1)*depth/stages)
 					e.Layer, e.Slots = 0, 64
 					server := httptest.NewServer(e.Handler())
 					defer server.Close()
 					pool.Locate(spec.UpstreamID(name), server.URL)
-					router.chain = append(router.chain, on(name, i*depth/stages, (i+1)*depth/stages))
+					router.chain = append(router.chain, stageOn(name, i*depth/stages, (i+1)*depth/stages))
 				}
 				r := &chain.Runner{Engines: pool, Router: router}
 				var next atomic.Int64
 				b.SetParallelism(callers)
-				began := processor(b)
+				start := cpuTime(b)
 				b.ReportAllocs()
-				each := func() {
+				runOnce := func() {
 					job := chain.Job{Text: text, Arrived: domain.RequestArrived{
 						Request: spec.RequestID(fmt.Sprint(next.Add(1))), Model: model, MaxTokens: benchTokens,
 					}}
@@ -90,16 +90,16 @@
 				}
 				if callers == 1 {
 					for b.Loop() {
-						each()
+						runOnce()
 					}
 				} else {
 					b.RunParallel(func(pb *testing.PB) {
 						for pb.Next() {
-							each()
+							runOnce()
 						}
 					})
 				}
-				b.ReportMetric(float64(processor(b)-began)/float64(next.Load()*benchTokens), "cpu-ns/token")
+				b.ReportMetric(float64(cpuTime(b)-start)/float64(next.Load()*benchTokens), "cpu-ns/token")
 				b.ReportMetric(float64(next.Load())*benchTokens/b.Elapsed().Seconds(), "tokens/s")
 			})
 		}
--- a/internal/wire/chain/run.go
+++ b/internal/wire/chain/run.go
@@ -17,35 +17,40 @@
 )
 
 const (
-	// defaultJournal bounds the hidden inputs kept of one request, in bytes.
+	// defaultJournal bounds the hidden inputs kept for one request, in bytes.
 	defaultJournal = 4 << 20
 	// defaultChunk bounds the hidden inputs of one step, in bytes.
 	defaultChunk = 1 << 20
 	// defaultPositions bounds the positions of one step.
 	defaultPositions = 256
-	// defaultPatience is how long a step may take unless the logic says.
-	defaultPatience = 30 * time.Second
-	// progressEvery is the least time between two Progress events.
+	// defaultStepTimeout is how long a step may take if the routing logic sets
+	// no timeout.
+	defaultStepTimeout = 30 * time.Second
+	// progressEvery is the minimum time between two RequestProgress events.
 	progressEvery = time.Second
 )
 
-// Runner runs jobs. Set the exported fields before Run.
+// Runner runs jobs. Set the exported fields before the first call of Run.
 type Runner struct {
 	Engines Opener
 	Router  Router
-	// KV moves caches between engines that live; nil replays always.
+	// KV moves KV caches between engines that are up. If nil, a new stage
+	// always replays its inputs.
 	KV Mover
-	// Journal bounds the bytes of hidden inputs that are kept of one request
-	// to rebuild a lost stage alone; zero takes 4 MiB. Beyond it a lost stage
-	// costs the run of all stages before it from the tokens.
+	// Journal bounds the hidden inputs kept for one request, in bytes; zero
+	// means 4 MiB. They allow a lost stage to be rebuilt alone. Beyond the
+	// bound, a lost stage makes all stages before it run again from the
+	// tokens.
 	Journal int
-	// Chunk bounds the hidden inputs of one step in bytes, so that a rebuild
-	// does not hold up the other streams of a connection; zero takes 1 MiB.
+	// Chunk bounds the hidden inputs of one step, in bytes, so that a rebuild
+	// does not block the other streams of a connection; zero means 1 MiB.
 	Chunk int
-	// Positions bounds the positions of the prompt, or of tokens run again, in
-	// one step, so that their hidden values fit a reply; zero takes 256.
+	// Positions bounds how many positions of the prompt, or of tokens that run
+	// again, are sent in one step, so that their hidden values fit into a
+	// reply; zero means 256.
 	Positions int
-	// Meters takes the counters; nil makes a private set.
+	// Meters is the set in which the counters are registered; nil means a
+	// private set.
 	Meters *metrics.Set
 
 	once   sync.Once
@@ -74,50 +79,52 @@
 type run struct {
 	*Runner
 	job Job
-	// name is the request's name towards engines. It differs for each run of
-	// the same request: after a resume at another instance both may be alive
-	// for a while, and their steps must not meet in one state.
-	name     string
+	// reqID is the request ID sent to engines. It differs for each run of the
+	// same request: after a resume on another instance both runs may exist for
+	// a while, and their steps must not reach the same state on an engine.
+	reqID    string
 	sink     Sink
-	decided  <-chan domain.Command
+	commands <-chan domain.Command
 	attempt  uint32
 	rebuilds uint32
 	depth    int
 	prio     int
-	// patience is for a step of one token, prefill for the first of a state.
-	patience time.Duration
-	prefill  time.Duration
-	stages   []*stage
-	inputs   inputs
-	reply    frame.Reply
-	stop     bool
-	began    time.Time
-	first    time.Duration
-	last     time.Time
-	told     time.Time
-	gap      time.Duration
+	// stepTimeout applies to a step of one token, prefillTimeout to the first
+	// step of a state.
+	stepTimeout    time.Duration
+	prefillTimeout time.Duration
+	stages         []*stage
+	inputs         inputs
+	reply          frame.Reply
+	stop           bool
+	start          time.Time
+	firstToken     time.Duration
+	lastToken      time.Time
+	lastProgress   time.Time
+	longestGap     time.Duration
 }
 
-// Run brings the whole answer to sink, or returns why that cannot be:
-// *RefusedError, *ForwardError, the sink's error, or the context's.
+// Run runs the job and passes the whole answer to sink. If that is not
+// possible it returns a *RefusedError, a *ForwardError, the error of sink, or
+// the error of the context.
 func (r *Runner) Run(ctx context.Context, job Job, sink Sink) (Result, error) {
 	r.init()
 	id := job.Arrived.Request
 	now := time.Now()
 	j := &run{
-		Runner: r, job: job, sink: sink, decided: r.Router.Watch(id), began: now, told: now,
-		name:   string(id) + "~" + r.nonce + "-" + strconv.FormatUint(r.runs.Add(1), 10),
+		Runner: r, job: job, sink: sink, commands: r.Router.Watch(id), start: now, lastProgress: now,
+		reqID:  string(id) + "~" + r.nonce + "-" + strconv.FormatUint(r.runs.Add(1), 10),
 		inputs: inputs{limit: r.Journal},
 	}
 	defer r.Router.Unwatch(id)
 	defer j.closeAll()
 	r.Router.Post(job.Arrived)
-	err := j.whole(ctx)
+	err := j.runLoop(ctx)
 	j.report(ctx, err)
 	return Result{Tokens: j.count(), Stop: j.stop}, err
 }
 
-// count is how many tokens the caller got.
+// count returns how many tokens were passed to the sink.
 func (j *run) count() int { return len(j.inputs.tokens) }
 
 func (j *run) report(ctx context.Context, err error) {
@@ -127,20 +134,20 @@
 		return
 	}
 	j.Router.Post(domain.RequestFinished{
-		Request: id, Tokens: j.count(), FirstToken: j.first, LongestGap: j.gap,
-		TotalTime: time.Since(j.began), OK: err == nil,
+		Request: id, Tokens: j.count(), FirstToken: j.firstToken, LongestGap: j.longestGap,
+		TotalTime: time.Since(j.start), OK: err == nil,
 	})
 }
 
-func (j *run) whole(ctx context.Context) error {
-	if err := j.await(ctx); err != nil {
+func (j *run) runLoop(ctx context.Context) error {
+	if err := j.awaitDecision(ctx); err != nil {
 		return err
 	}
 	for !j.ended() {
 		err := j.advance(ctx)
-		var lost *lostError
+		var lost *stageLostError
 		switch {
-		case err == nil, errors.Is(err, errAgain):
+		case err == nil, errors.Is(err, errStageReset):
 			continue
 		case !errors.As(err, &lost):
 			return err
@@ -149,7 +156,7 @@
 			Request: j.job.Arrived.Request, Attempt: j.attempt,
 			Engine: lost.engine, Cause: lost.cause, Tokens: j.count(),
 		})
-		if err := j.await(ctx); err != nil {
+		if err := j.awaitDecision(ctx); err != nil {
 			return err
 		}
 	}
@@ -160,13 +167,14 @@
 	return j.stop || j.count() >= j.job.Arrived.MaxTokens
 }
 
-// await takes the next decision and sets the stages to it.
-func (j *run) await(ctx context.Context) error {
+// awaitDecision waits for the next command of the routing logic and applies
+// it.
+func (j *run) awaitDecision(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
-			return errors.Wrap(ctx.Err(), "chain: wait for a decision")
-		case c := <-j.decided:
+			return errors.Wrap(ctx.Err(), "chain: wait for a routing decision")
+		case c := <-j.commands:
 			switch c := c.(type) {
 			case domain.Refuse:
 				return &RefusedError{Reason: c.Reason, After: c.RetryAfter, Ran: c.Ran}
@@ -183,59 +191,59 @@
 	}
 }
 
-// advance brings each stage nearer to its boundary by a step. All steps that
-// can run are sent before the first reply is waited for: the parts of a long
-// prompt or rebuild so run on all stages at once, each a part behind the one
-// before.
+// advance moves every stage that is behind one step towards its boundary. All
+// steps that can run are sent before the first reply is awaited. The parts of
+// a long prompt or rebuild therefore run on all stages at once, each stage one
+// part behind the stage before it.
 func (j *run) advance(ctx context.Context) error {
 	if len(j.stages) == 1 {
 		return j.stream(ctx, j.stages[0])
 	}
 	for _, s := range j.stages {
-		if j.next(s) {
-			j.begin(ctx, s)
+		if j.prepare(s) {
+			j.startStep(ctx, s)
 		}
 	}
-	moved := false
+	progressed := false
 	for _, s := range j.stages {
 		if !s.pending {
 			continue
 		}
-		moved = true
-		if err := j.call(ctx, s); err != nil {
+		progressed = true
+		if err := j.awaitReply(ctx, s); err != nil {
 			return err
 		}
-		if err := j.take(s); err != nil {
+		if err := j.applyReply(s); err != nil {
 			return err
 		}
 	}
-	if !moved {
-		// Inputs that nobody keeps and nobody makes would have the loop spin
-		// on a core while the caller waits.
-		return errStuck
+	if !progressed {
+		// Without this check, inputs that are neither kept nor produced again
+		// would make the loop spin on a core while the caller waits.
+		return errNoProgress
 	}
 	return nil
 }
 
-// give hands the next token to the caller.
-func (j *run) give(token uint32, text string) error {
+// deliver passes the next token to the sink.
+func (j *run) deliver(token uint32, text string) error {
 	index := j.count()
 	j.inputs.tokens = append(j.inputs.tokens, token)
 	j.meters.tokens.Inc()
-	j.timed()
+	j.recordTime()
 	return j.sink(Token{Index: index, Text: text})
 }
 
-func (j *run) timed() {
+func (j *run) recordTime() {
 	now := time.Now()
-	if j.first == 0 {
-		j.first = now.Sub(j.began)
+	if j.firstToken == 0 {
+		j.firstToken = now.Sub(j.start)
 	} else {
-		j.gap = max(j.gap, now.Sub(j.last))
+		j.longestGap = max(j.longestGap, now.Sub(j.lastToken))
 	}
-	j.last = now
-	if now.Sub(j.told) >= progressEvery {
-		j.told = now
+	j.lastToken = now
+	if now.Sub(j.lastProgress) >= progressEvery {
+		j.lastProgress = now
 		j.Router.Post(domain.RequestProgress{Request: j.job.Arrived.Request, Tokens: j.count()})
 	}
 }
@@ -246,8 +254,8 @@
 	}
 }
 
-// stageOf is a stage that has run nothing, under a number that no state of
-// this run had before.
-func (j *run) stageOf(is spec.Stage) *stage {
-	return &stage{is: is, try: j.attempt<<rebuildBits | j.rebuilds}
+// newStage returns a stage that has run nothing. Its Try differs from that of
+// every earlier state of this run.
+func (j *run) newStage(want spec.Stage) *stage {
+	return &stage{spec: want, try: j.attempt<<rebuildBits | j.rebuilds}
 }
--- a/internal/wire/chain/site_test.go
+++ b/internal/wire/chain/site_test.go
@@ -25,8 +25,8 @@
 
 const model = "levy-13b"
 
-// site is stand-in engines behind a pool, and a router of fixed or random
-// choice.
+// site is a set of fake engines behind a pool, with a router that uses a fixed
+// plan or random chains.
 type site struct {
 	depth   int
 	engines []*stage.Engine
@@ -44,7 +44,7 @@
 		return listeners[strings.TrimSuffix(address, ":80")].Dial(ctx, network, address)
 	}
 	transport := &http.Transport{DialContext: dial, DisableKeepAlives: true}
-	s.router = &router{site: s, waits: map[spec.RequestID]*routed{}}
+	s.router = &router{site: s, requests: map[spec.RequestID]*routedRequest{}}
 	s.pool = &engine.Pool{
 		Dial: dial, HTTP: &http.Client{Transport: transport}, Post: s.router.Post, Meters: metrics.NewSet(),
 	}
@@ -66,7 +66,7 @@
 		_ = server.Close()
 	}
 	s.served.Wait()
-	// Steps and frames under way on the stand-ins come to their end.
+	// Lets steps and frames in progress on the fake engines finish.
 	time.Sleep(time.Second)
 }
 
@@ -78,22 +78,24 @@
 	return n
 }
 
-// router gives each request a chain, and another when a stage is lost.
+// router gives each request a chain, and another one when a stage is lost.
 type router struct {
 	site *site
-	// plan, if set, gives the chain of attempt n; else rand picks one.
+	// plan, if set, returns the chain of the attempt; otherwise rand picks
+	// one.
 	plan func(attempt uint32, lost []spec.UpstreamID) spec.Chain
 	rand *rand.Rand
-	// limit is the most attempts of a request; zero is 20.
+	// limit is the maximum number of attempts of a request; values below 20
+	// mean 20.
 	limit uint32
 	prio  map[spec.RequestID]int
 
-	mu     sync.Mutex
-	waits  map[spec.RequestID]*routed
-	events []domain.Event
+	mu       sync.Mutex
+	requests map[spec.RequestID]*routedRequest
+	events   []domain.Event
 }
 
-type routed struct {
+type routedRequest struct {
 	ch      chan domain.Command
 	attempt uint32
 	lost    []spec.UpstreamID
@@ -102,15 +104,15 @@
 func (r *router) Watch(id spec.RequestID) <-chan domain.Command {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	w := &routed{ch: make(chan domain.Command, 4)}
-	r.waits[id] = w
+	w := &routedRequest{ch: make(chan domain.Command, 4)}
+	r.requests[id] = w
 	return w.ch
 }
 
 func (r *router) Unwatch(id spec.RequestID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.waits, id)
+	delete(r.requests, id)
 }
 
 func (r *router) Post(ev domain.Event) {
@@ -121,7 +123,7 @@
 	case domain.RequestArrived:
 		r.decide(ev.Request)
 	case domain.StageLost:
-		w := r.waits[ev.Request]
+		w := r.requests[ev.Request]
 		if ev.Attempt != w.attempt {
 			return
 		}
@@ -131,7 +133,7 @@
 }
 
 func (r *router) decide(id spec.RequestID) {
-	w := r.waits[id]
+	w := r.requests[id]
 	w.attempt++
 	c := r.choose(w)
 	if c == nil {
@@ -141,28 +143,27 @@
 	w.ch <- domain.Start{Request: id, Attempt: w.attempt, Chain: c, Depth: r.site.depth, Priority: r.prio[id]}
 }
 
-func (r *router) choose(w *routed) spec.Chain {
+func (r *router) choose(w *routedRequest) spec.Chain {
 	if w.attempt > max(r.limit, 20) {
 		return nil
 	}
 	if r.plan != nil {
 		return r.plan(w.attempt, w.lost)
 	}
-	return r.random()
+	return r.randomChain()
 }
 
-// random picks, from layer 0 up, an engine that holds the next layer and where
-// to leave it; a choice that leads nowhere is tried again.
-func (r *router) random() spec.Chain {
+// randomChain picks chains at random until one covers the whole model.
+func (r *router) randomChain() spec.Chain {
 	for range 1000 {
-		if c := r.walk(); c != nil {
+		if c := r.tryRandomChain(); c != nil {
 			return c
 		}
 	}
 	return nil
 }
 
-func (r *router) walk() spec.Chain {
+func (r *router) tryRandomChain() spec.Chain {
 	var c spec.Chain
 	for at := 0; at < r.site.depth; {
 		e := r.site.engines[r.rand.IntN(len(r.site.engines))]
@@ -200,7 +201,7 @@
 	err    error
 }
 
-// ask runs one request; each, if set, is called after every token.
+// ask runs one request. If each is set, it is called after every token.
 func (s *site) ask(ctx context.Context, id, text string, limit int, each func(n int)) *answer {
 	a := &answer{}
 	job := chain.Job{Text: text, Arrived: domain.RequestArrived{Request: spec.RequestID(id), Model: model, MaxTokens: limit}}
@@ -218,7 +219,7 @@
 	return a
 }
 
-// check compares with the run of the whole model on one machine.
+// check compares the answer with the output of the whole model on one machine.
 func (a *answer) check(text string, depth, limit int) error {
 	if a.err != nil {
 		return fmt.Errorf("got error %w, want none", a.err)
@@ -236,20 +237,20 @@
 	return nil
 }
 
-func (a *answer) must(t *testing.T, text string, depth, limit int) {
+func (a *answer) mustMatch(t *testing.T, text string, depth, limit int) {
 	t.Helper()
 	if err := a.check(text, depth, limit); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func hold(name string, depth, from, to int) *stage.Engine {
+func newEngine(name string, depth, from, to int) *stage.Engine {
 	return &stage.Engine{
 		Name: name, Slots: 8, Layer: time.Millisecond,
 		Holds: []frame.Hold{{Model: model, Version: "1", Depth: depth, From: from, To: to}},
 	}
 }
 
-func on(name string, from, to int) spec.Stage {
+func stageOn(name string, from, to int) spec.Stage {
 	return spec.NewStage(spec.UpstreamID(name), spec.NewLayers(from, to))
 }
--- a/internal/wire/chain/stage.go
+++ b/internal/wire/chain/stage.go
@@ -14,48 +14,52 @@
 )
 
 const (
-	// rebuildBits of a Try count the states that were set up anew within one
-	// attempt; the attempt stands above them.
+	// rebuildBits is the number of low bits of a Try that count the resets of
+	// states within one attempt. The bits above hold the attempt.
 	rebuildBits = 8
 	maxRebuilds = 1<<rebuildBits - 1
-	// stageRebuilds bounds how often one stage is set up anew on its engine
-	// without a step between.
-	stageRebuilds = 2
-	// tracer names the spans of this package.
-	tracer = "fulmarwick/chain"
+	// maxStageRebuilds bounds how often one stage is reset on its engine
+	// without a completed step in between.
+	maxStageRebuilds = 2
+	// tracerName is the name of the tracer of this package.
+	tracerName = "fulmarwick/chain"
 )
 
-// stage is the state of one link of the chain.
+// stage is the state of one stage of the chain.
 type stage struct {
-	is   spec.Stage
-	try  uint32
-	seq  uint64
-	done int
-	lost bool
-	on   frame.Stream
-	// step is what the stage is to run next. While pending it stays as it is:
-	// the engine may have run it, and knows it by its number only. sent says
-	// that a reply is awaited, err what went wrong with sending.
+	spec   spec.Stage
+	try    uint32
+	seq    uint64
+	done   int
+	lost   bool
+	stream frame.Stream
+	// step is the next step of the stage. While pending is true it must not
+	// change: the engine may have run it, and identifies it only by its
+	// sequence number. sent means that a reply is awaited, and err is the
+	// error of sending the step.
 	step    frame.Step
 	pending bool
 	sent    bool
 	err     error
-	// life is the engine's incarnation when the state was opened.
-	life uint64
-	// anew and stalls count set-ups and repeats without a step between.
-	anew   int
-	stalls int
-	span   trace.Span
-	// trace is the span as a traceparent, for the engine's own spans.
+	// incarnation is the incarnation of the engine when the state was opened
+	// on it.
+	incarnation uint64
+	// rebuilds and stalls count the resets and the repeated requests without a
+	// completed step in between.
+	rebuilds int
+	stalls   int
+	span     trace.Span
+	// trace is the span as a traceparent header value, for the spans of the
+	// engine.
 	trace string
 }
 
-func (s *stage) from() int { return s.is.Layers().From() }
+func (s *stage) from() int { return s.spec.Layers().From() }
 
 func (s *stage) close() {
-	if s.on != nil {
-		s.on.Close()
-		s.on = nil
+	if s.stream != nil {
+		s.stream.Close()
+		s.stream = nil
 	}
 	if s.span != nil {
 		s.span.SetAttributes(attribute.Int("positions", s.done))
@@ -64,54 +68,55 @@
 	}
 }
 
-// open opens the stage's stream and its span, which last until close.
+// open opens the stream and the span of the stage. Both last until close.
 func (j *run) open(ctx context.Context, s *stage) error {
-	if s.on != nil {
+	if s.stream != nil {
 		return nil
 	}
-	on, err := j.Engines.Open(ctx, s.is.Engine(), j.name, s.try, s.from())
+	stream, err := j.Engines.Open(ctx, s.spec.Engine(), j.reqID, s.try, s.from())
 	if err != nil {
 		return err
 	}
-	s.on = on
-	s.life = on.Incarnation()
-	_, s.span = trace.SpanFromContext(ctx).TracerProvider().Tracer(tracer).Start(ctx, "stage",
+	s.stream = stream
+	s.incarnation = stream.Incarnation()
+	_, s.span = trace.SpanFromContext(ctx).TracerProvider().Tracer(tracerName).Start(ctx, "stage",
 		trace.WithSpanKind(trace.SpanKindClient),
 		trace.WithAttributes(
-			attribute.String("engine", string(s.is.Engine())),
-			attribute.String("layers", s.is.Layers().String()),
+			attribute.String("engine", string(s.spec.Engine())),
+			attribute.String("layers", s.spec.Layers().String()),
 			attribute.Int("attempt", int(j.attempt)),
 		))
 	s.trace = traceparent(trace.ContextWithSpan(ctx, s.span))
 	return nil
 }
 
-// traceparent is the span of ctx as a W3C header value; "" if nobody traces.
+// traceparent returns the span of ctx as a W3C traceparent header value, or ""
+// if tracing is off.
 func traceparent(ctx context.Context) string {
 	carrier := propagation.MapCarrier{}
 	propagation.TraceContext{}.Inject(ctx, carrier)
 	return carrier.Get("traceparent")
 }
 
-// next sets s.step to what brings s up to date, or a part of it, unless one is
-// under way; false if nothing is missing.
-func (j *run) next(s *stage) bool {
+// prepare sets s.step to the next step that s needs, unless a step is pending
+// already. It returns false if s is up to date.
+func (j *run) prepare(s *stage) bool {
 	if !s.pending {
-		s.pending = j.build(s)
+		s.pending = j.buildStep(s)
 	}
 	return s.pending
 }
 
-func (j *run) build(s *stage) bool {
+func (j *run) buildStep(s *stage) bool {
 	s.step = frame.Step{
 		Verb: frame.VerbStep, Seq: s.seq + 1, Model: string(j.job.Arrived.Model),
-		To: s.is.Layers().To(), Pos: s.done, Prio: j.prio,
+		To: s.spec.Layers().To(), Pos: s.done, Prio: j.prio,
 	}
 	switch {
 	case s.from() > 0:
-		s.step.Hidden = portion(j.inputs.from(s.from(), s.done), j.Chunk)
+		s.step.Hidden = limitBytes(j.inputs.from(s.from(), s.done), j.Chunk)
 		return len(s.step.Hidden) > 0
-	case j.prompting(s):
+	case j.inPrompt(s):
 		s.step.Count = j.Positions
 		if s.seq == 0 {
 			s.step.Text = j.job.Text
@@ -126,13 +131,14 @@
 	}
 }
 
-// prompting reports whether s is to run a part of the prompt.
-func (j *run) prompting(s *stage) bool {
+// inPrompt reports whether the next step of s runs a part of the prompt.
+func (j *run) inPrompt(s *stage) bool {
 	return s.from() == 0 && (j.inputs.prompt == 0 || s.done < j.inputs.prompt)
 }
 
-// portion is the first of values, within limit bytes, one at least.
-func portion(values [][]byte, limit int) [][]byte {
+// limitBytes returns the first values that together have at most limit bytes,
+// but at least one value.
+func limitBytes(values [][]byte, limit int) [][]byte {
 	size := 0
 	for i, v := range values {
 		size += len(v)
@@ -143,42 +149,43 @@
 	return values
 }
 
-// take records what a stage made from its inputs. A reply that does not
-// account for every input cannot be trusted with the layers.
-func (j *run) take(s *stage) error {
+// applyReply records the outputs of the step in j.reply. A reply that does not
+// account for every input cannot be trusted, and the stage is lost.
+func (j *run) applyReply(s *stage) error {
 	r := &j.reply
-	if !j.accounts(s) {
-		return j.lose(s, domain.CauseStateLost)
+	if !j.coversStep(s) {
+		return j.markLost(s, domain.CauseStateLost)
 	}
 	if r.Last && (!r.End || r.Total != r.Next) {
-		return j.stalled(s)
+		return j.countStall(s)
 	}
-	s.seq, s.anew, s.stalls, s.pending = s.step.Seq, 0, 0, false
-	j.sized(s)
+	s.seq, s.rebuilds, s.stalls, s.pending = s.step.Seq, 0, 0, false
+	j.setPromptSize(s)
 	begin := s.done
 	s.done = r.Next
 	if s.from() > 0 {
-		j.inputs.ran(s.from(), s.done)
+		j.inputs.release(s.from(), s.done)
 	}
-	if s.is.Layers().To() < j.depth {
-		j.inputs.put(s.is.Layers().To(), begin, r.Hidden)
+	if s.spec.Layers().To() < j.depth {
+		j.inputs.put(s.spec.Layers().To(), begin, r.Hidden)
 		return nil
 	}
-	// Only the output of the newest position is a token that was not there.
+	// Only the output for the newest position is a new token.
 	if s.done < j.inputs.positions() {
 		return nil
 	}
-	return j.token()
+	return j.emitToken()
 }
 
-// accounts reports whether the reply tells of just the inputs of s.step.
-func (j *run) accounts(s *stage) bool {
+// coversStep reports whether the reply accounts for exactly the inputs of
+// s.step.
+func (j *run) coversStep(s *stage) bool {
 	r, n := &j.reply, len(s.step.Hidden)+len(s.step.Tokens)
-	if j.prompting(s) {
-		// Only the engine knows how many positions the prompt takes; it must
-		// not change its mind.
-		whole := r.Next + r.Left - len(s.step.Tokens)
-		if whole <= 0 || j.inputs.prompt > 0 && whole != j.inputs.prompt {
+	if j.inPrompt(s) {
+		// Only the engine knows how many positions the prompt takes. The
+		// number must be the same in all its replies.
+		total := r.Next + r.Left - len(s.step.Tokens)
+		if total <= 0 || j.inputs.prompt > 0 && total != j.inputs.prompt {
 			return false
 		}
 		n = max(1, r.Next-s.done)
@@ -186,47 +193,49 @@
 	if r.Pos != s.done || r.Next != s.done+n {
 		return false
 	}
-	return s.is.Layers().To() == j.depth || len(r.Hidden) == n
+	return s.spec.Layers().To() == j.depth || len(r.Hidden) == n
 }
 
-// sized takes the size of the prompt from its first reply.
-func (j *run) sized(s *stage) {
+// setPromptSize sets the number of positions of the prompt from its first
+// reply.
+func (j *run) setPromptSize(s *stage) {
 	if s.from() == 0 && j.inputs.prompt == 0 {
 		j.inputs.prompt = j.reply.Next + j.reply.Left - len(s.step.Tokens)
 	}
 }
 
-// token takes the last stage's token to the caller and back to layer 0.
-func (j *run) token() error {
+// emitToken passes the token of the last stage to the caller and adds it to
+// the inputs of layer 0.
+func (j *run) emitToken() error {
 	if j.reply.Last {
 		j.stop = true
 		return nil
 	}
-	return j.give(j.reply.Token, j.reply.Text)
+	return j.deliver(j.reply.Token, j.reply.Text)
 }
 
-// lose drops the stage's state. It is rebuilt under a new attempt, since a
-// step whose reply was lost may have been applied.
-func (j *run) lose(s *stage, why domain.Cause) error {
+// markLost marks the stage as lost. Its state is rebuilt under a new attempt,
+// since a step whose reply was lost may have been applied.
+func (j *run) markLost(s *stage, cause domain.Cause) error {
 	s.lost = true
 	j.meters.lost.Inc()
-	return &lostError{engine: s.is.Engine(), cause: why}
+	return &stageLostError{engine: s.spec.Engine(), cause: cause}
 }
 
-// anew sets the stage's state up again on its own engine, under a number that
-// makes whatever the engine still has for it stale.
-func (j *run) anew(s *stage) error {
-	s.anew++
-	if s.anew > stageRebuilds || j.rebuilds >= maxRebuilds {
-		return j.lose(s, domain.CauseStateLost)
+// rebuild resets the stage on its own engine. The new Try makes any state that
+// the engine still has for the stage stale.
+func (j *run) rebuild(s *stage) error {
+	s.rebuilds++
+	if s.rebuilds > maxStageRebuilds || j.rebuilds >= maxRebuilds {
+		return j.markLost(s, domain.CauseStateLost)
 	}
 	j.meters.rebuilds.Inc()
 	j.reset(s)
 	j.repair()
-	return errAgain
+	return errStageReset
 }
 
-// reset makes the stage run all its positions again under a new number.
+// reset makes the stage run all its positions again under a new Try.
 func (j *run) reset(s *stage) {
 	s.close()
 	j.rebuilds++
--- a/internal/wire/engine/outbox.go
+++ b/internal/wire/engine/outbox.go
@@ -9,45 +9,45 @@
 	"github.com/go-faster/errors"
 )
 
-// outboxBytes is how much may wait for the writer before Send waits too.
+// outboxBytes is how much may be pending before Send blocks.
 const outboxBytes = 1 << 20
 
-// outbox gathers encoded steps while the writer is busy, so that many streams
+// outbox collects encoded steps while the writer is busy, so that many streams
 // share one write.
 type outbox struct {
-	mu     sync.Mutex
-	room   *sync.Cond
-	fill   *bytes.Buffer
-	spare  *bytes.Buffer
-	closed bool
-	wake   chan struct{}
+	mu      sync.Mutex
+	notFull *sync.Cond
+	pending *bytes.Buffer
+	spare   *bytes.Buffer
+	closed  bool
+	wake    chan struct{}
 }
 
 func (o *outbox) init() {
-	o.room = sync.NewCond(&o.mu)
-	o.fill, o.spare = new(bytes.Buffer), new(bytes.Buffer)
+	o.notFull = sync.NewCond(&o.mu)
+	o.pending, o.spare = new(bytes.Buffer), new(bytes.Buffer)
 	o.wake = make(chan struct{}, 1)
 }
 
-// add encodes s. A step that is larger than a message may be is refused here,
-// since the engine would close the connection under all other streams.
+// add encodes s. A step above the message size limit is rejected here: the
+// engine would close the connection and break all other streams on it.
 func (o *outbox) add(s *frame.Step) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	for o.fill.Len() > outboxBytes && !o.closed {
-		o.room.Wait()
+	for o.pending.Len() > outboxBytes && !o.closed {
+		o.notFull.Wait()
 	}
 	if o.closed {
 		return ErrBroken
 	}
-	before := o.fill.Len()
-	err := frame.AppendStep(o.fill, s)
-	if err == nil && o.fill.Len()-before > frame.MaxBytes-outboxBytes {
-		err = errors.New("step too large")
+	before := o.pending.Len()
+	err := frame.AppendStep(o.pending, s)
+	if err == nil && o.pending.Len()-before > frame.MaxBytes-outboxBytes {
+		err = errors.New("step exceeds the message size limit")
 	}
 	if err != nil {
-		o.fill.Truncate(before)
-		return errors.Wrap(err, "engine: encode")
+		o.pending.Truncate(before)
+		return errors.Wrap(err, "engine: encode step")
 	}
 	select {
 	case o.wake <- struct{}{}:
@@ -56,24 +56,25 @@
 	return nil
 }
 
-// take returns what waits, or nil; give returns the buffer for reuse.
+// take returns the pending bytes, or nil if there are none. The caller returns
+// the buffer with release.
 func (o *outbox) take() *bytes.Buffer {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.fill.Len() == 0 {
+	if o.pending.Len() == 0 {
 		return nil
 	}
-	full := o.fill
-	o.fill, o.spare = o.spare, nil
-	if o.fill == nil {
-		o.fill = new(bytes.Buffer)
+	full := o.pending
+	o.pending, o.spare = o.spare, nil
+	if o.pending == nil {
+		o.pending = new(bytes.Buffer)
 	}
-	o.room.Broadcast()
+	o.notFull.Broadcast()
 	return full
 }
 
-func (o *outbox) give(b *bytes.Buffer) {
-	// A buffer that one large prompt grew is not kept for the small steps.
+func (o *outbox) release(b *bytes.Buffer) {
+	// A buffer that grew for one large prompt is not kept for the small steps.
 	if b.Cap() > outboxBytes {
 		b = new(bytes.Buffer)
 	}
@@ -87,5 +88,5 @@
 	o.mu.Lock()
 	o.closed = true
 	o.mu.Unlock()
-	o.room.Broadcast()
+	o.notFull.Broadcast()
 }
--- a/internal/wire/engine/stream.go
+++ b/internal/wire/engine/stream.go
@@ -10,66 +10,70 @@
 	"github.com/go-faster/errors"
 )
 
-// streamReplies bounds the replies that wait for one stream's reader.
+// streamReplies bounds the replies queued for the reader of one stream.
 const streamReplies = 256
 
-// Stream is one request's state on one engine. One goroutine uses it.
+// Stream is the state of one request on one engine. Only one goroutine may use
+// it.
 type Stream struct {
 	conn  *Conn
-	at    route
+	key   streamKey
 	ready chan struct{}
 	timer *time.Timer
 
-	mu     sync.Mutex
-	queue  []frame.Reply
-	head   int
-	missed bool
-	seq    uint64
-	sent   time.Time
+	mu         sync.Mutex
+	queue      []frame.Reply
+	head       int
+	overflowed bool
+	seq        uint64
+	sentAt     time.Time
 }
 
 var _ frame.Stream = (*Stream)(nil)
 
-func newStream(c *Conn, at route) *Stream {
-	return &Stream{conn: c, at: at, ready: make(chan struct{}, 1)}
+func newStream(c *Conn, key streamKey) *Stream {
+	return &Stream{conn: c, key: key, ready: make(chan struct{}, 1)}
 }
 
-// Send queues a step; the request, attempt and first layer are the stream's.
+// Send queues a step. It sets the request, Try and first layer of the step to
+// those of the stream.
 func (s *Stream) Send(step *frame.Step) error {
-	step.Req = s.at.req
-	step.Try = s.at.try
-	step.From = s.at.from
+	step.Req = s.key.req
+	step.Try = s.key.try
+	step.From = s.key.from
 	s.mu.Lock()
-	s.seq, s.sent = step.Seq, time.Now()
+	s.seq, s.sentAt = step.Seq, time.Now()
 	s.mu.Unlock()
 	s.conn.meters.steps.Inc()
 	return s.conn.out.add(step)
 }
 
-// Incarnation is the engine's, as of when the connection was made.
+// Incarnation returns the incarnation of the engine at the time the connection
+// was made.
 func (s *Stream) Incarnation() uint64 { return s.conn.incarnation }
 
-// Recv reads the next reply of this stream into r. ErrBroken, ErrLate and
-// ErrMissed say that none came.
+// Recv stores the next reply of this stream in r. It returns ErrBroken,
+// ErrTimeout or ErrOverflow if there is none.
 func (s *Stream) Recv(ctx context.Context, within time.Duration, r *frame.Reply) error {
 	if ok, err := s.pop(r); ok || err != nil {
 		return err
 	}
-	late := s.alarm(within)
-	defer s.quiet()
+	timeout := s.startTimer(within)
+	defer s.stopTimer()
 	for {
 		select {
 		case <-s.ready:
 		case <-s.conn.closed:
-			// What arrived before the connection broke still counts.
+			// Replies that arrived before the connection broke are still
+			// returned.
 			if ok, err := s.pop(r); ok || err != nil {
 				return err
 			}
 			return ErrBroken
-		case <-late:
-			return ErrLate
+		case <-timeout:
+			return ErrTimeout
 		case <-ctx.Done():
-			return errors.Wrap(ctx.Err(), "engine: wait")
+			return errors.Wrap(ctx.Err(), "engine: wait for a reply")
 		}
 		if ok, err := s.pop(r); ok || err != nil {
 			return err
@@ -77,7 +81,7 @@
 	}
 }
 
-func (s *Stream) alarm(within time.Duration) <-chan time.Time {
+func (s *Stream) startTimer(within time.Duration) <-chan time.Time {
 	if within <= 0 {
 		return nil
 	}
@@ -89,7 +93,7 @@
 	return s.timer.C
 }
 
-func (s *Stream) quiet() {
+func (s *Stream) stopTimer() {
 	if s.timer != nil {
 		s.timer.Stop()
 	}
@@ -107,24 +111,24 @@
 		}
 		return true, nil
 	}
-	if s.missed {
-		s.missed = false
-		return false, ErrMissed
+	if s.overflowed {
+		s.overflowed = false
+		return false, ErrOverflow
 	}
 	return false, nil
 }
 
-// put queues r. When the reader is too far behind, r and all after it are
-// dropped until the reader has seen ErrMissed: a gap in the middle would only
-// be asked for again.
+// put queues r. If the queue is full, r and all later replies are dropped
+// until the reader has received ErrOverflow: replies after a gap would only be
+// requested again.
 func (s *Stream) put(r *frame.Reply) {
 	s.mu.Lock()
-	s.timed(r)
+	s.recordHop(r)
 	switch {
-	case s.missed:
+	case s.overflowed:
 	case len(s.queue)-s.head >= streamReplies:
-		s.missed = true
-		s.conn.meters.missed.Inc()
+		s.overflowed = true
+		s.conn.meters.overflows.Inc()
 	default:
 		s.push(r)
 	}
@@ -144,23 +148,23 @@
 	s.queue = append(s.queue, *r)
 }
 
-// timed takes the hop time of the step that r answers first.
-func (s *Stream) timed(r *frame.Reply) {
-	if r.Seq != s.seq || s.sent.IsZero() {
+// recordHop records the hop time of a step at its first reply.
+func (s *Stream) recordHop(r *frame.Reply) {
+	if r.Seq != s.seq || s.sentAt.IsZero() {
 		return
 	}
-	hop := time.Since(s.sent) - time.Duration(r.Took)*time.Microsecond
-	s.sent = time.Time{}
+	hop := time.Since(s.sentAt) - time.Duration(r.Took)*time.Microsecond
+	s.sentAt = time.Time{}
 	s.conn.hops.record(max(0, hop))
 }
 
-// Leave drops the stream and keeps the engine's state.
-func (s *Stream) Leave() { s.conn.forget(s) }
+// Leave drops the stream but keeps the state on the engine.
+func (s *Stream) Leave() { s.conn.remove(s) }
 
-// Close drops the stream and the engine's state for it. An engine whose
-// connection broke drops the state by itself after its grace time.
+// Close drops the stream and the state on the engine. If the connection is
+// broken, the engine drops the state on its own after its grace period.
 func (s *Stream) Close() {
-	s.conn.forget(s)
-	step := frame.Step{Verb: frame.VerbCancel, Req: s.at.req, Try: s.at.try, From: s.at.from}
+	s.conn.remove(s)
+	step := frame.Step{Verb: frame.VerbCancel, Req: s.key.req, Try: s.key.try, From: s.key.from}
 	_ = s.conn.out.add(&step)
 }
