--- a/internal/wire/admin/admin_test.go
+++ b/internal/wire/admin/admin_test.go
@@ -19,33 +19,33 @@
 	"go.uber.org/zap"
 )
 
-// site is an instance with a configuration that answers as it is told.
-type site struct {
+// fakeInstance is an instance with a configuration that answers as it is told.
+type fakeInstance struct {
 	drains int
 	draft  admin.Draft
 	err    error
 	ready  bool
 }
 
-func (s *site) Status(context.Context) (admin.Status, error) {
+func (s *fakeInstance) Status(context.Context) (admin.Status, error) {
 	return admin.Status{Instance: "klang-1", Version: 7, Classes: []admin.Class{{Name: "answer", Percent: 95}}}, s.err
 }
-func (s *site) Begin()       { s.drains++ }
-func (s *site) Running() int { return 3 }
-func (s *site) Show(context.Context) (admin.Shown, error) {
+func (s *fakeInstance) Begin()       { s.drains++ }
+func (s *fakeInstance) Running() int { return 3 }
+func (s *fakeInstance) Show(context.Context) (admin.Shown, error) {
 	return admin.Shown{Version: 7, Document: "[class answer]\n"}, s.err
 }
 
-func (s *site) History(_ context.Context, limit int) ([]admin.Change, error) {
+func (s *fakeInstance) History(_ context.Context, limit int) ([]admin.Change, error) {
 	return make([]admin.Change, limit), s.err
 }
 
-func (s *site) Apply(_ context.Context, d admin.Draft) (admin.Applied, error) {
+func (s *fakeInstance) Apply(_ context.Context, d admin.Draft) (admin.Applied, error) {
 	s.draft = d
 	return admin.Applied{Version: 8}, s.err
 }
 
-func serve(t *testing.T, s *site) *admin.Client {
+func serve(t *testing.T, s *fakeInstance) *admin.Client {
 	t.Helper()
 	server := &admin.Server{
 		Viewer: s, Drainer: s, Config: s, Meters: metrics.NewSet(), Log: zap.NewNop(),
@@ -58,7 +58,7 @@
 }
 
 func TestClientAndServerAgree(t *testing.T) {
-	s := &site{}
+	s := &fakeInstance{}
 	c := serve(t, s)
 	ctx := t.Context()
 	if got, err := c.Status(ctx); err != nil || got.Instance != "klang-1" || len(got.Classes) != 1 {
@@ -86,13 +86,13 @@
 	for _, want := range []error{
 		&admin.ConflictError{Winners: []admin.Change{winner}}, &admin.RefusedError{Problems: []string{"a", "b"}}, admin.ErrDown, &admin.UnsureError{ID: "c1"},
 	} {
-		c := serve(t, &site{err: errors.Wrap(want, "wrapped")})
+		c := serve(t, &fakeInstance{err: errors.Wrap(want, "wrapped")})
 		_, err := c.Apply(t.Context(), admin.Draft{By: "ani"})
 		if err == nil || err.Error() != want.Error() || reflect.TypeOf(err) != reflect.TypeOf(want) {
 			t.Errorf("got %v, want %v", err, want)
 		}
 	}
-	c := serve(t, &site{err: errors.New("broken")})
+	c := serve(t, &fakeInstance{err: errors.New("broken")})
 	if _, err := c.Status(t.Context()); err == nil || !strings.Contains(err.Error(), "broken") {
 		t.Errorf("got %v, want it to tell what broke", err)
 	}
@@ -103,7 +103,7 @@
 }
 
 func TestBadRequests(t *testing.T) {
-	c := serve(t, &site{})
+	c := serve(t, &fakeInstance{})
 	for _, path := range []string{"/v1/config/history?limit=x", "/v1/config/history?limit=0", "/v1/config/history?limit=1001"} {
 		if got, _ := get(t, c, path); got != http.StatusBadRequest {
 			t.Errorf("got %d for %s, want 400", got, path)
@@ -136,7 +136,7 @@
 }
 
 func TestHealthAndMetrics(t *testing.T) {
-	s := &site{}
+	s := &fakeInstance{}
 	c := serve(t, s)
 	if got, _ := get(t, c, "/healthz"); got != http.StatusOK {
 		t.Errorf("got %d from /healthz, want 200", got)
@@ -155,7 +155,7 @@
 
 // An operator who shows a certificate cannot give another's name.
 func TestCertificateNamesTheOperator(t *testing.T) {
-	s := &site{}
+	s := &fakeInstance{}
 	server := &admin.Server{Viewer: s, Drainer: s, Config: s, Meters: metrics.NewSet(), Log: zap.NewNop(), Ready: func() bool { return true }}
 	req := httptest.NewRequest(http.MethodPost, "/v1/config", strings.NewReader(`{"by":"other"}`))
 	cert := &x509.Certificate{Subject: pkix.Name{CommonName: "ani"}}
@@ -167,7 +167,7 @@
 }
 
 func TestWithoutSharedConfiguration(t *testing.T) {
-	s := &site{}
+	s := &fakeInstance{}
 	server := &admin.Server{Viewer: s, Drainer: s, Meters: metrics.NewSet(), Log: zap.NewNop(), Ready: func() bool { return true }}
 	h := httptest.NewServer(server.Handler())
 	defer h.Close()
--- a/internal/wire/admin/server.go
+++ b/internal/wire/admin/server.go
@@ -63,13 +63,13 @@
 
 // The codes of faults.
 const (
-	codeConflict = "conflict"
-	codeRefused  = "refused"
-	codeDown     = "store-down"
-	codeUnsure   = "unsure"
-	codeNone     = "not-served"
-	codeBad      = "bad-request"
-	codeInternal = "internal"
+	codeConflict  = "conflict"
+	codeRefused   = "refused"
+	codeDown      = "store-down"
+	codeUnsure    = "unsure"
+	codeNotServed = "not-served"
+	codeBad       = "bad-request"
+	codeInternal  = "internal"
 )
 
 // Handler serves the operators' endpoints.
@@ -107,7 +107,7 @@
 
 func (s *Server) show(w http.ResponseWriter, req *http.Request) {
 	if s.Config == nil {
-		s.none(w)
+		s.notServed(w)
 		return
 	}
 	shown, err := s.Config.Show(req.Context())
@@ -116,7 +116,7 @@
 
 func (s *Server) history(w http.ResponseWriter, req *http.Request) {
 	if s.Config == nil {
-		s.none(w)
+		s.notServed(w)
 		return
 	}
 	limit := defaultHistory
@@ -134,7 +134,7 @@
 
 func (s *Server) apply(w http.ResponseWriter, req *http.Request) {
 	if s.Config == nil {
-		s.none(w)
+		s.notServed(w)
 		return
 	}
 	var body draftBody
@@ -175,8 +175,8 @@
 	metrics.WriteProcessMetrics(w)
 }
 
-func (s *Server) none(w http.ResponseWriter) {
-	write(w, http.StatusNotFound, fault{Code: codeNone, Text: "this instance keeps no shared configuration"})
+func (s *Server) notServed(w http.ResponseWriter) {
+	write(w, http.StatusNotFound, fault{Code: codeNotServed, Text: "this instance keeps no shared configuration"})
 }
 
 // answer writes body, or the error as operators see it.
--- a/internal/wire/certs/certs.go
+++ b/internal/wire/certs/certs.go
@@ -19,8 +19,8 @@
 // ErrBad means that the files of an endpoint hold no usable certificates.
 var ErrBad = errors.New("certs: bad files")
 
-// every is the least time between two looks at the files.
-const every = time.Second
+// checkInterval is the least time between two looks at the files.
+const checkInterval = time.Second
 
 // Source reads the files of one endpoint. Set the exported fields before Open.
 type Source struct {
@@ -31,14 +31,14 @@
 	CA   string
 	Log  *zap.Logger
 
-	mu     sync.Mutex
-	looked time.Time
-	stamps [3]stamp
-	now    material
+	mu        sync.Mutex
+	lastCheck time.Time
+	stamps    [3]fileStamp
+	loaded    material
 }
 
-// stamp tells whether a file was replaced.
-type stamp struct {
+// fileStamp tells whether a file was replaced.
+type fileStamp struct {
 	size int64
 	time time.Time
 }
@@ -61,7 +61,7 @@
 	if err != nil {
 		return err
 	}
-	s.stamps, s.now, s.looked = stamps, m, time.Now()
+	s.stamps, s.loaded, s.lastCheck = stamps, m, time.Now()
 	return nil
 }
 
@@ -71,7 +71,7 @@
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-			return s.serving(), nil
+			return s.serverConfig(), nil
 		},
 		// net/http wants a certificate here before it listens.
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
@@ -80,7 +80,7 @@
 	}
 }
 
-func (s *Source) serving() *tls.Config {
+func (s *Source) serverConfig() *tls.Config {
 	m := s.current()
 	c := &tls.Config{
 		MinVersion: tls.VersionTLS12, Certificates: []tls.Certificate{*m.cert},
@@ -111,31 +111,31 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	if now.Sub(s.looked) < every {
-		return s.now
+	if now.Sub(s.lastCheck) < checkInterval {
+		return s.loaded
 	}
-	s.looked = now
+	s.lastCheck = now
 	stamps, err := s.stat()
 	if err == nil && stamps == s.stamps {
-		return s.now
+		return s.loaded
 	}
 	if err == nil {
 		var m material
 		if m, err = s.read(); err == nil {
-			s.now = m
+			s.loaded = m
 			s.Log.Info("certs: read again", zap.String("file", s.Cert))
 		}
 	}
 	if err != nil {
 		s.Log.Warn("certs: replacement unusable, the old one stays", zap.String("file", s.Cert), zap.Error(err))
-		return s.now
+		return s.loaded
 	}
 	s.stamps = stamps
-	return s.now
+	return s.loaded
 }
 
-func (s *Source) stat() ([3]stamp, error) {
-	var out [3]stamp
+func (s *Source) stat() ([3]fileStamp, error) {
+	var out [3]fileStamp
 	for i, name := range []string{s.Cert, s.Key, s.CA} {
 		if name == "" {
 			continue
@@ -144,7 +144,7 @@
 		if err != nil {
 			return out, err
 		}
-		out[i] = stamp{size: info.Size(), time: info.ModTime()}
+		out[i] = fileStamp{size: info.Size(), time: info.ModTime()}
 	}
 	return out, nil
 }
--- a/internal/wire/certs/certs_test.go
+++ b/internal/wire/certs/certs_test.go
@@ -43,21 +43,21 @@
 	return &certs.Source{Cert: f.Cert, Key: f.Key, CA: f.CA, Log: zap.NewNop()}
 }
 
-// meetTime ends a meeting in which both sides write and neither reads, as two
+// handshakeTimeout ends a meeting in which both sides write and neither reads, as two
 // that refuse each other do.
-const meetTime = time.Second
+const handshakeTimeout = time.Second
 
-// meet connects a client to a server and returns the certificate that the
+// handshake connects a client to a server and returns the certificate that the
 // client saw, or what either side had against the other. The server sends a byte once it
 // trusts the client.
-func meet(server, client *tls.Config) ([]byte, error) {
+func handshake(server, client *tls.Config) ([]byte, error) {
 	l := inmem.Listen()
 	defer func() { _ = l.Close() }()
 	refused := make(chan error, 1)
 	go func() {
 		c, err := l.Accept()
 		if err == nil {
-			_ = c.SetDeadline(time.Now().Add(meetTime))
+			_ = c.SetDeadline(time.Now().Add(handshakeTimeout))
 			_, err = tls.Server(c, server).Write([]byte{1})
 			_ = c.Close()
 		}
@@ -67,7 +67,7 @@
 	if err != nil {
 		return nil, err
 	}
-	_ = c.SetDeadline(time.Now().Add(meetTime))
+	_ = c.SetDeadline(time.Now().Add(handshakeTimeout))
 	dialled := tls.Client(c, client)
 	_, err = dialled.Read(make([]byte, 1))
 	_ = c.Close()
@@ -87,13 +87,13 @@
 			t.Fatal(err)
 		}
 		server := s.Server()
-		first, err := meet(server, s.Client(identity))
+		first, err := handshake(server, s.Client(identity))
 		if err != nil {
 			t.Fatal(err)
 		}
 		source(t, ca, dir, at.Add(time.Minute))
 		time.Sleep(2 * time.Second)
-		second, err := meet(server, s.Client(identity))
+		second, err := handshake(server, s.Client(identity))
 		if err != nil || bytes.Equal(first, second) {
 			t.Errorf("got the first certificate again (%v), want the second", err)
 		}
@@ -113,7 +113,7 @@
 			t.Fatal(err)
 		}
 		server := s.Server()
-		first, err := meet(server, s.Client(identity))
+		first, err := handshake(server, s.Client(identity))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -125,7 +125,7 @@
 				t.Fatal(err)
 			}
 			time.Sleep(2 * time.Second)
-			if got, err := meet(server, s.Client(identity)); err != nil || !bytes.Equal(got, first) {
+			if got, err := handshake(server, s.Client(identity)); err != nil || !bytes.Equal(got, first) {
 				t.Errorf("got another certificate or %v, want the first", err)
 			}
 		}
@@ -134,7 +134,7 @@
 		}
 		source(t, ca, dir, at.Add(time.Minute))
 		time.Sleep(2 * time.Second)
-		if got, err := meet(server, s.Client(identity)); err != nil || bytes.Equal(got, first) {
+		if got, err := handshake(server, s.Client(identity)); err != nil || bytes.Equal(got, first) {
 			t.Errorf("got the first certificate again (%v), want the mended one", err)
 		}
 	})
@@ -153,10 +153,10 @@
 		stranger := theirs.Client(identity)
 		stranger.InsecureSkipVerify = true
 		const want = "certificate signed by unknown authority"
-		if _, err := meet(ours.Server(), stranger); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := handshake(ours.Server(), stranger); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("got %v for a stranger that calls, want %q", err, want)
 		}
-		if _, err := meet(theirs.Server(), ours.Client(identity)); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := handshake(theirs.Server(), ours.Client(identity)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("got %v for a stranger that is called, want %q", err, want)
 		}
 	})
--- a/internal/wire/peer/accept.go
+++ b/internal/wire/peer/accept.go
@@ -19,23 +19,23 @@
 	// version is the protocol version of this program. A later program speaks
 	// a range that still includes the version before, so that instances of
 	// both work together while they are replaced one by one.
-	version    = 1
-	nameHeader = "X-Instance"
-	prefix     = "fulmarwick."
+	version        = 1
+	nameHeader     = "X-Instance"
+	protocolPrefix = "fulmarwick."
 )
 
 // protocols are the versions spoken as WebSocket subprotocols, best first.
 func protocols(low, high int) []string {
 	var out []string
 	for v := high; v >= low; v-- {
-		out = append(out, prefix+strconv.Itoa(v))
+		out = append(out, protocolPrefix+strconv.Itoa(v))
 	}
 	return out
 }
 
 // versionOf is the version of a subprotocol; -1 for anything else.
 func versionOf(protocol string) int {
-	text, ok := strings.CutPrefix(protocol, prefix)
+	text, ok := strings.CutPrefix(protocol, protocolPrefix)
 	if !ok {
 		return -1
 	}
@@ -46,8 +46,8 @@
 	return v
 }
 
-// common is the highest version that both sides speak; -1 if none.
-func common(low, high int, offered []string) int {
+// highestCommon is the highest version that both sides speak; -1 if none.
+func highestCommon(low, high int, offered []string) int {
 	best := -1
 	for _, p := range offered {
 		if v := versionOf(p); v >= low && v <= high {
@@ -65,37 +65,37 @@
 }
 
 func (h *Hub) accept(w http.ResponseWriter, r *http.Request) {
-	id, problem := h.caller(r)
+	id, problem := h.identify(r)
 	if problem != "" {
 		h.meter.bad.Inc()
 		h.Log.Warn("peer: caller refused", zap.String("address", r.RemoteAddr), zap.String("reason", problem))
 		http.Error(w, "peer: "+problem, http.StatusForbidden)
 		return
 	}
-	best := common(h.Low, h.High, websocket.Subprotocols(r))
+	best := highestCommon(h.Low, h.High, websocket.Subprotocols(r))
 	if best < 0 {
 		text := fmt.Sprintf("peer: versions %d to %d are spoken here", h.Low, h.High)
 		http.Error(w, text, http.StatusUpgradeRequired)
 		return
 	}
-	if h.full() {
+	if h.atCapacity() {
 		http.Error(w, "peer: too many connections", http.StatusServiceUnavailable)
 		return
 	}
-	up := websocket.Upgrader{Subprotocols: []string{prefix + strconv.Itoa(best)}}
+	up := websocket.Upgrader{Subprotocols: []string{protocolPrefix + strconv.Itoa(best)}}
 	ws, err := up.Upgrade(w, r, nil)
 	if err != nil {
 		return
 	}
 	c := newConn(h, id, ws, false)
-	h.adopt(c)
+	h.register(c)
 	if !h.start(func() { h.serveConn(c) }) {
-		c.bye()
+		c.closeNormally()
 	}
 }
 
-// caller finds out who calls; problem is the reason of a refusal.
-func (h *Hub) caller(r *http.Request) (id spec.InstanceID, problem string) {
+// identify finds out who calls; problem is the reason of a refusal.
+func (h *Hub) identify(r *http.Request) (id spec.InstanceID, problem string) {
 	name := r.Header.Get(nameHeader)
 	if name == "" || len(name) > maxName || name == string(h.Self.ID) {
 		return "", "no name of another instance"
@@ -112,7 +112,7 @@
 	return spec.InstanceID(name), ""
 }
 
-func (h *Hub) full() bool {
+func (h *Hub) atCapacity() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.conns) >= maxConns
--- a/internal/wire/peer/bench_test.go
+++ b/internal/wire/peer/bench_test.go
@@ -14,13 +14,13 @@
 // instance's logic to another's over TLS on loopback, both ends included.
 func BenchmarkMessage(b *testing.B) {
 	ca := newAuthority(b)
-	var ends []*talker
+	var ends []*scriptedLogic
 	var hubs []*peer.Hub
 	ctx, cancel := context.WithCancel(b.Context())
 	defer cancel()
 	url := ""
 	for _, name := range []spec.InstanceID{"a", "b"} {
-		k := &talker{came: make(chan struct{}, 1)}
+		k := &scriptedLogic{arrived: make(chan struct{}, 1)}
 		h := &peer.Hub{Self: node.Peer{ID: name}, Logic: k, TLS: ca.config(string(name))}
 		server := httptest.NewUnstartedServer(h.Handler())
 		server.TLS = ca.config(string(name))
@@ -33,9 +33,9 @@
 	data := make([]byte, 450)
 	for b.Loop() {
 		ends[0].mu.Lock()
-		ends[0].to = append(ends[0].to, node.Send{To: "b", URL: url, Data: data})
+		ends[0].pending = append(ends[0].pending, node.Send{To: "b", URL: url, Data: data})
 		ends[0].mu.Unlock()
 		hubs[0].Post(node.DiscoveryList{})
-		<-ends[1].came
+		<-ends[1].arrived
 	}
 }
--- a/internal/wire/peer/conn.go
+++ b/internal/wire/peer/conn.go
@@ -15,11 +15,11 @@
 
 const (
 	writeTimeout = 5 * time.Second
-	// backlog is how many frames wait for the writer of one connection.
-	backlog = 256
-	// maxBad is how many bad frames a connection survives. One that sends more
+	// sendQueueSize is how many frames wait for the writer of one connection.
+	sendQueueSize = 256
+	// maxBadFrames is how many bad frames a connection survives. One that sends more
 	// is faulty or hostile, and dialling anew costs it more than us.
-	maxBad = 16
+	maxBadFrames = 16
 )
 
 // conn is one connection to another instance.
@@ -29,25 +29,25 @@
 	ws  *websocket.Conn
 	// dialed is true on the side that dialled.
 	dialed bool
-	out    chan []byte
+	queue  chan []byte
 	closed chan struct{}
 	once   sync.Once
 	cause  error
 
-	mu   sync.Mutex
-	used time.Time
-	last uint64
-	// asks are the streams opened here, jobs those opened by the other side.
-	asks map[uint64]*ask
-	jobs map[uint64]context.CancelFunc
+	mu       sync.Mutex
+	lastUsed time.Time
+	lastID   uint64
+	// streams are the streams opened here, jobs those opened by the other side.
+	streams map[uint64]*outStream
+	jobs    map[uint64]context.CancelFunc
 }
 
 func newConn(h *Hub, id spec.InstanceID, ws *websocket.Conn, dialed bool) *conn {
 	ws.SetReadLimit(MaxBytes)
 	return &conn{
-		hub: h, id: id, ws: ws, dialed: dialed, used: time.Now(),
-		out: make(chan []byte, backlog), closed: make(chan struct{}),
-		asks: map[uint64]*ask{}, jobs: map[uint64]context.CancelFunc{},
+		hub: h, id: id, ws: ws, dialed: dialed, lastUsed: time.Now(),
+		queue: make(chan []byte, sendQueueSize), closed: make(chan struct{}),
+		streams: map[uint64]*outStream{}, jobs: map[uint64]context.CancelFunc{},
 	}
 }
 
@@ -59,18 +59,18 @@
 	g.Add(1)
 	go func() {
 		defer g.Done()
-		c.write()
+		c.writeLoop()
 	}()
-	c.read()
+	c.readLoop()
 	g.Wait()
-	c.fail()
-	if !errors.Is(c.cause, errIdle) {
+	c.endStreams()
+	if !errors.Is(c.cause, errNormalClose) {
 		c.hub.Post(node.ConnectionLost{Peer: c.id})
 	}
 }
 
-// errIdle is the cause of a connection that ended by agreement.
-var errIdle = errors.New("peer: connection not in use")
+// errNormalClose is the cause of a connection that ended by agreement.
+var errNormalClose = errors.New("peer: connection not in use")
 
 func (c *conn) close(cause error) {
 	c.once.Do(func() {
@@ -85,14 +85,14 @@
 	})
 }
 
-// bye closes a connection so that the other side knows that it was meant.
-func (c *conn) bye() {
+// closeNormally closes a connection so that the other side knows that it was meant.
+func (c *conn) closeNormally() {
 	msg := websocket.FormatCloseMessage(websocket.CloseNormalClosure, "")
 	_ = c.ws.WriteControl(websocket.CloseMessage, msg, time.Now().Add(time.Second))
-	c.close(errIdle)
+	c.close(errNormalClose)
 }
 
-func (c *conn) read() {
+func (c *conn) readLoop() {
 	bad := 0
 	for {
 		if c.hub.Silence > 0 {
@@ -104,51 +104,51 @@
 			c.close(readCause(err))
 			return
 		}
-		c.hub.meter.heard.Inc()
-		c.hub.meter.heardBytes.Add(len(data))
+		c.hub.meter.received.Inc()
+		c.hub.meter.receivedBytes.Add(len(data))
 		f, err := decode(data)
 		if err != nil || kind != websocket.BinaryMessage {
 			c.hub.meter.bad.Inc()
-			if bad++; bad >= maxBad {
+			if bad++; bad >= maxBadFrames {
 				c.close(ErrFrame)
 				return
 			}
 			continue
 		}
-		c.touch()
-		c.take(f)
+		c.markUsed()
+		c.dispatch(f)
 	}
 }
 
 func readCause(err error) error {
 	if websocket.IsCloseError(err, websocket.CloseNormalClosure) {
-		return errIdle
+		return errNormalClose
 	}
 	return errors.Wrap(ErrBroken, err.Error())
 }
 
-func (c *conn) take(f *frame) {
+func (c *conn) dispatch(f *frame) {
 	switch f.Kind {
-	case kindNews:
+	case kindGossip:
 		c.hub.Post(node.Received{From: c.id, Data: f.Data})
 	case kindForward:
-		c.serve(f.ID, *f.Job)
+		c.serveForward(f.ID, *f.Job)
 	case kindCancel:
-		c.cancel(f.ID)
-	case kindAsk:
+		c.cancelJob(f.ID)
+	case kindSnapshotRequest:
 		c.serveSnapshot(f.ID)
 	case kindToken, kindEnd, kindSnapshot:
 		c.mu.Lock()
-		a := c.asks[f.ID]
+		s := c.streams[f.ID]
 		c.mu.Unlock()
 		// A late answer of a stream that ended here reaches nobody.
-		if a != nil {
-			a.put(f)
+		if s != nil {
+			s.deliver(f)
 		}
 	}
 }
 
-func (c *conn) write() {
+func (c *conn) writeLoop() {
 	idle := time.NewTicker(max(c.hub.Idle/4, time.Millisecond))
 	defer idle.Stop()
 	for {
@@ -156,12 +156,12 @@
 		case <-c.closed:
 			return
 		case <-idle.C:
-			if c.unused() {
-				c.bye()
+			if c.isIdle() {
+				c.closeNormally()
 				return
 			}
-		case data := <-c.out:
-			if err := c.send(data); err != nil {
+		case data := <-c.queue:
+			if err := c.writeFrame(data); err != nil {
 				c.close(errors.Wrap(ErrBroken, err.Error()))
 				return
 			}
@@ -169,7 +169,7 @@
 	}
 }
 
-func (c *conn) send(data []byte) error {
+func (c *conn) writeFrame(data []byte) error {
 	c.hub.meter.sent.Inc()
 	c.hub.meter.sentBytes.Add(len(data))
 	if err := c.ws.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
@@ -178,25 +178,25 @@
 	return c.ws.WriteMessage(websocket.BinaryMessage, data)
 }
 
-// offer queues a frame if there is room, else drops it.
-func (c *conn) offer(data []byte) {
-	c.touch()
+// tryEnqueue queues a frame if there is room, else drops it.
+func (c *conn) tryEnqueue(data []byte) {
+	c.markUsed()
 	select {
-	case c.out <- data:
+	case c.queue <- data:
 	default:
 		c.hub.meter.dropped.Inc()
 	}
 }
 
-// push queues a frame, waiting for room until ctx ends.
-func (c *conn) push(ctx context.Context, f *frame) error {
+// enqueue queues a frame, waiting for room until ctx ends.
+func (c *conn) enqueue(ctx context.Context, f *frame) error {
 	data, err := encode(f)
 	if err != nil {
 		return err
 	}
-	c.touch()
+	c.markUsed()
 	select {
-	case c.out <- data:
+	case c.queue <- data:
 		return nil
 	case <-c.closed:
 		return ErrBroken
@@ -205,29 +205,29 @@
 	}
 }
 
-func (c *conn) touch() {
+func (c *conn) markUsed() {
 	c.mu.Lock()
-	c.used = time.Now()
+	c.lastUsed = time.Now()
 	c.mu.Unlock()
 }
 
-// unused reports whether nothing went over the connection for long and no
+// isIdle reports whether nothing went over the connection for long and no
 // stream is open on it.
-func (c *conn) unused() bool {
+func (c *conn) isIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.asks) == 0 && len(c.jobs) == 0 && time.Since(c.used) >= c.hub.Idle
+	return len(c.streams) == 0 && len(c.jobs) == 0 && time.Since(c.lastUsed) >= c.hub.Idle
 }
 
-// fail ends all streams of a closed connection. Those served here are
+// endStreams ends all streams of a closed connection. Those served here are
 // cancelled: nobody is left to hear their answer.
-func (c *conn) fail() {
+func (c *conn) endStreams() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, cancel := range c.jobs {
 		cancel()
 	}
-	for _, a := range c.asks {
-		a.end()
+	for _, s := range c.streams {
+		s.abort()
 	}
 }
--- a/internal/wire/peer/forward.go
+++ b/internal/wire/peer/forward.go
@@ -39,33 +39,33 @@
 	if err != nil {
 		return End{}, err
 	}
-	a := c.open()
-	if a == nil {
+	s := c.openStream()
+	if s == nil {
 		return End{}, errors.Wrap(ErrRefused, "connection closed")
 	}
 	h.meter.forwarded.Inc()
-	over := false
-	defer func() { a.shut(over) }()
-	if err := c.push(ctx, &frame{Kind: kindForward, ID: a.id, Job: &job}); err != nil {
+	complete := false
+	defer func() { s.close(complete) }()
+	if err := c.enqueue(ctx, &frame{Kind: kindForward, ID: s.id, Job: &job}); err != nil {
 		return End{}, err
 	}
-	end, err := a.answer(ctx, job.Done, sink)
+	end, err := s.readAnswer(ctx, job.Done, sink)
 	var fault *FaultError
-	over = err == nil || errors.As(err, &fault)
+	complete = err == nil || errors.As(err, &fault)
 	return end, err
 }
 
-// answer hands on tokens until the end. It checks that none is missing.
-func (a *ask) answer(ctx context.Context, next int, sink func(Token) error) (End, error) {
+// readAnswer hands on tokens until the end. It checks that none is missing.
+func (s *outStream) readAnswer(ctx context.Context, next int, sink func(Token) error) (End, error) {
 	for {
-		frames, err := a.next(ctx)
+		frames, err := s.next(ctx)
 		if err != nil {
 			return End{}, err
 		}
 		for _, f := range frames {
 			switch {
 			case f.Kind == kindEnd:
-				return finish(next, *f.End)
+				return checkEnd(next, *f.End)
 			case f.Kind != kindToken || f.Token.Index < next:
 			case f.Token.Index > next:
 				return End{}, errors.Wrap(ErrBroken, "a token is missing")
@@ -79,7 +79,7 @@
 	}
 }
 
-func finish(next int, end End) (End, error) {
+func checkEnd(next int, end End) (End, error) {
 	switch {
 	case end.Fault != nil:
 		return end, &FaultError{Count: next, Fault: *end.Fault}
@@ -89,14 +89,14 @@
 	return end, nil
 }
 
-// serve runs a job of another instance.
-func (c *conn) serve(id uint64, job Job) {
-	if f := c.hub.refusal(&job); f != nil {
+// serveForward runs a job of another instance.
+func (c *conn) serveForward(id uint64, job Job) {
+	if f := c.hub.checkJob(&job); f != nil {
 		c.reply(&frame{Kind: kindEnd, ID: id, End: &End{Fault: f}})
 		return
 	}
 	ctx, cancel := context.WithCancel(c.hub.ctx)
-	if !c.begin(id, cancel) {
+	if !c.addJob(id, cancel) {
 		cancel()
 		c.reply(&frame{Kind: kindEnd, ID: id, End: &End{Fault: &Fault{Code: "busy", Ran: "no"}}})
 		return
@@ -104,19 +104,19 @@
 	c.hub.meter.served.Inc()
 	ok := c.hub.start(func() {
 		defer cancel()
-		defer c.finish(id)
-		end := c.work(ctx, id, job)
-		_ = c.push(ctx, &frame{Kind: kindEnd, ID: id, End: &end})
+		defer c.removeJob(id)
+		end := c.runJob(ctx, id, job)
+		_ = c.enqueue(ctx, &frame{Kind: kindEnd, ID: id, End: &end})
 	})
 	if !ok {
 		cancel()
-		c.finish(id)
+		c.removeJob(id)
 	}
 }
 
-func (c *conn) work(ctx context.Context, id uint64, job Job) End {
+func (c *conn) runJob(ctx context.Context, id uint64, job Job) End {
 	end, err := c.hub.Serve.ServeForwarded(ctx, c.id, job, func(t Token) error {
-		return c.push(ctx, &frame{Kind: kindToken, ID: id, Token: &t})
+		return c.enqueue(ctx, &frame{Kind: kindToken, ID: id, Token: &t})
 	})
 	if err != nil && end.Fault == nil {
 		end.Fault = &Fault{Code: "internal", Ran: "yes"}
@@ -138,8 +138,8 @@
 	return n
 }
 
-// refusal checks what the other side should have checked before.
-func (h *Hub) refusal(job *Job) *Fault {
+// checkJob checks what the other side should have checked before.
+func (h *Hub) checkJob(job *Job) *Fault {
 	switch {
 	case h.Serve == nil:
 		return &Fault{Code: "not-served", Ran: "no"}
@@ -149,7 +149,7 @@
 	return nil
 }
 
-func (c *conn) begin(id uint64, cancel context.CancelFunc) bool {
+func (c *conn) addJob(id uint64, cancel context.CancelFunc) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.jobs[id] != nil || len(c.jobs) >= maxJobs {
@@ -159,13 +159,13 @@
 	return true
 }
 
-func (c *conn) finish(id uint64) {
+func (c *conn) removeJob(id uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.jobs, id)
 }
 
-func (c *conn) cancel(id uint64) {
+func (c *conn) cancelJob(id uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if cancel := c.jobs[id]; cancel != nil {
@@ -175,5 +175,5 @@
 
 // reply sends a frame on behalf of the reading goroutine, which must not wait.
 func (c *conn) reply(f *frame) {
-	c.hub.start(func() { _ = c.push(c.hub.ctx, f) })
+	c.hub.start(func() { _ = c.enqueue(c.hub.ctx, f) })
 }
--- a/internal/wire/peer/frame.go
+++ b/internal/wire/peer/frame.go
@@ -15,9 +15,9 @@
 	maxCount = 1 << 20
 	// maxHops is how often a request may be forwarded.
 	maxHops = 1
-	// chunk is how much of a snapshot goes in one frame, so that the messages
+	// snapshotChunk is how much of a snapshot goes in one frame, so that the messages
 	// of failure detection wait for little.
-	chunk = 256 << 10
+	snapshotChunk = 256 << 10
 )
 
 // kind says what a frame carries.
@@ -26,13 +26,13 @@
 //go:generate stringer -type=kind -linecomment -output=kind_string.go
 
 const (
-	kindNews     kind = iota + 1 // news
-	kindForward                  // forward
-	kindCancel                   // cancel
-	kindToken                    // token
-	kindEnd                      // end
-	kindAsk                      // ask
-	kindSnapshot                 // snapshot
+	kindGossip          kind = iota + 1 // news
+	kindForward                         // forward
+	kindCancel                          // cancel
+	kindToken                           // token
+	kindEnd                             // end
+	kindSnapshotRequest                 // ask
+	kindSnapshot                        // snapshot
 )
 
 // frame is one WebSocket message. ID names a stream among those that the same
@@ -144,7 +144,7 @@
 
 func (f *frame) valid() bool {
 	switch f.Kind {
-	case kindNews:
+	case kindGossip:
 		return len(f.Data) > 0
 	case kindForward:
 		return f.Job != nil && f.Job.valid()
@@ -153,7 +153,7 @@
 	case kindEnd:
 		return f.End != nil && f.End.Count >= 0 && f.End.Count <= maxCount
 	case kindSnapshot:
-		return len(f.Data) <= chunk
+		return len(f.Data) <= snapshotChunk
 	default:
 		return f.Kind > 0
 	}
--- a/internal/wire/peer/frame_test.go
+++ b/internal/wire/peer/frame_test.go
@@ -67,8 +67,8 @@
 		defer s.close()
 		s.add("a", nil, nil)
 		s.add("b", nil, nil)
-		s.list()
-		s.settle(1)
+		s.announce()
+		s.waitForMembers(1)
 		for _, data := range [][]byte{{0xff}, bytes.Repeat([]byte{0x9f}, 1000), make([]byte, peer.MaxBytes+1), nil} {
 			d := websocket.Dialer{NetDialContext: s.dial, Subprotocols: []string{"fulmarwick.1"}}
 			ws, resp, err := d.Dial("ws://10.0.0.1:7000"+peer.Path, http.Header{"X-Instance": {"evil"}})
@@ -83,7 +83,7 @@
 		}
 		time.Sleep(10 * time.Second)
 		for _, h := range s.hubs {
-			if !h.knows(1) {
+			if !h.hasMembers(1) {
 				t.Errorf("got other members than 1 at %s, want just the other one", h.name)
 			}
 		}
--- a/internal/wire/peer/hub.go
+++ b/internal/wire/peer/hub.go
@@ -35,15 +35,15 @@
 )
 
 const (
-	// Every is the longest time between two ticks of the logic.
-	Every = 50 * time.Millisecond
+	// MaxTickInterval is the longest time between two ticks of the logic.
+	MaxTickInterval = 50 * time.Millisecond
 	// defaultIdle is how long a connection without frames is kept.
 	defaultIdle = time.Minute
 	// maxEvents bounds the events that wait for a tick. Beyond it messages are
 	// dropped, which the protocol expects of a network anyway.
 	maxEvents = 8192
-	// closeAfter is how long the connection of a former member is kept.
-	closeAfter = 2 * time.Second
+	// closeDelay is how long the connection of a former member is kept.
+	closeDelay = 2 * time.Second
 	// maxConns bounds the connections of one instance, far above the few dozen
 	// that the fleet logic uses.
 	maxConns = 1024
@@ -104,12 +104,12 @@
 	meter  meters
 	client *tls.Config
 
-	mu    sync.Mutex
-	queue []node.Event
-	links map[spec.InstanceID]*link
-	conns map[*conn]struct{}
-	urls  map[spec.InstanceID]string
-	ended bool
+	mu      sync.Mutex
+	queue   []node.Event
+	links   map[spec.InstanceID]*link
+	conns   map[*conn]struct{}
+	urls    map[spec.InstanceID]string
+	stopped bool
 }
 
 func (h *Hub) init() {
@@ -157,9 +157,9 @@
 func (h *Hub) Run(ctx context.Context) error {
 	h.init()
 	start := time.Now()
-	ticker := time.NewTicker(Every)
+	ticker := time.NewTicker(MaxTickInterval)
 	defer ticker.Stop()
-	defer h.shut()
+	defer h.shutdown()
 	for {
 		select {
 		case <-ctx.Done():
@@ -177,28 +177,28 @@
 	h.queue = nil
 	h.mu.Unlock()
 	for _, c := range h.Logic.Tick(now, events) {
-		h.command(c)
+		h.handleCommand(c)
 	}
-	h.meter.fleet.show(h.Logic)
+	h.meter.fleet.update(h.Logic)
 }
 
-func (h *Hub) command(c node.Command) {
+func (h *Hub) handleCommand(c node.Command) {
 	switch c := c.(type) {
 	case node.Send:
 		h.send(c)
 		return
 	case node.Members:
-		h.members(c)
+		h.applyMembers(c)
 	}
 	if h.On != nil {
 		h.On(c)
 	}
 }
 
-// members notes where the others are, for those who forward, and closes the
+// applyMembers notes where the others are, for those who forward, and closes the
 // connections of those that are no members any more. Without that the writes
 // to a machine that lost power would wait until TCP gives up.
-func (h *Hub) members(c node.Members) {
+func (h *Hub) applyMembers(c node.Members) {
 	h.meter.fleet.members.Set(uint64(len(c.Peers)))
 	h.mu.Lock()
 	gone := h.urls
@@ -216,14 +216,14 @@
 	h.mu.Unlock()
 	// An instance that said goodbye still waits for the answer.
 	for _, conn := range closing {
-		time.AfterFunc(closeAfter, func() { conn.close(ErrBroken) })
+		time.AfterFunc(closeDelay, func() { conn.close(ErrBroken) })
 	}
 }
 
-// shut closes all connections and waits for their goroutines.
-func (h *Hub) shut() {
+// shutdown closes all connections and waits for their goroutines.
+func (h *Hub) shutdown() {
 	h.mu.Lock()
-	h.ended = true
+	h.stopped = true
 	h.mu.Unlock()
 	h.stop()
 	h.group.Wait()
@@ -233,7 +233,7 @@
 func (h *Hub) start(f func()) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.ended {
+	if h.stopped {
 		return false
 	}
 	h.group.Add(1)
--- a/internal/wire/peer/hub_test.go
+++ b/internal/wire/peer/hub_test.go
@@ -14,14 +14,14 @@
 	"github.com/go-faster/errors"
 )
 
-// counter answers a job with numbered tokens; it stops early on faults.
-type counter struct {
+// tokenServer answers a job with numbered tokens; it stops early on faults.
+type tokenServer struct {
 	fault   *peer.Fault
 	block   chan struct{}
 	stopped chan struct{}
 }
 
-func (c *counter) ServeForwarded(ctx context.Context, _ spec.InstanceID, job peer.Job, sink func(peer.Token) error) (peer.End, error) {
+func (c *tokenServer) ServeForwarded(ctx context.Context, _ spec.InstanceID, job peer.Job, sink func(peer.Token) error) (peer.End, error) {
 	if c.fault != nil {
 		return peer.End{Fault: c.fault}, nil
 	}
@@ -56,12 +56,12 @@
 		for i := range 4 {
 			name := fmt.Sprintf("klang-%d", i+1)
 			s.add(name, a.config(name), func(h *peer.Hub) {
-				h.Serve = &counter{}
+				h.Serve = &tokenServer{}
 				h.Config = snapshot(bytes.Repeat([]byte("x"), 600_000))
 			})
 		}
-		s.list()
-		s.settle(3)
+		s.announce()
+		s.waitForMembers(3)
 		text := ""
 		end, err := s.hubs[0].hub.Forward(t.Context(), "klang-3", job(100, 40), func(k peer.Token) error {
 			text += k.Text
@@ -86,13 +86,13 @@
 		s.add("old-1", nil, nil)
 		s.add("old-2", nil, nil)
 		s.add("new-1", nil, func(h *peer.Hub) { h.Low, h.High = 1, 2 })
-		s.list()
-		s.settle(2)
+		s.announce()
+		s.waitForMembers(2)
 		s.add("far-1", nil, func(h *peer.Hub) { h.Low, h.High = 3, 3 })
-		s.list()
+		s.announce()
 		time.Sleep(10 * time.Second)
 		for _, h := range s.hubs[:3] {
-			if !h.knows(2) {
+			if !h.hasMembers(2) {
 				t.Errorf("got other members than 2 at %s, want none of version 3", h.name)
 			}
 		}
@@ -109,15 +109,15 @@
 		s.add("klang-2", a.config("klang-2"), nil)
 		s.add("klang-3", a.config("klang-9"), nil)
 		s.add("klang-4", newAuthority(t).config("klang-4"), nil)
-		s.list()
+		s.announce()
 		time.Sleep(30 * time.Second)
 		for _, h := range s.hubs[:2] {
-			if !h.knows(1) {
+			if !h.hasMembers(1) {
 				t.Errorf("got other members than 1 at %s, want just the true one", h.name)
 			}
 		}
 		for _, h := range s.hubs[2:] {
-			if !h.knows(0) {
+			if !h.hasMembers(0) {
 				t.Errorf("got members at %s, want none", h.name)
 			}
 		}
@@ -130,11 +130,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t)
 		defer s.close()
-		work := &counter{block: make(chan struct{}), stopped: make(chan struct{})}
+		work := &tokenServer{block: make(chan struct{}), stopped: make(chan struct{})}
 		s.add("a", nil, nil)
 		s.add("b", nil, func(h *peer.Hub) { h.Serve = work })
-		s.list()
-		s.settle(1)
+		s.announce()
+		s.waitForMembers(1)
 		ctx, cancel := context.WithCancel(t.Context())
 		_, err := s.hubs[0].hub.Forward(ctx, "b", job(10, 0), func(k peer.Token) error {
 			if k.Index == 5 {
@@ -159,11 +159,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t)
 		defer s.close()
-		work := &counter{block: make(chan struct{}), stopped: make(chan struct{})}
+		work := &tokenServer{block: make(chan struct{}), stopped: make(chan struct{})}
 		s.add("a", nil, nil)
 		s.add("b", nil, func(h *peer.Hub) { h.Serve = work })
-		s.list()
-		s.settle(1)
+		s.announce()
+		s.waitForMembers(1)
 		got := 0
 		_, err := s.hubs[0].hub.Forward(t.Context(), "b", job(10, 0), func(k peer.Token) error {
 			if got++; k.Index == 5 {
@@ -184,9 +184,9 @@
 		s := newSite(t)
 		defer s.close()
 		s.add("a", nil, nil)
-		s.add("b", nil, func(h *peer.Hub) { h.Serve = &counter{fault: &peer.Fault{Code: "full", Ran: "no", After: 2000}} })
-		s.list()
-		s.settle(1)
+		s.add("b", nil, func(h *peer.Hub) { h.Serve = &tokenServer{fault: &peer.Fault{Code: "full", Ran: "no", After: 2000}} })
+		s.announce()
+		s.waitForMembers(1)
 		sink := func(peer.Token) error { return nil }
 		second := job(10, 0)
 		second.Hops = 1
--- a/internal/wire/peer/kind_string.go
+++ b/internal/wire/peer/kind_string.go
@@ -8,12 +8,12 @@
 	// An "invalid array index" compiler error signifies that the constant values have changed.
 	// Re-run the stringer command to generate them again.
 	var x [1]struct{}
-	_ = x[kindNews-1]
+	_ = x[kindGossip-1]
 	_ = x[kindForward-2]
 	_ = x[kindCancel-3]
 	_ = x[kindToken-4]
 	_ = x[kindEnd-5]
-	_ = x[kindAsk-6]
+	_ = x[kindSnapshotRequest-6]
 	_ = x[kindSnapshot-7]
 }
 
--- a/internal/wire/peer/link.go
+++ b/internal/wire/peer/link.go
@@ -20,8 +20,8 @@
 	dialTimeout = 3 * time.Second
 	backoffMin  = 100 * time.Millisecond
 	backoffMax  = 5 * time.Second
-	// pending is how many messages wait for a connection that is being made.
-	pending = 16
+	// maxPending is how many messages wait for a connection that is being made.
+	maxPending = 16
 )
 
 // link is the way to one other instance: its connection if there is one, and
@@ -29,15 +29,15 @@
 type link struct {
 	conn    *conn
 	dialing chan struct{}
-	waits   [][]byte
+	queued  [][]byte
 	backoff time.Duration
-	retry   time.Time
+	retryAt time.Time
 }
 
 // send gives a message of the logic to another instance. Without a connection
 // one is dialled; while that fails again and again, messages are dropped.
 func (h *Hub) send(c node.Send) {
-	data, err := encode(&frame{Kind: kindNews, Data: c.Data})
+	data, err := encode(&frame{Kind: kindGossip, Data: c.Data})
 	if err != nil {
 		return
 	}
@@ -46,16 +46,16 @@
 	if l.conn != nil {
 		conn := l.conn
 		h.mu.Unlock()
-		conn.offer(data)
+		conn.tryEnqueue(data)
 		return
 	}
-	if c.URL == "" || l.dialing == nil && time.Now().Before(l.retry) {
+	if c.URL == "" || l.dialing == nil && time.Now().Before(l.retryAt) {
 		h.mu.Unlock()
 		h.meter.dropped.Inc()
 		return
 	}
-	if len(l.waits) < pending {
-		l.waits = append(l.waits, data)
+	if len(l.queued) < maxPending {
+		l.queued = append(l.queued, data)
 	}
 	begin := l.dialing == nil
 	if begin {
@@ -63,7 +63,7 @@
 	}
 	h.mu.Unlock()
 	if begin {
-		h.begin(c.To, c.URL)
+		h.startDial(c.To, c.URL)
 	}
 }
 
@@ -77,14 +77,14 @@
 	return l
 }
 
-// begin dials in the background. The link is marked as dialling before.
-func (h *Hub) begin(id spec.InstanceID, base string) {
+// startDial dials in the background. The link is marked as dialling before.
+func (h *Hub) startDial(id spec.InstanceID, base string) {
 	ok := h.start(func() {
 		ws, err := h.dial(h.ctx, id, base)
-		h.dialed(id, ws, err)
+		h.finishDial(id, ws, err)
 	})
 	if !ok {
-		h.dialed(id, nil, ErrRefused)
+		h.finishDial(id, nil, ErrRefused)
 	}
 }
 
@@ -108,7 +108,7 @@
 	done := l.dialing
 	h.mu.Unlock()
 	if begin {
-		h.begin(id, base)
+		h.startDial(id, base)
 	}
 	select {
 	case <-done:
@@ -123,17 +123,17 @@
 	return l.conn, nil
 }
 
-// dialed ends a try to connect.
-func (h *Hub) dialed(id spec.InstanceID, ws *websocket.Conn, err error) {
+// finishDial ends a try to connect.
+func (h *Hub) finishDial(id spec.InstanceID, ws *websocket.Conn, err error) {
 	h.meter.dials.Inc()
 	h.mu.Lock()
 	l := h.link(id)
-	waits := l.waits
+	waits := l.queued
 	done := l.dialing
-	l.waits, l.dialing = nil, nil
+	l.queued, l.dialing = nil, nil
 	if err != nil {
 		l.backoff = min(max(2*l.backoff, backoffMin), backoffMax)
-		l.retry = time.Now().Add(l.backoff/2 + rand.N(l.backoff))
+		l.retryAt = time.Now().Add(l.backoff/2 + rand.N(l.backoff))
 		h.mu.Unlock()
 		close(done)
 		h.meter.failed.Inc()
@@ -141,20 +141,20 @@
 		h.Post(node.ConnectionLost{Peer: id})
 		return
 	}
-	l.backoff, l.retry = 0, time.Time{}
+	l.backoff, l.retryAt = 0, time.Time{}
 	h.mu.Unlock()
 	c := newConn(h, id, ws, true)
-	h.adopt(c)
+	h.register(c)
 	close(done)
 	for _, data := range waits {
-		c.offer(data)
+		c.tryEnqueue(data)
 	}
 	h.serveConn(c)
 }
 
-// adopt makes c the connection in use. If both sides dialled at once, the one
+// register makes c the connection in use. If both sides dialled at once, the one
 // dialled by the lesser name stays, so that both keep the same.
-func (h *Hub) adopt(c *conn) {
+func (h *Hub) register(c *conn) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.conns[c] = struct{}{}
@@ -166,7 +166,7 @@
 
 // serveConn runs a connection and forgets it at the end.
 func (h *Hub) serveConn(c *conn) {
-	stop := context.AfterFunc(h.ctx, c.bye)
+	stop := context.AfterFunc(h.ctx, c.closeNormally)
 	defer stop()
 	c.run()
 	h.mu.Lock()
--- a/internal/wire/peer/link_test.go
+++ b/internal/wire/peer/link_test.go
@@ -14,52 +14,52 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// talker is a logic that sends what it is told to and counts what comes.
-type talker struct {
-	mu    sync.Mutex
-	to    []node.Command
-	heard int
-	lost  int
-	// came gets a value for each message if it is not nil.
-	came chan struct{}
+// scriptedLogic is a logic that sends what it is told to and counts what comes.
+type scriptedLogic struct {
+	mu       sync.Mutex
+	pending  []node.Command
+	received int
+	lost     int
+	// arrived gets a value for each message if it is not nil.
+	arrived chan struct{}
 }
 
-func (k *talker) Tick(_ time.Duration, events []node.Event) []node.Command {
+func (k *scriptedLogic) Tick(_ time.Duration, events []node.Event) []node.Command {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, ev := range events {
 		switch ev.(type) {
 		case node.Received:
-			k.heard++
-			if k.came != nil {
-				k.came <- struct{}{}
+			k.received++
+			if k.arrived != nil {
+				k.arrived <- struct{}{}
 			}
 		case node.ConnectionLost:
 			k.lost++
 		}
 	}
-	out := k.to
-	k.to = nil
+	out := k.pending
+	k.pending = nil
 	return out
 }
 
-func (k *talker) send(to spec.InstanceID, host int) {
+func (k *scriptedLogic) send(to spec.InstanceID, host int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.to = append(k.to, node.Send{To: to, URL: fmt.Sprintf("http://10.0.0.%d:7000", host), Data: []byte("x")})
+	k.pending = append(k.pending, node.Send{To: to, URL: fmt.Sprintf("http://10.0.0.%d:7000", host), Data: []byte("x")})
 }
 
-func (k *talker) counts() (heard, lost int) {
+func (k *scriptedLogic) counts() (heard, lost int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.heard, k.lost
+	return k.received, k.lost
 }
 
-// talkers runs two instances that say only what the test has them say.
-func talkers(t *testing.T, idle time.Duration) (s *site, a, b *talker, conns func() uint64) {
-	s, a, b = newSite(t), &talker{}, &talker{}
+// newPair runs two instances that say only what the test has them say.
+func newPair(t *testing.T, idle time.Duration) (s *network, a, b *scriptedLogic, conns func() uint64) {
+	s, a, b = newSite(t), &scriptedLogic{}, &scriptedLogic{}
 	set := metrics.NewSet()
-	for i, k := range []*talker{a, b} {
+	for i, k := range []*scriptedLogic{a, b} {
 		s.add([]string{"a", "b"}[i], nil, func(h *peer.Hub) { h.Logic, h.Idle, h.Meters = k, idle, set })
 	}
 	return s, a, b, set.GetOrCreateCounter("fulmarwick_peer_connections").Get
@@ -67,7 +67,7 @@
 
 func TestUnusedConnectionCloses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, a, b, conns := talkers(t, time.Second)
+		s, a, b, conns := newPair(t, time.Second)
 		defer s.close()
 		a.send("b", 2)
 		time.Sleep(500 * time.Millisecond)
@@ -86,14 +86,14 @@
 
 func TestBothDialAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, a, b, conns := talkers(t, time.Second)
+		s, a, b, conns := newPair(t, time.Second)
 		defer s.close()
 		for range 40 {
 			a.send("b", 2)
 			b.send("a", 1)
 			time.Sleep(100 * time.Millisecond)
 		}
-		for name, k := range map[string]*talker{"a": a, "b": b} {
+		for name, k := range map[string]*scriptedLogic{"a": a, "b": b} {
 			if heard, lost := k.counts(); heard != 40 || lost != 0 {
 				t.Errorf("got %d heard and %d lost at %s, want 40 and 0", heard, lost, name)
 			}
@@ -108,10 +108,10 @@
 // grow rare, and it is reached again once it is back.
 func TestDialBacksOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, a, b, _ := talkers(t, time.Second)
+		s, a, b, _ := newPair(t, time.Second)
 		defer s.close()
 		s.mu.Lock()
-		s.cut["10.0.0.2:7000"] = true
+		s.unreachable["10.0.0.2:7000"] = true
 		s.mu.Unlock()
 		for range 600 {
 			a.send("b", 2)
@@ -121,7 +121,7 @@
 			t.Errorf("got %d tries in a minute, want a few", lost)
 		}
 		s.mu.Lock()
-		s.cut["10.0.0.2:7000"] = false
+		s.unreachable["10.0.0.2:7000"] = false
 		s.mu.Unlock()
 		for range 100 {
 			a.send("b", 2)
@@ -138,7 +138,7 @@
 // connection.
 func TestConnectionOfDeadMemberCloses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, a, _, conns := talkers(t, time.Minute)
+		s, a, _, conns := newPair(t, time.Minute)
 		defer s.close()
 		for _, c := range []struct {
 			command node.Command
@@ -151,7 +151,7 @@
 			a.send("b", 2)
 			time.Sleep(200 * time.Millisecond)
 			a.mu.Lock()
-			a.to = append(a.to, c.command)
+			a.pending = append(a.pending, c.command)
 			a.mu.Unlock()
 			time.Sleep(3 * time.Second)
 			if got := conns(); got != c.want {
--- a/internal/wire/peer/meters.go
+++ b/internal/wire/peer/meters.go
@@ -8,13 +8,13 @@
 
 // meters are the metrics of a Hub.
 type meters struct {
-	sentBytes, heardBytes *metrics.Counter
-	sent, heard           *metrics.Counter
-	dropped, bad          *metrics.Counter
-	dials, failed         *metrics.Counter
-	forwarded, served     *metrics.Counter
-	conns                 *metrics.Counter
-	fleet                 fleetMeters
+	sentBytes, receivedBytes *metrics.Counter
+	sent, received           *metrics.Counter
+	dropped, bad             *metrics.Counter
+	dials, failed            *metrics.Counter
+	forwarded, served        *metrics.Counter
+	conns                    *metrics.Counter
+	fleet                    fleetMeters
 }
 
 func newMeters(set *metrics.Set) meters {
@@ -22,23 +22,23 @@
 		set = metrics.NewSet()
 	}
 	return meters{
-		sentBytes:  set.GetOrCreateCounter("fulmarwick_peer_sent_bytes_total"),
-		heardBytes: set.GetOrCreateCounter("fulmarwick_peer_heard_bytes_total"),
-		sent:       set.GetOrCreateCounter("fulmarwick_peer_sent_total"),
-		heard:      set.GetOrCreateCounter("fulmarwick_peer_heard_total"),
-		dropped:    set.GetOrCreateCounter("fulmarwick_peer_dropped_total"),
-		bad:        set.GetOrCreateCounter("fulmarwick_peer_bad_total"),
-		dials:      set.GetOrCreateCounter("fulmarwick_peer_dials_total"),
-		failed:     set.GetOrCreateCounter("fulmarwick_peer_dials_failed_total"),
-		forwarded:  set.GetOrCreateCounter("fulmarwick_peer_forwarded_total"),
-		served:     set.GetOrCreateCounter("fulmarwick_peer_served_total"),
-		conns:      set.GetOrCreateCounter("fulmarwick_peer_connections"),
-		fleet:      newFleetMeters(set),
+		sentBytes:     set.GetOrCreateCounter("fulmarwick_peer_sent_bytes_total"),
+		receivedBytes: set.GetOrCreateCounter("fulmarwick_peer_heard_bytes_total"),
+		sent:          set.GetOrCreateCounter("fulmarwick_peer_sent_total"),
+		received:      set.GetOrCreateCounter("fulmarwick_peer_heard_total"),
+		dropped:       set.GetOrCreateCounter("fulmarwick_peer_dropped_total"),
+		bad:           set.GetOrCreateCounter("fulmarwick_peer_bad_total"),
+		dials:         set.GetOrCreateCounter("fulmarwick_peer_dials_total"),
+		failed:        set.GetOrCreateCounter("fulmarwick_peer_dials_failed_total"),
+		forwarded:     set.GetOrCreateCounter("fulmarwick_peer_forwarded_total"),
+		served:        set.GetOrCreateCounter("fulmarwick_peer_served_total"),
+		conns:         set.GetOrCreateCounter("fulmarwick_peer_connections"),
+		fleet:         newFleetMeters(set),
 	}
 }
 
-// counted is a Logic that counts what it meets.
-type counted interface {
+// statsLogic is a Logic that counts what it meets.
+type statsLogic interface {
 	Stats() node.Stats
 }
 
@@ -59,9 +59,9 @@
 	}
 }
 
-// show is called on the goroutine that ticks the logic.
-func (m *fleetMeters) show(logic Logic) {
-	c, ok := logic.(counted)
+// update is called on the goroutine that ticks the logic.
+func (m *fleetMeters) update(logic Logic) {
+	c, ok := logic.(statsLogic)
 	if !ok {
 		return
 	}
--- a/internal/wire/peer/peer_test.go
+++ b/internal/wire/peer/peer_test.go
@@ -77,19 +77,19 @@
 	}
 }
 
-// site is a set of hubs joined by in-memory pipes, so that all time is the
+// network is a set of hubs joined by in-memory pipes, so that all time is the
 // bubble's.
-type site struct {
-	t     *testing.T
-	mu    sync.Mutex
-	hosts map[string]chan net.Conn
-	cut   map[string]bool
-	open  map[string][]net.Conn
-	hubs  []*host
+type network struct {
+	t           *testing.T
+	mu          sync.Mutex
+	listeners   map[string]chan net.Conn
+	unreachable map[string]bool
+	open        map[string][]net.Conn
+	hubs        []*instance
 }
 
-// host is one instance of a site.
-type host struct {
+// instance is one instance of a site.
+type instance struct {
 	hub     *peer.Hub
 	name    string
 	mu      sync.Mutex
@@ -99,13 +99,13 @@
 	done    chan struct{}
 }
 
-func newSite(t *testing.T) *site {
-	return &site{t: t, hosts: map[string]chan net.Conn{}, cut: map[string]bool{}, open: map[string][]net.Conn{}}
+func newSite(t *testing.T) *network {
+	return &network{t: t, listeners: map[string]chan net.Conn{}, unreachable: map[string]bool{}, open: map[string][]net.Conn{}}
 }
 
-func (s *site) dial(ctx context.Context, _, address string) (net.Conn, error) {
+func (s *network) dial(ctx context.Context, _, address string) (net.Conn, error) {
 	s.mu.Lock()
-	accept, cut := s.hosts[address], s.cut[address]
+	accept, cut := s.listeners[address], s.unreachable[address]
 	s.mu.Unlock()
 	if accept == nil || cut {
 		return nil, errors.New("refused")
@@ -123,7 +123,7 @@
 }
 
 // sever breaks all connections that were dialled to a host.
-func (s *site) sever(address string) {
+func (s *network) sever(address string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range s.open[address] {
@@ -149,12 +149,12 @@
 func (l *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
 // add runs an instance; change may alter its hub before.
-func (s *site) add(name string, config *tls.Config, change func(*peer.Hub)) *host {
+func (s *network) add(name string, config *tls.Config, change func(*peer.Hub)) *instance {
 	address := fmt.Sprintf("10.0.0.%d:7000", len(s.hubs)+1)
 	self := node.Peer{ID: spec.InstanceID(name), DataCentre: "klang", URL: "https://" + address}
-	h := &host{name: name, done: make(chan struct{})}
+	h := &instance{name: name, done: make(chan struct{})}
 	h.hub = &peer.Hub{
-		Self: self, TLS: config, Dial: s.dial, On: h.on,
+		Self: self, TLS: config, Dial: s.dial, On: h.handleCommand,
 		Logic: &node.Logic{Local: self, StartTime: 1, Rand: mrand.New(mrand.NewPCG(1, uint64(len(s.hubs))))},
 	}
 	if change != nil {
@@ -162,7 +162,7 @@
 	}
 	l := &pipeListener{conns: make(chan net.Conn), done: make(chan struct{})}
 	s.mu.Lock()
-	s.hosts[address] = l.conns
+	s.listeners[address] = l.conns
 	s.mu.Unlock()
 	server := &http.Server{Handler: h.hub.Handler(), TLSConfig: config, ErrorLog: log.New(io.Discard, "", 0)}
 	go func() {
@@ -184,7 +184,7 @@
 	return h
 }
 
-func (h *host) on(c node.Command) {
+func (h *instance) handleCommand(c node.Command) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	switch c := c.(type) {
@@ -195,14 +195,14 @@
 	}
 }
 
-func (h *host) knows(n int) bool {
+func (h *instance) hasMembers(n int) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.ready && len(h.members) == n
 }
 
-// list tells every instance of all.
-func (s *site) list() {
+// announce tells every instance of all.
+func (s *network) announce() {
 	var peers []node.Peer
 	for _, h := range s.hubs {
 		peers = append(peers, h.hub.Self)
@@ -212,14 +212,14 @@
 	}
 }
 
-// settle waits, in virtual time, until every instance knows n others.
-func (s *site) settle(n int) {
+// waitForMembers waits, in virtual time, until every instance knows n others.
+func (s *network) waitForMembers(n int) {
 	s.t.Helper()
 	for range 600 {
 		time.Sleep(50 * time.Millisecond)
 		all := true
 		for _, h := range s.hubs {
-			all = all && h.knows(n)
+			all = all && h.hasMembers(n)
 		}
 		if all {
 			return
@@ -228,7 +228,7 @@
 	s.t.Fatalf("got instances that do not know %d others after 30s, want all to", n)
 }
 
-func (s *site) close() {
+func (s *network) close() {
 	for _, h := range s.hubs {
 		h.stop()
 	}
--- a/internal/wire/peer/snapshot.go
+++ b/internal/wire/peer/snapshot.go
@@ -20,24 +20,24 @@
 	if err != nil {
 		return nil, err
 	}
-	a := c.open()
-	if a == nil {
+	s := c.openStream()
+	if s == nil {
 		return nil, errors.Wrap(ErrRefused, "connection closed")
 	}
-	over := false
-	defer func() { a.shut(over) }()
-	if err := c.push(ctx, &frame{Kind: kindAsk, ID: a.id}); err != nil {
+	complete := false
+	defer func() { s.close(complete) }()
+	if err := c.enqueue(ctx, &frame{Kind: kindSnapshotRequest, ID: s.id}); err != nil {
 		return nil, err
 	}
-	data, err := a.gather(ctx)
-	over = err == nil
+	data, err := s.readSnapshot(ctx)
+	complete = err == nil
 	return data, err
 }
 
-func (a *ask) gather(ctx context.Context) ([]byte, error) {
+func (s *outStream) readSnapshot(ctx context.Context) ([]byte, error) {
 	var out []byte
 	for {
-		frames, err := a.next(ctx)
+		frames, err := s.next(ctx)
 		if err != nil {
 			return nil, err
 		}
@@ -67,10 +67,10 @@
 		return
 	}
 	c.hub.start(func() {
-		for begin := 0; begin < len(data); begin += chunk {
-			end := min(begin+chunk, len(data))
+		for begin := 0; begin < len(data); begin += snapshotChunk {
+			end := min(begin+snapshotChunk, len(data))
 			f := &frame{Kind: kindSnapshot, ID: id, Data: data[begin:end], Last: end == len(data)}
-			if err := c.push(c.hub.ctx, f); err != nil {
+			if err := c.enqueue(c.hub.ctx, f); err != nil {
 				return
 			}
 		}
--- a/internal/wire/plain/place.go
+++ b/internal/wire/plain/instance.go
@@ -10,24 +10,24 @@
 	"github.com/go-faster/errors"
 )
 
-// maxCredit bounds how many repeats may be saved up.
-const maxCredit = 10
-
-// place is one instance of a service.
-type place struct {
-	base    string
-	flying  int
-	load    int
-	leaving bool
-	// rest is until when the instance is left alone.
-	rest time.Time
-	// sent is when the last call went there.
-	sent time.Time
+// maxRetryCredit bounds how many repeats may be saved up.
+const maxRetryCredit = 10
+
+// instance is one instance of a service.
+type instance struct {
+	base     string
+	inFlight int
+	load     int
+	leaving  bool
+	// cooldownEnd is until when the instance is left alone.
+	cooldownEnd time.Time
+	// lastSent is when the last call went there.
+	lastSent time.Time
 }
 
-type places map[spec.ServiceName][]*place
+type instances map[spec.ServiceName][]*instance
 
-func (p places) find(service spec.ServiceName, base string) *place {
+func (p instances) find(service spec.ServiceName, base string) *instance {
 	for _, x := range p[service] {
 		if x.base == base {
 			return x
@@ -41,18 +41,18 @@
 func (s *Sender) Locate(service spec.ServiceName, bases []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.places == nil {
-		s.places = places{}
+	if s.instances == nil {
+		s.instances = instances{}
 	}
-	var next []*place
+	var next []*instance
 	for _, base := range bases {
-		p := s.places.find(service, base)
+		p := s.instances.find(service, base)
 		if p == nil {
-			p = &place{base: base}
+			p = &instance{base: base}
 		}
 		next = append(next, p)
 	}
-	s.places[service] = next
+	s.instances[service] = next
 }
 
 // Report takes the load that an instance reports: how many calls it has queued
@@ -60,7 +60,7 @@
 func (s *Sender) Report(service spec.ServiceName, base string, load int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if p := s.places.find(service, base); p != nil {
+	if p := s.instances.find(service, base); p != nil {
 		p.load = load
 	}
 }
@@ -69,7 +69,7 @@
 func (s *Sender) Leave(service spec.ServiceName, base string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if p := s.places.find(service, base); p != nil {
+	if p := s.instances.find(service, base); p != nil {
 		p.leaving = true
 	}
 }
@@ -81,12 +81,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	var best *place
-	all := s.places[service]
-	s.turn++
+	var best *instance
+	all := s.instances[service]
+	s.rotation++
 	for i := range all {
 		// Equal ones take turns, or every router would load the first.
-		p := all[(s.turn+i)%len(all)]
+		p := all[(s.rotation+i)%len(all)]
 		if p.leaving || tried[p.base] {
 			continue
 		}
@@ -97,37 +97,37 @@
 	if best == nil {
 		return "", false
 	}
-	best.flying++
-	best.sent = now
+	best.inFlight++
+	best.lastSent = now
 	return best.base, true
 }
 
-func better(a, b *place, now time.Time) bool {
-	restA, restB := now.Before(a.rest), now.Before(b.rest)
+func better(a, b *instance, now time.Time) bool {
+	restA, restB := now.Before(a.cooldownEnd), now.Before(b.cooldownEnd)
 	if restA != restB {
 		return restB
 	}
-	return a.flying+a.load < b.flying+b.load
+	return a.inFlight+a.load < b.inFlight+b.load
 }
 
-// done counts the end of a send. The instance may be gone from the list.
-func (s *Sender) done(service spec.ServiceName, base string, err error) {
+// recordResult counts the end of a send. The instance may be gone from the list.
+func (s *Sender) recordResult(service spec.ServiceName, base string, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	p := s.places.find(service, base)
+	p := s.instances.find(service, base)
 	if p == nil {
 		return
 	}
-	p.flying = max(0, p.flying-1)
+	p.inFlight = max(0, p.inFlight-1)
 	if !errors.Is(err, ledger.ErrNotSent) {
-		p.rest = time.Time{}
+		p.cooldownEnd = time.Time{}
 		return
 	}
-	rest := s.Rest
+	rest := s.Cooldown
 	if rest == 0 {
-		rest = defaultRest
+		rest = defaultCooldown
 	}
-	p.rest = time.Now().Add(rest)
+	p.cooldownEnd = time.Now().Add(rest)
 }
 
 // bases are all instances of a service, also leaving ones: they know the
@@ -136,34 +136,34 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []string
-	for _, p := range s.places[service] {
+	for _, p := range s.instances[service] {
 		out = append(out, p.base)
 	}
 	return slices.Clip(out)
 }
 
-// earn adds what one first send allows in repeats.
-func (s *Sender) earn() {
-	share := s.Share
+// earnRetryCredit adds what one first send allows in repeats.
+func (s *Sender) earnRetryCredit() {
+	share := s.RetryShare
 	if share == 0 {
-		share = defaultShare
+		share = defaultRetryShare
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.credit = min(maxCredit, s.credit+share)
+	s.retryCredit = min(maxRetryCredit, s.retryCredit+share)
 }
 
-// mayRepeat spends one repeat. The budget keeps repeats from multiplying load
+// takeRetry spends one repeat. The budget keeps repeats from multiplying load
 // when a whole service fails.
-func (s *Sender) mayRepeat(class spec.ClassName) bool {
+func (s *Sender) takeRetry(class spec.ClassName) bool {
 	if s.Repeats == nil || !s.Repeats(class) {
 		return false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.credit < 1 {
+	if s.retryCredit < 1 {
 		return false
 	}
-	s.credit--
+	s.retryCredit--
 	return true
 }
--- a/internal/wire/plain/load.go
+++ b/internal/wire/plain/load.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	defaultEvery = time.Second
-	loadTimeout  = time.Second
-	maxLoad      = 4 << 10
-	// lately is how long after its last call an instance's load is read.
-	lately = 30 * time.Second
+	defaultLoadInterval = time.Second
+	loadTimeout         = time.Second
+	maxLoad             = 4 << 10
+	// recentWindow is how long after its last call an instance's load is read.
+	recentWindow = 30 * time.Second
 	// stateLeaving is what a leaving instance reports.
 	stateLeaving = "leaving"
 )
@@ -41,9 +41,9 @@
 // ends. An instance that this router does not use costs nothing, so that a
 // service is not asked by a whole fleet for the sake of a few callers.
 func (s *Sender) Run(ctx context.Context) error {
-	every := s.Every
+	every := s.LoadInterval
 	if every == 0 {
-		every = defaultEvery
+		every = defaultLoadInterval
 	}
 	ticker := time.NewTicker(every)
 	defer ticker.Stop()
@@ -61,11 +61,11 @@
 // calls, not reports, tell whether an instance can be reached.
 func (s *Sender) ReadLoads(ctx context.Context) {
 	var all sync.WaitGroup
-	for _, t := range s.used() {
+	for _, t := range s.recentlyUsed() {
 		all.Go(func() {
 			body, err := s.readLoad(ctx, t.base)
 			if err == nil {
-				s.reported(t, body)
+				s.applyLoad(t, body)
 			}
 		})
 	}
@@ -94,15 +94,15 @@
 	return body, nil
 }
 
-// used are the instances that were sent calls lately.
-func (s *Sender) used() []target {
+// recentlyUsed are the instances that were sent calls lately.
+func (s *Sender) recentlyUsed() []target {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
 	var out []target
-	for service, all := range s.places {
+	for service, all := range s.instances {
 		for _, p := range all {
-			if !p.sent.IsZero() && now.Sub(p.sent) < lately {
+			if !p.lastSent.IsZero() && now.Sub(p.lastSent) < recentWindow {
 				out = append(out, target{service: service, base: p.base})
 			}
 		}
@@ -110,15 +110,15 @@
 	return out
 }
 
-// reported takes a load. The own calls in flight are in the report too, so they
+// applyLoad takes a load. The own calls in flight are in the report too, so they
 // are taken off: what counts twice would send everything elsewhere.
-func (s *Sender) reported(t target, body loadBody) {
+func (s *Sender) applyLoad(t target, body loadBody) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	p := s.places.find(t.service, t.base)
+	p := s.instances.find(t.service, t.base)
 	if p == nil {
 		return
 	}
-	p.load = max(0, body.Active+body.Queued-p.flying)
+	p.load = max(0, body.Active+body.Queued-p.inFlight)
 	p.leaving = body.State == stateLeaving
 }
--- a/internal/wire/plain/plain.go
+++ b/internal/wire/plain/plain.go
@@ -28,11 +28,11 @@
 
 // Defaults of the fields of Sender.
 const (
-	defaultDial   = 2 * time.Second
-	defaultAnswer = 60 * time.Second
-	defaultMost   = 1 << 20
-	defaultRest   = 5 * time.Second
-	defaultShare  = 0.1
+	dialTimeout       = 2 * time.Second
+	defaultTimeout    = 60 * time.Second
+	defaultMaxAnswer  = 1 << 20
+	defaultCooldown   = 5 * time.Second
+	defaultRetryShare = 0.1
 )
 
 // tracer names the spans of this package.
@@ -50,26 +50,26 @@
 type Sender struct {
 	// HTTP must not repeat requests; NewHTTP returns one that does not.
 	HTTP *http.Client
-	// Answer bounds the time of one send, dial included; zero is 60 s.
-	Answer time.Duration
-	// Most bounds an answer's body in bytes; zero is 1 MiB.
-	Most int64
-	// Rest is how long an instance that could not be dialled is left alone
+	// Timeout bounds the time of one send, dial included; zero is 60 s.
+	Timeout time.Duration
+	// MaxAnswerBytes bounds an answer's body in bytes; zero is 1 MiB.
+	MaxAnswerBytes int64
+	// Cooldown is how long an instance that could not be dialled is left alone
 	// while another one can be; zero is 5 s.
-	Rest time.Duration
+	Cooldown time.Duration
 	// Repeats says which classes may run more than once; nil means none.
 	Repeats func(spec.ClassName) bool
-	// Share is how many repeats one first send earns; zero is 0.1.
-	Share float64
-	// Every is the time between two reads of loads; zero is 1 s.
-	Every time.Duration
+	// RetryShare is how many repeats one first send earns; zero is 0.1.
+	RetryShare float64
+	// LoadInterval is the time between two reads of loads; zero is 1 s.
+	LoadInterval time.Duration
 	// Meters takes the metrics; nil takes none.
 	Meters *metrics.Set
 
-	mu     sync.Mutex
-	places places
-	turn   int
-	credit float64
+	mu          sync.Mutex
+	instances   instances
+	rotation    int
+	retryCredit float64
 }
 
 // NewHTTP returns a client that sends each request once.
@@ -84,7 +84,7 @@
 	return &http.Client{
 		Transport: &http.Transport{
 			DisableKeepAlives: true,
-			DialContext:       (&net.Dialer{Timeout: defaultDial}).DialContext,
+			DialContext:       (&net.Dialer{Timeout: dialTimeout}).DialContext,
 		},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
@@ -96,16 +96,16 @@
 // call of a class that may repeat is sent once more after another error, if
 // the budget allows.
 func (s *Sender) Send(ctx context.Context, c ledger.Call) (ledger.Answer, error) {
-	s.earn()
-	answer, err := s.round(ctx, c)
-	if err == nil || errors.Is(err, ledger.ErrNotSent) || !s.mayRepeat(c.Class()) {
+	s.earnRetryCredit()
+	answer, err := s.tryInstances(ctx, c)
+	if err == nil || errors.Is(err, ledger.ErrNotSent) || !s.takeRetry(c.Class()) {
 		return answer, err
 	}
-	return s.round(ctx, c)
+	return s.tryInstances(ctx, c)
 }
 
-// round tries the instances until one accepts the connection.
-func (s *Sender) round(ctx context.Context, c ledger.Call) (ledger.Answer, error) {
+// tryInstances tries the instances until one accepts the connection.
+func (s *Sender) tryInstances(ctx context.Context, c ledger.Call) (ledger.Answer, error) {
 	tried := map[string]bool{}
 	last := errors.Wrap(ledger.ErrNotSent, "no instance of the service")
 	for {
@@ -114,8 +114,8 @@
 			return ledger.Answer{}, last
 		}
 		tried[base] = true
-		answer, err := s.once(ctx, base, c)
-		s.done(c.Service(), base, err)
+		answer, err := s.sendTo(ctx, base, c)
+		s.recordResult(c.Service(), base, err)
 		s.count(c.Service(), err)
 		if !errors.Is(err, ledger.ErrNotSent) {
 			return answer, err
@@ -124,8 +124,8 @@
 	}
 }
 
-// once sends the call to one instance.
-func (s *Sender) once(ctx context.Context, base string, c ledger.Call) (ledger.Answer, error) {
+// sendTo sends the call to one instance.
+func (s *Sender) sendTo(ctx context.Context, base string, c ledger.Call) (ledger.Answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.timeout())
 	defer cancel()
 	ctx, span := trace.SpanFromContext(ctx).TracerProvider().Tracer(tracer).Start(ctx, "plain.send", trace.WithSpanKind(trace.SpanKindClient))
@@ -145,15 +145,15 @@
 		return ledger.Answer{}, errors.Wrap(err, "plain: send")
 	}
 	defer func() { _ = resp.Body.Close() }()
-	return s.answer(resp)
+	return s.readAnswer(resp)
 }
 
-// answer reads a whole answer. One that is cut or too long is an error: a part
+// readAnswer reads a whole answer. One that is cut or too long is an error: a part
 // of it must not be stored as what the service said.
-func (s *Sender) answer(resp *http.Response) (ledger.Answer, error) {
-	most := s.Most
+func (s *Sender) readAnswer(resp *http.Response) (ledger.Answer, error) {
+	most := s.MaxAnswerBytes
 	if most == 0 {
-		most = defaultMost
+		most = defaultMaxAnswer
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, most+1))
 	if err != nil {
@@ -170,7 +170,7 @@
 func (s *Sender) QueryOutcome(ctx context.Context, c ledger.Call) (ledger.Answer, error) {
 	last := errors.New("plain: no instance of the service")
 	for _, base := range s.bases(c.Service()) {
-		answer, err := s.ask(ctx, base, c)
+		answer, err := s.queryInstance(ctx, base, c)
 		if err == nil {
 			return answer, nil
 		}
@@ -179,12 +179,12 @@
 	return ledger.Answer{}, last
 }
 
-func (s *Sender) ask(ctx context.Context, base string, c ledger.Call) (ledger.Answer, error) {
+func (s *Sender) queryInstance(ctx context.Context, base string, c ledger.Call) (ledger.Answer, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, base+"/v1/outcomes/"+url.PathEscape(c.Key()), http.NoBody)
 	if err != nil {
 		return ledger.Answer{}, errors.Wrap(err, "plain: ask")
 	}
-	scope(req, c)
+	setScope(req, c)
 	resp, err := s.HTTP.Do(req)
 	if err != nil {
 		return ledger.Answer{}, errors.Wrap(err, "plain: ask")
@@ -193,7 +193,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return ledger.Answer{}, errors.Errorf("plain: outcome not known, status %d", resp.StatusCode)
 	}
-	return s.answer(resp)
+	return s.readAnswer(resp)
 }
 
 // count counts a send by how it ended.
@@ -212,10 +212,10 @@
 }
 
 func (s *Sender) timeout() time.Duration {
-	if s.Answer == 0 {
-		return defaultAnswer
+	if s.Timeout == 0 {
+		return defaultTimeout
 	}
-	return s.Answer
+	return s.Timeout
 }
 
 // request builds the call as the service gets it. No header of the caller but
@@ -231,12 +231,12 @@
 	req.ContentLength = int64(len(c.Body()))
 	req.Header.Set("Content-Type", c.ContentType())
 	req.Header.Set(headerKey, c.Key())
-	scope(req, c)
+	setScope(req, c)
 	propagation.TraceContext{}.Inject(ctx, propagation.HeaderCarrier(req.Header))
 	return req, nil
 }
 
-func scope(req *http.Request, c ledger.Call) {
+func setScope(req *http.Request, c ledger.Call) {
 	req.Header.Set(headerTeam, string(c.Team()))
 	req.Header.Set(headerClass, string(c.Class()))
 }
--- a/internal/wire/plain/plain_test.go
+++ b/internal/wire/plain/plain_test.go
@@ -36,8 +36,8 @@
 	return s.URL
 }
 
-// closed is a base URL at which nothing listens.
-func closed(t *testing.T) string {
+// closedURL is a base URL at which nothing listens.
+func closedURL(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -126,7 +126,7 @@
 // refusing the caller hears that it did not run, which is true.
 func TestRefusedConnection(t *testing.T) {
 	d := &desk.Desk{}
-	s := sender(closed(t), server(t, d.Handler()))
+	s := sender(closedURL(t), server(t, d.Handler()))
 	for range 4 {
 		if _, err := s.Send(t.Context(), payment("k1")); err != nil {
 			t.Errorf("got %v, want an answer", err)
@@ -135,7 +135,7 @@
 	if got := d.Runs("k1"); got != 4 {
 		t.Errorf("got %d runs, want 4", got)
 	}
-	s = sender(closed(t), closed(t))
+	s = sender(closedURL(t), closedURL(t))
 	if _, err := s.Send(t.Context(), payment("k2")); !errors.Is(err, ledger.ErrNotSent) {
 		t.Errorf("got %v, want ErrNotSent", err)
 	}
@@ -160,9 +160,9 @@
 	}
 	for name, h := range cases {
 		s := sender(server(t, h))
-		s.Most = 100
+		s.MaxAnswerBytes = 100
 		if name == "too slow" {
-			s.Answer = 50 * time.Millisecond
+			s.Timeout = 50 * time.Millisecond
 		}
 		if _, err := s.Send(t.Context(), payment("k1")); err == nil || errors.Is(err, ledger.ErrNotSent) {
 			t.Errorf("%s: got %v, want an error that leaves the outcome open", name, err)
@@ -255,7 +255,7 @@
 	d := &desk.Desk{}
 	s := sender(server(t, d.Handler()))
 	s.Repeats = func(c spec.ClassName) bool { return c == "payment" }
-	s.Share = 0.25
+	s.RetryShare = 0.25
 	d.Cut(1000)
 	const calls = 40
 	for range calls {
--- a/internal/wire/watch/cost_test.go
+++ b/internal/wire/watch/bench_test.go
@@ -13,19 +13,19 @@
 	"fulmarwick/internal/wire/engine"
 )
 
-// counted counts the bytes of a connection in both directions.
-type counted struct {
+// countingConn counts the bytes of a connection in both directions.
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
-func (c counted) Read(b []byte) (int, error) {
+func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-func (c counted) Write(b []byte) (int, error) {
+func (c countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.bytes.Add(int64(n))
 	return n, err
@@ -42,7 +42,7 @@
 	client := &http.Client{Transport: &http.Transport{
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 			c, err := new(net.Dialer).DialContext(ctx, network, address)
-			return counted{Conn: c, bytes: &bytes}, err
+			return countingConn{Conn: c, bytes: &bytes}, err
 		},
 	}}
 	defer client.CloseIdleConnections()
--- a/internal/wire/watch/poll.go
+++ b/internal/wire/watch/poll.go
@@ -11,8 +11,8 @@
 	"go.uber.org/zap"
 )
 
-// poll is a poller that runs.
-type poll struct {
+// runningPoller is a poller that runs.
+type runningPoller struct {
 	cancel context.CancelFunc
 	wake   chan<- struct{}
 }
@@ -22,10 +22,10 @@
 	*Watcher
 	id   spec.UpstreamID
 	wake <-chan struct{}
-	// cached is when cache events were last asked for.
-	cached time.Time
-	// warned is when a bad report was last logged.
-	warned time.Time
+	// lastCacheRead is when cache events were last asked for.
+	lastCacheRead time.Time
+	// lastWarning is when a bad report was last logged.
+	lastWarning time.Time
 	// seq is the last cache event read, of incarnation.
 	seq         uint64
 	incarnation uint64
@@ -35,9 +35,9 @@
 func (p *poller) run(ctx context.Context) {
 	defer p.group.Done()
 	for {
-		wait := retryPoll
-		if p.read(ctx) {
-			wait = p.pace()
+		wait := retryInterval
+		if p.poll(ctx) {
+			wait = p.interval()
 		}
 		select {
 		case <-ctx.Done():
@@ -48,25 +48,25 @@
 	}
 }
 
-// pace is the time to the next report. A watcher that stands by asks seldom,
+// interval is the time to the next report. A watcher that stands by asks seldom,
 // until the first watcher misses answers: then both ask often, so that they
 // agree as soon as if both had asked often all the time.
-func (p *poller) pace() time.Duration {
+func (p *poller) interval() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	e := p.board.get(p.id)
+	e := p.tracker.get(p.id)
 	switch {
-	case e == nil || e.first:
+	case e == nil || e.primary:
 		return p.Poll
-	case e.doubted(p.now()):
-		return retryPoll
+	case e.doubtedByPeer(p.now()):
+		return retryInterval
 	}
-	return standby * p.Poll
+	return standbyFactor * p.Poll
 }
 
-// read asks once. It reports whether the engine answered or is known to be
+// poll asks once. It reports whether the engine answered or is known to be
 // down, so that there is no hurry.
-func (p *poller) read(ctx context.Context) bool {
+func (p *poller) poll(ctx context.Context) bool {
 	select {
 	case p.slots <- struct{}{}:
 	case <-ctx.Done():
@@ -74,7 +74,7 @@
 	}
 	defer func() { <-p.slots }()
 	p.mu.Lock()
-	e := p.board.get(p.id)
+	e := p.tracker.get(p.id)
 	base := ""
 	if e != nil {
 		base = e.url
@@ -90,38 +90,38 @@
 	case ctx.Err() != nil:
 		return true
 	case err != nil:
-		p.complain(err)
+		p.warnInvalid(err)
 		late := errors.Is(asked.Err(), context.DeadlineExceeded)
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.board.missed(p.now(), e, !late)
-		return e.down
+		p.tracker.handleMiss(p.now(), e, !late)
+		return e.declaredDead
 	}
 	row := engine.Row(p.id, body)
 	p.mu.Lock()
-	p.board.polled(p.now(), e, body, row)
+	p.tracker.handleAnswer(p.now(), e, body, row)
 	p.mu.Unlock()
 	p.readCache(ctx, base, row.Incarnation)
 	return true
 }
 
-// complain logs a report that the engine gave but that cannot be true, now and
+// warnInvalid logs a report that the engine gave but that cannot be true, now and
 // then: without it an operator would only see that the engine is missing.
-func (p *poller) complain(err error) {
-	if !errors.Is(err, engine.ErrBody) || time.Since(p.warned) < warnEvery {
+func (p *poller) warnInvalid(err error) {
+	if !errors.Is(err, engine.ErrBody) || time.Since(p.lastWarning) < warnInterval {
 		return
 	}
-	p.warned = time.Now()
+	p.lastWarning = time.Now()
 	p.Log.Warn("watch: report refused", zap.String("engine", string(p.id)), zap.Error(err))
 }
 
 // readCache posts the cache events since the last ones. A gap is posted as it
 // is: the routing logic sees it by the numbers.
 func (p *poller) readCache(ctx context.Context, base string, incarnation uint64) {
-	if p.Caches == nil || time.Since(p.cached) < cacheEvery {
+	if p.Caches == nil || time.Since(p.lastCacheRead) < cacheInterval {
 		return
 	}
-	p.cached = time.Now()
+	p.lastCacheRead = time.Now()
 	if incarnation != p.incarnation {
 		p.seq, p.incarnation = 0, incarnation
 	}
--- a/internal/wire/watch/service_test.go
+++ b/internal/wire/watch/service_test.go
@@ -18,14 +18,14 @@
 	"go.uber.org/zap"
 )
 
-// places is the platform's list and what the sender of calls was told of it.
-type places struct {
-	mu     sync.Mutex
-	states []string
-	told   []string
+// serviceList is the platform's list and what the sender of calls was told of it.
+type serviceList struct {
+	mu      sync.Mutex
+	states  []string
+	located []string
 }
 
-func (p *places) ListInstances(context.Context) ([]store.ListedBody, error) {
+func (p *serviceList) ListInstances(context.Context) ([]store.ListedBody, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var out []store.ListedBody
@@ -35,39 +35,39 @@
 	return out, nil
 }
 
-func (p *places) Locate(_ spec.ServiceName, bases []string) {
+func (p *serviceList) Locate(_ spec.ServiceName, bases []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.told = slices.Clone(bases)
+	p.located = slices.Clone(bases)
 }
 
-func (p *places) set(states ...string) {
+func (p *serviceList) set(states ...string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.states = states
 }
 
-func (p *places) live() int {
+func (p *serviceList) live() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return len(p.told)
+	return len(p.located)
 }
 
-// nowhere posts events and locates engines nowhere.
-type nowhere struct{}
+// discard posts events and locates engines nowhere.
+type discard struct{}
 
-func (nowhere) Post(domain.Event)              {}
-func (nowhere) Locate(spec.UpstreamID, string) {}
+func (discard) Post(domain.Event)              {}
+func (discard) Locate(spec.UpstreamID, string) {}
 
 // One after the other, both instances of a payment service leave. The sender
 // hears of each within 2 s, also of the last one: with the service missing from
 // what it was told, it would go on sending new payments to a leaving instance.
 func TestLastInstanceOfServiceLeaves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := &places{}
+		p := &serviceList{}
 		p.set(frame.StateLive, frame.StateLive)
 		w := &watch.Watcher{
-			List: p, Loop: nowhere{}, Engines: nowhere{}, Services: p,
+			List: p, Loop: discard{}, Engines: discard{}, Services: p,
 			HTTP: &http.Client{}, Log: zap.NewNop(), Every: time.Second,
 		}
 		ctx, stop := context.WithCancel(t.Context())
--- a/internal/wire/watch/watch.go
+++ b/internal/wire/watch/watch.go
@@ -28,20 +28,20 @@
 const (
 	// defaultPoll, standby and cacheEvery keep what one of four instances asks
 	// half of thirty engines within 16 KB a second.
-	defaultPoll    = 400 * time.Millisecond
-	defaultTimeout = 300 * time.Millisecond
-	defaultGone    = time.Minute
-	// retryPoll is the wait after a poll without an answer, so that a death is
+	defaultPoll        = 400 * time.Millisecond
+	defaultTimeout     = 300 * time.Millisecond
+	defaultRemoveAfter = time.Minute
+	// retryInterval is the wait after a poll without an answer, so that a death is
 	// known in about a second.
-	retryPoll = 50 * time.Millisecond
-	// standby is how many times slower a watcher asks that only stands by.
-	standby = 5
-	// cacheEvery is the time between two questions for cache events.
-	cacheEvery = 4 * time.Second
-	// warnEvery is the least time between two warnings about one engine.
-	warnEvery = time.Minute
-	// atOnce bounds the polls that are under way at one time.
-	atOnce = 32
+	retryInterval = 50 * time.Millisecond
+	// standbyFactor is how many times slower a watcher asks that only stands by.
+	standbyFactor = 5
+	// cacheInterval is the time between two questions for cache events.
+	cacheInterval = 4 * time.Second
+	// warnInterval is the least time between two warnings about one engine.
+	warnInterval = time.Minute
+	// maxPolls bounds the polls that are under way at one time.
+	maxPolls = 32
 )
 
 // Lister reads the platform's lagging list.
@@ -64,8 +64,8 @@
 	Locate(service spec.ServiceName, bases []string)
 }
 
-// Sayer spreads items among the instances.
-type Sayer interface {
+// Publisher spreads items among the instances.
+type Publisher interface {
 	Say(item news.Item)
 }
 
@@ -91,7 +91,7 @@
 	// before it is dropped; zero is a minute.
 	Gone time.Duration
 	// News spreads what is found. Nil watches every engine listed alone.
-	News Sayer
+	News Publisher
 	// Self is the own instance; Listed receives each list read, to be posted
 	// to the fleet logic. Both are needed with News.
 	Self   spec.InstanceID
@@ -99,29 +99,29 @@
 	// Caches reads cache events of the engines watched here; nil reads none.
 	Caches Caches
 
-	once  sync.Once
-	start time.Time
-	slots chan struct{}
-	mu    sync.Mutex
-	board board
-	polls map[spec.UpstreamID]poll
-	group sync.WaitGroup
-	ctx   context.Context
+	once    sync.Once
+	start   time.Time
+	slots   chan struct{}
+	mu      sync.Mutex
+	tracker tracker
+	pollers map[spec.UpstreamID]runningPoller
+	group   sync.WaitGroup
+	ctx     context.Context
 }
 
 func (w *Watcher) init() {
 	w.once.Do(func() {
 		w.start = time.Now()
-		w.slots = make(chan struct{}, atOnce)
-		w.polls = map[spec.UpstreamID]poll{}
-		w.board = board{self: w.Self, post: w.Loop.Post, find: w.Engines.Locate}
+		w.slots = make(chan struct{}, maxPolls)
+		w.pollers = map[spec.UpstreamID]runningPoller{}
+		w.tracker = tracker{self: w.Self, post: w.Loop.Post, setURL: w.Engines.Locate}
 		if w.News != nil {
-			w.board.say = w.News.Say
+			w.tracker.publish = w.News.Say
 		}
 		for _, d := range []struct {
 			field *time.Duration
 			value time.Duration
-		}{{&w.Poll, defaultPoll}, {&w.Timeout, defaultTimeout}, {&w.Gone, defaultGone}} {
+		}{{&w.Poll, defaultPoll}, {&w.Timeout, defaultTimeout}, {&w.Gone, defaultRemoveAfter}} {
 			if *d.field == 0 {
 				*d.field = d.value
 			}
@@ -139,7 +139,7 @@
 	w.ctx = ctx
 	w.mu.Unlock()
 	for {
-		w.round(ctx)
+		w.readList(ctx)
 		select {
 		case <-ctx.Done():
 			return nil
@@ -153,8 +153,8 @@
 	w.init()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.board.assign(c.Engines, c.Primary)
-	w.follow()
+	w.tracker.assign(c.Engines, c.Primary)
+	w.syncPollers()
 }
 
 // Heard takes an item of another instance.
@@ -162,16 +162,16 @@
 	w.init()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.board.heard(w.now(), item)
+	w.tracker.handleItem(w.now(), item)
 	if item.Kind == news.KindDoubt {
-		w.wake(spec.UpstreamID(item.Key))
+		w.wakePoller(spec.UpstreamID(item.Key))
 	}
 }
 
-// wake has an engine asked at once if it is watched here.
-func (w *Watcher) wake(id spec.UpstreamID) {
+// wakePoller has an engine asked at once if it is watched here.
+func (w *Watcher) wakePoller(id spec.UpstreamID) {
 	select {
-	case w.polls[id].wake <- struct{}{}:
+	case w.pollers[id].wake <- struct{}{}:
 	default:
 	}
 }
@@ -179,8 +179,8 @@
 // now is the time since the start, on a clock that only goes forward.
 func (w *Watcher) now() time.Duration { return time.Since(w.start) }
 
-// round reads the list once.
-func (w *Watcher) round(ctx context.Context) {
+// readList reads the list once.
+func (w *Watcher) readList(ctx context.Context) {
 	listed, err := w.List.ListInstances(ctx)
 	if err != nil {
 		// A list that cannot be read removes nobody: the engines of the last
@@ -204,46 +204,46 @@
 			name := spec.ServiceName(l.Service)
 			services[name] = append(services[name], nil...)
 		case l.Role == store.RoleEngine:
-			w.engine(l)
+			w.applyListed(l)
 		}
 	}
-	w.board.expire(w.now(), w.Gone)
-	w.follow()
+	w.tracker.removeExpired(w.now(), w.Gone)
+	w.syncPollers()
 	w.mu.Unlock()
 	for name, bases := range services {
 		w.Services.Locate(name, bases)
 	}
 }
 
-func (w *Watcher) engine(l store.ListedBody) {
-	e := w.board.locate(w.now(), spec.UpstreamID(l.ID), l.URL)
-	e.listed = w.now()
+func (w *Watcher) applyListed(l store.ListedBody) {
+	e := w.tracker.getOrCreate(w.now(), spec.UpstreamID(l.ID), l.URL)
+	e.lastListed = w.now()
 	if w.News == nil {
-		e.watched, e.first = true, true
+		e.watched, e.primary = true, true
 	}
 	if l.State == frame.StateLeaving {
-		w.board.leave(e, true)
+		w.tracker.markLeaving(e, true)
 	}
 }
 
-// follow starts and ends polls so that just the engines watched are polled.
-func (w *Watcher) follow() {
-	for id, running := range w.polls {
-		if e := w.board.get(id); e == nil || !e.watched {
+// syncPollers starts and ends polls so that just the engines watched are polled.
+func (w *Watcher) syncPollers() {
+	for id, running := range w.pollers {
+		if e := w.tracker.get(id); e == nil || !e.watched {
 			running.cancel()
-			delete(w.polls, id)
+			delete(w.pollers, id)
 		}
 	}
 	if w.ctx == nil {
 		return
 	}
-	for _, e := range w.board.rows {
-		if !e.watched || e.url == "" || w.polls[e.id].cancel != nil {
+	for _, e := range w.tracker.engines {
+		if !e.watched || e.url == "" || w.pollers[e.id].cancel != nil {
 			continue
 		}
 		ctx, cancel := context.WithCancel(w.ctx)
 		wake := make(chan struct{}, 1)
-		w.polls[e.id] = poll{cancel: cancel, wake: wake}
+		w.pollers[e.id] = runningPoller{cancel: cancel, wake: wake}
 		w.group.Add(1)
 		go (&poller{Watcher: w, id: e.id, wake: wake}).run(ctx)
 	}
--- a/internal/wire/watch/watch_test.go
+++ b/internal/wire/watch/watch_test.go
@@ -25,47 +25,47 @@
 	"go.uber.org/zap"
 )
 
-// lab is one engine, e1, and the watchers that read it.
-type lab struct {
-	mu     sync.Mutex
-	state  string // of the engine's port: "", "refuse" or "hang"
-	blind  map[string]bool
-	body   frame.Engine
-	list   []store.ListedBody
-	listed error
-	sites  []*site
+// testbed is one engine, e1, and the watchers that read it.
+type testbed struct {
+	mu              sync.Mutex
+	state           string // of the engine's port: "", "refuse" or "hang"
+	unreachableFrom map[string]bool
+	body            frame.Engine
+	list            []store.ListedBody
+	listErr         error
+	instances       []*instance
 }
 
-// site is one instance's watcher.
-type site struct {
-	lab   *lab
-	name  string
-	w     *watch.Watcher
-	mu    sync.Mutex
-	posts []string
-	at    map[string]time.Time
-	asked int
+// instance is one instance's watcher.
+type instance struct {
+	bed      *testbed
+	name     string
+	w        *watch.Watcher
+	mu       sync.Mutex
+	posts    []string
+	postedAt map[string]time.Time
+	polls    int
 }
 
-func newLab() *lab {
-	l := &lab{blind: map[string]bool{}, body: frame.Engine{Name: "e1", State: frame.StateLive, Slots: 4, Seq: 1}}
+func newLab() *testbed {
+	l := &testbed{unreachableFrom: map[string]bool{}, body: frame.Engine{Name: "e1", State: frame.StateLive, Slots: 4, Seq: 1}}
 	l.list = []store.ListedBody{{ID: "e1", Role: store.RoleEngine, URL: "http://e1", State: frame.StateLive}}
 	return l
 }
 
 // RoundTrip answers as the engine does.
-func (s *site) RoundTrip(req *http.Request) (*http.Response, error) {
+func (s *instance) RoundTrip(req *http.Request) (*http.Response, error) {
 	s.mu.Lock()
-	s.asked++
+	s.polls++
 	s.mu.Unlock()
-	s.lab.mu.Lock()
-	state := s.lab.state
-	if s.lab.blind[s.name] {
+	s.bed.mu.Lock()
+	state := s.bed.state
+	if s.bed.unreachableFrom[s.name] {
 		state = "hang"
 	}
-	s.lab.body.Seq++
-	data, err := json.Marshal(s.lab.body)
-	s.lab.mu.Unlock()
+	s.bed.body.Seq++
+	data, err := json.Marshal(s.bed.body)
+	s.bed.mu.Unlock()
 	switch state {
 	case "refuse":
 		return nil, errors.New("refused")
@@ -76,33 +76,33 @@
 	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(strings.NewReader(string(data)))}, err
 }
 
-func (s *site) ListInstances(context.Context) ([]store.ListedBody, error) {
-	s.lab.mu.Lock()
-	defer s.lab.mu.Unlock()
-	return slices.Clone(s.lab.list), s.lab.listed
+func (s *instance) ListInstances(context.Context) ([]store.ListedBody, error) {
+	s.bed.mu.Lock()
+	defer s.bed.mu.Unlock()
+	return slices.Clone(s.bed.list), s.bed.listErr
 }
 
-func (s *site) Post(ev domain.Event) {
+func (s *instance) Post(ev domain.Event) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	name := strings.TrimPrefix(fmt.Sprintf("%T", ev), "domain.")
 	if len(s.posts) == 0 || s.posts[len(s.posts)-1] != name {
 		s.posts = append(s.posts, name)
-		s.at[name] = time.Now()
+		s.postedAt[name] = time.Now()
 	}
 }
 
-func (s *site) Locate(spec.UpstreamID, string) {}
+func (s *instance) Locate(spec.UpstreamID, string) {}
 
 type services struct{}
 
 func (services) Locate(spec.ServiceName, []string) {}
 
 // Say hands an item to the other sites a moment later.
-func (s *site) Say(item news.Item) {
+func (s *instance) Say(item news.Item) {
 	item.Origin = s.name
 	time.AfterFunc(20*time.Millisecond, func() {
-		for _, other := range s.lab.sites {
+		for _, other := range s.bed.instances {
 			if other != s {
 				other.w.Heard(item)
 			}
@@ -110,25 +110,25 @@
 	})
 }
 
-func (l *lab) set(f func(*lab)) {
+func (l *testbed) set(f func(*testbed)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	f(l)
 }
 
 // run starts two watchers and one instance that only listens.
-func (l *lab) run(t *testing.T) (stop func()) {
+func (l *testbed) run(t *testing.T) (stop func()) {
 	ctx, cancel := context.WithCancel(t.Context())
 	var group sync.WaitGroup
 	for _, name := range []string{"first", "second", "third"} {
-		s := &site{lab: l, name: name, at: map[string]time.Time{}}
+		s := &instance{bed: l, name: name, postedAt: map[string]time.Time{}}
 		s.w = &watch.Watcher{
 			List: s, Loop: s, Engines: s, Services: services{}, HTTP: &http.Client{Transport: s},
 			Log: zap.NewNop(), Every: time.Second, News: s, Self: spec.InstanceID(name),
 		}
-		l.sites = append(l.sites, s)
+		l.instances = append(l.instances, s)
 	}
-	for i, s := range l.sites {
+	for i, s := range l.instances {
 		group.Go(func() { _ = s.w.Run(ctx) })
 		if i < 2 {
 			time.Sleep(10 * time.Millisecond)
@@ -147,25 +147,25 @@
 	}
 }
 
-// since forgets what was posted before; saw lists what was posted after.
-func (l *lab) since() {
-	for _, s := range l.sites {
+// reset forgets what was posted before; saw lists what was posted after.
+func (l *testbed) reset() {
+	for _, s := range l.instances {
 		s.mu.Lock()
 		s.posts = nil
 		s.mu.Unlock()
 	}
 }
 
-func (s *site) saw(name string) bool {
+func (s *instance) posted(name string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Contains(s.posts, name)
 }
 
-func (l *lab) want(t *testing.T, what string, want bool) {
+func (l *testbed) checkPosted(t *testing.T, what string, want bool) {
 	t.Helper()
-	for _, s := range l.sites {
-		if got := s.saw(what); got != want {
+	for _, s := range l.instances {
+		if got := s.posted(what); got != want {
 			t.Errorf("got %s at %s: %v, want %v", what, s.name, got, want)
 		}
 	}
@@ -179,21 +179,21 @@
 		synctest.Test(t, func(t *testing.T) {
 			l := newLab()
 			defer l.run(t)()
-			l.want(t, "EngineReport", true)
-			l.since()
+			l.checkPosted(t, "EngineReport", true)
+			l.reset()
 			died := time.Now()
-			l.set(func(l *lab) { l.state = state })
+			l.set(func(l *testbed) { l.state = state })
 			time.Sleep(2 * time.Second)
-			l.want(t, "EngineDead", true)
-			for _, s := range l.sites {
-				if got := s.at["EngineDead"].Sub(died); got > 1600*time.Millisecond {
+			l.checkPosted(t, "EngineDead", true)
+			for _, s := range l.instances {
+				if got := s.postedAt["EngineDead"].Sub(died); got > 1600*time.Millisecond {
 					t.Errorf("got %v until %s knew of an engine that would %s, want 1.6s", got, s.name, state)
 				}
 			}
-			l.since()
-			l.set(func(l *lab) { l.state = "" })
+			l.reset()
+			l.set(func(l *testbed) { l.state = "" })
 			time.Sleep(2 * time.Second)
-			l.want(t, "EngineReport", true)
+			l.checkPosted(t, "EngineReport", true)
 		})
 	}
 }
@@ -204,11 +204,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		l := newLab()
 		defer l.run(t)()
-		l.since()
-		l.set(func(l *lab) { l.blind["first"] = true })
+		l.reset()
+		l.set(func(l *testbed) { l.unreachableFrom["first"] = true })
 		time.Sleep(20 * time.Second)
-		l.want(t, "EngineDead", false)
-		l.want(t, "EngineReport", true)
+		l.checkPosted(t, "EngineDead", false)
+		l.checkPosted(t, "EngineReport", true)
 	})
 }
 
@@ -217,13 +217,13 @@
 func TestRestartBetweenPollsIsADeath(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newLab()
-		l.set(func(l *lab) { l.body.Seq = 1000 })
+		l.set(func(l *testbed) { l.body.Seq = 1000 })
 		defer l.run(t)()
-		l.since()
-		l.set(func(l *lab) { l.body.Seq = 0 })
+		l.reset()
+		l.set(func(l *testbed) { l.body.Seq = 0 })
 		time.Sleep(2 * time.Second)
-		l.want(t, "EngineDead", true)
-		l.want(t, "EngineReport", true)
+		l.checkPosted(t, "EngineDead", true)
+		l.checkPosted(t, "EngineReport", true)
 	})
 }
 
@@ -233,10 +233,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		l := newLab()
 		defer l.run(t)()
-		l.since()
-		l.set(func(l *lab) { l.body.State = frame.StateLeaving })
+		l.reset()
+		l.set(func(l *testbed) { l.body.State = frame.StateLeaving })
 		time.Sleep(500 * time.Millisecond)
-		l.want(t, "EngineLeaving", true)
+		l.checkPosted(t, "EngineLeaving", true)
 	})
 }
 
@@ -246,15 +246,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		l := newLab()
 		defer l.run(t)()
-		l.since()
-		l.set(func(l *lab) { l.listed = errors.New("down") })
+		l.reset()
+		l.set(func(l *testbed) { l.listErr = errors.New("down") })
 		time.Sleep(5 * time.Minute)
-		l.set(func(l *lab) { l.listed, l.list = nil, nil })
+		l.set(func(l *testbed) { l.listErr, l.list = nil, nil })
 		time.Sleep(5 * time.Minute)
-		l.want(t, "EngineRemoved", false)
-		l.set(func(l *lab) { l.state = "refuse" })
+		l.checkPosted(t, "EngineRemoved", false)
+		l.set(func(l *testbed) { l.state = "refuse" })
 		time.Sleep(2 * time.Minute)
-		l.want(t, "EngineRemoved", true)
+		l.checkPosted(t, "EngineRemoved", true)
 	})
 }
 
@@ -265,19 +265,19 @@
 	synctest.Test(t, func(t *testing.T) {
 		l := newLab()
 		defer l.run(t)()
-		before := [2]int{l.sites[0].asks(), l.sites[1].asks()}
+		before := [2]int{l.instances[0].pollCount(), l.instances[1].pollCount()}
 		time.Sleep(time.Minute)
-		if got := l.sites[0].asks() - before[0]; got > 165 {
+		if got := l.instances[0].pollCount() - before[0]; got > 165 {
 			t.Errorf("got %d questions a minute of the first watcher, want about 150", got)
 		}
-		if got := l.sites[1].asks() - before[1]; got > 40 {
+		if got := l.instances[1].pollCount() - before[1]; got > 40 {
 			t.Errorf("got %d questions a minute of the one standing by, want about 30", got)
 		}
 	})
 }
 
-func (s *site) asks() int {
+func (s *instance) pollCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.asked
+	return s.polls
 }
