--- a/internal/wire/peer/accept.go
+++ b/internal/wire/peer/accept.go
@@ -12,19 +12,21 @@
 	"go.uber.org/zap"
 )
 
-// Path is where instances answer each other.
+// Path is the URL path at which an instance accepts connections from other
+// instances.
 const Path = "/v1/peer"
 
 const (
-	// version is the protocol version of this program. A later program speaks
-	// a range that still includes the version before, so that instances of
-	// both work together while they are replaced one by one.
+	// version is the protocol version of this build. A later build also
+	// supports the previous version, so that instances of both versions work
+	// together during a rolling upgrade.
 	version        = 1
 	nameHeader     = "X-Instance"
 	protocolPrefix = "fulmarwick."
 )
 
-// protocols are the versions spoken as WebSocket subprotocols, best first.
+// protocols returns the supported versions as WebSocket subprotocols, highest
+// first.
 func protocols(low, high int) []string {
 	var out []string
 	for v := high; v >= low; v-- {
@@ -33,7 +35,7 @@
 	return out
 }
 
-// versionOf is the version of a subprotocol; -1 for anything else.
+// versionOf returns the version of a subprotocol, or -1 for any other string.
 func versionOf(protocol string) int {
 	text, ok := strings.CutPrefix(protocol, protocolPrefix)
 	if !ok {
@@ -46,7 +48,8 @@
 	return v
 }
 
-// highestCommon is the highest version that both sides speak; -1 if none.
+// highestCommon returns the highest version that both sides support, or -1 if
+// there is none.
 func highestCommon(low, high int, offered []string) int {
 	best := -1
 	for _, p := range offered {
@@ -57,8 +60,8 @@
 	return best
 }
 
-// Handler answers other instances at Path. With TLS its server must demand and
-// verify the client's certificate.
+// Handler serves connections from other instances at Path. With TLS, its server
+// must require and verify client certificates.
 func (h *Hub) Handler() http.Handler {
 	h.init()
 	return http.HandlerFunc(h.accept)
@@ -94,7 +97,8 @@
 	}
 }
 
-// identify finds out who calls; problem is the reason of a refusal.
+// identify returns the ID of the calling instance, or the reason why the call
+// is refused.
 func (h *Hub) identify(r *http.Request) (id spec.InstanceID, problem string) {
 	name := r.Header.Get(nameHeader)
 	if name == "" || len(name) > maxName || name == string(h.Self.ID) {
--- a/internal/wire/peer/conn.go
+++ b/internal/wire/peer/conn.go
@@ -15,10 +15,12 @@
 
 const (
 	writeTimeout = 5 * time.Second
-	// sendQueueSize is how many frames wait for the writer of one connection.
+	// sendQueueSize is the number of frames that can wait to be written to one
+	// connection.
 	sendQueueSize = 256
-	// maxBadFrames is how many bad frames a connection survives. One that sends more
-	// is faulty or hostile, and dialling anew costs it more than us.
+	// maxBadFrames is the number of bad frames after which a connection is
+	// closed. A peer that sends that many is faulty or hostile, and
+	// reconnecting costs it more than it costs this instance.
 	maxBadFrames = 16
 )
 
@@ -27,7 +29,7 @@
 	hub *Hub
 	id  spec.InstanceID
 	ws  *websocket.Conn
-	// dialed is true on the side that dialled.
+	// dialed is true if this instance dialled.
 	dialed bool
 	queue  chan []byte
 	closed chan struct{}
@@ -37,7 +39,7 @@
 	mu       sync.Mutex
 	lastUsed time.Time
 	lastID   uint64
-	// streams are the streams opened here, jobs those opened by the other side.
+	// streams are opened by this instance, jobs by the other side.
 	streams map[uint64]*outStream
 	jobs    map[uint64]context.CancelFunc
 }
@@ -51,7 +53,7 @@
 	}
 }
 
-// run serves the connection until it closes.
+// run serves the connection until it is closed.
 func (c *conn) run() {
 	c.hub.meter.conns.Inc()
 	defer c.hub.meter.conns.Dec()
@@ -69,15 +71,17 @@
 	}
 }
 
-// errNormalClose is the cause of a connection that ended by agreement.
+// errNormalClose is the cause of a connection that one side closed on purpose,
+// because it was idle or on shutdown.
 var errNormalClose = errors.New("peer: connection not in use")
 
 func (c *conn) close(cause error) {
 	c.once.Do(func() {
 		c.cause = cause
 		close(c.closed)
-		// Closing TLS first would wait for the other side to take an alert; one
-		// that hangs would hold up everyone that waits here.
+		// Closing the TLS connection first would wait until the other side
+		// accepts a close alert. A peer that hangs would block every goroutine
+		// that waits here.
 		if t, ok := c.ws.NetConn().(*tls.Conn); ok {
 			_ = t.NetConn().Close()
 		}
@@ -85,7 +89,8 @@
 	})
 }
 
-// closeNormally closes a connection so that the other side knows that it was meant.
+// closeNormally closes a connection with a close message, so that the other
+// side does not treat it as lost.
 func (c *conn) closeNormally() {
 	msg := websocket.FormatCloseMessage(websocket.CloseNormalClosure, "")
 	_ = c.ws.WriteControl(websocket.CloseMessage, msg, time.Now().Add(time.Second))
@@ -96,7 +101,7 @@
 	bad := 0
 	for {
 		if c.hub.Silence > 0 {
-			// A connection on which no deadline can be set fails the read.
+			// If no deadline can be set, the following read fails.
 			_ = c.ws.SetReadDeadline(time.Now().Add(c.hub.Silence))
 		}
 		kind, data, err := c.ws.ReadMessage()
@@ -141,7 +146,8 @@
 		c.mu.Lock()
 		s := c.streams[f.ID]
 		c.mu.Unlock()
-		// A late answer of a stream that ended here reaches nobody.
+		// The stream may have been closed here in the meantime; late frames are
+		// dropped.
 		if s != nil {
 			s.deliver(f)
 		}
@@ -178,7 +184,7 @@
 	return c.ws.WriteMessage(websocket.BinaryMessage, data)
 }
 
-// tryEnqueue queues a frame if there is room, else drops it.
+// tryEnqueue queues a frame, or drops it if the queue is full.
 func (c *conn) tryEnqueue(data []byte) {
 	c.markUsed()
 	select {
@@ -188,7 +194,7 @@
 	}
 }
 
-// enqueue queues a frame, waiting for room until ctx ends.
+// enqueue queues a frame. If the queue is full, it waits until ctx ends.
 func (c *conn) enqueue(ctx context.Context, f *frame) error {
 	data, err := encode(f)
 	if err != nil {
@@ -211,16 +217,16 @@
 	c.mu.Unlock()
 }
 
-// isIdle reports whether nothing went over the connection for long and no
-// stream is open on it.
+// isIdle reports whether the connection has no open stream and no frame was
+// sent or received within Hub.Idle.
 func (c *conn) isIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.streams) == 0 && len(c.jobs) == 0 && time.Since(c.lastUsed) >= c.hub.Idle
 }
 
-// endStreams ends all streams of a closed connection. Those served here are
-// cancelled: nobody is left to hear their answer.
+// endStreams ends all streams of a closed connection. Jobs that run here are
+// cancelled, because their answers can no longer be delivered.
 func (c *conn) endStreams() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/wire/peer/export_test.go
+++ b/internal/wire/peer/export_test.go
@@ -1,6 +1,7 @@
 package peer
 
-// Decode lets the tests reach the decoder of frames.
+// Decode exposes the frame decoder to the tests and encodes the decoded frame
+// again.
 func Decode(data []byte) error {
 	f, err := decode(data)
 	if err != nil {
--- a/internal/wire/peer/forward.go
+++ b/internal/wire/peer/forward.go
@@ -8,31 +8,32 @@
 	"github.com/go-faster/errors"
 )
 
-// maxJobs is how many forwarded requests one connection serves at once.
+// maxJobs is the number of forwarded requests that one connection serves at a
+// time.
 const maxJobs = 4096
 
 // FaultError is the final answer of the instance that a request was forwarded
-// to: it gave the request up.
+// to: it could not complete the request.
 type FaultError struct {
-	// Count is how many tokens the answer has so far.
+	// Count is the number of tokens in the answer so far.
 	Count int
 	Fault Fault
 }
 
-// Error names the fault.
+// Error returns the code of the fault.
 func (e *FaultError) Error() string { return "peer: forwarded request failed: " + e.Fault.Code }
 
-// Forward has the instance to run a job and hands its tokens to sink in order,
-// each index once, from job.Done on. It returns a FaultError if the other
-// instance gave the request up, ErrRefused if it took nothing, and ErrBroken
-// if the answer was cut; then all tokens handed to sink are right, and the
-// caller may go on from the next. When ctx ends or sink fails, the work there
-// is cancelled.
+// Forward runs a job on another instance and passes its tokens to sink in
+// order, each index once, starting at job.Done. It returns a FaultError if the
+// other instance gave up on the request, ErrRefused if it ran nothing, and
+// ErrBroken if the answer was interrupted. In that case all tokens passed to
+// sink are valid and the caller may resume after the last one. If ctx ends or
+// sink fails, the job is cancelled on the other instance.
 func (h *Hub) Forward(ctx context.Context, to spec.InstanceID, job Job, sink func(Token) error) (End, error) {
 	h.init()
-	// A request goes over one hop at most, so it can never go in a circle.
+	// A request is forwarded over one hop at most, so it cannot loop.
 	if job.Hops >= maxHops {
-		return End{}, errors.Wrap(ErrRefused, "forwarded before")
+		return End{}, errors.Wrap(ErrRefused, "already forwarded")
 	}
 	job.Hops++
 	c, err := h.connect(ctx, to)
@@ -55,7 +56,8 @@
 	return end, err
 }
 
-// readAnswer hands on tokens until the end. It checks that none is missing.
+// readAnswer passes tokens to sink until the answer ends. It checks that no
+// token is missing.
 func (s *outStream) readAnswer(ctx context.Context, next int, sink func(Token) error) (End, error) {
 	for {
 		frames, err := s.next(ctx)
@@ -68,7 +70,7 @@
 				return checkEnd(next, *f.End)
 			case f.Kind != kindToken || f.Token.Index < next:
 			case f.Token.Index > next:
-				return End{}, errors.Wrap(ErrBroken, "a token is missing")
+				return End{}, errors.Wrap(ErrBroken, "token missing")
 			default:
 				if err := sink(*f.Token); err != nil {
 					return End{}, err
@@ -84,12 +86,12 @@
 	case end.Fault != nil:
 		return end, &FaultError{Count: next, Fault: *end.Fault}
 	case end.Count != next:
-		return End{}, errors.Wrap(ErrBroken, "the answer is not whole")
+		return End{}, errors.Wrap(ErrBroken, "answer incomplete")
 	}
 	return end, nil
 }
 
-// serveForward runs a job of another instance.
+// serveForward runs a job for another instance.
 func (c *conn) serveForward(id uint64, job Job) {
 	if f := c.hub.checkJob(&job); f != nil {
 		c.reply(&frame{Kind: kindEnd, ID: id, End: &End{Fault: f}})
@@ -124,8 +126,8 @@
 	return end
 }
 
-// Jobs is how many requests of other instances run here. A graceful stop
-// waits until there are none.
+// Jobs returns the number of requests that run here for other instances. A
+// graceful shutdown waits until it is zero.
 func (h *Hub) Jobs() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -138,7 +140,8 @@
 	return n
 }
 
-// checkJob checks what the other side should have checked before.
+// checkJob repeats the checks that the sender should have made. It returns nil
+// if the job can run.
 func (h *Hub) checkJob(job *Job) *Fault {
 	switch {
 	case h.Serve == nil:
@@ -173,7 +176,7 @@
 	}
 }
 
-// reply sends a frame on behalf of the reading goroutine, which must not wait.
+// reply sends a frame for the read loop, which must not block.
 func (c *conn) reply(f *frame) {
 	c.hub.start(func() { _ = c.enqueue(c.hub.ctx, f) })
 }
--- a/internal/wire/peer/frame.go
+++ b/internal/wire/peer/frame.go
@@ -9,18 +9,20 @@
 
 // Limits of one frame.
 const (
-	// MaxBytes bounds one frame; a forwarded prompt is the largest part.
+	// MaxBytes limits the size of one frame; a forwarded prompt is the largest
+	// part of it.
 	MaxBytes = 8 << 20
 	maxName  = 255
 	maxCount = 1 << 20
-	// maxHops is how often a request may be forwarded.
+	// maxHops is the number of times that a request may be forwarded.
 	maxHops = 1
-	// snapshotChunk is how much of a snapshot goes in one frame, so that the messages
-	// of failure detection wait for little.
+	// snapshotChunk is the number of snapshot bytes in one frame. It is small,
+	// so that failure detection messages on the same connection are not
+	// delayed.
 	snapshotChunk = 256 << 10
 )
 
-// kind says what a frame carries.
+// kind is the type of a frame.
 type kind int
 
 //go:generate stringer -type=kind -linecomment -output=kind_string.go
@@ -35,69 +37,71 @@
 	kindSnapshot                        // snapshot
 )
 
-// frame is one WebSocket message. ID names a stream among those that the same
-// side opened.
+// frame is one WebSocket message. ID identifies a stream among those opened by
+// the same side.
 type frame struct {
 	Kind kind   `cbor:"1,keyasint"`
 	ID   uint64 `cbor:"2,keyasint,omitempty"`
-	// Data is a message of the fleet logic, or a piece of a snapshot.
+	// Data is a message of the fleet logic or a chunk of a snapshot.
 	Data []byte `cbor:"3,keyasint,omitempty"`
-	// Last marks the last piece of a snapshot.
+	// Last marks the last chunk of a snapshot.
 	Last  bool   `cbor:"4,keyasint,omitempty"`
 	Job   *Job   `cbor:"5,keyasint,omitempty"`
 	Token *Token `cbor:"6,keyasint,omitempty"`
 	End   *End   `cbor:"7,keyasint,omitempty"`
 }
 
-// Job is a model request that another instance runs.
+// Job is a model request that is forwarded to another instance.
 type Job struct {
 	Request spec.RequestID `cbor:"1,keyasint"`
 	Team    spec.TeamID    `cbor:"2,keyasint"`
 	Class   spec.ClassName `cbor:"3,keyasint"`
 	Model   spec.ModelName `cbor:"4,keyasint"`
 	Text    string         `cbor:"5,keyasint"`
-	// Prompt and Limit are tokens: the estimated prompt and the most to make.
+	// Prompt is the estimated number of prompt tokens, Limit the maximum number
+	// of tokens to generate.
 	Prompt int `cbor:"6,keyasint"`
 	Limit  int `cbor:"7,keyasint"`
-	// Done is how many tokens the caller already has.
+	// Done is the number of tokens that the caller already has.
 	Done int `cbor:"8,keyasint,omitempty"`
-	// Print identifies the same request when its caller sends it again, and
-	// Blocks are the chained hashes of its prompt.
+	// Print is the fingerprint by which a request is recognized when its caller
+	// retries it. Blocks are the chained hashes of its prompt.
 	Print  uint64   `cbor:"9,keyasint,omitempty"`
 	Blocks []uint64 `cbor:"10,keyasint,omitempty"`
-	// Hops is how often the request was forwarded, this time included.
+	// Hops is the number of times that the request was forwarded, including
+	// this one.
 	Hops int `cbor:"11,keyasint"`
-	// Trace is the W3C traceparent of the span that forwards.
+	// Trace is the W3C traceparent of the forwarding span.
 	Trace string `cbor:"12,keyasint,omitempty"`
 }
 
 // Token is one token of a forwarded answer. Index counts from 0 over the whole
-// answer, those that the caller had before included.
+// answer, including tokens that the caller already had.
 type Token struct {
 	Index int    `cbor:"1,keyasint"`
 	ID    uint32 `cbor:"2,keyasint,omitempty"`
 	Text  string `cbor:"3,keyasint"`
 }
 
-// End ends a forwarded answer. Count is how many tokens the whole answer has,
-// so that a cut answer never looks whole.
+// End ends a forwarded answer. Count is the number of tokens of the whole
+// answer, so that a truncated answer is not taken for a complete one.
 type End struct {
 	Count int  `cbor:"1,keyasint"`
 	Stop  bool `cbor:"2,keyasint,omitempty"`
-	// Fault says why the answer ended early; nil for a whole one.
+	// Fault is the reason why the answer ended early, nil if it is complete.
 	Fault *Fault `cbor:"3,keyasint,omitempty"`
 }
 
 // Fault is the final answer of the instance that a request was forwarded to.
 type Fault struct {
-	// Code is short and stable, Text a sentence for the caller.
+	// Code is a short, stable identifier; Text is a sentence for the caller.
 	Code   string `cbor:"1,keyasint"`
 	Text   string `cbor:"2,keyasint,omitempty"`
 	Status int    `cbor:"3,keyasint,omitempty"`
 	// Ran is "no", "yes" or "unsure".
 	Ran string `cbor:"4,keyasint,omitempty"`
-	// After is when the caller should try again, in milliseconds; zero if that
-	// cannot help.
+	// After is the delay in milliseconds after which the caller should retry,
+	// zero if a retry cannot help.
 	After int64 `cbor:"5,keyasint,omitempty"`
 }
 
@@ -125,9 +129,9 @@
 	return data, nil
 }
 
-// decode reads a frame. It returns ErrFrame for anything that is malformed or
-// out of range. A frame of a kind of a newer version comes back with that
-// kind and is passed over.
+// decode parses a frame. It returns ErrFrame for input that is malformed or out
+// of range. A frame of a kind that only a newer version knows is returned with
+// that kind, and the connection ignores it.
 func decode(data []byte) (*frame, error) {
 	if len(data) > MaxBytes {
 		return nil, errors.Wrap(ErrFrame, "too large")
--- a/internal/wire/peer/frame_test.go
+++ b/internal/wire/peer/frame_test.go
@@ -59,8 +59,9 @@
 	})
 }
 
-// A program that reached the port sends text, garbage, an oversized frame and
-// frames out of range. It is cut off, and the instances see nothing of it.
+// A program that reaches the port sends garbage, an oversized frame, an empty
+// frame and frames with invalid content. Its connections are closed, and the
+// instances are not affected.
 func TestHostileFramesDoNoHarm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t)
@@ -84,7 +85,7 @@
 		time.Sleep(10 * time.Second)
 		for _, h := range s.hubs {
 			if !h.hasMembers(1) {
-				t.Errorf("got other members than 1 at %s, want just the other one", h.name)
+				t.Errorf("got a member count other than 1 at %s, want only the other instance", h.name)
 			}
 		}
 	})
--- a/internal/wire/peer/hub.go
+++ b/internal/wire/peer/hub.go
@@ -1,8 +1,9 @@
-// Package peer connects instances: one WebSocket with CBOR frames per pair in
-// use, mutually authenticated. It drives the fleet logic, forwards requests
-// over one hop and hands out configuration snapshots.
+// Package peer connects instances with mutually authenticated WebSocket
+// connections that carry CBOR frames, one per pair of instances that
+// communicate. It drives the fleet logic, forwards requests over one hop and
+// serves configuration snapshots.
 //
-// It imports base, fleet/node and the WebSocket library. The daemon builds one
+// It imports base, fleet/node and the WebSocket library. The daemon creates one
 // Hub, mounts its Handler and runs it.
 package peer
 
@@ -24,76 +25,84 @@
 
 // Errors of this package.
 var (
-	// ErrFrame means that bytes are not a frame, or one out of range.
+	// ErrFrame means that data is not a valid frame or has a value out of
+	// range.
 	ErrFrame = errors.New("peer: bad frame")
-	// ErrRefused means that the other instance took nothing: no connection
-	// came about, or it refused before it ran anything.
+	// ErrRefused means that the other instance ran nothing: no connection could
+	// be made, or it rejected the request before running it.
 	ErrRefused = errors.New("peer: refused")
-	// ErrBroken means that the connection broke midway; what was asked for may
+	// ErrBroken means that the connection broke during an operation, which may
 	// have run in part.
 	ErrBroken = errors.New("peer: connection broken")
 )
 
 const (
-	// MaxTickInterval is the longest time between two ticks of the logic.
+	// MaxTickInterval is the maximum time between two ticks of the logic.
 	MaxTickInterval = 50 * time.Millisecond
-	// defaultIdle is how long a connection without frames is kept.
+	// defaultIdle is the time after which a connection without frames is
+	// closed.
 	defaultIdle = time.Minute
-	// maxEvents bounds the events that wait for a tick. Beyond it messages are
-	// dropped, which the protocol expects of a network anyway.
+	// maxEvents limits the events that wait for a tick. Further messages are
+	// dropped; the protocol tolerates that, as it does messages lost in the
+	// network.
 	maxEvents = 8192
-	// closeDelay is how long the connection of a former member is kept.
+	// closeDelay is the time for which the connection of a former member is
+	// kept.
 	closeDelay = 2 * time.Second
-	// maxConns bounds the connections of one instance, far above the few dozen
-	// that the fleet logic uses.
+	// maxConns limits the connections of one instance. It is far above the few
+	// dozen that the fleet logic uses.
 	maxConns = 1024
 )
 
-// Logic is the deterministic part that the Hub drives.
+// Logic is the deterministic fleet logic that the Hub drives.
 type Logic interface {
 	Tick(now time.Duration, events []node.Event) []node.Command
 }
 
 // Server runs requests that other instances forward. It calls sink for each
-// token in order. A Fault in the End is the final answer; an error is told as
-// an internal fault.
+// token in order. A Fault in the End is the final answer; an error is reported
+// to the other instance as an internal fault.
 type Server interface {
 	ServeForwarded(ctx context.Context, from spec.InstanceID, job Job, sink func(Token) error) (End, error)
 }
 
-// Snapshots gives the configuration in force, encoded.
+// Snapshots returns the encoded configuration in force.
 type Snapshots interface {
 	Snapshot() []byte
 }
 
-// Hub is one instance's connections to the others. Set the exported fields
-// before Run.
+// Hub manages the connections of one instance to the others. Set the exported
+// fields before calling Run.
 type Hub struct {
-	// Self is the own instance, with the URL at which others reach Handler.
+	// Self is this instance, with the URL at which others reach Handler.
 	Self  node.Peer
 	Logic Logic
-	// TLS has the own certificate and the authority of the peers'; its DNS
-	// names must contain the instance's ID. Nil speaks plainly and trusts the
-	// name that a peer claims, which suits loopback only.
+	// TLS has the certificate of this instance and the CA of the peers; the
+	// certificate's DNS names must include the instance ID. If TLS is nil,
+	// connections are unencrypted and the name that a peer claims is trusted,
+	// which is suitable for loopback only.
 	TLS *tls.Config
-	// Low and High are the protocol versions spoken; zero is the current one.
+	// Low and High are the lowest and highest supported protocol versions; zero
+	// means the current version.
 	Low, High int
-	// Serve and Config may be nil, then such requests are refused.
+	// Serve and Config may be nil; such requests are then refused.
 	Serve  Server
 	Config Snapshots
-	// On receives the commands of the logic other than Send, on the Hub's
-	// goroutine: it must not block.
+	// On receives all commands of the logic except Send. It is called on the
+	// Hub's goroutine and must not block.
 	On func(node.Command)
 	// Dial connects to an address; nil uses the network.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// Idle is how long an unused connection is kept; zero is a minute.
+	// Idle is the time after which an unused connection is closed; zero means
+	// one minute.
 	Idle time.Duration
-	// Silence is how long a connection may bring nothing before it is closed
-	// and dialled anew. It suits logic that sends all the time: a connection
-	// can go silent without a reset while new ones work. Zero waits for ever.
+	// Silence is the time without a received frame after which a connection is
+	// closed and dialled again. Use it with logic that sends continuously: a
+	// connection can stop delivering without a reset while new connections
+	// work. Zero means no limit.
 	Silence time.Duration
 	Log     *zap.Logger
-	// Meters receives the metrics; nil makes a private set.
+	// Meters receives the metrics; nil uses a private set.
 	Meters *metrics.Set
 
 	once   sync.Once
@@ -128,13 +137,14 @@
 		if h.Log == nil {
 			h.Log = zap.NewNop()
 		}
-		// An http.Server changes the config that it is given.
+		// http.Server modifies the TLS config that it is given, so the client
+		// uses a copy.
 		h.client = h.TLS.Clone()
 		h.meter = newMeters(h.Meters)
 	})
 }
 
-// Post queues an event for the logic and wakes it.
+// Post queues an event and wakes the logic.
 func (h *Hub) Post(ev node.Event) {
 	h.init()
 	h.mu.Lock()
@@ -150,7 +160,7 @@
 	}
 }
 
-// Publish spreads an item.
+// Say publishes an item to the other instances.
 func (h *Hub) Say(item news.Item) { h.Post(node.Publish{Item: item}) }
 
 // Run drives the logic until ctx ends, then closes all connections.
@@ -195,26 +205,27 @@
 	}
 }
 
-// applyMembers notes where the others are, for those who forward, and closes the
-// connections of those that are no members any more. Without that the writes
-// to a machine that lost power would wait until TCP gives up.
+// applyMembers stores the URLs of the members for forwarding and closes the
+// connections of former members. Otherwise writes to a machine that lost power
+// would block until TCP times out.
 func (h *Hub) applyMembers(c node.Members) {
 	h.meter.fleet.members.Set(uint64(len(c.Peers)))
 	h.mu.Lock()
-	gone := h.urls
+	former := h.urls
 	h.urls = make(map[spec.InstanceID]string, len(c.Peers))
 	for _, p := range c.Peers {
 		h.urls[p.ID] = p.URL
-		delete(gone, p.ID)
+		delete(former, p.ID)
 	}
 	var closing []*conn
 	for conn := range h.conns {
-		if _, ok := gone[conn.id]; ok {
+		if _, ok := former[conn.id]; ok {
 			closing = append(closing, conn)
 		}
 	}
 	h.mu.Unlock()
-	// An instance that said goodbye still waits for the answer.
+	// An instance that leaves still waits for the reply, so its connection is
+	// closed after a delay.
 	for _, conn := range closing {
 		time.AfterFunc(closeDelay, func() { conn.close(ErrBroken) })
 	}
@@ -229,7 +240,8 @@
 	h.group.Wait()
 }
 
-// start runs f in a goroutine that shut waits for; false once shut began.
+// start runs f in a goroutine that shutdown waits for. It returns false once
+// shutdown began.
 func (h *Hub) start(f func()) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/wire/peer/hub_test.go
+++ b/internal/wire/peer/hub_test.go
@@ -14,7 +14,7 @@
 	"github.com/go-faster/errors"
 )
 
-// tokenServer answers a job with numbered tokens; it stops early on faults.
+// tokenServer answers a job with numbered tokens. It can fail or block halfway.
 type tokenServer struct {
 	fault   *peer.Fault
 	block   chan struct{}
@@ -49,7 +49,7 @@
 	return peer.Job{Request: "r", Team: "t", Class: "c", Model: "m", Text: "hello", Limit: limit, Done: done}
 }
 
-func TestFourPeersMeetOverTLS(t *testing.T) {
+func TestFourPeersConnectOverTLS(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, s := newAuthority(t), newSite(t)
 		defer s.close()
@@ -77,8 +77,9 @@
 	})
 }
 
-// An instance is upgraded first: it speaks versions 1 and 2, the others only
-// 1. They speak 1 with each other. One that speaks only 3 finds nobody.
+// In a rolling upgrade, one instance speaks versions 1 and 2 and the others
+// only 1. They use version 1 with each other. An instance that speaks only
+// version 3 connects to none of them.
 func TestVersionsNegotiate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t)
@@ -93,14 +94,15 @@
 		time.Sleep(10 * time.Second)
 		for _, h := range s.hubs[:3] {
 			if !h.hasMembers(2) {
-				t.Errorf("got other members than 2 at %s, want none of version 3", h.name)
+				t.Errorf("got a member count other than 2 at %s, want none of version 3", h.name)
 			}
 		}
 	})
 }
 
-// A program with a certificate of another instance, or of a foreign authority,
-// claims a name. Nobody talks to it and the true ones go on.
+// A program uses a certificate of another instance, or one signed by another
+// CA, to claim an instance's name. All instances refuse it, and the genuine
+// ones stay connected.
 func TestForeignCertificatesAreRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, s := newAuthority(t), newSite(t)
@@ -113,7 +115,7 @@
 		time.Sleep(30 * time.Second)
 		for _, h := range s.hubs[:2] {
 			if !h.hasMembers(1) {
-				t.Errorf("got other members than 1 at %s, want just the true one", h.name)
+				t.Errorf("got a member count other than 1 at %s, want only the genuine instance", h.name)
 			}
 		}
 		for _, h := range s.hubs[2:] {
@@ -124,15 +126,16 @@
 	})
 }
 
-// The caller goes away in the middle of a forwarded answer; the work at the
-// other instance ends too, so that no engine serves nobody.
+// The caller goes away in the middle of a forwarded answer. The work at the
+// other instance must stop too, so that no engine generates tokens that nobody
+// reads.
 func TestCancelReachesTheServingSide(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t)
 		defer s.close()
-		work := &tokenServer{block: make(chan struct{}), stopped: make(chan struct{})}
+		server := &tokenServer{block: make(chan struct{}), stopped: make(chan struct{})}
 		s.add("a", nil, nil)
-		s.add("b", nil, func(h *peer.Hub) { h.Serve = work })
+		s.add("b", nil, func(h *peer.Hub) { h.Serve = server })
 		s.announce()
 		s.waitForMembers(1)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -145,7 +148,7 @@
 		if !errors.Is(err, context.Canceled) {
 			t.Errorf("got %v, want canceled", err)
 		}
-		<-work.stopped
+		<-server.stopped
 		synctest.Wait()
 		if got := s.hubs[1].hub.Jobs(); got != 0 {
 			t.Errorf("got %d jobs left, want 0", got)
@@ -153,15 +156,16 @@
 	})
 }
 
-// The instance that serves a forwarded request is cut off midway. The
-// forwarding side learns how far the answer got, and that it is not whole.
-func TestCutForwardIsToldAsBroken(t *testing.T) {
+// The instance that serves a forwarded request loses its connection halfway.
+// The forwarding side gets the tokens received so far and an error that says
+// that the answer is incomplete.
+func TestInterruptedForwardIsBroken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t)
 		defer s.close()
-		work := &tokenServer{block: make(chan struct{}), stopped: make(chan struct{})}
+		server := &tokenServer{block: make(chan struct{}), stopped: make(chan struct{})}
 		s.add("a", nil, nil)
-		s.add("b", nil, func(h *peer.Hub) { h.Serve = work })
+		s.add("b", nil, func(h *peer.Hub) { h.Serve = server })
 		s.announce()
 		s.waitForMembers(1)
 		got := 0
@@ -175,7 +179,7 @@
 		if !errors.Is(err, peer.ErrBroken) || got != 6 {
 			t.Errorf("got %v after %d tokens, want broken after 6", err, got)
 		}
-		<-work.stopped
+		<-server.stopped
 	})
 }
 
--- a/internal/wire/peer/link.go
+++ b/internal/wire/peer/link.go
@@ -20,12 +20,13 @@
 	dialTimeout = 3 * time.Second
 	backoffMin  = 100 * time.Millisecond
 	backoffMax  = 5 * time.Second
-	// maxPending is how many messages wait for a connection that is being made.
+	// maxPending is the number of messages that wait while a connection is
+	// dialled.
 	maxPending = 16
 )
 
-// link is the way to one other instance: its connection if there is one, and
-// the state of dialling.
+// link holds the connection to one other instance, if there is one, and the
+// state of dialling it.
 type link struct {
 	conn    *conn
 	dialing chan struct{}
@@ -34,8 +35,8 @@
 	retryAt time.Time
 }
 
-// send gives a message of the logic to another instance. Without a connection
-// one is dialled; while that fails again and again, messages are dropped.
+// send sends a message of the logic to another instance and dials it if there
+// is no connection. While dialling keeps failing, messages are dropped.
 func (h *Hub) send(c node.Send) {
 	data, err := encode(&frame{Kind: kindGossip, Data: c.Data})
 	if err != nil {
@@ -57,17 +58,17 @@
 	if len(l.queued) < maxPending {
 		l.queued = append(l.queued, data)
 	}
-	begin := l.dialing == nil
-	if begin {
+	start := l.dialing == nil
+	if start {
 		l.dialing = make(chan struct{})
 	}
 	h.mu.Unlock()
-	if begin {
+	if start {
 		h.startDial(c.To, c.URL)
 	}
 }
 
-// link finds or makes the link to id; h.mu is held.
+// link returns the link to id and creates it if needed; h.mu must be held.
 func (h *Hub) link(id spec.InstanceID) *link {
 	l := h.links[id]
 	if l == nil {
@@ -77,7 +78,8 @@
 	return l
 }
 
-// startDial dials in the background. The link is marked as dialling before.
+// startDial dials in the background. The caller must have marked the link as
+// dialling.
 func (h *Hub) startDial(id spec.InstanceID, base string) {
 	ok := h.start(func() {
 		ws, err := h.dial(h.ctx, id, base)
@@ -88,26 +90,26 @@
 	}
 }
 
-// connect returns a connection to id, dialling if there is none.
+// connect returns a connection to id and dials if there is none.
 func (h *Hub) connect(ctx context.Context, id spec.InstanceID) (*conn, error) {
 	h.mu.Lock()
 	base := h.urls[id]
 	l := h.link(id)
 	if l.conn == nil && base == "" {
 		h.mu.Unlock()
-		return nil, errors.Wrapf(ErrRefused, "instance %s is not known", id)
+		return nil, errors.Wrapf(ErrRefused, "unknown instance %s", id)
 	}
 	if l.conn != nil {
 		defer h.mu.Unlock()
 		return l.conn, nil
 	}
-	begin := l.dialing == nil
-	if begin {
+	start := l.dialing == nil
+	if start {
 		l.dialing = make(chan struct{})
 	}
 	done := l.dialing
 	h.mu.Unlock()
-	if begin {
+	if start {
 		h.startDial(id, base)
 	}
 	select {
@@ -123,12 +125,13 @@
 	return l.conn, nil
 }
 
-// finishDial ends a try to connect.
+// finishDial handles the result of a dial attempt. If it succeeded, it sends
+// the queued messages and serves the connection.
 func (h *Hub) finishDial(id spec.InstanceID, ws *websocket.Conn, err error) {
 	h.meter.dials.Inc()
 	h.mu.Lock()
 	l := h.link(id)
-	waits := l.queued
+	queued := l.queued
 	done := l.dialing
 	l.queued, l.dialing = nil, nil
 	if err != nil {
@@ -137,7 +140,7 @@
 		h.mu.Unlock()
 		close(done)
 		h.meter.failed.Inc()
-		h.Log.Debug("peer: no connection", zap.String("peer", string(id)), zap.Error(err))
+		h.Log.Debug("peer: dial failed", zap.String("peer", string(id)), zap.Error(err))
 		h.Post(node.ConnectionLost{Peer: id})
 		return
 	}
@@ -146,14 +149,15 @@
 	c := newConn(h, id, ws, true)
 	h.register(c)
 	close(done)
-	for _, data := range waits {
+	for _, data := range queued {
 		c.tryEnqueue(data)
 	}
 	h.serveConn(c)
 }
 
-// register makes c the connection in use. If both sides dialled at once, the one
-// dialled by the lesser name stays, so that both keep the same.
+// register makes c the connection in use. If both sides dialled at the same
+// time, both keep the connection that was dialled by the instance with the
+// lower ID.
 func (h *Hub) register(c *conn) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -164,7 +168,7 @@
 	}
 }
 
-// serveConn runs a connection and forgets it at the end.
+// serveConn serves a connection and removes it once it is closed.
 func (h *Hub) serveConn(c *conn) {
 	stop := context.AfterFunc(h.ctx, c.closeNormally)
 	defer stop()
@@ -184,7 +188,7 @@
 	}
 }
 
-// dial connects to an instance and checks that it is the one meant.
+// dial connects to an instance and verifies its identity and protocol version.
 func (h *Hub) dial(ctx context.Context, id spec.InstanceID, base string) (*websocket.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
@@ -197,11 +201,11 @@
 	if h.client != nil {
 		address.Scheme = "wss"
 		d.TLSClientConfig = h.client.Clone()
-		// The certificate must be of the instance meant, not of its address:
-		// an address may belong to another instance by now.
+		// The certificate must match the instance ID and not the address,
+		// because the address may meanwhile belong to another instance.
 		d.TLSClientConfig.ServerName = string(id)
-		// A server that shares the config adds HTTP/2, which has no upgrade to
-		// WebSocket.
+		// A server that shares the TLS config adds HTTP/2, which does not
+		// support the WebSocket upgrade.
 		d.TLSClientConfig.NextProtos = []string{"http/1.1"}
 	}
 	address.Path = Path
@@ -214,7 +218,7 @@
 	}
 	if v := versionOf(ws.Subprotocol()); v < h.Low || v > h.High {
 		_ = ws.Close()
-		return nil, errors.Wrapf(ErrRefused, "protocol %q", ws.Subprotocol())
+		return nil, errors.Wrapf(ErrRefused, "unsupported protocol %q", ws.Subprotocol())
 	}
 	return ws, nil
 }
--- a/internal/wire/peer/link_test.go
+++ b/internal/wire/peer/link_test.go
@@ -14,53 +14,54 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// scriptedLogic is a logic that sends what it is told to and counts what comes.
+// scriptedLogic sends the commands that the test queues and counts received
+// messages and lost connections.
 type scriptedLogic struct {
 	mu       sync.Mutex
 	pending  []node.Command
 	received int
 	lost     int
-	// arrived gets a value for each message if it is not nil.
+	// arrived gets a value for each received message if it is not nil.
 	arrived chan struct{}
 }
 
-func (k *scriptedLogic) Tick(_ time.Duration, events []node.Event) []node.Command {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (l *scriptedLogic) Tick(_ time.Duration, events []node.Event) []node.Command {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	for _, ev := range events {
 		switch ev.(type) {
 		case node.Received:
-			k.received++
-			if k.arrived != nil {
-				k.arrived <- struct{}{}
+			l.received++
+			if l.arrived != nil {
+				l.arrived <- struct{}{}
 			}
 		case node.ConnectionLost:
-			k.lost++
+			l.lost++
 		}
 	}
-	out := k.pending
-	k.pending = nil
+	out := l.pending
+	l.pending = nil
 	return out
 }
 
-func (k *scriptedLogic) send(to spec.InstanceID, host int) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.pending = append(k.pending, node.Send{To: to, URL: fmt.Sprintf("http://10.0.0.%d:7000", host), Data: []byte("x")})
+func (l *scriptedLogic) send(to spec.InstanceID, host int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.pending = append(l.pending, node.Send{To: to, URL: fmt.Sprintf("http://10.0.0.%d:7000", host), Data: []byte("x")})
 }
 
-func (k *scriptedLogic) counts() (heard, lost int) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.received, k.lost
+func (l *scriptedLogic) counts() (received, lost int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.received, l.lost
 }
 
-// newPair runs two instances that say only what the test has them say.
+// newPair runs two instances that send only what the test queues.
 func newPair(t *testing.T, idle time.Duration) (s *network, a, b *scriptedLogic, conns func() uint64) {
 	s, a, b = newSite(t), &scriptedLogic{}, &scriptedLogic{}
 	set := metrics.NewSet()
-	for i, k := range []*scriptedLogic{a, b} {
-		s.add([]string{"a", "b"}[i], nil, func(h *peer.Hub) { h.Logic, h.Idle, h.Meters = k, idle, set })
+	for i, l := range []*scriptedLogic{a, b} {
+		s.add([]string{"a", "b"}[i], nil, func(h *peer.Hub) { h.Logic, h.Idle, h.Meters = l, idle, set })
 	}
 	return s, a, b, set.GetOrCreateCounter("fulmarwick_peer_connections").Get
 }
@@ -76,10 +77,10 @@
 		}
 		time.Sleep(5 * time.Second)
 		if got := conns(); got != 0 {
-			t.Errorf("got %d ends of connections after silence, want 0", got)
+			t.Errorf("got %d ends of connections after the idle time, want 0", got)
 		}
-		if heard, lost := b.counts(); heard != 1 || lost != 0 {
-			t.Errorf("got %d heard and %d lost, want 1 and 0: an agreed close is no loss", heard, lost)
+		if received, lost := b.counts(); received != 1 || lost != 0 {
+			t.Errorf("got %d received and %d lost, want 1 and 0: a normal close is no loss", received, lost)
 		}
 	})
 }
@@ -93,9 +94,9 @@
 			b.send("a", 1)
 			time.Sleep(100 * time.Millisecond)
 		}
-		for name, k := range map[string]*scriptedLogic{"a": a, "b": b} {
-			if heard, lost := k.counts(); heard != 40 || lost != 0 {
-				t.Errorf("got %d heard and %d lost at %s, want 40 and 0", heard, lost, name)
+		for name, l := range map[string]*scriptedLogic{"a": a, "b": b} {
+			if received, lost := l.counts(); received != 40 || lost != 0 {
+				t.Errorf("got %d received and %d lost at %s, want 40 and 0", received, lost, name)
 			}
 		}
 		if got := conns(); got != 2 {
@@ -104,8 +105,8 @@
 	})
 }
 
-// The other instance cannot be reached for a while. Its loss is told, tries
-// grow rare, and it is reached again once it is back.
+// The other instance is unreachable for a minute. The loss is reported, dial
+// attempts back off, and the instance is reached again once it is back.
 func TestDialBacksOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, a, b, _ := newPair(t, time.Second)
@@ -118,7 +119,7 @@
 			time.Sleep(100 * time.Millisecond)
 		}
 		if _, lost := a.counts(); lost < 5 || lost > 40 {
-			t.Errorf("got %d tries in a minute, want a few", lost)
+			t.Errorf("got %d lost connections in a minute, want a few", lost)
 		}
 		s.mu.Lock()
 		s.unreachable["10.0.0.2:7000"] = false
@@ -127,15 +128,15 @@
 			a.send("b", 2)
 			time.Sleep(100 * time.Millisecond)
 		}
-		if heard, _ := b.counts(); heard == 0 {
-			t.Errorf("got nothing heard after the way was back, want some")
+		if received, _ := b.counts(); received == 0 {
+			t.Errorf("got no message after the network was back, want some")
 		}
 	})
 }
 
-// An instance is told dead while a connection to it hangs: the connection is
-// closed, so that nothing waits on it. One that only restarted keeps its new
-// connection.
+// An instance is declared dead while a connection to it hangs. The connection
+// is closed, so that no write blocks on it. The connection of an instance that
+// only restarted is kept.
 func TestConnectionOfDeadMemberCloses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, a, _, conns := newPair(t, time.Minute)
--- a/internal/wire/peer/meters.go
+++ b/internal/wire/peer/meters.go
@@ -6,7 +6,7 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// meters are the metrics of a Hub.
+// meters holds the metrics of a Hub.
 type meters struct {
 	sentBytes, receivedBytes *metrics.Counter
 	sent, received           *metrics.Counter
@@ -37,12 +37,12 @@
 	}
 }
 
-// statsLogic is a Logic that counts what it meets.
+// statsLogic is a Logic that provides counts of its events.
 type statsLogic interface {
 	Stats() node.Stats
 }
 
-// fleetMeters show the counts of the fleet logic.
+// fleetMeters holds the metrics of the fleet logic.
 type fleetMeters struct {
 	suspected, bad, pauses, refused *metrics.Counter
 	items, members                  *metrics.Counter
@@ -59,7 +59,8 @@
 	}
 }
 
-// update is called on the goroutine that ticks the logic.
+// update copies the counts of the logic. It must be called on the goroutine
+// that ticks the logic.
 func (m *fleetMeters) update(logic Logic) {
 	c, ok := logic.(statsLogic)
 	if !ok {
--- a/internal/wire/peer/peer_test.go
+++ b/internal/wire/peer/peer_test.go
@@ -26,7 +26,7 @@
 	"github.com/go-faster/errors"
 )
 
-// authority signs the certificates of a test's instances.
+// authority is a CA that signs the certificates of the instances in a test.
 type authority struct {
 	t    testing.TB
 	key  *ecdsa.PrivateKey
@@ -77,8 +77,8 @@
 	}
 }
 
-// network is a set of hubs joined by in-memory pipes, so that all time is the
-// bubble's.
+// network is a set of hubs connected by in-memory pipes, so that all timing is
+// under the fake clock of synctest.
 type network struct {
 	t           *testing.T
 	mu          sync.Mutex
@@ -88,7 +88,7 @@
 	hubs        []*instance
 }
 
-// instance is one instance of a site.
+// instance is one instance of a network.
 type instance struct {
 	hub     *peer.Hub
 	name    string
@@ -122,7 +122,7 @@
 	return near, nil
 }
 
-// sever breaks all connections that were dialled to a host.
+// sever closes all connections that were dialled to an address.
 func (s *network) sever(address string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -148,7 +148,7 @@
 func (l *pipeListener) Close() error   { return nil }
 func (l *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// add runs an instance; change may alter its hub before.
+// add runs an instance; change may modify its hub before it starts.
 func (s *network) add(name string, config *tls.Config, change func(*peer.Hub)) *instance {
 	address := fmt.Sprintf("10.0.0.%d:7000", len(s.hubs)+1)
 	self := node.Peer{ID: spec.InstanceID(name), DataCentre: "klang", URL: "https://" + address}
@@ -201,7 +201,7 @@
 	return h.ready && len(h.members) == n
 }
 
-// announce tells every instance of all.
+// announce sends the list of all instances to each of them.
 func (s *network) announce() {
 	var peers []node.Peer
 	for _, h := range s.hubs {
@@ -212,7 +212,7 @@
 	}
 }
 
-// waitForMembers waits, in virtual time, until every instance knows n others.
+// waitForMembers waits, in fake time, until every instance has n other members.
 func (s *network) waitForMembers(n int) {
 	s.t.Helper()
 	for range 600 {
@@ -225,7 +225,7 @@
 			return
 		}
 	}
-	s.t.Fatalf("got instances that do not know %d others after 30s, want all to", n)
+	s.t.Fatalf("got instances without %d other members after 30s, want all with them", n)
 }
 
 func (s *network) close() {
--- a/internal/wire/peer/snapshot.go
+++ b/internal/wire/peer/snapshot.go
@@ -8,12 +8,12 @@
 	"github.com/go-faster/errors"
 )
 
-// maxSnapshot bounds a configuration snapshot, in bytes.
+// maxSnapshot limits the size of a configuration snapshot in bytes.
 const maxSnapshot = 64 << 20
 
-// Snapshot asks an instance for the configuration that it has in force. It
-// returns ErrRefused if that one has none, and ErrBroken if the answer was
-// cut.
+// Snapshot requests the configuration in force from another instance. It
+// returns ErrRefused if that instance has none, and ErrBroken if the answer was
+// interrupted.
 func (h *Hub) Snapshot(ctx context.Context, from spec.InstanceID) ([]byte, error) {
 	h.init()
 	c, err := h.connect(ctx, from)
@@ -43,7 +43,7 @@
 		}
 		for _, f := range frames {
 			if f.Kind == kindEnd {
-				return nil, errors.Wrap(ErrRefused, "no snapshot there")
+				return nil, errors.Wrap(ErrRefused, "no snapshot available")
 			}
 			out = append(out, f.Data...)
 			if len(out) > maxSnapshot {
@@ -56,7 +56,7 @@
 	}
 }
 
-// serveSnapshot answers with the own snapshot in pieces.
+// serveSnapshot sends the snapshot of this instance in chunks.
 func (c *conn) serveSnapshot(id uint64) {
 	var data []byte
 	if c.hub.Config != nil {
--- a/internal/wire/peer/stream.go
+++ b/internal/wire/peer/stream.go
@@ -5,9 +5,9 @@
 	"sync"
 )
 
-// outStream is a stream opened here. Its frames wait in a list that grows no longer
-// than the answer: a slow reader of one answer must not hold up the
-// connection, which failure detection shares.
+// outStream is a stream opened by this instance. Received frames are queued in
+// a slice, because a slow reader of one answer must not block the connection,
+// which failure detection shares. The slice grows no longer than the answer.
 type outStream struct {
 	conn *conn
 	id   uint64
@@ -18,7 +18,7 @@
 	wake    chan struct{}
 }
 
-// openStream begins a stream; nil if the connection is closed.
+// openStream opens a stream. It returns nil if the connection is closed.
 func (c *conn) openStream() *outStream {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -33,8 +33,8 @@
 	return s
 }
 
-// close ends a stream. If its answer was not complete, the other side is told to
-// stop working on it.
+// close removes a stream. If its answer is incomplete, it asks the other side
+// to cancel the work.
 func (s *outStream) close(complete bool) {
 	s.conn.mu.Lock()
 	delete(s.conn.streams, s.id)
@@ -70,18 +70,19 @@
 	}
 }
 
-// next returns the frames that came, waiting for one. It returns ErrBroken
-// once the connection closed and all that came before was taken.
+// next returns the received frames and waits if there are none. It returns
+// ErrBroken once the connection is closed and all frames received before were
+// returned.
 func (s *outStream) next(ctx context.Context) ([]*frame, error) {
 	for {
 		s.mu.Lock()
-		frames, ended := s.frames, s.aborted
+		frames, aborted := s.frames, s.aborted
 		s.frames = nil
 		s.mu.Unlock()
 		if len(frames) > 0 {
 			return frames, nil
 		}
-		if ended {
+		if aborted {
 			return nil, ErrBroken
 		}
 		select {
