--- a/internal/wire/watch/bench_test.go
+++ b/internal/wire/watch/bench_test.go
@@ -31,11 +31,11 @@
 	return n, err
 }
 
-// BenchmarkPoll gives the bytes of one report and of one empty page of cache
-// events, without the headers of TCP and IP.
+// BenchmarkPoll measures the bytes of one report and of one empty page of cache
+// events, without TCP and IP headers.
 func BenchmarkPoll(b *testing.B) {
-	hold := frame.Hold{Model: "levy-13b", Version: "1", Depth: 40, From: 0, To: 20, Width: 8192}
-	e := &stage.Engine{Name: "fast-1", DataCentre: "klang", Kind: "h200", Holds: []frame.Hold{hold}, Slots: 16, Memory: 40, Cache: 1 << 20}
+	layers := frame.Hold{Model: "levy-13b", Version: "1", Depth: 40, From: 0, To: 20, Width: 8192}
+	e := &stage.Engine{Name: "fast-1", DataCentre: "klang", Kind: "h200", Holds: []frame.Hold{layers}, Slots: 16, Memory: 40, Cache: 1 << 20}
 	server := httptest.NewServer(e.Handler())
 	defer server.Close()
 	var bytes atomic.Int64
@@ -48,8 +48,8 @@
 	defer client.CloseIdleConnections()
 	control := &engine.Control{HTTP: client, Base: server.URL}
 	for _, k := range []struct {
-		name string
-		ask  func() error
+		name    string
+		request func() error
 	}{
 		{"report", func() error { _, err := control.Report(b.Context()); return err }},
 		{"events", func() error { _, err := control.Events(b.Context(), 0); return err }},
@@ -57,7 +57,7 @@
 		b.Run(k.name, func(b *testing.B) {
 			bytes.Store(0)
 			for range b.N {
-				if err := k.ask(); err != nil {
+				if err := k.request(); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/wire/watch/evaluate.go
+++ b/internal/wire/watch/evaluate.go
@@ -8,14 +8,15 @@
 	"fulmarwick/internal/route/domain"
 )
 
-// detectRestart tells of a restart between two reports: all that ran on the engine
-// is lost although it answers.
+// detectRestart reports the death of an engine that restarted between two
+// reports: everything that ran on it is lost although it answers.
 func (t *tracker) detectRestart(e *engineState, row domain.Engine) {
 	if !e.known || e.declaredDead {
 		return
 	}
 	restarted := row.Incarnation != e.row.Incarnation
-	// An engine that tells no incarnation counts its reports from one again.
+	// An engine that reports no incarnation numbers its reports from one again
+	// after a restart.
 	if row.Incarnation == 0 {
 		restarted = row.Seq < e.row.Seq
 	}
@@ -26,7 +27,7 @@
 	}
 }
 
-// handleMiss takes a poll without an answer.
+// handleMiss records a poll that got no answer.
 func (t *tracker) handleMiss(now time.Duration, e *engineState, refused bool) {
 	if e.missScore == 0 {
 		e.missingSince = now
@@ -37,17 +38,18 @@
 	} else {
 		e.missScore += missWeight
 	}
-	// The first miss is told too: the other watcher asks at once then.
+	// The first miss is published too, because it makes the other watcher poll
+	// at once.
 	if before < confirmWeight {
 		t.publishDoubt(e, e.missScore)
 	}
 	t.evaluate(now, e)
 }
 
-// evaluate decides whether an engine that does not answer here is lost. Misses of
-// another watcher at the same time settle it; its later report shows that the
-// fault is in the way from here; if it says nothing at all, longer silence
-// settles it too.
+// evaluate decides whether an engine that does not answer this watcher is dead.
+// It is dead if another watcher also misses its answers. It is alive if another
+// watcher has a newer report; then only the network path from here is broken.
+// If the other watcher reports nothing, a higher miss score is required.
 func (t *tracker) evaluate(now time.Duration, e *engineState) {
 	if e.missScore < confirmWeight || e.declaredDead || !e.watched {
 		return
@@ -64,12 +66,12 @@
 	t.publishDeath(e)
 }
 
-// confirmedByPeer reports whether another watcher misses answers as well.
+// confirmedByPeer reports whether another watcher also misses answers.
 func (e *engineState) confirmedByPeer() bool {
 	return slices.ContainsFunc(e.doubts, func(d doubt) bool { return d.misses >= confirmWeight })
 }
 
-// doubtedByPeer reports whether another watcher missed an answer of late.
+// doubtedByPeer reports whether another watcher recently missed an answer.
 func (e *engineState) doubtedByPeer(now time.Duration) bool {
 	e.expireDoubts(now)
 	return len(e.doubts) > 0
@@ -79,22 +81,22 @@
 	e.doubts = slices.DeleteFunc(e.doubts, func(d doubt) bool { return now >= d.expires })
 }
 
-// declareDead posts the loss of an engine.
+// declareDead posts the death of an engine.
 func (t *tracker) declareDead(e *engineState) {
 	e.declaredDead, e.hasDied = true, true
 	e.deathInc, e.deathSeq = e.row.Incarnation, e.row.Seq
 	t.post(domain.EngineDead{Engine: e.id})
 }
 
-// markLeaving posts that an engine takes no new work, and tells the others the
-// first time if it was learnt here.
-func (t *tracker) markLeaving(e *engineState, tell bool) {
+// markLeaving posts that an engine takes no new work. If publish is set, it
+// also publishes this once to the other instances.
+func (t *tracker) markLeaving(e *engineState, publish bool) {
 	t.post(domain.EngineLeaving{Engine: e.id})
 	if e.leaving {
 		return
 	}
 	e.leaving = true
-	if tell {
+	if publish {
 		t.publishItem(news.KindLeaving, string(e.id), itemTTL, news.Leaving{Upstream: string(e.id)})
 	}
 }
--- a/internal/wire/watch/items.go
+++ b/internal/wire/watch/items.go
@@ -12,11 +12,12 @@
 	"fulmarwick/internal/wire/engine"
 )
 
-func (t *tracker) publishItem(kind news.Kind, key string, life time.Duration, body any) {
+// publishItem publishes an item within the data centre, if publishing is enabled.
+func (t *tracker) publishItem(kind news.Kind, key string, ttl time.Duration, body any) {
 	if t.publish == nil {
 		return
 	}
-	item, err := news.Make(kind, key, news.ScopeCentre, life.Milliseconds(), body)
+	item, err := news.Make(kind, key, news.ScopeCentre, ttl.Milliseconds(), body)
 	if err == nil {
 		t.publish(item)
 	}
@@ -45,8 +46,8 @@
 	t.publishItem(news.KindDoubt, string(e.id), itemTTL, news.Doubt{Engine: string(e.id), Misses: weight})
 }
 
-// handleItem takes an item of another instance. Items of other kinds and bad
-// bodies are passed over.
+// handleItem processes an item of another instance. It ignores items of other
+// kinds and items with an invalid body.
 func (t *tracker) handleItem(now time.Duration, item news.Item) {
 	switch item.Kind {
 	case news.KindReport:
@@ -80,8 +81,8 @@
 	t.applyPeerReport(now, e, report, engine.Row(e.id, report))
 }
 
-// handleLevel puts the load into the last whole report. A level of another
-// incarnation has to wait for that one's report.
+// handleLevel updates the load in the last full report. A level of another
+// incarnation is ignored until the report of that incarnation arrives.
 func (t *tracker) handleLevel(now time.Duration, item news.Item) {
 	var body news.Level
 	if news.Decode(item, &body) != nil {
@@ -97,22 +98,24 @@
 	t.applyPeerReport(now, e, report, row)
 }
 
-// applyPeerReport takes another watcher's report.
+// applyPeerReport applies a report of another watcher.
 func (t *tracker) applyPeerReport(now time.Duration, e *engineState, body frame.Engine, row domain.Engine) {
 	e.peerReportAt = now
-	old := e.known && row.Incarnation == e.row.Incarnation && row.Seq <= e.row.Seq
-	// An engine that tells no incarnation counts from one again after a death;
-	// the routing logic holds back what may still be of before.
-	if old && (!e.declaredDead || row.Incarnation != 0) {
+	outdated := e.known && row.Incarnation == e.row.Incarnation && row.Seq <= e.row.Seq
+	// An engine that reports no incarnation numbers its reports from one again
+	// after a death. The routing logic holds back reports that may predate the
+	// death.
+	if outdated && (!e.declaredDead || row.Incarnation != 0) {
 		return
 	}
-	// It is later than what was known when the misses here began.
+	// The report is newer than the one known when the misses here began.
 	e.newerReportAt = now
 	t.detectPeerRestart(e, row)
 	t.applyReport(now, e, body, row)
 }
 
-// detectPeerRestart posts a restart that another watcher's report shows.
+// detectPeerRestart posts a death if a report of another watcher shows that the
+// engine restarted.
 func (t *tracker) detectPeerRestart(e *engineState, row domain.Engine) {
 	if e.known && !e.declaredDead && row.Incarnation != e.row.Incarnation {
 		t.declareDead(e)
@@ -136,8 +139,8 @@
 	t.evaluate(now, e)
 }
 
-// handleDeath takes the loss that the watchers agreed on, unless a later report
-// came in the meantime.
+// handleDeath applies a death that the watchers agreed on, unless a newer
+// report arrived in the meantime.
 func (t *tracker) handleDeath(item news.Item) {
 	var body news.Down
 	if news.Decode(item, &body) != nil {
--- a/internal/wire/watch/poll.go
+++ b/internal/wire/watch/poll.go
@@ -11,27 +11,27 @@
 	"go.uber.org/zap"
 )
 
-// runningPoller is a poller that runs.
+// runningPoller controls a poller that is running.
 type runningPoller struct {
 	cancel context.CancelFunc
 	wake   chan<- struct{}
 }
 
-// poller reads one engine. Its goroutine alone uses it.
+// poller polls one engine. Only its own goroutine uses it.
 type poller struct {
 	*Watcher
 	id   spec.UpstreamID
 	wake <-chan struct{}
-	// lastCacheRead is when cache events were last asked for.
+	// lastCacheRead is when cache events were last requested.
 	lastCacheRead time.Time
-	// lastWarning is when a bad report was last logged.
+	// lastWarning is when an invalid report was last logged.
 	lastWarning time.Time
-	// seq is the last cache event read, of incarnation.
+	// seq is the number of the last cache event read from incarnation.
 	seq         uint64
 	incarnation uint64
 }
 
-// run reads the engine until ctx ends.
+// run polls the engine until ctx ends.
 func (p *poller) run(ctx context.Context) {
 	defer p.group.Done()
 	for {
@@ -48,9 +48,9 @@
 	}
 }
 
-// interval is the time to the next report. A watcher that stands by asks seldom,
-// until the first watcher misses answers: then both ask often, so that they
-// agree as soon as if both had asked often all the time.
+// interval returns the time until the next poll. A standby watcher polls rarely
+// until the primary misses answers. From then on both poll often, so that they
+// agree as soon as if both had always polled often.
 func (p *poller) interval() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -64,8 +64,8 @@
 	return standbyFactor * p.Poll
 }
 
-// poll asks once. It reports whether the engine answered or is known to be
-// down, so that there is no hurry.
+// poll requests one report. It reports whether the engine answered or is known
+// to be dead, in which case the next poll is not urgent.
 func (p *poller) poll(ctx context.Context) bool {
 	select {
 	case p.slots <- struct{}{}:
@@ -83,18 +83,18 @@
 	if base == "" {
 		return true
 	}
-	asked, cancel := context.WithTimeout(ctx, p.Timeout)
+	pollCtx, cancel := context.WithTimeout(ctx, p.Timeout)
 	defer cancel()
-	body, err := engine.Report(asked, p.HTTP, base)
+	body, err := engine.Report(pollCtx, p.HTTP, base)
 	switch {
 	case ctx.Err() != nil:
 		return true
 	case err != nil:
 		p.warnInvalid(err)
-		late := errors.Is(asked.Err(), context.DeadlineExceeded)
+		timedOut := errors.Is(pollCtx.Err(), context.DeadlineExceeded)
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.tracker.handleMiss(p.now(), e, !late)
+		p.tracker.handleMiss(p.now(), e, !timedOut)
 		return e.declaredDead
 	}
 	row := engine.Row(p.id, body)
@@ -105,18 +105,19 @@
 	return true
 }
 
-// warnInvalid logs a report that the engine gave but that cannot be true, now and
-// then: without it an operator would only see that the engine is missing.
+// warnInvalid logs, at a limited rate, a report that the engine sent but that
+// is invalid. Without it, an operator would see only that the engine is
+// missing.
 func (p *poller) warnInvalid(err error) {
 	if !errors.Is(err, engine.ErrBody) || time.Since(p.lastWarning) < warnInterval {
 		return
 	}
 	p.lastWarning = time.Now()
-	p.Log.Warn("watch: report refused", zap.String("engine", string(p.id)), zap.Error(err))
+	p.Log.Warn("watch: invalid engine report", zap.String("engine", string(p.id)), zap.Error(err))
 }
 
-// readCache posts the cache events since the last ones. A gap is posted as it
-// is: the routing logic sees it by the numbers.
+// readCache posts the cache events since the last read. Gaps are posted
+// unchanged: the routing logic detects them by the event numbers.
 func (p *poller) readCache(ctx context.Context, base string, incarnation uint64) {
 	if p.Caches == nil || time.Since(p.lastCacheRead) < cacheInterval {
 		return
@@ -125,14 +126,14 @@
 	if incarnation != p.incarnation {
 		p.seq, p.incarnation = 0, incarnation
 	}
-	asked, cancel := context.WithTimeout(ctx, p.Timeout)
+	pollCtx, cancel := context.WithTimeout(ctx, p.Timeout)
 	defer cancel()
-	page, err := p.Caches.Events(asked, base, p.seq)
+	page, err := p.Caches.Events(pollCtx, base, p.seq)
 	if err != nil {
 		return
 	}
-	for _, seen := range engine.Seen(p.id, page) {
-		p.Loop.Post(seen)
+	for _, event := range engine.Seen(p.id, page) {
+		p.Loop.Post(event)
 	}
 	p.seq = max(p.seq, page.Seq)
 }
--- a/internal/wire/watch/service_test.go
+++ b/internal/wire/watch/service_test.go
@@ -18,7 +18,8 @@
 	"go.uber.org/zap"
 )
 
-// serviceList is the platform's list and what the sender of calls was told of it.
+// serviceList is the platform's list and records the addresses passed to the
+// sender of calls.
 type serviceList struct {
 	mu      sync.Mutex
 	states  []string
@@ -53,15 +54,16 @@
 	return len(p.located)
 }
 
-// discard posts events and locates engines nowhere.
+// discard ignores events and engine addresses.
 type discard struct{}
 
 func (discard) Post(domain.Event)              {}
 func (discard) Locate(spec.UpstreamID, string) {}
 
-// One after the other, both instances of a payment service leave. The sender
-// hears of each within 2 s, also of the last one: with the service missing from
-// what it was told, it would go on sending new payments to a leaving instance.
+// Both instances of a payment service leave, one after the other. The sender
+// must learn of each within 2 s, including the last. If the watcher omitted a
+// service without live instances, the sender would keep sending new payments to
+// a leaving instance.
 func TestLastInstanceOfServiceLeaves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &serviceList{}
--- a/internal/wire/watch/tracker.go
+++ b/internal/wire/watch/tracker.go
@@ -12,57 +12,63 @@
 	"fulmarwick/internal/route/domain"
 )
 
-// Times and thresholds of the judgement on engines.
+// Times and thresholds for declaring engines dead.
 const (
-	// confirmWeight is the weight of misses at each of two watchers that settles it:
-	// two answers that did not come in time, or a refused connection. lonely is
-	// that at one watcher of which the other says nothing.
+	// confirmWeight is the miss score at which two watchers together declare an
+	// engine dead: two timeouts or one refused connection at each.
 	confirmWeight = 2
+	// soloWeight is the miss score at which one watcher declares an engine dead
+	// without confirmation, if the other watcher reports nothing.
 	soloWeight    = 6
 	missWeight    = 1
 	refusedWeight = 2
-	// soloDelay is the least time from the first miss until one watcher judges by
-	// itself: the other one, woken by that miss, has spoken by then if it can.
+	// soloDelay is the minimum time from the first miss until one watcher
+	// declares an engine dead on its own. The first miss makes the other
+	// watcher poll at once, so it has reported by then if it can.
 	soloDelay = 500 * time.Millisecond
-	// doubtTTL is how long the doubt of another watcher counts.
+	// doubtTTL is the time for which a doubt of another watcher counts.
 	doubtTTL = 3 * time.Second
-	// primaryTimeout is how long the first watcher may say nothing before the second
-	// speaks in its place.
+	// primaryTimeout is the time without a message from the primary watcher
+	// after which the standby watcher publishes in its place.
 	primaryTimeout = 2500 * time.Millisecond
-	// reportInterval is the time after which an unchanged report is said again.
+	// reportInterval is the time after which an unchanged report is published
+	// again.
 	reportInterval = 2 * time.Minute
 	reportTTL      = 5 * time.Minute
 	levelTTL       = 5 * time.Second
-	// levelInterval keeps the load of 60 engines under 3 KB a second for each
-	// instance of a data centre; between two levels the routing logic counts
-	// what it and the others have in flight.
+	// levelInterval limits the load reports of 60 engines to less than 3 KB a
+	// second for each instance of a data centre. Between two reports, the
+	// routing logic counts the requests in flight from all instances.
 	levelInterval = time.Second
 	itemTTL       = 60 * time.Second
 )
 
-// engineState is what is known of one engine.
+// engineState is what is known about one engine.
 type engineState struct {
 	id  spec.UpstreamID
 	url string
-	// row is the last report; known is false before the first.
+	// row is the last report; known is false before the first report.
 	row   domain.Engine
 	body  frame.Engine
 	known bool
-	// watched and first follow the fleet's Watch command.
+	// watched and primary are set by the fleet's Watch command.
 	watched, primary bool
-	// missScore is that of the misses in a row, since is when they began.
+	// missScore is the weight of the consecutive misses, missingSince the time
+	// of the first of them.
 	missScore    int
 	missingSince time.Duration
 	doubts       []doubt
-	// newerReportAt is when another watcher's report newer than the misses came.
+	// newerReportAt is when a report of another watcher arrived that is newer
+	// than the misses here.
 	newerReportAt time.Duration
-	// reportSent and leveled are when the report and the load were last said, other
-	// is when another watcher's word came.
+	// reportSent and levelSent are when the report and the load were last
+	// published. peerReportAt is when the last report of another watcher
+	// arrived.
 	reportSent   time.Duration
 	levelSent    time.Duration
 	peerReportAt time.Duration
 	declaredDead bool
-	// deathInc and deadSeq name the last report of before the last death.
+	// deathInc and deathSeq identify the last report before the last death.
 	deathInc, deathSeq     uint64
 	hasDied                bool
 	leaving                bool
@@ -75,8 +81,8 @@
 	expires time.Duration
 }
 
-// tracker is what is known of all engines. It does no I/O and reads no clock:
-// post and say take what follows from what it is told.
+// tracker holds the state of all engines. It does no I/O and reads no clock: it
+// passes its results to the functions post, publish and setURL.
 type tracker struct {
 	self    spec.InstanceID
 	post    func(domain.Event)
@@ -98,7 +104,8 @@
 	})
 }
 
-// getOrCreate finds or makes the entry of an engine at url.
+// getOrCreate returns the state of an engine, creates it if needed, and updates
+// its URL.
 func (t *tracker) getOrCreate(now time.Duration, id spec.UpstreamID, url string) *engineState {
 	at, found := t.search(id)
 	if !found {
@@ -112,7 +119,7 @@
 	return e
 }
 
-// handleAnswer takes the answer of a poll.
+// handleAnswer processes the answer to a poll.
 func (t *tracker) handleAnswer(now time.Duration, e *engineState, body frame.Engine, row domain.Engine) {
 	if e.missScore > 0 {
 		t.publishDoubt(e, 0)
@@ -120,7 +127,7 @@
 	e.missScore = 0
 	e.lastAnswer = now
 	t.detectRestart(e, row)
-	fresh := !e.known || row.Seq != e.row.Seq || row.Incarnation != e.row.Incarnation
+	isNew := !e.known || row.Seq != e.row.Seq || row.Incarnation != e.row.Incarnation
 	changed := !e.known || !equalExceptLoad(body, e.body)
 	t.applyReport(now, e, body, row)
 	if !t.shouldPublish(now, e) {
@@ -131,20 +138,20 @@
 		t.publishReport(e)
 		return
 	}
-	if fresh && now-e.levelSent >= levelInterval {
+	if isNew && now-e.levelSent >= levelInterval {
 		e.levelSent = now
 		t.publishLevel(e)
 	}
 }
 
-// shouldPublish reports whether this watcher tells the others. The second one does
-// where the first is silent, or doubts: its report keeps a broken way from
-// passing for a dead engine.
+// shouldPublish reports whether this watcher publishes its reports. The standby
+// watcher does so if the primary sends nothing or has doubts: its report shows
+// that only the network path of the primary is broken and the engine is alive.
 func (t *tracker) shouldPublish(now time.Duration, e *engineState) bool {
 	return e.primary || now-e.peerReportAt >= primaryTimeout || e.doubtedByPeer(now)
 }
 
-// applyReport hands a report to the routing logic, unless it is of before the
+// applyReport passes a report to the routing logic, unless it predates the
 // engine's death.
 func (t *tracker) applyReport(now time.Duration, e *engineState, body frame.Engine, row domain.Engine) {
 	if e.hasDied && row.Incarnation == e.deathInc && row.Seq <= e.deathSeq && row.Incarnation != 0 {
@@ -157,32 +164,33 @@
 	if body.State == frame.StateLeaving {
 		t.markLeaving(e, true)
 	} else if e.leaving {
-		// The routing logic brings nothing back by a report alone; only the
-		// tale of leaving is over, so that a later one is told again.
+		// The routing logic does not return an engine to service because of a
+		// report alone. Only the flag is reset, so that a later leave is
+		// published again.
 		e.leaving = false
 	}
 }
 
-// assign follows the fleet's Watch command.
-func (t *tracker) assign(engines, first []spec.UpstreamID) {
+// assign applies the fleet's Watch command.
+func (t *tracker) assign(engines, primary []spec.UpstreamID) {
 	for _, e := range t.engines {
-		was := e.watched
+		wasWatched := e.watched
 		if !e.primary {
-			// Whoever speaks first for an engine begins with a whole report: that
-			// of a former watcher ended with it.
+			// A new primary watcher starts with a full report, because the
+			// reports of the former one have ended.
 			e.reportSent = -reportInterval
 		}
 		e.watched = slices.Contains(engines, e.id)
-		e.primary = slices.Contains(first, e.id)
-		if e.watched != was {
+		e.primary = slices.Contains(primary, e.id)
+		if e.watched != wasWatched {
 			e.missScore = 0
 		}
 	}
 }
 
-// removeExpired drops engines that the list does not name for so long and that did
-// not answer anyone either. A list alone removes nobody: it lags, and may be
-// empty because the platform is in trouble.
+// removeExpired drops engines that have neither been listed nor answered any
+// watcher for the given time. The list alone removes no engine: it lags, and
+// may be empty because the platform has a fault.
 func (t *tracker) removeExpired(now, after time.Duration) {
 	t.engines = slices.DeleteFunc(t.engines, func(e *engineState) bool {
 		if now-e.lastListed < after || now-e.lastAnswer < after {
@@ -193,10 +201,10 @@
 	})
 }
 
-// equalExceptLoad reports whether two reports differ in their load alone.
+// equalExceptLoad reports whether two reports differ only in their load.
 func equalExceptLoad(a, b frame.Engine) bool {
-	strip := func(e *frame.Engine) { e.Seq, e.Queued, e.Active, e.Cached = 0, 0, 0, 0 }
-	strip(&a)
-	strip(&b)
+	clearLoad := func(e *frame.Engine) { e.Seq, e.Queued, e.Active, e.Cached = 0, 0, 0, 0 }
+	clearLoad(&a)
+	clearLoad(&b)
 	return reflect.DeepEqual(a, b)
 }
--- a/internal/wire/watch/watch.go
+++ b/internal/wire/watch/watch.go
@@ -1,10 +1,11 @@
-// Package watch follows the platform's list and the reports of the engines
-// and turns them into events for the logic and addresses for the clients.
+// Package watch reads the platform's list of instances and polls the engines.
+// It turns the results into events for the routing logic and addresses for the
+// clients.
 //
-// It reads the reports of the engines that the fleet logic assigns to this
-// instance and tells the other instances; reports of the rest come from them.
-// It imports base, fleet/node, state/store, route/domain and wire/engine. The
-// daemon runs one Watcher.
+// It polls the engines that the fleet logic assigns to this instance and
+// publishes their reports to the other instances, which report the remaining
+// engines. It imports base, fleet/node, state/store, route/domain and
+// wire/engine. The daemon runs one Watcher.
 package watch
 
 import (
@@ -26,55 +27,57 @@
 
 // Defaults of the fields that may be zero.
 const (
-	// defaultPoll, standby and cacheEvery keep what one of four instances asks
-	// half of thirty engines within 16 KB a second.
+	// defaultPoll, standbyFactor and cacheInterval keep the traffic of one
+	// instance within 16 KB a second if four instances share thirty engines and
+	// each one polls half of them.
 	defaultPoll        = 400 * time.Millisecond
 	defaultTimeout     = 300 * time.Millisecond
 	defaultRemoveAfter = time.Minute
-	// retryInterval is the wait after a poll without an answer, so that a death is
-	// known in about a second.
+	// retryInterval is the delay after a poll without an answer. It is short so
+	// that a death is detected in about one second.
 	retryInterval = 50 * time.Millisecond
-	// standbyFactor is how many times slower a watcher asks that only stands by.
+	// standbyFactor is how many times less often a standby watcher polls.
 	standbyFactor = 5
-	// cacheInterval is the time between two questions for cache events.
+	// cacheInterval is the time between two requests for cache events.
 	cacheInterval = 4 * time.Second
-	// warnInterval is the least time between two warnings about one engine.
+	// warnInterval is the minimum time between two warnings about one engine.
 	warnInterval = time.Minute
-	// maxPolls bounds the polls that are under way at one time.
+	// maxPolls limits the number of concurrent polls.
 	maxPolls = 32
 )
 
-// Lister reads the platform's lagging list.
+// Lister reads the platform's list, which lags behind the true state.
 type Lister interface {
 	ListInstances(ctx context.Context) ([]store.ListedBody, error)
 }
 
-// Poster takes events for the logic.
+// Poster receives events for the routing logic.
 type Poster interface {
 	Post(ev domain.Event)
 }
 
-// Locator learns where an engine is.
+// Locator receives the addresses of engines.
 type Locator interface {
 	Locate(id spec.UpstreamID, base string)
 }
 
-// Services learns where a plain service's instances are.
+// Services receives the addresses of the instances of plain services.
 type Services interface {
 	Locate(service spec.ServiceName, bases []string)
 }
 
-// Publisher spreads items among the instances.
+// Publisher publishes items to the other instances.
 type Publisher interface {
 	Say(item news.Item)
 }
 
-// Caches reads the cache events of the engine at base since a number.
+// Caches reads the cache events of the engine at base that follow event number
+// since.
 type Caches interface {
 	Events(ctx context.Context, base string, since uint64) (frame.Events, error)
 }
 
-// Watcher follows upstreams. Set the exported fields before Run.
+// Watcher polls upstreams. Set the exported fields before calling Run.
 type Watcher struct {
 	List     Lister
 	Loop     Poster
@@ -82,21 +85,22 @@
 	Services Services
 	HTTP     *http.Client
 	Log      *zap.Logger
-	// Every is the time between two reads of the list.
+	// Every is the interval at which the list is read.
 	Every time.Duration
-	// Poll is the time between two reports of one engine, Timeout how long an
-	// answer may take; zero is 400 and 300 ms.
+	// Poll is the interval between two polls of one engine, Timeout the maximum
+	// time for an answer; zero means 400 and 300 ms.
 	Poll, Timeout time.Duration
-	// Gone is how long an engine must be missing from the list and silent
-	// before it is dropped; zero is a minute.
+	// Gone is the time after which an engine that is neither listed nor answers
+	// is dropped; zero means one minute.
 	Gone time.Duration
-	// News spreads what is found. Nil watches every engine listed alone.
+	// News publishes the results. If it is nil, this instance polls every
+	// listed engine itself.
 	News Publisher
-	// Self is the own instance; Listed receives each list read, to be posted
-	// to the fleet logic. Both are needed with News.
+	// Self is the ID of this instance. Listed receives each list that was read,
+	// to be posted to the fleet logic. Both are required if News is set.
 	Self   spec.InstanceID
 	Listed func([]store.ListedBody)
-	// Caches reads cache events of the engines watched here; nil reads none.
+	// Caches reads cache events of the engines polled here; nil disables this.
 	Caches Caches
 
 	once    sync.Once
@@ -129,7 +133,7 @@
 	})
 }
 
-// Run watches until ctx ends.
+// Run reads the list and polls engines until ctx ends.
 func (w *Watcher) Run(ctx context.Context) error {
 	w.init()
 	ctx, cancel := context.WithCancel(ctx)
@@ -148,7 +152,7 @@
 	}
 }
 
-// Assign follows the Watch command of the fleet logic.
+// Assign applies the Watch command of the fleet logic.
 func (w *Watcher) Assign(c node.Watch) {
 	w.init()
 	w.mu.Lock()
@@ -157,7 +161,7 @@
 	w.syncPollers()
 }
 
-// Heard takes an item of another instance.
+// Heard processes an item of another instance.
 func (w *Watcher) Heard(item news.Item) {
 	w.init()
 	w.mu.Lock()
@@ -168,7 +172,8 @@
 	}
 }
 
-// wakePoller has an engine asked at once if it is watched here.
+// wakePoller makes the poller of an engine poll at once if the engine is
+// watched here.
 func (w *Watcher) wakePoller(id spec.UpstreamID) {
 	select {
 	case w.pollers[id].wake <- struct{}{}:
@@ -176,16 +181,16 @@
 	}
 }
 
-// now is the time since the start, on a clock that only goes forward.
+// now returns the time since the start on a monotonic clock.
 func (w *Watcher) now() time.Duration { return time.Since(w.start) }
 
 // readList reads the list once.
 func (w *Watcher) readList(ctx context.Context) {
 	listed, err := w.List.ListInstances(ctx)
 	if err != nil {
-		// A list that cannot be read removes nobody: the engines of the last
-		// one still answer, and dropping them would stop all work.
-		w.Log.Warn("watch: list unreadable", zap.Error(err))
+		// A list that cannot be read removes no engine: the engines of the last
+		// list still answer, and dropping them would stop all work.
+		w.Log.Warn("watch: cannot read instance list", zap.Error(err))
 		return
 	}
 	if w.Listed != nil {
@@ -199,8 +204,8 @@
 			name := spec.ServiceName(l.Service)
 			services[name] = append(services[name], l.URL)
 		case l.Role == store.RoleService:
-			// A service whose last instance leaves is told of too, or that
-			// instance would get new calls until it is gone.
+			// A service is passed on even if its last instance is leaving.
+			// Otherwise that instance would receive new calls until it is gone.
 			name := spec.ServiceName(l.Service)
 			services[name] = append(services[name], nil...)
 		case l.Role == store.RoleEngine:
@@ -226,7 +231,8 @@
 	}
 }
 
-// syncPollers starts and ends polls so that just the engines watched are polled.
+// syncPollers starts and stops pollers so that exactly the watched engines are
+// polled.
 func (w *Watcher) syncPollers() {
 	for id, running := range w.pollers {
 		if e := w.tracker.get(id); e == nil || !e.watched {
@@ -249,6 +255,6 @@
 	}
 }
 
-// jitter is d with up to a tenth more or less, so that instances that started
-// together do not ask together.
+// jitter returns d changed randomly by up to 10 %, so that instances that
+// started together do not poll in step.
 func jitter(d time.Duration) time.Duration { return d*9/10 + rand.N(d/5+1) }
--- a/internal/wire/watch/watch_test.go
+++ b/internal/wire/watch/watch_test.go
@@ -25,10 +25,10 @@
 	"go.uber.org/zap"
 )
 
-// testbed is one engine, e1, and the watchers that read it.
+// testbed is one engine, e1, and the watchers that poll it.
 type testbed struct {
 	mu              sync.Mutex
-	state           string // of the engine's port: "", "refuse" or "hang"
+	state           string // how e1 treats connections: "" (answers), "refuse" or "hang"
 	unreachableFrom map[string]bool
 	body            frame.Engine
 	list            []store.ListedBody
@@ -36,7 +36,7 @@
 	instances       []*instance
 }
 
-// instance is one instance's watcher.
+// instance is one instance with its watcher.
 type instance struct {
 	bed      *testbed
 	name     string
@@ -47,10 +47,10 @@
 	polls    int
 }
 
-func newLab() *testbed {
-	l := &testbed{unreachableFrom: map[string]bool{}, body: frame.Engine{Name: "e1", State: frame.StateLive, Slots: 4, Seq: 1}}
-	l.list = []store.ListedBody{{ID: "e1", Role: store.RoleEngine, URL: "http://e1", State: frame.StateLive}}
-	return l
+func newTestbed() *testbed {
+	b := &testbed{unreachableFrom: map[string]bool{}, body: frame.Engine{Name: "e1", State: frame.StateLive, Slots: 4, Seq: 1}}
+	b.list = []store.ListedBody{{ID: "e1", Role: store.RoleEngine, URL: "http://e1", State: frame.StateLive}}
+	return b
 }
 
 // RoundTrip answers as the engine does.
@@ -98,7 +98,7 @@
 
 func (services) Locate(spec.ServiceName, []string) {}
 
-// Say hands an item to the other sites a moment later.
+// Say delivers an item to the other instances 20 ms later.
 func (s *instance) Say(item news.Item) {
 	item.Origin = s.name
 	time.AfterFunc(20*time.Millisecond, func() {
@@ -110,25 +110,25 @@
 	})
 }
 
-func (l *testbed) set(f func(*testbed)) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	f(l)
+func (b *testbed) set(f func(*testbed)) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	f(b)
 }
 
-// run starts two watchers and one instance that only listens.
-func (l *testbed) run(t *testing.T) (stop func()) {
+// run starts two watchers and one instance that only receives their items.
+func (b *testbed) run(t *testing.T) (stop func()) {
 	ctx, cancel := context.WithCancel(t.Context())
 	var group sync.WaitGroup
 	for _, name := range []string{"first", "second", "third"} {
-		s := &instance{bed: l, name: name, postedAt: map[string]time.Time{}}
+		s := &instance{bed: b, name: name, postedAt: map[string]time.Time{}}
 		s.w = &watch.Watcher{
 			List: s, Loop: s, Engines: s, Services: services{}, HTTP: &http.Client{Transport: s},
 			Log: zap.NewNop(), Every: time.Second, News: s, Self: spec.InstanceID(name),
 		}
-		l.instances = append(l.instances, s)
+		b.instances = append(b.instances, s)
 	}
-	for i, s := range l.instances {
+	for i, s := range b.instances {
 		group.Go(func() { _ = s.w.Run(ctx) })
 		if i < 2 {
 			time.Sleep(10 * time.Millisecond)
@@ -147,9 +147,9 @@
 	}
 }
 
-// reset forgets what was posted before; saw lists what was posted after.
-func (l *testbed) reset() {
-	for _, s := range l.instances {
+// reset clears the recorded events, so that posted sees only later ones.
+func (b *testbed) reset() {
+	for _, s := range b.instances {
 		s.mu.Lock()
 		s.posts = nil
 		s.mu.Unlock()
@@ -162,116 +162,118 @@
 	return slices.Contains(s.posts, name)
 }
 
-func (l *testbed) checkPosted(t *testing.T, what string, want bool) {
+func (b *testbed) checkPosted(t *testing.T, what string, want bool) {
 	t.Helper()
-	for _, s := range l.instances {
+	for _, s := range b.instances {
 		if got := s.posted(what); got != want {
 			t.Errorf("got %s at %s: %v, want %v", what, s.name, got, want)
 		}
 	}
 }
 
-// Callers' requests run on an engine that dies. Both watchers miss its
-// answers, agree, and every instance leaves it about a second later; when it
-// is back, all hear of it.
-func TestDeadEngineIsLeftByAll(t *testing.T) {
+// An engine dies while it runs requests. Both watchers miss its answers and
+// agree, and every instance learns of the death about one second later. When
+// the engine is back, all instances get its report.
+func TestDeadEngineIsReportedToAll(t *testing.T) {
 	for _, state := range []string{"refuse", "hang"} {
 		synctest.Test(t, func(t *testing.T) {
-			l := newLab()
-			defer l.run(t)()
-			l.checkPosted(t, "EngineReport", true)
-			l.reset()
+			b := newTestbed()
+			defer b.run(t)()
+			b.checkPosted(t, "EngineReport", true)
+			b.reset()
 			died := time.Now()
-			l.set(func(l *testbed) { l.state = state })
+			b.set(func(b *testbed) { b.state = state })
 			time.Sleep(2 * time.Second)
-			l.checkPosted(t, "EngineDead", true)
-			for _, s := range l.instances {
+			b.checkPosted(t, "EngineDead", true)
+			for _, s := range b.instances {
 				if got := s.postedAt["EngineDead"].Sub(died); got > 1600*time.Millisecond {
-					t.Errorf("got %v until %s knew of an engine that would %s, want 1.6s", got, s.name, state)
+					t.Errorf("got %v until %s learned of the death of an engine in state %s, want 1.6s", got, s.name, state)
 				}
 			}
-			l.reset()
-			l.set(func(l *testbed) { l.state = "" })
+			b.reset()
+			b.set(func(b *testbed) { b.state = "" })
 			time.Sleep(2 * time.Second)
-			l.checkPosted(t, "EngineReport", true)
+			b.checkPosted(t, "EngineReport", true)
 		})
 	}
 }
 
-// The way from one watcher to an engine is broken. The other one still reads
-// it, so no instance stops using an engine that works.
-func TestOneBlindWatcherDownsNothing(t *testing.T) {
+// The network path from one watcher to an engine is broken. The other watcher
+// still reads its reports, so no instance stops using the engine.
+func TestOneBrokenPathIsNotADeath(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newLab()
-		defer l.run(t)()
-		l.reset()
-		l.set(func(l *testbed) { l.unreachableFrom["first"] = true })
+		b := newTestbed()
+		defer b.run(t)()
+		b.reset()
+		b.set(func(b *testbed) { b.unreachableFrom["first"] = true })
 		time.Sleep(20 * time.Second)
-		l.checkPosted(t, "EngineDead", false)
-		l.checkPosted(t, "EngineReport", true)
+		b.checkPosted(t, "EngineDead", false)
+		b.checkPosted(t, "EngineReport", true)
 	})
 }
 
-// An engine crashes and is back between two polls. Its answers look healthy,
-// but all that ran on it is lost, so its death is told first.
+// An engine crashes and restarts between two polls. Its answers look healthy,
+// but everything that ran on it is lost, so its death must be posted first.
 func TestRestartBetweenPollsIsADeath(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newLab()
-		l.set(func(l *testbed) { l.body.Seq = 1000 })
-		defer l.run(t)()
-		l.reset()
-		l.set(func(l *testbed) { l.body.Seq = 0 })
+		b := newTestbed()
+		b.set(func(b *testbed) { b.body.Seq = 1000 })
+		defer b.run(t)()
+		b.reset()
+		b.set(func(b *testbed) { b.body.Seq = 0 })
 		time.Sleep(2 * time.Second)
-		l.checkPosted(t, "EngineDead", true)
-		l.checkPosted(t, "EngineReport", true)
+		b.checkPosted(t, "EngineDead", true)
+		b.checkPosted(t, "EngineReport", true)
 	})
 }
 
-// An engine says that it is leaving before the platform's list does. Every
-// instance hears of it within the time of one poll and one push.
+// An engine reports that it is leaving before the platform's list does. Every
+// instance must learn of it within one poll and one published item.
 func TestLeavingEngineIsToldToAll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newLab()
-		defer l.run(t)()
-		l.reset()
-		l.set(func(l *testbed) { l.body.State = frame.StateLeaving })
+		b := newTestbed()
+		defer b.run(t)()
+		b.reset()
+		b.set(func(b *testbed) { b.body.State = frame.StateLeaving })
 		time.Sleep(500 * time.Millisecond)
-		l.checkPosted(t, "EngineLeaving", true)
+		b.checkPosted(t, "EngineLeaving", true)
 	})
 }
 
-// The platform's list fails, then comes back empty, while engines serve. No
-// instance drops one; an engine that is neither listed nor answers goes.
-func TestEmptyListRemovesNobody(t *testing.T) {
+// Reading the platform's list fails, then the list is empty, while the engine
+// still answers. No instance may drop it. An engine that is neither listed nor
+// answers is removed.
+func TestEmptyListRemovesNoLiveEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newLab()
-		defer l.run(t)()
-		l.reset()
-		l.set(func(l *testbed) { l.listErr = errors.New("down") })
+		b := newTestbed()
+		defer b.run(t)()
+		b.reset()
+		b.set(func(b *testbed) { b.listErr = errors.New("down") })
 		time.Sleep(5 * time.Minute)
-		l.set(func(l *testbed) { l.listErr, l.list = nil, nil })
+		b.set(func(b *testbed) { b.listErr, b.list = nil, nil })
 		time.Sleep(5 * time.Minute)
-		l.checkPosted(t, "EngineRemoved", false)
-		l.set(func(l *testbed) { l.state = "refuse" })
+		b.checkPosted(t, "EngineRemoved", false)
+		b.set(func(b *testbed) { b.state = "refuse" })
 		time.Sleep(2 * time.Minute)
-		l.checkPosted(t, "EngineRemoved", true)
+		b.checkPosted(t, "EngineRemoved", true)
 	})
 }
 
-// With thirty engines before four instances, questions of every watcher four
-// times a second took 58 KB a second of an instance, where all control may
-// take 24. One that stands by asks seldom, and still agrees in time (above).
-func TestStandbyAsksSeldom(t *testing.T) {
+// With thirty engines and four instances, polling by every watcher four times a
+// second took 58 KB a second of one instance, where all control traffic may
+// take 24. A standby watcher polls rarely and still confirms a death in time,
+// as the tests above check.
+func TestStandbyPollsRarely(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newLab()
-		defer l.run(t)()
-		before := [2]int{l.instances[0].pollCount(), l.instances[1].pollCount()}
+		b := newTestbed()
+		defer b.run(t)()
+		before := [2]int{b.instances[0].pollCount(), b.instances[1].pollCount()}
 		time.Sleep(time.Minute)
-		if got := l.instances[0].pollCount() - before[0]; got > 165 {
-			t.Errorf("got %d questions a minute of the first watcher, want about 150", got)
+		if got := b.instances[0].pollCount() - before[0]; got > 165 {
+			t.Errorf("got %d polls a minute by the primary watcher, want about 150", got)
 		}
-		if got := l.instances[1].pollCount() - before[1]; got > 40 {
-			t.Errorf("got %d questions a minute of the one standing by, want about 30", got)
+		if got := b.instances[1].pollCount() - before[1]; got > 40 {
+			t.Errorf("got %d polls a minute by the standby watcher, want about 30", got)
 		}
 	})
 }
