--- a/internal/wire/plain/instance.go
+++ b/internal/wire/plain/instance.go
@@ -10,7 +10,7 @@
 	"github.com/go-faster/errors"
 )
 
-// maxRetryCredit bounds how many repeats may be saved up.
+// maxRetryCredit limits how many retries can be saved up.
 const maxRetryCredit = 10
 
 // instance is one instance of a service.
@@ -19,25 +19,26 @@
 	inFlight int
 	load     int
 	leaving  bool
-	// cooldownEnd is until when the instance is left alone.
+	// cooldownEnd is the time until which other instances are preferred.
 	cooldownEnd time.Time
-	// lastSent is when the last call went there.
+	// lastSent is when the last call was sent to the instance.
 	lastSent time.Time
 }
 
 type instances map[spec.ServiceName][]*instance
 
-func (p instances) find(service spec.ServiceName, base string) *instance {
-	for _, x := range p[service] {
-		if x.base == base {
-			return x
+func (in instances) find(service spec.ServiceName, base string) *instance {
+	for _, inst := range in[service] {
+		if inst.base == base {
+			return inst
 		}
 	}
 	return nil
 }
 
-// Locate sets the base URLs of a service's live instances. What is known of
-// those that stay is kept; the others get nothing new.
+// Locate sets the base URLs of a service's live instances. The state of
+// instances that remain is kept; instances that are not in bases receive no new
+// calls.
 func (s *Sender) Locate(service spec.ServiceName, bases []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -46,37 +47,38 @@
 	}
 	var next []*instance
 	for _, base := range bases {
-		p := s.instances.find(service, base)
-		if p == nil {
-			p = &instance{base: base}
+		inst := s.instances.find(service, base)
+		if inst == nil {
+			inst = &instance{base: base}
 		}
-		next = append(next, p)
+		next = append(next, inst)
 	}
 	s.instances[service] = next
 }
 
-// Report takes the load that an instance reports: how many calls it has queued
-// or running.
+// Report sets the load that an instance reported: the number of queued and
+// running calls.
 func (s *Sender) Report(service spec.ServiceName, base string, load int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if p := s.instances.find(service, base); p != nil {
-		p.load = load
+	if inst := s.instances.find(service, base); inst != nil {
+		inst.load = load
 	}
 }
 
-// Leave gives an instance nothing new from now on.
+// Leave stops sending new calls to an instance.
 func (s *Sender) Leave(service spec.ServiceName, base string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if p := s.instances.find(service, base); p != nil {
-		p.leaving = true
+	if inst := s.instances.find(service, base); inst != nil {
+		inst.leaving = true
 	}
 }
 
-// pick takes the live instance with the least in flight and reported, and
-// counts one in flight there. Instances that could not be dialled lately come
-// last: with all of them resting, trying one still beats refusing.
+// pick returns the live instance with the lowest sum of calls in flight and
+// reported load, and counts one more call in flight there. Instances that
+// recently could not be dialled are the last choice: if all instances are in
+// cooldown, trying one is still better than refusing the call.
 func (s *Sender) pick(service spec.ServiceName, tried map[string]bool) (string, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,13 +87,14 @@
 	all := s.instances[service]
 	s.rotation++
 	for i := range all {
-		// Equal ones take turns, or every router would load the first.
-		p := all[(s.rotation+i)%len(all)]
-		if p.leaving || tried[p.base] {
+		// Rotate among instances with equal load. Otherwise every router would
+		// send to the first one.
+		inst := all[(s.rotation+i)%len(all)]
+		if inst.leaving || tried[inst.base] {
 			continue
 		}
-		if best == nil || better(p, best, now) {
-			best = p
+		if best == nil || better(inst, best, now) {
+			best = inst
 		}
 	}
 	if best == nil {
@@ -102,47 +105,48 @@
 	return best.base, true
 }
 
+// better reports whether a is preferred to b.
 func better(a, b *instance, now time.Time) bool {
-	restA, restB := now.Before(a.cooldownEnd), now.Before(b.cooldownEnd)
-	if restA != restB {
-		return restB
+	coolingA, coolingB := now.Before(a.cooldownEnd), now.Before(b.cooldownEnd)
+	if coolingA != coolingB {
+		return coolingB
 	}
 	return a.inFlight+a.load < b.inFlight+b.load
 }
 
-// recordResult counts the end of a send. The instance may be gone from the list.
+// recordResult records the end of a send. The instance may no longer be listed.
 func (s *Sender) recordResult(service spec.ServiceName, base string, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	p := s.instances.find(service, base)
-	if p == nil {
+	inst := s.instances.find(service, base)
+	if inst == nil {
 		return
 	}
-	p.inFlight = max(0, p.inFlight-1)
+	inst.inFlight = max(0, inst.inFlight-1)
 	if !errors.Is(err, ledger.ErrNotSent) {
-		p.cooldownEnd = time.Time{}
+		inst.cooldownEnd = time.Time{}
 		return
 	}
-	rest := s.Cooldown
-	if rest == 0 {
-		rest = defaultCooldown
+	cooldown := s.Cooldown
+	if cooldown == 0 {
+		cooldown = defaultCooldown
 	}
-	p.cooldownEnd = time.Now().Add(rest)
+	inst.cooldownEnd = time.Now().Add(cooldown)
 }
 
-// bases are all instances of a service, also leaving ones: they know the
-// outcomes of what they ran.
+// bases returns the URLs of all instances of a service, including leaving ones,
+// which still know the outcomes of the calls they ran.
 func (s *Sender) bases(service spec.ServiceName) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []string
-	for _, p := range s.instances[service] {
-		out = append(out, p.base)
+	for _, inst := range s.instances[service] {
+		out = append(out, inst.base)
 	}
 	return slices.Clip(out)
 }
 
-// earnRetryCredit adds what one first send allows in repeats.
+// earnRetryCredit adds the share of a retry that each first send earns.
 func (s *Sender) earnRetryCredit() {
 	share := s.RetryShare
 	if share == 0 {
@@ -153,8 +157,9 @@
 	s.retryCredit = min(maxRetryCredit, s.retryCredit+share)
 }
 
-// takeRetry spends one repeat. The budget keeps repeats from multiplying load
-// when a whole service fails.
+// takeRetry spends one retry if the class may be retried and there is credit.
+// The budget prevents retries from multiplying the load when a whole service
+// fails.
 func (s *Sender) takeRetry(class spec.ClassName) bool {
 	if s.Repeats == nil || !s.Repeats(class) {
 		return false
--- a/internal/wire/plain/load.go
+++ b/internal/wire/plain/load.go
@@ -17,14 +17,16 @@
 	defaultLoadInterval = time.Second
 	loadTimeout         = time.Second
 	maxLoad             = 4 << 10
-	// recentWindow is how long after its last call an instance's load is read.
+	// recentWindow is the time after the last call to an instance for which its
+	// load is read.
 	recentWindow = 30 * time.Second
-	// stateLeaving is what a leaving instance reports.
+	// stateLeaving is the state that a leaving instance reports.
 	stateLeaving = "leaving"
 )
 
-// loadBody is the body of GET /v1/load: how many calls an instance of a service
-// has running and waiting, and whether it leaves. A service need not serve it.
+// loadBody is the body of GET /v1/load: the number of running and waiting calls
+// of a service instance, and whether it is leaving. Services may omit this
+// endpoint.
 type loadBody struct {
 	State  string `json:"state"`
 	Active int    `json:"active"`
@@ -37,9 +39,9 @@
 	base    string
 }
 
-// Run reads the loads of the instances that were sent calls lately, until ctx
-// ends. An instance that this router does not use costs nothing, so that a
-// service is not asked by a whole fleet for the sake of a few callers.
+// Run reads the loads of instances that recently received calls from this
+// router, until ctx ends. Other instances are not polled, so that a service
+// with few callers is not polled by the whole fleet.
 func (s *Sender) Run(ctx context.Context) error {
 	every := s.LoadInterval
 	if every == 0 {
@@ -57,19 +59,20 @@
 	}
 }
 
-// ReadLoads reads the loads once. One that cannot be read is left as it was:
-// calls, not reports, tell whether an instance can be reached.
+// ReadLoads reads the loads once. If a load cannot be read, the last one is
+// kept: whether an instance is reachable is learned from calls, not from load
+// reports.
 func (s *Sender) ReadLoads(ctx context.Context) {
-	var all sync.WaitGroup
+	var group sync.WaitGroup
 	for _, t := range s.recentlyUsed() {
-		all.Go(func() {
+		group.Go(func() {
 			body, err := s.readLoad(ctx, t.base)
 			if err == nil {
 				s.applyLoad(t, body)
 			}
 		})
 	}
-	all.Wait()
+	group.Wait()
 }
 
 func (s *Sender) readLoad(ctx context.Context, base string) (loadBody, error) {
@@ -86,7 +89,7 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		return body, errors.Errorf("plain: load, status %d", resp.StatusCode)
+		return body, errors.Errorf("plain: load: status %d", resp.StatusCode)
 	}
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxLoad)).Decode(&body); err != nil {
 		return body, errors.Wrap(err, "plain: load")
@@ -94,31 +97,32 @@
 	return body, nil
 }
 
-// recentlyUsed are the instances that were sent calls lately.
+// recentlyUsed returns the instances that recently received calls.
 func (s *Sender) recentlyUsed() []target {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
 	var out []target
-	for service, all := range s.instances {
-		for _, p := range all {
-			if !p.lastSent.IsZero() && now.Sub(p.lastSent) < recentWindow {
-				out = append(out, target{service: service, base: p.base})
+	for service, instances := range s.instances {
+		for _, inst := range instances {
+			if !inst.lastSent.IsZero() && now.Sub(inst.lastSent) < recentWindow {
+				out = append(out, target{service: service, base: inst.base})
 			}
 		}
 	}
 	return out
 }
 
-// applyLoad takes a load. The own calls in flight are in the report too, so they
-// are taken off: what counts twice would send everything elsewhere.
+// applyLoad stores a reported load. The report includes this router's calls in
+// flight, so they are subtracted: counting them twice would divert calls to
+// other instances.
 func (s *Sender) applyLoad(t target, body loadBody) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	p := s.instances.find(t.service, t.base)
-	if p == nil {
+	inst := s.instances.find(t.service, t.base)
+	if inst == nil {
 		return
 	}
-	p.load = max(0, body.Active+body.Queued-p.inFlight)
-	p.leaving = body.State == stateLeaving
+	inst.load = max(0, body.Active+body.Queued-inst.inFlight)
+	inst.leaving = body.State == stateLeaving
 }
--- a/internal/wire/plain/plain.go
+++ b/internal/wire/plain/plain.go
@@ -1,8 +1,9 @@
-// Package plain is the client of plain services. It sends a call once.
+// Package plain is the client of plain services. It sends each call once,
+// except for retries of classes that allow them.
 //
-// It imports base/spec and state/ledger for the call and its answer. The
-// ledger sends calls through it and asks it for lost outcomes; the watcher
-// tells it where instances of services are.
+// It imports base/spec and state/ledger for calls and their answers. The ledger
+// sends calls through it and queries it for lost outcomes; the watcher passes
+// it the addresses of service instances.
 package plain
 
 import (
@@ -35,10 +36,11 @@
 	defaultRetryShare = 0.1
 )
 
-// tracer names the spans of this package.
+// tracer is the name of the tracer of this package.
 const tracer = "fulmarwick/plain"
 
-// Headers that scope an idempotency key: keys of two teams may be equal.
+// Headers that set the scope of an idempotency key: two teams may use the same
+// key.
 const (
 	headerKey   = "Idempotency-Key"
 	headerTeam  = "X-Team"
@@ -48,22 +50,24 @@
 // Sender sends calls to the instances of plain services. Set the exported
 // fields before use.
 type Sender struct {
-	// HTTP must not repeat requests; NewHTTP returns one that does not.
+	// HTTP must not resend requests; NewHTTP returns a suitable client.
 	HTTP *http.Client
-	// Timeout bounds the time of one send, dial included; zero is 60 s.
+	// Timeout limits the time of one send, including dialling; zero means 60 s.
 	Timeout time.Duration
-	// MaxAnswerBytes bounds an answer's body in bytes; zero is 1 MiB.
+	// MaxAnswerBytes limits the body of an answer; zero means 1 MiB.
 	MaxAnswerBytes int64
-	// Cooldown is how long an instance that could not be dialled is left alone
-	// while another one can be; zero is 5 s.
+	// Cooldown is the time for which other instances are preferred to one that
+	// could not be dialled; zero means 5 s.
 	Cooldown time.Duration
-	// Repeats says which classes may run more than once; nil means none.
+	// Repeats reports whether calls of a class may run more than once; nil
+	// means that no class may.
 	Repeats func(spec.ClassName) bool
-	// RetryShare is how many repeats one first send earns; zero is 0.1.
+	// RetryShare is the number of retries that one first send earns; zero means
+	// 0.1.
 	RetryShare float64
-	// LoadInterval is the time between two reads of loads; zero is 1 s.
+	// LoadInterval is the interval at which loads are read; zero means 1 s.
 	LoadInterval time.Duration
-	// Meters takes the metrics; nil takes none.
+	// Meters receives the metrics; nil disables them.
 	Meters *metrics.Set
 
 	mu          sync.Mutex
@@ -74,12 +78,12 @@
 
 // NewHTTP returns a client that sends each request once.
 //
-// net/http sends a request again by itself when a reused connection breaks
-// and the request has an Idempotency-Key or a body that it can read anew. The
-// caller would see one payment and the service two. A connection that is
-// never reused cannot break that way, and redirects are not followed. A fresh
-// connection costs a round trip, and spares the calls that would end unsure
-// because the service closed an idle connection at the same moment.
+// net/http resends a request on its own if a reused connection breaks and the
+// request has an Idempotency-Key header or a body that can be read again. The
+// caller would see one payment and the service two. A connection that is never
+// reused cannot break in this way, and redirects are not followed. A new
+// connection costs one round trip. In return, no call ends with an unsure
+// outcome because the service closed an idle connection at the same moment.
 func NewHTTP() *http.Client {
 	return &http.Client{
 		Transport: &http.Transport{
@@ -90,11 +94,11 @@
 	}
 }
 
-// Send sends the call. The error is ledger.ErrNotSent if no byte of it left
-// this process; any other error leaves open whether it ran. An instance that
-// refuses the connection is followed by the next one, since nothing left. A
-// call of a class that may repeat is sent once more after another error, if
-// the budget allows.
+// Send sends the call. The error is ledger.ErrNotSent if no byte of the call
+// left this process; after any other error the call may have run. If an
+// instance refuses the connection, the next one is tried, since nothing was
+// sent. After another error, a call of a class that may be retried is sent once
+// more if the budget allows.
 func (s *Sender) Send(ctx context.Context, c ledger.Call) (ledger.Answer, error) {
 	s.earnRetryCredit()
 	answer, err := s.tryInstances(ctx, c)
@@ -104,7 +108,7 @@
 	return s.tryInstances(ctx, c)
 }
 
-// tryInstances tries the instances until one accepts the connection.
+// tryInstances tries instances until one accepts the connection.
 func (s *Sender) tryInstances(ctx context.Context, c ledger.Call) (ledger.Answer, error) {
 	tried := map[string]bool{}
 	last := errors.Wrap(ledger.ErrNotSent, "no instance of the service")
@@ -131,15 +135,15 @@
 	ctx, span := trace.SpanFromContext(ctx).TracerProvider().Tracer(tracer).Start(ctx, "plain.send", trace.WithSpanKind(trace.SpanKindClient))
 	defer span.End()
 	connected := false
-	watch := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected = true }}
-	req, err := request(httptrace.WithClientTrace(ctx, watch), base, c)
+	clientTrace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected = true }}
+	req, err := request(httptrace.WithClientTrace(ctx, clientTrace), base, c)
 	if err != nil {
 		return ledger.Answer{}, errors.Wrap(ledger.ErrNotSent, err.Error())
 	}
 	resp, err := s.HTTP.Do(req)
 	switch {
 	case err != nil && !connected:
-		// Without a connection no byte of the request left.
+		// Without a connection, no byte of the request was sent.
 		return ledger.Answer{}, errors.Wrap(ledger.ErrNotSent, err.Error())
 	case err != nil:
 		return ledger.Answer{}, errors.Wrap(err, "plain: send")
@@ -148,25 +152,25 @@
 	return s.readAnswer(resp)
 }
 
-// readAnswer reads a whole answer. One that is cut or too long is an error: a part
-// of it must not be stored as what the service said.
+// readAnswer reads a complete answer. A truncated or oversized answer is an
+// error: a part of it must not be stored as the answer of the service.
 func (s *Sender) readAnswer(resp *http.Response) (ledger.Answer, error) {
-	most := s.MaxAnswerBytes
-	if most == 0 {
-		most = defaultMaxAnswer
+	limit := s.MaxAnswerBytes
+	if limit == 0 {
+		limit = defaultMaxAnswer
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, most+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, limit+1))
 	if err != nil {
-		return ledger.Answer{}, errors.Wrap(err, "plain: answer cut")
+		return ledger.Answer{}, errors.Wrap(err, "plain: truncated answer")
 	}
-	if int64(len(body)) > most {
-		return ledger.Answer{}, errors.Errorf("plain: answer with status %d is longer than %d bytes", resp.StatusCode, most)
+	if int64(len(body)) > limit {
+		return ledger.Answer{}, errors.Errorf("plain: answer with status %d exceeds %d bytes", resp.StatusCode, limit)
 	}
 	return ledger.NewAnswer(resp.StatusCode, resp.Header.Get("Content-Type"), body), nil
 }
 
-// QueryOutcome asks the instances of a service for the outcome of a call. It returns an
-// error unless one of them has its answer.
+// QueryOutcome queries the instances of a service for the outcome of a call. It
+// returns an error unless one of them has the answer.
 func (s *Sender) QueryOutcome(ctx context.Context, c ledger.Call) (ledger.Answer, error) {
 	last := errors.New("plain: no instance of the service")
 	for _, base := range s.bases(c.Service()) {
@@ -182,33 +186,33 @@
 func (s *Sender) queryInstance(ctx context.Context, base string, c ledger.Call) (ledger.Answer, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, base+"/v1/outcomes/"+url.PathEscape(c.Key()), http.NoBody)
 	if err != nil {
-		return ledger.Answer{}, errors.Wrap(err, "plain: ask")
+		return ledger.Answer{}, errors.Wrap(err, "plain: query outcome")
 	}
 	setScope(req, c)
 	resp, err := s.HTTP.Do(req)
 	if err != nil {
-		return ledger.Answer{}, errors.Wrap(err, "plain: ask")
+		return ledger.Answer{}, errors.Wrap(err, "plain: query outcome")
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		return ledger.Answer{}, errors.Errorf("plain: outcome not known, status %d", resp.StatusCode)
+		return ledger.Answer{}, errors.Errorf("plain: outcome unknown: status %d", resp.StatusCode)
 	}
 	return s.readAnswer(resp)
 }
 
-// count counts a send by how it ended.
+// count counts a send by its result.
 func (s *Sender) count(service spec.ServiceName, err error) {
 	if s.Meters == nil {
 		return
 	}
-	end := "answered"
+	result := "answered"
 	switch {
 	case errors.Is(err, ledger.ErrNotSent):
-		end = "refused"
+		result = "refused"
 	case err != nil:
-		end = "lost"
+		result = "lost"
 	}
-	s.Meters.GetOrCreateCounter(fmt.Sprintf(`fulmarwick_sends_total{service=%q,end=%q}`, service, end)).Inc()
+	s.Meters.GetOrCreateCounter(fmt.Sprintf(`fulmarwick_sends_total{service=%q,end=%q}`, service, result)).Inc()
 }
 
 func (s *Sender) timeout() time.Duration {
@@ -218,10 +222,11 @@
 	return s.Timeout
 }
 
-// request builds the call as the service gets it. No header of the caller but
-// that of the trace is passed on, so none that concerns one hop only can be.
+// request builds the HTTP request for the service. Of the headers of the caller
+// only the trace is passed on, so no hop-by-hop header can be.
 func request(ctx context.Context, base string, c ledger.Call) (*http.Request, error) {
-	// NopCloser hides the reader's type, so that the request has no GetBody.
+	// NopCloser hides the type of the reader, so that http.NewRequest sets no
+	// GetBody.
 	body := io.NopCloser(bytes.NewReader(c.Body()))
 	target := base + "/v1/calls/" + url.PathEscape(string(c.Class()))
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, target, body)
--- a/internal/wire/plain/plain_test.go
+++ b/internal/wire/plain/plain_test.go
@@ -36,7 +36,7 @@
 	return s.URL
 }
 
-// closedURL is a base URL at which nothing listens.
+// closedURL returns a base URL at which nothing listens.
 func closedURL(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -47,8 +47,9 @@
 	return "http://" + l.Addr().String()
 }
 
-// dropper answers "warm" requests, so that the connection is kept, and reads
-// and drops every payment, which it counts.
+// dropper runs a server that answers requests under /warm, so that the
+// connection is kept. It reads and counts every other request and drops its
+// connection.
 func dropper(t *testing.T) (string, *atomic.Int32) {
 	var runs atomic.Int32
 	return server(t, http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
@@ -72,9 +73,9 @@
 }
 
 // A service reads a payment, records it and drops a connection that was used
-// before. A plain http.Client sends the payment again by itself, since it has
-// an Idempotency-Key: the service records it twice and the caller never knew.
-// The sender sends it once and says that the outcome is open.
+// before. A plain http.Client resends the payment on its own because it has an
+// Idempotency-Key: the service records it twice without the caller knowing. The
+// sender must send it once and report that the outcome is unknown.
 func TestDroppedConnectionIsNotReplayed(t *testing.T) {
 	base, runs := dropper(t)
 	client := &http.Client{Transport: &http.Transport{}}
@@ -88,7 +89,7 @@
 		t.Fatal("got an answer, want an error")
 	}
 	if got := runs.Load(); got < 2 {
-		t.Errorf("got %d runs by a plain client, want at least 2 (else this test proves nothing)", got)
+		t.Errorf("got %d runs by a plain client, want at least 2 (otherwise this test checks nothing)", got)
 	}
 
 	base, runs = dropper(t)
@@ -106,8 +107,8 @@
 	}
 }
 
-// The same holds if somebody hands the sender a client that keeps its
-// connections: the request has no GetBody, so net/http cannot send it anew.
+// The same must hold if the sender gets a client that keeps its connections:
+// the request has no GetBody, so net/http cannot resend it.
 func TestKeptConnectionIsNotReplayed(t *testing.T) {
 	base, runs := dropper(t)
 	s := sender(base)
@@ -121,9 +122,10 @@
 	}
 }
 
-// One of two instances of the service refuses connections: the payment goes to
-// the other, and the refusing one is left alone for a while. With all of them
-// refusing the caller hears that it did not run, which is true.
+// One of two instances of the service refuses connections. The payment must go
+// to the other, and the refusing instance is avoided during its cooldown. If
+// all instances refuse, the caller must get ErrNotSent, because the payment did
+// not run.
 func TestRefusedConnection(t *testing.T) {
 	d := &desk.Desk{}
 	s := sender(closedURL(t), server(t, d.Handler()))
@@ -144,8 +146,9 @@
 	}
 }
 
-// The service redirects, answers too much, cuts its answer or is too slow. In
-// each case it may have run, and no part of an answer passes for the whole.
+// The service redirects, sends an oversized or truncated answer, or is too
+// slow. In each case the call may have run, and a partial answer must not be
+// taken for a complete one.
 func TestUnusableAnswers(t *testing.T) {
 	cases := map[string]http.HandlerFunc{
 		"too long": func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(make([]byte, 101)) },
@@ -179,8 +182,9 @@
 	}
 }
 
-// Calls go where the least is in flight and reported; a leaving instance gets
-// nothing new at once, and keeps answering what it ran.
+// Calls go to the instance with the least load, in flight and reported. A
+// leaving instance gets no new calls at once but still answers queries for the
+// calls that it ran.
 func TestPicksLeastLoadedAndNoLeaving(t *testing.T) {
 	a, b := &desk.Desk{}, &desk.Desk{}
 	baseA, baseB := server(t, a.Handler()), server(t, b.Handler())
@@ -215,9 +219,9 @@
 	}
 }
 
-// One of two instances reports calls of others, then that it leaves, then that
-// it is back. New calls follow its word at the next read, although the
-// platform's list still says live.
+// One of two instances reports calls of other routers; the other reports that
+// it is leaving and then that it is back. New calls follow these reports after
+// the next read, although the platform's list still shows both as live.
 func TestFollowsLoadReports(t *testing.T) {
 	a, b := &desk.Desk{}, &desk.Desk{}
 	s := sender(server(t, a.Handler()), server(t, b.Handler()))
@@ -249,9 +253,9 @@
 	}
 }
 
-// A class that may repeat is sent again after a lost answer, but no more than
-// its budget allows when every answer is lost.
-func TestRepeatsStayInBudget(t *testing.T) {
+// A call of a class that may be retried is sent again after a lost answer. If
+// every answer is lost, the retries must stay within the budget.
+func TestRetriesStayInBudget(t *testing.T) {
 	d := &desk.Desk{}
 	s := sender(server(t, d.Handler()))
 	s.Repeats = func(c spec.ClassName) bool { return c == "payment" }
@@ -266,7 +270,7 @@
 	}
 }
 
-// Two teams use the same key. Each hears of its own call only.
+// Two teams use the same key. Each gets the outcome of its own call only.
 func TestOutcomesAreScopedByTeam(t *testing.T) {
 	d := &desk.Desk{}
 	s := sender(server(t, d.Handler()))
--- a/internal/wire/plain/trace_test.go
+++ b/internal/wire/plain/trace_test.go
@@ -12,8 +12,8 @@
 	"go.opentelemetry.io/otel/propagation"
 )
 
-// The trace that a caller began reaches the service, through the record and
-// whether or not spans are kept here.
+// The trace context of a caller must reach the service through the ledger,
+// whether or not spans are recorded here.
 func TestTraceReachesTheService(t *testing.T) {
 	const parent = "4bf92f3577b34da6a3ce929d0e0e4736"
 	got := make(chan string, 1)
