--- a/internal/wire/admin/admin_test.go
+++ b/internal/wire/admin/admin_test.go
@@ -19,7 +19,7 @@
 	"go.uber.org/zap"
 )
 
-// fakeInstance is an instance with a configuration that answers as it is told.
+// fakeInstance is an instance with a configuration; the test sets its answers.
 type fakeInstance struct {
 	drains int
 	draft  admin.Draft
@@ -65,7 +65,7 @@
 		t.Errorf("got %+v, %v, want the status", got, err)
 	}
 	if got, err := c.Show(ctx); err != nil || got.Version != 7 || got.Document != "[class answer]\n" {
-		t.Errorf("got %+v, %v, want what is in force", got, err)
+		t.Errorf("got %+v, %v, want the configuration in force", got, err)
 	}
 	if got, err := c.History(ctx, 4); err != nil || len(got) != 4 {
 		t.Errorf("got %d changes, %v, want 4", len(got), err)
@@ -79,8 +79,8 @@
 	}
 }
 
-// Each error reaches the command as what it was, so that its exit code is
-// right and a conflict shows the winner.
+// Each error must reach the command with its original type, so that its exit
+// code is right and a conflict shows the accepted changes.
 func TestErrorsKeepTheirKind(t *testing.T) {
 	winner := admin.Change{Version: 9, By: "siti", At: "2026-01-02T03:04:05Z", Text: "class answer"}
 	for _, want := range []error{
@@ -94,7 +94,7 @@
 	}
 	c := serve(t, &fakeInstance{err: errors.New("broken")})
 	if _, err := c.Status(t.Context()); err == nil || !strings.Contains(err.Error(), "broken") {
-		t.Errorf("got %v, want it to tell what broke", err)
+		t.Errorf("got %v, want the original error", err)
 	}
 	gone := &admin.Client{Base: "http://127.0.0.1:1", HTTP: &http.Client{}}
 	if _, err := gone.Status(t.Context()); !errors.Is(err, admin.ErrReach) {
@@ -153,7 +153,7 @@
 	}
 }
 
-// An operator who shows a certificate cannot give another's name.
+// An operator with a client certificate cannot use another name.
 func TestCertificateNamesTheOperator(t *testing.T) {
 	s := &fakeInstance{}
 	server := &admin.Server{Viewer: s, Drainer: s, Config: s, Meters: metrics.NewSet(), Log: zap.NewNop(), Ready: func() bool { return true }}
--- a/internal/wire/admin/client.go
+++ b/internal/wire/admin/client.go
@@ -12,46 +12,46 @@
 	"github.com/go-faster/errors"
 )
 
-// maxAnswer bounds what an instance may answer, in bytes.
+// maxAnswer limits the size of an answer in bytes.
 const maxAnswer = 64 << 20
 
-// Client asks one instance's operator endpoint. Set the exported fields before
-// use. Its errors are those that Config documents, and ErrReach.
+// Client calls the operators' API of one instance. Set the exported fields
+// before use. Its errors are those documented by Config, and ErrReach.
 type Client struct {
-	// Base is such as "http://127.0.0.1:7070".
+	// Base is the base URL, such as "http://127.0.0.1:7070".
 	Base string
 	HTTP *http.Client
 }
 
-// Status asks how the instance is.
+// Status returns the status of the instance.
 func (c *Client) Status(ctx context.Context) (Status, error) {
 	var out Status
 	err := c.call(ctx, http.MethodGet, "/v1/status", nil, &out)
 	return out, err
 }
 
-// Show asks what is in force.
+// Show returns the configuration in force.
 func (c *Client) Show(ctx context.Context) (Shown, error) {
 	var out Shown
 	err := c.call(ctx, http.MethodGet, "/v1/config", nil, &out)
 	return out, err
 }
 
-// History asks for the newest changes, at most limit.
+// History returns the newest changes, at most limit.
 func (c *Client) History(ctx context.Context, limit int) ([]Change, error) {
 	var out []Change
 	err := c.call(ctx, http.MethodGet, "/v1/config/history?limit="+strconv.Itoa(limit), nil, &out)
 	return out, err
 }
 
-// Apply sends a change.
+// Apply submits a change.
 func (c *Client) Apply(ctx context.Context, d Draft) (Applied, error) {
 	var out Applied
 	err := c.call(ctx, http.MethodPost, "/v1/config", draftBody(d), &out)
 	return out, err
 }
 
-// Drain begins the graceful stop and returns how many requests are in
+// Drain starts the graceful shutdown and returns the number of requests in
 // progress.
 func (c *Client) Drain(ctx context.Context) (int, error) {
 	var out drained
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// faultError turns a fault back into the error that it was made from.
+// faultError converts a fault back to the error that it was made from.
 func faultError(status int, data []byte) error {
 	var f fault
 	if err := json.Unmarshal(data, &f); err != nil {
--- a/internal/wire/admin/server.go
+++ b/internal/wire/admin/server.go
@@ -1,8 +1,8 @@
-// Package admin serves operators and is the client of their commands.
+// Package admin implements the operators' API and its client.
 //
-// It imports the router, metrics and log libraries. The daemon serves its
-// Handler at the operators' address; the commands apply, show, status and
-// drain use Client.
+// It imports the HTTP router, metrics and log libraries. The daemon serves its
+// Handler at the operators' address; the commands apply, show, status and drain
+// use Client.
 package admin
 
 import (
@@ -17,25 +17,27 @@
 )
 
 const (
-	// maxDraft bounds the body of a change in bytes.
+	// maxDraft limits the body of a change in bytes.
 	maxDraft = 16 << 20
-	// defaultHistory and maxHistory bound how many changes are listed.
+	// defaultHistory is the number of changes listed by default, maxHistory the
+	// maximum.
 	defaultHistory = 20
 	maxHistory     = 1000
-	// maxBy bounds the name of an operator.
+	// maxBy limits the length of an operator name.
 	maxBy = 100
 )
 
-// Server serves operators. Set the exported fields before Handler.
+// Server serves the operators' API. Set the exported fields before calling
+// Handler.
 type Server struct {
 	Viewer  Viewer
 	Drainer Drainer
-	// Config may be nil: then the configuration can be neither shown nor
-	// changed here.
+	// Config may be nil; then the configuration can be neither shown nor
+	// changed through this instance.
 	Config Config
 	Meters *metrics.Set
 	Log    *zap.Logger
-	// Ready reports whether callers should be sent here.
+	// Ready reports whether this instance should receive requests of callers.
 	Ready func() bool
 }
 
@@ -46,13 +48,13 @@
 	Documents []Document `json:"documents"`
 }
 
-// drained answers POST /v1/drain.
+// drained is the body of the answer to POST /v1/drain.
 type drained struct {
 	Running int `json:"running"`
 }
 
-// fault is what operators see of an error. Winners, Problems and ID go with
-// their codes only.
+// fault is the body of an error answer. Winners, Problems and ID are set only
+// for their codes.
 type fault struct {
 	Code     string   `json:"code"`
 	Text     string   `json:"message"`
@@ -61,7 +63,7 @@
 	ID       string   `json:"id,omitempty"`
 }
 
-// The codes of faults.
+// Codes of faults.
 const (
 	codeConflict  = "conflict"
 	codeRefused   = "refused"
@@ -72,7 +74,7 @@
 	codeInternal  = "internal"
 )
 
-// Handler serves the operators' endpoints.
+// Handler returns the handler of the operators' endpoints.
 func (s *Server) Handler() http.Handler {
 	r := mux.NewRouter()
 	r.HandleFunc("/v1/status", s.status).Methods(http.MethodGet)
@@ -85,8 +87,8 @@
 	return r
 }
 
-// Health adds /healthz, which says that the process answers, and /readyz,
-// which says whether callers should be sent to it.
+// Health adds /healthz, which reports that the process responds, and /readyz,
+// which reports whether the instance should receive requests of callers.
 func Health(r *mux.Router, ready func() bool) {
 	r.HandleFunc("/healthz", func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write([]byte("ok\n"))
@@ -154,8 +156,8 @@
 	s.answer(w, applied, err)
 }
 
-// operator is who asks: the name in their certificate if they showed one,
-// else the name that they give.
+// operator returns the name of the operator: the name in the verified client
+// certificate if there is one, otherwise the given name.
 func operator(req *http.Request, given string) string {
 	if req.TLS != nil && len(req.TLS.VerifiedChains) > 0 {
 		return req.TLS.VerifiedChains[0][0].Subject.CommonName
@@ -164,7 +166,7 @@
 }
 
 func (s *Server) drain(w http.ResponseWriter, req *http.Request) {
-	s.Log.Info("admin: drain asked for", zap.String("by", operator(req, req.RemoteAddr)))
+	s.Log.Info("admin: drain requested", zap.String("by", operator(req, req.RemoteAddr)))
 	s.Drainer.Begin()
 	s.answer(w, drained{Running: s.Drainer.Running()}, nil)
 }
@@ -179,7 +181,7 @@
 	write(w, http.StatusNotFound, fault{Code: codeNotServed, Text: "this instance keeps no shared configuration"})
 }
 
-// answer writes body, or the error as operators see it.
+// answer writes body, or the fault for err.
 func (s *Server) answer(w http.ResponseWriter, body any, err error) {
 	if err == nil {
 		write(w, http.StatusOK, body)
