--- a/internal/wire/certs/certs.go
+++ b/internal/wire/certs/certs.go
@@ -1,8 +1,9 @@
-// Package certs gives the TLS settings of an endpoint from files that are read
-// again when they are replaced.
+// Package certs provides the TLS configuration of an endpoint from files that
+// are reloaded when they are replaced.
 //
-// It imports the standard library and the log library. The daemon makes one
-// Source per endpoint; package peer dials with the one of peers.
+// It imports the standard library and the log library. The daemon creates one
+// Source per endpoint; package peer dials with the Source of the peers'
+// endpoint.
 package certs
 
 import (
@@ -16,16 +17,17 @@
 	"go.uber.org/zap"
 )
 
-// ErrBad means that the files of an endpoint hold no usable certificates.
-var ErrBad = errors.New("certs: bad files")
+// ErrBad means that the files of an endpoint contain no usable certificates.
+var ErrBad = errors.New("certs: invalid files")
 
-// checkInterval is the least time between two looks at the files.
+// checkInterval is the minimum time between two checks of the files.
 const checkInterval = time.Second
 
-// Source reads the files of one endpoint. Set the exported fields before Open.
+// Source loads the files of one endpoint. Set the exported fields before
+// calling Open.
 type Source struct {
-	// Cert and Key are PEM files. CA is too, and may be empty: then the other
-	// side's certificate is not asked for.
+	// Cert, Key and CA are PEM files. CA may be empty; then no certificate is
+	// requested from the other side.
 	Cert string
 	Key  string
 	CA   string
@@ -37,19 +39,20 @@
 	loaded    material
 }
 
-// fileStamp tells whether a file was replaced.
+// fileStamp is used to detect that a file was replaced.
 type fileStamp struct {
 	size int64
 	time time.Time
 }
 
-// material is what one reading of the files gave.
+// material is the content of the files from one read.
 type material struct {
 	cert *tls.Certificate
 	pool *x509.CertPool
 }
 
-// Open reads the files for the first time; ErrBad if they are not usable.
+// Open loads the files for the first time. It returns ErrBad if they are not
+// usable.
 func (s *Source) Open() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -65,15 +68,15 @@
 	return nil
 }
 
-// Server returns the settings of a listener. With a CA, callers must show a
-// certificate that it signed. Each handshake uses the files of its time.
+// Server returns the TLS configuration of a listener. With a CA, clients must
+// present a certificate signed by it. Each handshake uses the current files.
 func (s *Source) Server() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
 			return s.serverConfig(), nil
 		},
-		// net/http wants a certificate here before it listens.
+		// net/http requires a certificate here before it listens.
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
 			return s.current().cert, nil
 		},
@@ -93,9 +96,10 @@
 	return c
 }
 
-// Client returns the settings for a connection to another endpoint of the
-// kind: both sides show certificates of the CA. The name in the certificate is
-// checked against server, which is the other's address or name.
+// Client returns the TLS configuration for a connection to another endpoint of
+// the same kind: both sides present certificates signed by the CA. The name in
+// the certificate is verified against server, the address or name of the other
+// endpoint.
 func (s *Source) Client(server string) *tls.Config {
 	m := s.current()
 	return &tls.Config{
@@ -104,9 +108,9 @@
 	}
 }
 
-// current is the newest usable material. Files are replaced one by one, so a
-// reading between two replacements fails; the old material stays in use then,
-// and the files are read again at the next look.
+// current returns the newest usable material. Files are replaced one by one, so
+// a read between two replacements fails. The old material then remains in use
+// and the files are read again at the next check.
 func (s *Source) current() material {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -123,11 +127,11 @@
 		var m material
 		if m, err = s.read(); err == nil {
 			s.loaded = m
-			s.Log.Info("certs: read again", zap.String("file", s.Cert))
+			s.Log.Info("certs: reloaded", zap.String("file", s.Cert))
 		}
 	}
 	if err != nil {
-		s.Log.Warn("certs: replacement unusable, the old one stays", zap.String("file", s.Cert), zap.Error(err))
+		s.Log.Warn("certs: reload failed, keeping the old certificate", zap.String("file", s.Cert), zap.Error(err))
 		return s.loaded
 	}
 	s.stamps = stamps
@@ -164,7 +168,7 @@
 	}
 	m.pool = x509.NewCertPool()
 	if !m.pool.AppendCertsFromPEM(data) {
-		return material{}, errors.Wrap(ErrBad, s.CA+" holds no certificate")
+		return material{}, errors.Wrap(ErrBad, s.CA+" contains no certificate")
 	}
 	return m, nil
 }
--- a/internal/wire/certs/certs_test.go
+++ b/internal/wire/certs/certs_test.go
@@ -21,7 +21,7 @@
 	"go.uber.org/zap/zaptest/observer"
 )
 
-// identity is the name in each certificate; replacements keep the files' names.
+// identity is the name in each certificate. Replacements keep the file names.
 const identity = "peer"
 
 func newAuthority(t *testing.T) *trust.Authority {
@@ -33,7 +33,7 @@
 	return ca
 }
 
-// source writes a certificate into dir and returns a source of it.
+// source writes a certificate to dir and returns a Source for it.
 func source(t *testing.T, ca *trust.Authority, dir string, at time.Time) *certs.Source {
 	t.Helper()
 	f, err := ca.Write(dir, identity, at)
@@ -43,13 +43,13 @@
 	return &certs.Source{Cert: f.Cert, Key: f.Key, CA: f.CA, Log: zap.NewNop()}
 }
 
-// handshakeTimeout ends a meeting in which both sides write and neither reads, as two
-// that refuse each other do.
+// handshakeTimeout ends a handshake in which both sides write and neither
+// reads, which happens if both refuse the other.
 const handshakeTimeout = time.Second
 
-// handshake connects a client to a server and returns the certificate that the
-// client saw, or what either side had against the other. The server sends a byte once it
-// trusts the client.
+// handshake connects a client to a server. It returns the certificate that the
+// client received, or the errors of both sides. The server sends one byte once
+// it trusts the client.
 func handshake(server, client *tls.Config) ([]byte, error) {
 	l := inmem.Listen()
 	defer func() { _ = l.Close() }()
@@ -77,8 +77,9 @@
 	return dialled.ConnectionState().PeerCertificates[0].Raw, nil
 }
 
-// An operator replaces the files of a running instance. Connections made later
-// show the new certificate, with no restart and no connection lost.
+// An operator replaces the files of a running instance. Later connections must
+// present the new certificate, without a restart and without losing a
+// connection.
 func TestReplacedFilesAreUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ca, dir, at := newAuthority(t), t.TempDir(), time.Now()
@@ -100,9 +101,9 @@
 	})
 }
 
-// An operator copies a broken file over the certificate. Connections go on
-// with the old one and the log says so; once the files are mended they are
-// used.
+// An operator overwrites the certificate with a broken file. Connections must
+// still work with the old certificate, and a warning must be logged. Once the
+// files are repaired, they must be used.
 func TestBadReplacementKeepsTheOld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ca, dir, at := newAuthority(t), t.TempDir(), time.Now()
@@ -135,13 +136,13 @@
 		source(t, ca, dir, at.Add(time.Minute))
 		time.Sleep(2 * time.Second)
 		if got, err := handshake(server, s.Client(identity)); err != nil || bytes.Equal(got, first) {
-			t.Errorf("got the first certificate again (%v), want the mended one", err)
+			t.Errorf("got the first certificate again (%v), want the repaired one", err)
 		}
 	})
 }
 
-// A stranger whose certificate another CA signed is refused by both sides.
-func TestStrangersAreRefused(t *testing.T) {
+// Both sides must refuse a peer whose certificate was signed by another CA.
+func TestUntrustedPeersAreRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ours := source(t, newAuthority(t), t.TempDir(), time.Now())
 		theirs := source(t, newAuthority(t), t.TempDir(), time.Now())
@@ -150,19 +151,19 @@
 				t.Fatal(err)
 			}
 		}
-		stranger := theirs.Client(identity)
-		stranger.InsecureSkipVerify = true
+		untrusted := theirs.Client(identity)
+		untrusted.InsecureSkipVerify = true
 		const want = "certificate signed by unknown authority"
-		if _, err := handshake(ours.Server(), stranger); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("got %v for a stranger that calls, want %q", err, want)
+		if _, err := handshake(ours.Server(), untrusted); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("got %v for an untrusted client, want %q", err, want)
 		}
 		if _, err := handshake(theirs.Server(), ours.Client(identity)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("got %v for a stranger that is called, want %q", err, want)
+			t.Errorf("got %v for an untrusted server, want %q", err, want)
 		}
 	})
 }
 
-func TestFirstReadingMustSucceed(t *testing.T) {
+func TestFirstLoadMustSucceed(t *testing.T) {
 	s := &certs.Source{Cert: "none.crt", Key: "none.key", Log: zap.NewNop()}
 	if err := s.Open(); !errors.Is(err, certs.ErrBad) {
 		t.Errorf("got %v, want ErrBad", err)
--- a/internal/wire/certs/peer.go
+++ b/internal/wire/certs/peer.go
@@ -2,9 +2,10 @@
 
 import "crypto/tls"
 
-// Peer returns the settings for connections to other endpoints of the kind.
-// Each handshake shows the certificate of its time; the authority is that of
-// the start, so a new authority needs a restart. Whoever dials sets ServerName.
+// Peer returns the TLS configuration for connections to other endpoints of the
+// same kind. Each handshake presents the current certificate. The CA is the one
+// loaded at the call, so a new CA requires a restart. The caller sets
+// ServerName when it dials.
 func (s *Source) Peer() *tls.Config {
 	c := s.Client("")
 	c.Certificates = nil
