--- a/internal/wire/watch/poll.go
+++ b/internal/wire/watch/poll.go
@@ -11,33 +11,33 @@
 	"go.uber.org/zap"
 )
 
-// poll is a poller that runs.
-type poll struct {
+// runningPoller controls a poller that is running.
+type runningPoller struct {
 	cancel context.CancelFunc
 	wake   chan<- struct{}
 }
 
-// poller reads one engine. Its goroutine alone uses it.
+// poller polls one engine. Only its own goroutine uses it.
 type poller struct {
 	*Watcher
 	id   spec.UpstreamID
 	wake <-chan struct{}
-	// cached is when cache events were last asked for.
-	cached time.Time
-	// warned is when a bad report was last logged.
-	warned time.Time
-	// seq is the last cache event read, of incarnation.
+	// lastCacheRead is when cache events were last requested.
+	lastCacheRead time.Time
+	// lastWarning is when an invalid report was last logged.
+	lastWarning time.Time
+	// seq is the number of the last cache event read from incarnation.
 	seq         uint64
 	incarnation uint64
 }
 
-// run reads the engine until ctx ends.
+// run polls the engine until ctx ends.
 func (p *poller) run(ctx context.Context) {
 	defer p.group.Done()
 	for {
-		wait := retryPoll
-		if p.read(ctx) {
-			wait = p.pace()
+		wait := retryInterval
+		if p.poll(ctx) {
+			wait = p.interval()
 		}
 		select {
 		case <-ctx.Done():
@@ -48,25 +48,25 @@
 	}
 }
 
-// pace is the time to the next report. A watcher that stands by asks seldom,
-// until the first watcher misses answers: then both ask often, so that they
-// agree as soon as if both had asked often all the time.
-func (p *poller) pace() time.Duration {
+// interval returns the time until the next poll. A standby watcher polls rarely
+// until the primary misses answers. From then on both poll often, so that they
+// agree as soon as if both had always polled often.
+func (p *poller) interval() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	e := p.board.get(p.id)
+	e := p.tracker.get(p.id)
 	switch {
-	case e == nil || e.first:
+	case e == nil || e.primary:
 		return p.Poll
-	case e.doubted(p.now()):
-		return retryPoll
+	case e.doubtedByPeer(p.now()):
+		return retryInterval
 	}
-	return standby * p.Poll
+	return standbyFactor * p.Poll
 }
 
-// read asks once. It reports whether the engine answered or is known to be
-// down, so that there is no hurry.
-func (p *poller) read(ctx context.Context) bool {
+// poll requests one report. It reports whether the engine answered or is known
+// to be dead, in which case the next poll is not urgent.
+func (p *poller) poll(ctx context.Context) bool {
 	select {
 	case p.slots <- struct{}{}:
 	case <-ctx.Done():
@@ -74,7 +74,7 @@
 	}
 	defer func() { <-p.slots }()
 	p.mu.Lock()
-	e := p.board.get(p.id)
+	e := p.tracker.get(p.id)
 	base := ""
 	if e != nil {
 		base = e.url
@@ -83,56 +83,57 @@
 	if base == "" {
 		return true
 	}
-	asked, cancel := context.WithTimeout(ctx, p.Timeout)
+	pollCtx, cancel := context.WithTimeout(ctx, p.Timeout)
 	defer cancel()
-	body, err := engine.Report(asked, p.HTTP, base)
+	body, err := engine.Report(pollCtx, p.HTTP, base)
 	switch {
 	case ctx.Err() != nil:
 		return true
 	case err != nil:
-		p.complain(err)
-		late := errors.Is(asked.Err(), context.DeadlineExceeded)
+		p.warnInvalid(err)
+		timedOut := errors.Is(pollCtx.Err(), context.DeadlineExceeded)
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.board.missed(p.now(), e, !late)
-		return e.down
+		p.tracker.handleMiss(p.now(), e, !timedOut)
+		return e.declaredDead
 	}
 	row := engine.Row(p.id, body)
 	p.mu.Lock()
-	p.board.polled(p.now(), e, body, row)
+	p.tracker.handleAnswer(p.now(), e, body, row)
 	p.mu.Unlock()
 	p.readCache(ctx, base, row.Incarnation)
 	return true
 }
 
-// complain logs a report that the engine gave but that cannot be true, now and
-// then: without it an operator would only see that the engine is missing.
-func (p *poller) complain(err error) {
-	if !errors.Is(err, engine.ErrBody) || time.Since(p.warned) < warnEvery {
+// warnInvalid logs, at a limited rate, a report that the engine sent but that
+// is invalid. Without it, an operator would see only that the engine is
+// missing.
+func (p *poller) warnInvalid(err error) {
+	if !errors.Is(err, engine.ErrBody) || time.Since(p.lastWarning) < warnInterval {
 		return
 	}
-	p.warned = time.Now()
-	p.Log.Warn("watch: report refused", zap.String("engine", string(p.id)), zap.Error(err))
+	p.lastWarning = time.Now()
+	p.Log.Warn("watch: invalid engine report", zap.String("engine", string(p.id)), zap.Error(err))
 }
 
-// readCache posts the cache events since the last ones. A gap is posted as it
-// is: the routing logic sees it by the numbers.
+// readCache posts the cache events since the last read. Gaps are posted
+// unchanged: the routing logic detects them by the event numbers.
 func (p *poller) readCache(ctx context.Context, base string, incarnation uint64) {
-	if p.Caches == nil || time.Since(p.cached) < cacheEvery {
+	if p.Caches == nil || time.Since(p.lastCacheRead) < cacheInterval {
 		return
 	}
-	p.cached = time.Now()
+	p.lastCacheRead = time.Now()
 	if incarnation != p.incarnation {
 		p.seq, p.incarnation = 0, incarnation
 	}
-	asked, cancel := context.WithTimeout(ctx, p.Timeout)
+	pollCtx, cancel := context.WithTimeout(ctx, p.Timeout)
 	defer cancel()
-	page, err := p.Caches.Events(asked, base, p.seq)
+	page, err := p.Caches.Events(pollCtx, base, p.seq)
 	if err != nil {
 		return
 	}
-	for _, seen := range engine.Seen(p.id, page) {
-		p.Loop.Post(seen)
+	for _, event := range engine.Seen(p.id, page) {
+		p.Loop.Post(event)
 	}
 	p.seq = max(p.seq, page.Seq)
 }
