--- a/internal/app/cmds/apply.go
+++ b/internal/app/cmds/apply.go
@@ -13,7 +13,7 @@
 )
 
 func newApply() *cobra.Command {
-	var r remote
+	var r remoteFlags
 	var by string
 	var base uint64
 	c := &cobra.Command{
@@ -33,7 +33,7 @@
 			if err != nil {
 				return err
 			}
-			client, err := r.one()
+			client, err := r.singleClient()
 			if err != nil {
 				return err
 			}
@@ -55,8 +55,8 @@
 			return nil
 		},
 	}
-	r.add(c)
-	c.Flags().StringVar(&by, "by", login(), "name of the operator; a certificate's name goes before it")
+	r.register(c)
+	c.Flags().StringVar(&by, "by", currentUser(), "name of the operator; a certificate's name goes before it")
 	c.Flags().Uint64Var(&base, "version", 0, "version that the change builds on")
 	return c
 }
@@ -73,8 +73,8 @@
 	return out, nil
 }
 
-// login is the name of who runs the command, if it is known.
-func login() string {
+// currentUser is the name of who runs the command, if it is known.
+func currentUser() string {
 	u, err := user.Current()
 	if err != nil {
 		return ""
--- a/internal/app/cmds/check.go
+++ b/internal/app/cmds/check.go
@@ -14,8 +14,8 @@
 	"github.com/spf13/cobra"
 )
 
-// errChecked means that check printed its problems already.
-var errChecked = errors.Wrap(setup.ErrBad, "cmds: files refused")
+// errProblemsPrinted means that check printed its problems already.
+var errProblemsPrinted = errors.Wrap(setup.ErrBad, "cmds: files refused")
 
 func newCheck() *cobra.Command {
 	var elsewhere bool
@@ -51,10 +51,10 @@
 		found[path] = settingsProblems(path, elsewhere)
 	}
 	documentProblems(documents, found)
-	return report(out, paths, found)
+	return printProblems(out, paths, found)
 }
 
-func report(out io.Writer, paths []string, found map[string][]string) error {
+func printProblems(out io.Writer, paths []string, found map[string][]string) error {
 	bad := false
 	for _, path := range paths {
 		for _, l := range found[path] {
@@ -66,16 +66,16 @@
 		bad = bad || len(found[path]) > 0
 	}
 	if bad {
-		return errChecked
+		return errProblemsPrinted
 	}
 	return nil
 }
 
-// documentLine is the first line of a section that only documents have.
-var documentLine = regexp.MustCompile(`(?m)^\s*\[\s*(class|team|service|model)\b`)
+// documentSection is the first line of a section that only documents have.
+var documentSection = regexp.MustCompile(`(?m)^\s*\[\s*(class|team|service|model)\b`)
 
 // isDocument tells a document of classes and teams from settings.
-func isDocument(data []byte) bool { return documentLine.Match(data) }
+func isDocument(data []byte) bool { return documentSection.Match(data) }
 
 func settingsProblems(path string, elsewhere bool) []string {
 	load := setup.Load
--- a/internal/app/cmds/cmds_test.go
+++ b/internal/app/cmds/cmds_test.go
@@ -21,14 +21,14 @@
 	"go.uber.org/zap"
 )
 
-// site is an instance as the commands see it.
-type site struct {
-	err    error
-	draft  admin.Draft
-	drains int
+// fakeInstance is an instance as the commands see it.
+type fakeInstance struct {
+	err     error
+	applied admin.Draft
+	drains  int
 }
 
-func (s *site) Status(context.Context) (admin.Status, error) {
+func (s *fakeInstance) Status(context.Context) (admin.Status, error) {
 	return admin.Status{
 		Instance: "klang-1", DataCentre: "klang", Goal: "throughput", Ready: true, Version: 7, Running: 2,
 		Classes:   []admin.Class{{Name: "answer", Percent: 95, Attained: 91.5, Requests: 200, First: admin.Times{Limit: 770, P95: 801}}},
@@ -37,23 +37,23 @@
 		Instances: []admin.Instance{{Name: "johor-1", DataCentre: "johor", State: "live", Version: 7}},
 	}, s.err
 }
-func (s *site) Begin()       { s.drains++ }
-func (s *site) Running() int { return 2 }
+func (s *fakeInstance) Begin()       { s.drains++ }
+func (s *fakeInstance) Running() int { return 2 }
 
-func (s *site) Show(context.Context) (admin.Shown, error) {
+func (s *fakeInstance) Show(context.Context) (admin.Shown, error) {
 	return admin.Shown{Instance: "klang-1", Version: 7, Document: "[class answer]\n", Instances: []admin.Instance{{Name: "johor-1", State: "live", Version: 6}}}, nil
 }
 
-func (s *site) History(context.Context, int) ([]admin.Change, error) {
+func (s *fakeInstance) History(context.Context, int) ([]admin.Change, error) {
 	return []admin.Change{{Version: 7, By: "siti", At: "2026-01-02T03:04:05Z", Text: "class answer"}}, nil
 }
 
-func (s *site) Apply(_ context.Context, d admin.Draft) (admin.Applied, error) {
-	s.draft = d
+func (s *fakeInstance) Apply(_ context.Context, d admin.Draft) (admin.Applied, error) {
+	s.applied = d
 	return admin.Applied{Version: 8}, s.err
 }
 
-func serve(t *testing.T, s *site) string {
+func serveAdmin(t *testing.T, s *fakeInstance) string {
 	t.Helper()
 	server := &admin.Server{Viewer: s, Drainer: s, Config: s, Meters: metrics.NewSet(), Log: zap.NewNop(), Ready: func() bool { return true }}
 	h := httptest.NewServer(server.Handler())
@@ -68,7 +68,7 @@
 	return code, o.String(), e.String()
 }
 
-func write(t *testing.T, name, text string) string {
+func writeTemp(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -77,16 +77,16 @@
 	return path
 }
 
-const good = "[instance]\nname = a\ndatacentre = b\nregion = c\n[listen]\ncallers = 127.0.0.1:0\n[platform]\ntable = http://127.0.0.1:1\n"
+const goodSettings = "[instance]\nname = a\ndatacentre = b\nregion = c\n[listen]\ncallers = 127.0.0.1:0\n[platform]\ntable = http://127.0.0.1:1\n"
 
 // The codes that the pages promise to scripts.
 func TestExitCodes(t *testing.T) {
-	conflict := serve(t, &site{err: &admin.ConflictError{Winners: []admin.Change{{Version: 9, By: "siti", Text: "class answer"}}}})
-	refused := serve(t, &site{err: &admin.RefusedError{Problems: []string{"classes.ini:3: percent: 200 is out of range"}}})
-	down := serve(t, &site{err: admin.ErrDown})
-	unsure := serve(t, &site{err: &admin.UnsureError{ID: "c1"}})
-	ok := serve(t, &site{})
-	doc := write(t, "classes.ini", "[class answer]\n")
+	conflict := serveAdmin(t, &fakeInstance{err: &admin.ConflictError{Winners: []admin.Change{{Version: 9, By: "siti", Text: "class answer"}}}})
+	refused := serveAdmin(t, &fakeInstance{err: &admin.RefusedError{Problems: []string{"classes.ini:3: percent: 200 is out of range"}}})
+	down := serveAdmin(t, &fakeInstance{err: admin.ErrDown})
+	unsure := serveAdmin(t, &fakeInstance{err: &admin.UnsureError{ID: "c1"}})
+	ok := serveAdmin(t, &fakeInstance{})
+	doc := writeTemp(t, "classes.ini", "[class answer]\n")
 	tests := []struct {
 		args []string
 		want int
@@ -105,8 +105,8 @@
 		{[]string{"load", "missing.load"}, cmds.ExitFail, "missing.load"},
 		{[]string{"load", "testdata/bad.load"}, cmds.ExitUsage, "fault of kind"},
 		{[]string{"load", "--address", "127.0.0.1:1", "../../../examples/usual.load"}, cmds.ExitUsage, "stand-ins only"},
-		{[]string{"check", write(t, "a.ini", good)}, cmds.ExitOK, "good"},
-		{[]string{"check", write(t, "a.ini", "[a]\n")}, cmds.ExitUsage, "no such section"},
+		{[]string{"check", writeTemp(t, "a.ini", goodSettings)}, cmds.ExitOK, "good"},
+		{[]string{"check", writeTemp(t, "a.ini", "[a]\n")}, cmds.ExitUsage, "no such section"},
 		{[]string{"check", "none.ini"}, cmds.ExitUsage, "cannot be read"},
 		{[]string{"serve", "--settings", "none.ini"}, cmds.ExitUsage, "cannot be read"},
 		{[]string{"apply", "--url", ok, doc}, cmds.ExitOK, "accepted as version 8"},
@@ -128,8 +128,8 @@
 }
 
 // Check prints the problems of every file in one run.
-func TestCheckTellsOfAllFiles(t *testing.T) {
-	code, out, _ := execute(t, "check", write(t, "a.ini", good+"[log]\nlevel = x\ncolour = y\n"), write(t, "b.ini", good), write(t, "c.ini", "[z]\n"))
+func TestCheckPrintsProblemsOfAllFiles(t *testing.T) {
+	code, out, _ := execute(t, "check", writeTemp(t, "a.ini", goodSettings+"[log]\nlevel = x\ncolour = y\n"), writeTemp(t, "b.ini", goodSettings), writeTemp(t, "c.ini", "[z]\n"))
 	if code != cmds.ExitUsage {
 		t.Errorf("got code %d, want %d", code, cmds.ExitUsage)
 	}
@@ -142,9 +142,9 @@
 
 // Documents are checked together, and beside settings.
 func TestCheckReadsDocuments(t *testing.T) {
-	classes := write(t, "classes.ini", "[class answer]\nkind = model\nmodel = m\nfirst = 1s\nweight = 3\n")
-	teams := write(t, "teams.ini", "[team depot]\nkey-hash = zz\n")
-	code, out, _ := execute(t, "check", classes, teams, write(t, "a.ini", good))
+	classes := writeTemp(t, "classes.ini", "[class answer]\nkind = model\nmodel = m\nfirst = 1s\nweight = 3\n")
+	teams := writeTemp(t, "teams.ini", "[team depot]\nkey-hash = zz\n")
+	code, out, _ := execute(t, "check", classes, teams, writeTemp(t, "a.ini", goodSettings))
 	if code != cmds.ExitUsage {
 		t.Errorf("got code %d, want %d", code, cmds.ExitUsage)
 	}
@@ -170,7 +170,7 @@
 }
 
 func TestStatusAsTableAndJSON(t *testing.T) {
-	url := serve(t, &site{})
+	url := serveAdmin(t, &fakeInstance{})
 	_, out, _ := execute(t, "status", "--url", url)
 	for _, want := range []string{"klang-1 in klang: ready, 2 running, configuration 7", "answer  95.0%", "91.5%", "NO", "801.0/770", "fast-1", "25%", "leaving: fast-1", "johor-1"} {
 		if !strings.Contains(out, want) {
@@ -191,8 +191,8 @@
 // What show prints is a document that apply takes; the versions of the
 // instances stand in it as comments.
 func TestShowPrintsADocument(t *testing.T) {
-	s := &site{}
-	_, out, _ := execute(t, "show", "--url", serve(t, s))
+	s := &fakeInstance{}
+	_, out, _ := execute(t, "show", "--url", serveAdmin(t, s))
 	want := "# klang-1: version 7 (asked)\n# johor-1: version 6 (live)\n\n[class answer]\n"
 	if out != want {
 		t.Errorf("got %q, want %q", out, want)
@@ -200,16 +200,16 @@
 }
 
 func TestApplyBuildsOnTheVersionInForce(t *testing.T) {
-	s := &site{}
-	url := serve(t, s)
-	doc := write(t, "classes.ini", "[class answer]\n")
+	s := &fakeInstance{}
+	url := serveAdmin(t, s)
+	doc := writeTemp(t, "classes.ini", "[class answer]\n")
 	execute(t, "apply", "--url", url, "--by", "ani", doc)
-	if s.draft.Base != 7 || s.draft.By != "ani" || len(s.draft.Documents) != 1 || s.draft.Documents[0].Name != "classes.ini" {
-		t.Errorf("got %+v, want the document on version 7 by ani", s.draft)
+	if s.applied.Base != 7 || s.applied.By != "ani" || len(s.applied.Documents) != 1 || s.applied.Documents[0].Name != "classes.ini" {
+		t.Errorf("got %+v, want the document on version 7 by ani", s.applied)
 	}
 	execute(t, "apply", "--url", url, "--version", "5", doc)
-	if s.draft.Base != 5 {
-		t.Errorf("got base %d, want 5", s.draft.Base)
+	if s.applied.Base != 5 {
+		t.Errorf("got base %d, want 5", s.applied.Base)
 	}
 }
 
@@ -220,7 +220,7 @@
 		if c.Short == "" || c.Example == "" {
 			t.Errorf("got %s without help or example, want both", c.Name())
 		}
-		examplesParse(t, c)
+		checkExamples(t, c)
 	}
 	for _, want := range strings.Fields("serve trial check apply show status drain version") {
 		if !names[want] {
@@ -229,8 +229,8 @@
 	}
 }
 
-// examplesParse reads the flags of each example as the command would.
-func examplesParse(t *testing.T, c *cobra.Command) {
+// checkExamples reads the flags of each example as the command would.
+func checkExamples(t *testing.T, c *cobra.Command) {
 	t.Helper()
 	for _, line := range strings.Split(c.Example, "\n") {
 		words := strings.Fields(line)
@@ -244,39 +244,39 @@
 	}
 }
 
-// stops counts what signals asked for.
-type stops struct {
-	mu   sync.Mutex
-	asks []string
+// stopRecorder counts what signals asked for.
+type stopRecorder struct {
+	mu    sync.Mutex
+	calls []string
 }
 
-func (s *stops) Stop()           { s.add("stop") }
-func (s *stops) CloseListeners() { s.add("hurry") }
+func (s *stopRecorder) Stop()           { s.add("stop") }
+func (s *stopRecorder) CloseListeners() { s.add("hurry") }
 
-func (s *stops) add(what string) {
+func (s *stopRecorder) add(what string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.asks = append(s.asks, what)
+	s.calls = append(s.calls, what)
 }
 
-func (s *stops) all() string {
+func (s *stopRecorder) joined() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return strings.Join(s.asks, " ")
+	return strings.Join(s.calls, " ")
 }
 
 // The platform sends SIGTERM, and again when it grows impatient. The first
 // begins the graceful stop, the second only hurries it: neither ends the
 // process, which would cut every request in progress.
-func TestSignalsNeverCut(t *testing.T) {
+func TestSignalsCutNoRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		signals, ended := make(chan os.Signal, 2), make(chan struct{})
-		s := &stops{}
-		go cmds.Heed(t.Context(), signals, ended, s)
+		s := &stopRecorder{}
+		go cmds.HandleSignals(t.Context(), signals, ended, s)
 		for _, want := range []string{"stop", "stop hurry", "stop hurry hurry"} {
 			signals <- syscall.SIGTERM
 			synctest.Wait()
-			if got := s.all(); got != want {
+			if got := s.joined(); got != want {
 				t.Errorf("got %q, want %q", got, want)
 			}
 		}
--- a/internal/app/cmds/drain.go
+++ b/internal/app/cmds/drain.go
@@ -12,11 +12,11 @@
 	"github.com/spf13/cobra"
 )
 
-// drainEvery is the time between two looks at an instance that stops.
-const drainEvery = time.Second
+// drainPollInterval is the time between two looks at an instance that stops.
+const drainPollInterval = time.Second
 
 func newDrain() *cobra.Command {
-	var r remote
+	var r remoteFlags
 	var wait bool
 	c := &cobra.Command{
 		Use:   "drain",
@@ -28,7 +28,7 @@
   fulmarwick drain --wait`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			client, err := r.one()
+			client, err := r.singleClient()
 			if err != nil {
 				return err
 			}
@@ -40,17 +40,17 @@
 			if !wait {
 				return nil
 			}
-			return follow(cmd.Context(), cmd.OutOrStdout(), client)
+			return waitEnded(cmd.Context(), cmd.OutOrStdout(), client)
 		},
 	}
-	r.add(c)
+	r.register(c)
 	c.Flags().BoolVar(&wait, "wait", false, "wait until the instance has ended")
 	return c
 }
 
-// follow reports the requests left until the instance answers no more.
-func follow(ctx context.Context, out io.Writer, client *admin.Client) error {
-	ticker := time.NewTicker(drainEvery)
+// waitEnded reports the requests left until the instance answers no more.
+func waitEnded(ctx context.Context, out io.Writer, client *admin.Client) error {
+	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
 	last := -1
 	for {
--- a/internal/app/cmds/edge.go
+++ b/internal/app/cmds/edge.go
@@ -26,13 +26,13 @@
 			if err != nil {
 				return err
 			}
-			log, stop, err := newLines(settings.Log, os.Stdout)
+			log, stop, err := newBoundedLog(settings.Log, os.Stdout)
 			if err != nil {
 				return err
 			}
 			defer stop()
 			return runInstance(cmd.Context(), &edge.Instance{
-				Settings: settings, Log: log, Build: build(),
+				Settings: settings, Log: log, Build: buildVersion(),
 				ReadSettings: func() (setup.File, error) { return setup.Load(path) },
 			})
 		},
--- a/internal/app/cmds/explain.go
+++ b/internal/app/cmds/explain.go
@@ -39,36 +39,36 @@
 			if all {
 				return explainLosses(cmd, args)
 			}
-			return explainOne(cmd, args[0], args[1:])
+			return explainID(cmd, args[0], args[1:])
 		},
 	}
 	c.Flags().BoolVar(&all, "losses", false, "print a table of what was not served in time")
 	return c
 }
 
-func explainOne(cmd *cobra.Command, id string, names []string) error {
-	var found []tale
-	err := eachLog(cmd, names, func(r io.Reader) error {
-		more, err := tales(r, id)
+func explainID(cmd *cobra.Command, id string, names []string) error {
+	var found []logEntry
+	err := readLogs(cmd, names, func(r io.Reader) error {
+		more, err := matchingEntries(r, id)
 		found = append(found, more...)
 		return err
 	})
 	if err != nil {
 		return err
 	}
-	return tell(cmd.OutOrStdout(), id, found)
+	return printEntries(cmd.OutOrStdout(), id, found)
 }
 
 func explainLosses(cmd *cobra.Command, names []string) error {
 	l := newLosses()
-	if err := eachLog(cmd, names, l.read); err != nil {
+	if err := readLogs(cmd, names, l.read); err != nil {
 		return err
 	}
 	return l.write(cmd.OutOrStdout())
 }
 
-// eachLog reads files, or standard input where none is named.
-func eachLog(cmd *cobra.Command, names []string, read func(io.Reader) error) error {
+// readLogs reads files, or standard input where none is named.
+func readLogs(cmd *cobra.Command, names []string, read func(io.Reader) error) error {
 	if len(names) == 0 {
 		return read(cmd.InOrStdin())
 	}
@@ -86,9 +86,9 @@
 	return nil
 }
 
-// tale is one line that names what is asked for.
-type tale struct {
-	at     string
+// logEntry is one line that names what is asked for.
+type logEntry struct {
+	time   string
 	prefix string
 	values map[string]any
 }
@@ -96,27 +96,27 @@
 // maxLine bounds a line of a log in bytes.
 const maxLine = 1 << 20
 
-func logLines(r io.Reader) *bufio.Scanner {
+func newLineScanner(r io.Reader) *bufio.Scanner {
 	lines := bufio.NewScanner(r)
 	lines.Buffer(nil, maxLine)
 	return lines
 }
 
-// tales are the lines of a log that name id.
-func tales(r io.Reader, id string) ([]tale, error) {
-	var out []tale
-	lines := logLines(r)
+// matchingEntries are the lines of a log that name id.
+func matchingEntries(r io.Reader, id string) ([]logEntry, error) {
+	var out []logEntry
+	lines := newLineScanner(r)
 	for lines.Scan() {
 		line := lines.Text()
 		at := strings.IndexByte(line, '{')
 		if at < 0 || !strings.Contains(line, id) {
 			continue
 		}
-		t := tale{prefix: strings.TrimSpace(line[:at])}
+		t := logEntry{prefix: strings.TrimSpace(line[:at])}
 		if json.Unmarshal([]byte(line[at:]), &t.values) != nil {
 			continue
 		}
-		t.at, _ = t.values["ts"].(string)
+		t.time, _ = t.values["ts"].(string)
 		out = append(out, t)
 	}
 	if err := lines.Err(); err != nil {
@@ -125,12 +125,12 @@
 	return out, nil
 }
 
-// tell prints lines in order of their time.
-func tell(w io.Writer, id string, found []tale) error {
+// printEntries prints lines in order of their time.
+func printEntries(w io.Writer, id string, found []logEntry) error {
 	if len(found) == 0 {
 		return errors.Errorf("cmds: explain: no line names %s", id)
 	}
-	sort.SliceStable(found, func(i, j int) bool { return found[i].at < found[j].at })
+	sort.SliceStable(found, func(i, j int) bool { return found[i].time < found[j].time })
 	for _, t := range found {
 		if _, err := fmt.Fprintln(w, t.String()); err != nil {
 			return errors.Wrap(err, "cmds: explain")
@@ -140,7 +140,7 @@
 }
 
 // String writes a line as time, message and the other fields by name.
-func (t tale) String() string {
+func (t logEntry) String() string {
 	var names []string
 	for name := range t.values {
 		if name != "ts" && name != "msg" && name != "level" {
@@ -149,7 +149,7 @@
 	}
 	sort.Strings(names)
 	var b strings.Builder
-	b.WriteString(t.at)
+	b.WriteString(t.time)
 	if t.prefix != "" {
 		b.WriteString(" " + t.prefix)
 	}
--- a/internal/app/cmds/explain_test.go
+++ b/internal/app/cmds/explain_test.go
@@ -10,7 +10,7 @@
 )
 
 // Lines of two instances, recorded: a stream whose second engine died.
-const recorded = `klang-1 {"level":"info","ts":"2026-01-02T03:04:06.100Z","msg":"edge: path changed","request":"9c41","path":"a:0-40,c:40-80","silent":88}
+const recordedLog = `klang-1 {"level":"info","ts":"2026-01-02T03:04:06.100Z","msg":"edge: path changed","request":"9c41","path":"a:0-40,c:40-80","silent":88}
 klang-1 no object
 klang-1 {"level":"warn","ts":"2026-01-02T03:04:06.050Z","msg":"edge: engine does not answer","engine":"b","after":28}
 klang-1 {"level":"warn","ts":"2026-01-02T03:04:08.000Z","msg":"edge: answer late","request":"9c41","first":60,"pause":230}
@@ -20,7 +20,7 @@
 // The table tells how many were lost in each two seconds and why, with the death
 // behind it, and the same by route, team and data centre.
 func TestExplainLosses(t *testing.T) {
-	log := recorded + `klang-1 {"ts":"2026-01-02T03:04:06.700Z","msg":"edge: request not served","route":"r","team":"t","centre":"klang","reason":"no room","room":{"layer":42,"free":7}}
+	log := recordedLog + `klang-1 {"ts":"2026-01-02T03:04:06.700Z","msg":"edge: request not served","route":"r","team":"t","centre":"klang","reason":"no room","room":{"layer":42,"free":7}}
 klang-1 {"ts":"2026-01-02T03:04:06.800Z","msg":"edge: engine left","engine":"b","repathed":3,"resumed":2,"kept":0}
 klang-1 {"ts":"2026-01-02T03:04:10.000Z","msg":"edge: answer late","route":"r","team":"t","centre":"klang","target":500,"first":60,"pause":230,"pause at":200,"took":4000}
 `
@@ -51,7 +51,7 @@
 
 func TestExplain(t *testing.T) {
 	name := filepath.Join(t.TempDir(), "log")
-	if err := os.WriteFile(name, []byte(recorded), 0o600); err != nil {
+	if err := os.WriteFile(name, []byte(recordedLog), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	var out, errOut bytes.Buffer
--- a/internal/app/cmds/export_test.go
+++ b/internal/app/cmds/export_test.go
@@ -2,6 +2,6 @@
 
 // Heed, NewRoot and the parts that tests drive by themselves.
 var (
-	Heed    = heed
-	NewRoot = newRoot
+	HandleSignals = handleSignals
+	NewRoot       = newRoot
 )
--- a/internal/app/cmds/load.go
+++ b/internal/app/cmds/load.go
@@ -51,7 +51,7 @@
 }
 
 func runLoad(ctx context.Context, work drive.Work, f loadFlags, out, progress io.Writer) (err error) {
-	run, done, err := target(ctx, work, f.addresses)
+	run, done, err := newRun(ctx, work, f.addresses)
 	if err != nil {
 		return err
 	}
@@ -78,8 +78,8 @@
 	return toFile(f.plot, report.Plot)
 }
 
-// target is what the workload is put on; done ends it.
-func target(ctx context.Context, work drive.Work, addresses []string) (run *drive.Run, done func() error, err error) {
+// newRun is what the workload is put on; done ends it.
+func newRun(ctx context.Context, work drive.Work, addresses []string) (run *drive.Run, done func() error, err error) {
 	if len(addresses) > 0 {
 		if len(work.Faults) > 0 {
 			return nil, nil, errors.Wrap(drive.ErrWork, "faults can be made in stand-ins only, not at --address")
--- a/internal/app/cmds/log.go
+++ b/internal/app/cmds/log.go
@@ -10,9 +10,9 @@
 	"go.uber.org/zap"
 )
 
-// newLines returns the log of an instance on a platform: bounded lines on
+// newBoundedLog returns the log of an instance on a platform: bounded lines on
 // standard output, which never hold up a request. stop writes the last ones.
-func newLines(s setup.Log, out io.Writer) (log *zap.Logger, stop func(), err error) {
+func newBoundedLog(s setup.Log, out io.Writer) (log *zap.Logger, stop func(), err error) {
 	level, err := zap.ParseAtomicLevel(s.Level)
 	if err != nil {
 		return nil, nil, errors.Wrap(err, "cmds: log")
--- a/internal/app/cmds/losses.go
+++ b/internal/app/cmds/losses.go
@@ -12,9 +12,9 @@
 	"github.com/go-faster/errors"
 )
 
-// lossSlice is the span of time that one row of the table covers: a death is
+// lossInterval is the span of time that one row of the table covers: a death is
 // found and mended in less, and a minute has few enough rows to read.
-const lossSlice = 2 * time.Second
+const lossInterval = 2 * time.Second
 
 // lossLine is what the table of losses takes from a line of a log.
 type lossLine struct {
@@ -28,7 +28,7 @@
 	First    int64     `json:"first"`
 	PausedAt int64     `json:"pause at"`
 	Took     int64     `json:"took"`
-	Room     *struct {
+	Shortage *struct {
 		Layer int `json:"layer"`
 	} `json:"room"`
 	Engine   string `json:"engine"`
@@ -40,83 +40,83 @@
 // losses is a table of what was not served in time.
 type losses struct {
 	// served, why and engines are by slice of time, of the whole log by name.
-	served  map[time.Time]int
-	why     map[time.Time]map[string]int
-	engines map[time.Time][]string
-	scarce  map[time.Time]map[int]int
-	by      map[string]map[string]map[string]int
+	served      map[time.Time]int
+	reasons     map[time.Time]map[string]int
+	deadEngines map[time.Time][]string
+	shortages   map[time.Time]map[int]int
+	groups      map[string]map[string]map[string]int
 }
 
 // kinds of rows below the slices of time.
-var lossKinds = []string{"route", "team", "data centre"}
+var groupKinds = []string{"route", "team", "data centre"}
 
 func newLosses() *losses {
 	l := &losses{
-		served: map[time.Time]int{}, why: map[time.Time]map[string]int{}, engines: map[time.Time][]string{},
-		scarce: map[time.Time]map[int]int{}, by: map[string]map[string]map[string]int{},
+		served: map[time.Time]int{}, reasons: map[time.Time]map[string]int{}, deadEngines: map[time.Time][]string{},
+		shortages: map[time.Time]map[int]int{}, groups: map[string]map[string]map[string]int{},
 	}
-	for _, kind := range lossKinds {
-		l.by[kind] = map[string]map[string]int{}
+	for _, kind := range groupKinds {
+		l.groups[kind] = map[string]map[string]int{}
 	}
 	return l
 }
 
-// add takes a line of a log; those that tell of no loss are passed over.
-func (l *losses) add(line lossLine) {
-	at := line.Time.Truncate(lossSlice)
+// addLine takes a line of a log; those that tell of no loss are passed over.
+func (l *losses) addLine(line lossLine) {
+	at := line.Time.Truncate(lossInterval)
 	switch line.Message {
 	case "edge: request served":
 		l.served[at]++
 	case "edge: request not served":
-		l.count(at, line, line.Reason)
-		if line.Room != nil {
-			bump(l.scarce, at, line.Room.Layer)
+		l.countLoss(at, line, line.Reason)
+		if line.Shortage != nil {
+			countLayer(l.shortages, at, line.Shortage.Layer)
 		}
 	case "edge: request turned away":
-		l.note(at, line.Reason, 1)
+		l.countReason(at, line.Reason, 1)
 	case "edge: answer late":
 		if line.First > line.Target {
-			l.count(at, line, "late first event")
+			l.countLoss(at, line, "late first event")
 			return
 		}
 		// The pause counts where it was, not where the answer ended.
 		start := line.Time.Add(-time.Duration(line.Took) * time.Millisecond)
-		l.count(start.Add(time.Duration(line.PausedAt)*time.Millisecond).Truncate(lossSlice), line, "late by a pause")
+		l.countLoss(start.Add(time.Duration(line.PausedAt)*time.Millisecond).Truncate(lossInterval), line, "late by a pause")
 	case "edge: engine does not answer":
-		if name := line.Engine + " dead"; !slices.Contains(l.engines[at], name) {
-			l.engines[at] = append(l.engines[at], name)
+		if name := line.Engine + " dead"; !slices.Contains(l.deadEngines[at], name) {
+			l.deadEngines[at] = append(l.deadEngines[at], name)
 		}
 	case "edge: engine left":
-		l.moved(at, line)
+		l.countMoves(at, line)
 	}
 }
 
-func bump(m map[time.Time]map[int]int, at time.Time, key int) {
+func countLayer(m map[time.Time]map[int]int, at time.Time, key int) {
 	if m[at] == nil {
 		m[at] = map[int]int{}
 	}
 	m[at][key]++
 }
 
-func (l *losses) moved(at time.Time, line lossLine) {
+func (l *losses) countMoves(at time.Time, line lossLine) {
 	for how, n := range map[string]int{"moved by another path": line.Repathed, "moved by another run": line.Resumed, "could not move": line.Kept} {
 		if n > 0 {
-			l.note(at, how, n)
+			l.countReason(at, how, n)
 		}
 	}
 }
 
-func (l *losses) note(at time.Time, why string, n int) {
-	if l.why[at] == nil {
-		l.why[at] = map[string]int{}
+func (l *losses) countReason(at time.Time, why string, n int) {
+	if l.reasons[at] == nil {
+		l.reasons[at] = map[string]int{}
 	}
-	l.why[at][why] += n
+	l.reasons[at][why] += n
 }
 
-func (l *losses) count(at time.Time, line lossLine, why string) {
-	l.note(at, why, 1)
+func (l *losses) countLoss(at time.Time, line lossLine, why string) {
+	l.countReason(at, why, 1)
 	for i, name := range []string{line.Route, line.Team, line.Centre} {
-		rows := l.by[lossKinds[i]]
+		rows := l.groups[groupKinds[i]]
 		if rows[name] == nil {
 			rows[name] = map[string]int{}
 		}
@@ -126,7 +126,7 @@
 
 // read takes the lines of a log.
 func (l *losses) read(r io.Reader) error {
-	lines := logLines(r)
+	lines := newLineScanner(r)
 	for lines.Scan() {
 		text := lines.Text()
 		at := strings.IndexByte(text, '{')
@@ -137,7 +137,7 @@
 		if json.Unmarshal([]byte(text[at:]), &line) != nil {
 			continue
 		}
-		l.add(line)
+		l.addLine(line)
 	}
 	if err := lines.Err(); err != nil {
 		return errors.Wrap(err, "cmds: losses")
@@ -152,20 +152,20 @@
 	for at := range l.served {
 		times[at] = true
 	}
-	for at := range l.why {
+	for at := range l.reasons {
 		times[at] = true
 	}
 	sorted := slices.SortedFunc(maps.Keys(times), time.Time.Compare)
 	for _, at := range sorted {
-		_, _ = fmt.Fprintf(&b, "%s  served %d%s%s", at.Format("15:04:05"), l.served[at], list(l.why[at]), l.scarcest(at))
-		if len(l.engines[at]) > 0 {
-			_, _ = fmt.Fprintf(&b, "  [%s]", strings.Join(l.engines[at], ", "))
+		_, _ = fmt.Fprintf(&b, "%s  served %d%s%s", at.Format("15:04:05"), l.served[at], formatCounts(l.reasons[at]), l.scarcestLayer(at))
+		if len(l.deadEngines[at]) > 0 {
+			_, _ = fmt.Fprintf(&b, "  [%s]", strings.Join(l.deadEngines[at], ", "))
 		}
 		b.WriteByte('\n')
 	}
-	for _, kind := range lossKinds {
-		for _, name := range slices.Sorted(maps.Keys(l.by[kind])) {
-			_, _ = fmt.Fprintf(&b, "%s %s%s\n", kind, name, list(l.by[kind][name]))
+	for _, kind := range groupKinds {
+		for _, name := range slices.Sorted(maps.Keys(l.groups[kind])) {
+			_, _ = fmt.Fprintf(&b, "%s %s%s\n", kind, name, formatCounts(l.groups[kind][name]))
 		}
 	}
 	if _, err := io.WriteString(w, b.String()); err != nil {
@@ -174,8 +174,8 @@
 	return nil
 }
 
-// list writes counts by name, the most frequent first.
-func list(counts map[string]int) string {
+// formatCounts writes counts by name, the most frequent first.
+func formatCounts(counts map[string]int) string {
 	names := slices.Sorted(maps.Keys(counts))
 	slices.SortStableFunc(names, func(a, b string) int { return counts[b] - counts[a] })
 	var b strings.Builder
@@ -185,10 +185,10 @@
 	return b.String()
 }
 
-// scarcest names the layer behind which room was lacking most often.
-func (l *losses) scarcest(at time.Time) string {
+// scarcestLayer names the layer behind which room was lacking most often.
+func (l *losses) scarcestLayer(at time.Time) string {
 	most, layer := 0, 0
-	for key, n := range l.scarce[at] {
+	for key, n := range l.shortages[at] {
 		if n > most || n == most && key < layer {
 			most, layer = n, key
 		}
--- a/internal/app/cmds/remote.go
+++ b/internal/app/cmds/remote.go
@@ -15,20 +15,20 @@
 	"go.uber.org/zap"
 )
 
-// remoteTime bounds one question to an instance.
-const remoteTime = 30 * time.Second
+// requestTimeout bounds one question to an instance.
+const requestTimeout = 30 * time.Second
 
 const defaultURL = "http://127.0.0.1:7070"
 
-// remote is the flags of commands that ask instances.
-type remote struct {
+// remoteFlags is the flags of commands that ask instances.
+type remoteFlags struct {
 	urls []string
 	cert string
 	key  string
 	ca   string
 }
 
-func (r *remote) add(c *cobra.Command) {
+func (r *remoteFlags) register(c *cobra.Command) {
 	f := c.Flags()
 	f.StringSliceVar(&r.urls, "url", []string{defaultURL}, "operator endpoint of an instance; more than one may be given")
 	f.StringVar(&r.cert, "cert", "", "certificate to show, for an endpoint with TLS")
@@ -37,7 +37,7 @@
 }
 
 // clients returns a client per URL.
-func (r *remote) clients() ([]*admin.Client, error) {
+func (r *remoteFlags) clients() ([]*admin.Client, error) {
 	var out []*admin.Client
 	for _, u := range r.urls {
 		c, err := r.client(u)
@@ -49,29 +49,29 @@
 	return out, nil
 }
 
-// one returns the client of commands that act on a single instance.
-func (r *remote) one() (*admin.Client, error) {
+// singleClient returns the client of commands that act on a single instance.
+func (r *remoteFlags) singleClient() (*admin.Client, error) {
 	if len(r.urls) != 1 {
 		return nil, errors.Wrap(errUsage, "this command takes one --url")
 	}
 	return r.client(r.urls[0])
 }
 
-func (r *remote) client(base string) (*admin.Client, error) {
+func (r *remoteFlags) client(base string) (*admin.Client, error) {
 	u, err := url.Parse(base)
 	if err != nil || u.Host == "" || (u.Scheme != "http" && u.Scheme != "https") {
 		return nil, errors.Wrapf(errUsage, "--url %q is not a URL that begins with http:// or https://", base)
 	}
 	transport := &http.Transport{}
 	if u.Scheme == "https" {
-		if transport.TLSClientConfig, err = r.secure(u.Hostname()); err != nil {
+		if transport.TLSClientConfig, err = r.tlsConfig(u.Hostname()); err != nil {
 			return nil, err
 		}
 	}
-	return &admin.Client{Base: base, HTTP: &http.Client{Timeout: remoteTime, Transport: transport}}, nil
+	return &admin.Client{Base: base, HTTP: &http.Client{Timeout: requestTimeout, Transport: transport}}, nil
 }
 
-func (r *remote) secure(host string) (*tls.Config, error) {
+func (r *remoteFlags) tlsConfig(host string) (*tls.Config, error) {
 	if r.cert == "" || r.key == "" || r.ca == "" {
 		return nil, errors.Wrap(errUsage, "an https URL needs --cert, --key and --ca")
 	}
@@ -89,8 +89,8 @@
 	err    error
 }
 
-// statuses asks every instance. Those out of reach are part of the answer.
-func statuses(ctx context.Context, clients []*admin.Client) []reply {
+// fetchStatuses asks every instance. Those out of reach are part of the answer.
+func fetchStatuses(ctx context.Context, clients []*admin.Client) []reply {
 	out := make([]reply, len(clients))
 	for i, c := range clients {
 		status, err := c.Status(ctx)
--- a/internal/app/cmds/root.go
+++ b/internal/app/cmds/root.go
@@ -13,7 +13,7 @@
 	"github.com/spf13/cobra"
 )
 
-const codesText = `Exit codes: 0 done; 1 failed; 2 wrong usage, or settings or documents refused;
+const exitCodesText = `Exit codes: 0 done; 1 failed; 2 wrong usage, or settings or documents refused;
 3 conflict with another operator's change; 4 instance or store out of reach.`
 
 // Execute runs the command line args and returns the exit code.
@@ -32,7 +32,7 @@
 		// Only a command that runs can fail otherwise.
 		err = errors.Wrap(errUsage, err.Error())
 	}
-	if !errors.Is(err, errChecked) {
+	if !errors.Is(err, errProblemsPrinted) {
 		_, _ = fmt.Fprintln(errOut, "fulmarwick:", err)
 	}
 	return exitCode(err)
@@ -42,7 +42,7 @@
 	root := &cobra.Command{
 		Use:           "fulmarwick",
 		Short:         "Route requests over pipelines of mixed accelerators",
-		Long:          "Fulmarwick routes requests over pipelines of mixed accelerators and meets the\ntargets that operators set for each class of work.\n\n" + codesText,
+		Long:          "Fulmarwick routes requests over pipelines of mixed accelerators and meets the\ntargets that operators set for each class of work.\n\n" + exitCodesText,
 		SilenceErrors: true,
 		SilenceUsage:  true,
 		// Without a command there is nothing to do.
--- a/internal/app/cmds/serve.go
+++ b/internal/app/cmds/serve.go
@@ -27,7 +27,7 @@
 			if err != nil {
 				return err
 			}
-			return runInstance(cmd.Context(), &daemon.Daemon{Settings: settings, Log: log, Build: build()})
+			return runInstance(cmd.Context(), &daemon.Daemon{Settings: settings, Log: log, Build: buildVersion()})
 		},
 	}
 	c.Flags().StringVar(&path, "settings", "fulmarwick.ini", "settings of the instance")
--- a/internal/app/cmds/show.go
+++ b/internal/app/cmds/show.go
@@ -12,7 +12,7 @@
 )
 
 func newShow() *cobra.Command {
-	var r remote
+	var r remoteFlags
 	var history int
 	c := &cobra.Command{
 		Use:   "show",
@@ -34,7 +34,7 @@
 			return printShown(cmd.Context(), cmd.OutOrStdout(), clients)
 		},
 	}
-	r.add(c)
+	r.register(c)
 	c.Flags().IntVar(&history, "history", 0, "print this many of the newest changes")
 	return c
 }
--- a/internal/app/cmds/signals.go
+++ b/internal/app/cmds/signals.go
@@ -16,12 +16,12 @@
 	defer signal.Stop(signals)
 	ended := make(chan struct{})
 	defer close(ended)
-	go heed(ctx, signals, ended, d)
+	go handleSignals(ctx, signals, ended, d)
 	if r, ok := d.(reloader); ok {
 		hups := make(chan os.Signal, 1)
 		signal.Notify(hups, syscall.SIGHUP)
 		defer signal.Stop(hups)
-		go heedReload(hups, ended, r)
+		go handleReload(hups, ended, r)
 	}
 	return d.Run(context.WithoutCancel(ctx))
 }
@@ -32,7 +32,7 @@
 	Reload()
 }
 
-func heedReload(hups <-chan os.Signal, ended <-chan struct{}, r reloader) {
+func handleReload(hups <-chan os.Signal, ended <-chan struct{}, r reloader) {
 	for {
 		select {
 		case <-hups:
@@ -49,7 +49,7 @@
 	CloseListeners()
 }
 
-func heed(ctx context.Context, signals <-chan os.Signal, ended <-chan struct{}, s stopper) {
+func handleSignals(ctx context.Context, signals <-chan os.Signal, ended <-chan struct{}, s stopper) {
 	select {
 	case <-signals:
 	case <-ctx.Done():
--- a/internal/app/cmds/status.go
+++ b/internal/app/cmds/status.go
@@ -14,7 +14,7 @@
 )
 
 func newStatus() *cobra.Command {
-	var r remote
+	var r remoteFlags
 	var asJSON bool
 	c := &cobra.Command{
 		Use:   "status",
@@ -34,14 +34,14 @@
 			if err != nil {
 				return err
 			}
-			replies := statuses(cmd.Context(), clients)
+			replies := fetchStatuses(cmd.Context(), clients)
 			if asJSON {
 				return printJSON(cmd.OutOrStdout(), replies)
 			}
 			return printStatus(cmd.OutOrStdout(), replies)
 		},
 	}
-	r.add(c)
+	r.register(c)
 	c.Flags().BoolVar(&asJSON, "json", false, "print JSON: a list with one entry per instance that answered")
 	return c
 }
@@ -79,14 +79,14 @@
 			_, _ = fmt.Fprintf(out, "%s: %v\n", r.url, r.err)
 			continue
 		}
-		printOne(out, &r.status)
+		printInstance(out, &r.status)
 	}
 	return firstError(replies)
 }
 
-func printOne(out io.Writer, s *admin.Status) {
+func printInstance(out io.Writer, s *admin.Status) {
 	_, _ = fmt.Fprintf(out, "instance %s in %s: %s, %d running, configuration %d, goal %s\n",
-		s.Instance, s.DataCentre, mood(s), s.Running, s.Version, s.Goal)
+		s.Instance, s.DataCentre, stateText(s), s.Running, s.Version, s.Goal)
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	defer func() { _ = w.Flush() }()
 	if len(s.Classes) > 0 {
@@ -94,7 +94,7 @@
 	}
 	for _, c := range s.Classes {
 		_, _ = fmt.Fprintf(w, "%s\t%.1f%%\t%.1f%%\t%s\t%s\t%d\t%s\t%s\t%s\n",
-			c.Name, c.Percent, c.Attained, answered(c), yes(c.Holds), c.Requests, against(c.First), against(c.Gap), against(c.Whole))
+			c.Name, c.Percent, c.Attained, answeredText(c), yesNo(c.Holds), c.Requests, latencyText(c.First), latencyText(c.Gap), latencyText(c.Whole))
 	}
 	if len(s.Engines) > 0 {
 		_, _ = fmt.Fprintln(w, "\nENGINE\tDATA CENTRE\tKIND\tSTATE\tLAYERS\tACTIVE\tQUEUED\tSLOTS\tUSE")
@@ -111,14 +111,14 @@
 		_, _ = fmt.Fprintln(w, "\nINSTANCE\tDATA CENTRE\tSTATE\tCONFIGURATION")
 	}
 	for _, i := range s.Instances {
-		_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", i.Name, i.DataCentre, i.State, heard(i.Version))
+		_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", i.Name, i.DataCentre, i.State, versionText(i.Version))
 	}
 	if len(s.Leaving) > 0 {
 		_, _ = fmt.Fprintf(w, "\nleaving: %s\n", strings.Join(s.Leaving, ", "))
 	}
 }
 
-func mood(s *admin.Status) string {
+func stateText(s *admin.Status) string {
 	switch {
 	case s.Stopping:
 		return "stopping"
@@ -128,32 +128,32 @@
 	return "not ready"
 }
 
-func yes(b bool) string {
+func yesNo(b bool) string {
 	if b {
 		return "yes"
 	}
 	return "NO"
 }
 
-// against writes a percentile beside its limit.
-func against(t admin.Times) string {
+// latencyText writes a percentile beside its limit.
+func latencyText(t admin.Times) string {
 	if t.Limit == 0 {
 		return fmt.Sprintf("%.1f/-", t.P95)
 	}
 	return fmt.Sprintf("%.1f/%.0f", t.P95, t.Limit)
 }
 
-// heard writes a version that may not be known.
-func heard(version uint64) string {
+// versionText writes a version that may not be known.
+func versionText(version uint64) string {
 	if version == 0 {
 		return "-"
 	}
 	return strconv.FormatUint(version, 10)
 }
 
-// answered is how many of 100 requests were answered, beside the reliability
+// answeredText is how many of 100 requests were answered, beside the reliability
 // asked for.
-func answered(c admin.Class) string {
+func answeredText(c admin.Class) string {
 	if c.Reliability == 0 {
 		return fmt.Sprintf("%.1f%%", c.Answered)
 	}
--- a/internal/app/cmds/trial.go
+++ b/internal/app/cmds/trial.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	trialLayer = 200 * time.Microsecond
-	trialWatch = 500 * time.Millisecond
+	trialLayerTime     = 200 * time.Microsecond
+	trialWatchInterval = 500 * time.Millisecond
 )
 
 func newTrial() *cobra.Command {
@@ -37,33 +37,33 @@
 }
 
 func runTrial(cmd *cobra.Command, listen, operators string) error {
-	site := &trial.Site{Layer: trialLayer}
+	site := &trial.Site{Layer: trialLayerTime}
 	if err := site.Start(cmd.Context()); err != nil {
 		return err
 	}
 	defer site.Close()
-	at, err := listenBoth(cmd.Context(), listen, operators)
+	at, err := listenAll(cmd.Context(), listen, operators)
 	if err != nil {
 		return err
 	}
 	settings := setup.Default()
 	settings.Instance = setup.Instance{Name: "trial-1", DataCentre: trial.Centre, Region: "trial"}
 	settings.Platform.Table = site.URL()
-	settings.Platform.Watch = trialWatch
+	settings.Platform.Watch = trialWatchInterval
 	settings.Times.Grace = 0
 	settings.Log = setup.Log{Level: "info", Format: "console"}
 	log, err := newLog(settings.Log)
 	if err != nil {
 		return err
 	}
-	d := &daemon.Daemon{Log: log, Listener: at[0], Operators: at[1], Settings: settings, Build: build()}
+	d := &daemon.Daemon{Log: log, Listener: at[0], Operators: at[1], Settings: settings, Build: buildVersion()}
 	printTrial(cmd.OutOrStdout(), at[0].Addr().String(), at[1].Addr().String())
 	return runInstance(cmd.Context(), d)
 }
 
-// listenBoth opens both endpoints, so that their addresses are known when port
+// listenAll opens both endpoints, so that their addresses are known when port
 // 0 was asked for.
-func listenBoth(ctx context.Context, addresses ...string) ([]net.Listener, error) {
+func listenAll(ctx context.Context, addresses ...string) ([]net.Listener, error) {
 	var out []net.Listener
 	for _, address := range addresses {
 		l, err := new(net.ListenConfig).Listen(ctx, "tcp", address)
--- a/internal/app/cmds/version.go
+++ b/internal/app/cmds/version.go
@@ -14,15 +14,15 @@
 		Example: "  fulmarwick version",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			_, _ = fmt.Fprintln(cmd.OutOrStdout(), "fulmarwick", build())
+			_, _ = fmt.Fprintln(cmd.OutOrStdout(), "fulmarwick", buildVersion())
 			return nil
 		},
 	}
 }
 
-// build is the program's version, with the commit that it was built from if
+// buildVersion is the program's version, with the commit that it was built from if
 // the toolchain recorded one.
-func build() string {
+func buildVersion() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return "unknown"
--- a/internal/base/frame/codec.go
+++ b/internal/base/frame/codec.go
@@ -21,8 +21,8 @@
 	maxCount = 1 << 30
 )
 
-// ErrBad is returned for bytes that are not a frame.
-var ErrBad = errors.New("frame: not a frame")
+// ErrInvalidFrame is returned for bytes that are not a frame.
+var ErrInvalidFrame = errors.New("frame: not a frame")
 
 // decoder refuses what no engine or router sends before memory is spent on it.
 var decoder = newDecoder()
@@ -53,7 +53,7 @@
 func NextStep(data []byte, s *Step) ([]byte, error) {
 	rest, err := decoder.UnmarshalFirst(data, s)
 	if err != nil {
-		return nil, errors.Wrap(ErrBad, err.Error())
+		return nil, errors.Wrap(ErrInvalidFrame, err.Error())
 	}
 	return rest, s.check()
 }
@@ -63,7 +63,7 @@
 func NextReply(data []byte, r *Reply) ([]byte, error) {
 	rest, err := decoder.UnmarshalFirst(data, r)
 	if err != nil {
-		return nil, errors.Wrap(ErrBad, err.Error())
+		return nil, errors.Wrap(ErrInvalidFrame, err.Error())
 	}
 	return rest, r.check()
 }
@@ -71,9 +71,9 @@
 func (s *Step) check() error {
 	switch {
 	case !within(maxLayer, s.From, s.To):
-		return errors.Wrap(ErrBad, "layers out of range")
+		return errors.Wrap(ErrInvalidFrame, "layers out of range")
 	case !within(maxCount, s.Pos, s.Count):
-		return errors.Wrap(ErrBad, "position or count out of range")
+		return errors.Wrap(ErrInvalidFrame, "position or count out of range")
 	}
 	return nil
 }
@@ -81,13 +81,13 @@
 func (r *Reply) check() error {
 	switch {
 	case !within(maxLayer, r.From):
-		return errors.Wrap(ErrBad, "layers out of range")
+		return errors.Wrap(ErrInvalidFrame, "layers out of range")
 	case !within(maxCount, r.Pos, r.Next, r.Left):
-		return errors.Wrap(ErrBad, "position out of range")
+		return errors.Wrap(ErrInvalidFrame, "position out of range")
 	case !within(maxCount, r.Index, r.Total):
-		return errors.Wrap(ErrBad, "index or total out of range")
+		return errors.Wrap(ErrInvalidFrame, "index or total out of range")
 	case r.Took < 0:
-		return errors.Wrap(ErrBad, "negative time")
+		return errors.Wrap(ErrInvalidFrame, "negative time")
 	}
 	return nil
 }
--- a/internal/base/frame/codec_test.go
+++ b/internal/base/frame/codec_test.go
@@ -64,7 +64,7 @@
 				t.Fatal(err)
 			}
 			var got frame.Reply
-			if _, err := frame.NextReply(buf.Bytes(), &got); !errors.Is(err, frame.ErrBad) {
+			if _, err := frame.NextReply(buf.Bytes(), &got); !errors.Is(err, frame.ErrInvalidFrame) {
 				t.Errorf("got %v, want ErrBad", err)
 			}
 		})
