--- a/internal/base/frame/codec.go
+++ b/internal/base/frame/codec.go
@@ -7,24 +7,27 @@
 	"github.com/go-faster/errors"
 )
 
-// MaxBytes bounds one message in either direction.
+// MaxBytes is the size limit of one message in either direction.
 const MaxBytes = 16 << 20
 
 const (
-	// maxItems bounds the positions of one frame.
+	// maxItems is the limit for the elements of an array, and so for the positions
+	// in one frame.
 	maxItems = 1 << 17
-	// maxDepth is the nesting of a frame: a map that holds arrays.
+	// maxDepth is the limit for nesting. A frame is a map that contains arrays.
 	maxDepth = 4
 	maxPairs = 64
-	// maxLayer and maxCount bound the numbers that later arithmetic uses.
+	// maxLayer is the highest layer number accepted, since later arithmetic uses it.
 	maxLayer = 1 << 16
+	// maxCount is the highest position, index or count accepted, for the same reason.
 	maxCount = 1 << 30
 )
 
-// ErrInvalidFrame is returned for bytes that are not a frame.
-var ErrInvalidFrame = errors.New("frame: not a frame")
+// ErrInvalidFrame is returned for bytes that are not a valid frame.
+var ErrInvalidFrame = errors.New("frame: invalid frame")
 
-// decoder refuses what no engine or router sends before memory is spent on it.
+// decoder rejects input that no engine or router sends (too many elements, deep
+// nesting, indefinite lengths, tags) before it allocates memory for it.
 var decoder = newDecoder()
 
 func newDecoder() cbor.DecMode {
@@ -41,15 +44,15 @@
 	return mode
 }
 
-// AppendStep writes s to a message. A message is a sequence of frames, so
-// that many waiting frames cost one write.
-func AppendStep(to *bytes.Buffer, s *Step) error { return cbor.MarshalToBuffer(s, to) }
+// AppendStep appends s to a message. A message is a sequence of frames, so that
+// many queued frames take a single write.
+func AppendStep(message *bytes.Buffer, s *Step) error { return cbor.MarshalToBuffer(s, message) }
 
-// AppendReply writes r to a message.
-func AppendReply(to *bytes.Buffer, r *Reply) error { return cbor.MarshalToBuffer(r, to) }
+// AppendReply appends r to a message.
+func AppendReply(message *bytes.Buffer, r *Reply) error { return cbor.MarshalToBuffer(r, message) }
 
-// NextStep reads the first frame of a message into s and returns the rest;
-// ErrBad for anything else.
+// NextStep decodes the first frame of a message into s and returns the remaining
+// bytes. It returns an error that matches ErrInvalidFrame for anything else.
 func NextStep(data []byte, s *Step) ([]byte, error) {
 	rest, err := decoder.UnmarshalFirst(data, s)
 	if err != nil {
@@ -58,8 +61,9 @@
 	return rest, s.check()
 }
 
-// NextReply reads the first frame of a message into r, which must be zero,
-// and returns the rest; ErrBad for anything else.
+// NextReply decodes the first frame of a message into r, which must be zero, and
+// returns the remaining bytes. It returns an error that matches ErrInvalidFrame
+// for anything else.
 func NextReply(data []byte, r *Reply) ([]byte, error) {
 	rest, err := decoder.UnmarshalFirst(data, r)
 	if err != nil {
@@ -71,7 +75,7 @@
 func (s *Step) check() error {
 	switch {
 	case !within(maxLayer, s.From, s.To):
-		return errors.Wrap(ErrInvalidFrame, "layers out of range")
+		return errors.Wrap(ErrInvalidFrame, "layer out of range")
 	case !within(maxCount, s.Pos, s.Count):
 		return errors.Wrap(ErrInvalidFrame, "position or count out of range")
 	}
@@ -81,21 +85,21 @@
 func (r *Reply) check() error {
 	switch {
 	case !within(maxLayer, r.From):
-		return errors.Wrap(ErrInvalidFrame, "layers out of range")
+		return errors.Wrap(ErrInvalidFrame, "layer out of range")
 	case !within(maxCount, r.Pos, r.Next, r.Left):
 		return errors.Wrap(ErrInvalidFrame, "position out of range")
 	case !within(maxCount, r.Index, r.Total):
 		return errors.Wrap(ErrInvalidFrame, "index or total out of range")
 	case r.Took < 0:
-		return errors.Wrap(ErrInvalidFrame, "negative time")
+		return errors.Wrap(ErrInvalidFrame, "negative duration")
 	}
 	return nil
 }
 
-// within reports whether all numbers are from zero to most.
-func within(most int, numbers ...int) bool {
+// within reports whether all numbers are between zero and limit, both included.
+func within(limit int, numbers ...int) bool {
 	for _, n := range numbers {
-		if n < 0 || n > most {
+		if n < 0 || n > limit {
 			return false
 		}
 	}
--- a/internal/base/frame/codec_test.go
+++ b/internal/base/frame/codec_test.go
@@ -51,9 +51,9 @@
 	}
 }
 
-// A broken or hostile engine sends numbers that no engine can mean. They are
-// refused when they are read, since later arithmetic takes them for lengths.
-func TestHostileNumbersAreRefused(t *testing.T) {
+// A broken or hostile engine sends negative or huge numbers. The codec rejects them
+// while it reads the reply, since later arithmetic uses them as lengths.
+func TestOutOfRangeNumbersAreRejected(t *testing.T) {
 	for name, r := range map[string]frame.Reply{
 		"position": {Pos: -1}, "next": {Next: 1 << 40}, "index": {Index: -5},
 		"total": {Total: 1 << 31}, "layer": {From: 1 << 20}, "time": {Took: -1},
@@ -65,7 +65,7 @@
 			}
 			var got frame.Reply
 			if _, err := frame.NextReply(buf.Bytes(), &got); !errors.Is(err, frame.ErrInvalidFrame) {
-				t.Errorf("got %v, want ErrBad", err)
+				t.Errorf("got %v, want ErrInvalidFrame", err)
 			}
 		})
 	}
@@ -81,7 +81,7 @@
 		var s frame.Step
 		rest, err := frame.NextStep(data, &s)
 		if err == nil && (s.From < 0 || s.To < 0 || s.Pos < 0 || s.Count < 0 || len(rest) >= len(data)) {
-			t.Errorf("got %+v taken with %d of %d bytes left, want ErrBad", s, len(rest), len(data))
+			t.Errorf("got %+v accepted with %d of %d bytes left, want ErrInvalidFrame", s, len(rest), len(data))
 		}
 	})
 }
@@ -96,7 +96,7 @@
 		var r frame.Reply
 		rest, err := frame.NextReply(data, &r)
 		if err == nil && (r.Pos < 0 || r.Next < 0 || r.Index < 0 || r.Total < 0 || r.Took < 0 || len(rest) >= len(data)) {
-			t.Errorf("got %+v taken with %d of %d bytes left, want ErrBad", r, len(rest), len(data))
+			t.Errorf("got %+v accepted with %d of %d bytes left, want ErrInvalidFrame", r, len(rest), len(data))
 		}
 	})
 }
--- a/internal/base/frame/stream.go
+++ b/internal/base/frame/stream.go
@@ -5,19 +5,22 @@
 	"time"
 )
 
-// Stream is one request's state on one engine. One goroutine uses it.
+// Stream gives access to the state of one request on one engine. It is for use by a
+// single goroutine.
 type Stream interface {
-	// Send queues a step; the request, attempt and first layer are the
-	// stream's. It keeps nothing of s. A connection that breaks later shows
-	// in Recv.
+	// Send queues a step. The stream supplies the request, the attempt and the first
+	// layer. Send keeps no reference to s. If the connection breaks later, Recv
+	// returns the error.
 	Send(s *Step) error
-	// Recv reads the next reply of this state into r and waits for it at most
-	// within; zero or less waits as long as ctx.
-	Recv(ctx context.Context, within time.Duration, r *Reply) error
-	// Incarnation changes when the engine restarted without its states.
+	// Recv reads the next reply for this state into r. It waits for at most timeout;
+	// with a timeout of zero or less it waits until ctx is done.
+	Recv(ctx context.Context, timeout time.Duration, r *Reply) error
+	// Incarnation returns the engine's incarnation. It changes when the engine
+	// restarts and loses its request states.
 	Incarnation() uint64
-	// Leave drops the stream and keeps the engine's state, to open it again.
+	// Leave closes the stream but keeps the state on the engine, so that the stream
+	// can be opened again.
 	Leave()
-	// Close drops the stream and the engine's state.
+	// Close closes the stream and deletes the state on the engine.
 	Close()
 }
