--- a/internal/base/news/codec.go
+++ b/internal/base/news/codec.go
@@ -5,19 +5,19 @@
 	"github.com/go-faster/errors"
 )
 
-// ErrInvalidBody means that an item's body is not of its kind.
-var ErrInvalidBody = errors.New("news: not a body of the kind")
+// ErrInvalidBody is returned for an item body that doesn't match the item's kind.
+var ErrInvalidBody = errors.New("news: body does not match the item kind")
 
-// Make returns an item with the body encoded. Life is in milliseconds.
-func Make(kind Kind, key string, scope Scope, life int64, body any) (Item, error) {
+// Make returns an item with the encoded body. The time to live is in milliseconds.
+func Make(kind Kind, key string, scope Scope, ttl int64, body any) (Item, error) {
 	data, err := cbor.Marshal(body)
 	if err != nil {
 		return Item{}, errors.Wrap(ErrInvalidBody, err.Error())
 	}
-	return Item{Kind: kind, Key: key, Scope: scope, Life: life, Body: data}, nil
+	return Item{Kind: kind, Key: key, Scope: scope, Life: ttl, Body: data}, nil
 }
 
-// Decode reads the body of an item into the struct of its kind.
+// Decode decodes the body of an item into a pointer to the struct for its kind.
 func Decode(item Item, into any) error {
 	if err := cbor.Unmarshal(item.Body, into); err != nil {
 		return errors.Wrap(ErrInvalidBody, err.Error())
--- a/internal/base/news/news.go
+++ b/internal/base/news/news.go
@@ -1,11 +1,11 @@
-// Package news holds the items that spread between instances.
+// Package news defines the items that instances exchange.
 //
-// Fields are exported because the CBOR codec fills them. Package node of the
-// fleet spreads items; the daemon turns received ones into events for the
-// routing logic and the configuration.
+// Fields are exported because the CBOR codec sets them. Package fleet/node distributes
+// items; the daemon turns received items into events for the routing logic and the
+// configuration.
 package news
 
-// Kind says what an item tells.
+// Kind is the type of an item; it determines the type of its body.
 type Kind int
 
 //go:generate stringer -type=Kind -linecomment -output=kind_string.go
@@ -27,106 +27,114 @@
 	KindRates               // rates
 )
 
-// Kinds is how many kinds there are.
+// Kinds is the number of kinds.
 const Kinds = KindRates + 1
 
-// Scope says how far an item goes.
+// Scope defines which instances receive an item.
 type Scope int
 
 // The scopes.
 const (
-	// ScopeCentre keeps an item inside its data centre.
+	// ScopeCentre limits an item to the data centre of its origin.
 	ScopeCentre Scope = iota
-	// ScopeFleet takes an item to every instance.
+	// ScopeFleet sends an item to every instance.
 	ScopeFleet
 )
 
-// Item is one thing that an instance knows and others should. Key names it
-// among the items of its kind and origin; a later item with the same kind,
-// origin and key replaces an earlier one.
+// Item is a piece of state that an instance shares with others. Key identifies it
+// among the items of the same kind and origin. A later item with the same kind, origin
+// and key replaces an earlier one.
 type Item struct {
 	Kind   Kind   `cbor:"1,keyasint"`
 	Key    string `cbor:"2,keyasint"`
 	Origin string `cbor:"3,keyasint"`
-	// Stamp orders items of one origin; the origin counts it up.
+	// Stamp orders the items of one origin, which increments it.
 	Stamp uint64 `cbor:"4,keyasint"`
 	Scope Scope  `cbor:"5,keyasint"`
-	// Life is how many milliseconds the item counts after it was heard.
+	// Life is the time to live in milliseconds, counted from when an instance
+	// receives the item.
 	Life int64  `cbor:"6,keyasint"`
 	Body []byte `cbor:"7,keyasint,omitempty"`
 }
 
-// The bodies of the kinds.
+// Bodies of the items, one type for each kind.
 type (
-	// Head tells the configuration version that its origin has in force.
+	// Head is the configuration version in force at the origin.
 	Head struct {
 		Version uint64 `cbor:"1,keyasint"`
 	}
-	// Leaving tells that an upstream, the key, takes no new work.
+	// Leaving reports that an upstream, named by the item's key, takes no new work.
 	Leaving struct {
 		Upstream string `cbor:"1,keyasint"`
 	}
-	// Print tells how many engines died while running a request.
+	// Print is the number of engines that died while they ran a request, which its
+	// fingerprint identifies.
 	Print struct {
 		Print   uint64 `cbor:"1,keyasint"`
 		Crashes int    `cbor:"2,keyasint"`
-		// Engine is the last that died; "" if not known.
+		// Engine is the last engine that died, or "" if it is not known.
 		Engine string `cbor:"3,keyasint,omitempty"`
 	}
-	// Rate tells the origin's use by a heavy team, in tokens a second.
+	// Rate is the usage of a team with high usage at the origin, in tokens per
+	// second.
 	Rate struct {
 		Team string  `cbor:"1,keyasint"`
 		Rate float64 `cbor:"2,keyasint"`
 	}
-	// Load tells what the origin has in flight on an engine.
+	// Load is the number of requests and tokens that the origin has in flight on an
+	// engine.
 	Load struct {
 		Engine string `cbor:"1,keyasint"`
 		Active int    `cbor:"2,keyasint"`
 		Tokens int    `cbor:"3,keyasint"`
 	}
-	// Sum tells what the origin's data centre can still take of a model, in
-	// tokens a second.
+	// Sum is the free capacity of the origin's data centre for a model, in tokens per
+	// second.
 	Sum struct {
 		DataCentre string  `cbor:"1,keyasint"`
 		Model      string  `cbor:"2,keyasint"`
 		Free       float64 `cbor:"3,keyasint"`
 	}
-	// Report carries an engine's report, the JSON of frame.Engine, from the
-	// instance that watches it.
+	// Report contains an engine's report, the JSON of frame.Engine. The instance that
+	// polls the engine sends it.
 	Report struct {
 		Engine string `cbor:"1,keyasint"`
 		URL    string `cbor:"2,keyasint"`
 		Data   []byte `cbor:"3,keyasint"`
 	}
-	// Level is what changes all the time in the report of the engine that the
-	// item's key names. It is the most frequent item, so it is kept short.
+	// Level contains the frequently changing values from the report of the engine
+	// that the item's key names. It is the most frequent item, so its encoding is
+	// compact.
 	Level struct {
 		_ struct{} `cbor:",toarray"`
-		// Born is the engine's incarnation: another one means that it lost all.
+		// Born is the engine's incarnation. If it differs from the known one, the
+		// engine restarted and lost all its state.
 		Born   uint64
 		Seq    uint64
 		Queued int
 		Active int
 		Cached int
 	}
-	// Doubt tells how many of the origin's polls in a row an engine missed;
-	// zero takes an earlier doubt back.
+	// Doubt is the number of consecutive polls by the origin that an engine did not
+	// answer. Zero withdraws an earlier Doubt.
 	Doubt struct {
 		Engine string `cbor:"1,keyasint"`
 		Misses int    `cbor:"2,keyasint,omitempty"`
 	}
-	// Down tells that an engine is lost. Reports of incarnation Born up to Seq
-	// are from before and bring it back nowhere.
+	// Down reports that an engine is dead. Reports of incarnation Born with a Seq up
+	// to Seq are older than its death, so no instance marks it live because of them.
 	Down struct {
 		Engine string `cbor:"1,keyasint"`
 		Born   uint64 `cbor:"2,keyasint,omitempty"`
 		Seq    uint64 `cbor:"3,keyasint"`
 	}
-	// Reach tells whether a gateway can reach the data centre, the key.
+	// Reach reports whether a gateway can reach the data centre that the item's key
+	// names.
 	Reach struct {
 		Cut bool `cbor:"1,keyasint,omitempty"`
 	}
-	// Loads adds up what a data centre's instances have in flight.
+	// Loads contains, for each engine, the sum of the requests and tokens that the
+	// instances of a data centre have in flight.
 	Loads struct {
 		Sums []LoadSum `cbor:"1,keyasint"`
 	}
@@ -137,11 +145,13 @@
 		Active int
 		Tokens int
 	}
-	// Rates adds up a data centre's use by its heaviest teams.
+	// Rates contains, for each of the teams with the highest usage in a data centre,
+	// the sum over its instances.
 	Rates struct {
 		Sums []RateSum `cbor:"1,keyasint"`
 	}
-	// RateSum is the sum for one team, named by its hash, in tokens a second.
+	// RateSum is the sum for one team, which is identified by its hash, in tokens per
+	// second.
 	RateSum struct {
 		_    struct{} `cbor:",toarray"`
 		Team uint64
