--- a/internal/app/cmds/apply.go
+++ b/internal/app/cmds/apply.go
@@ -19,12 +19,14 @@
 	c := &cobra.Command{
 		Use:   "apply FILE...",
 		Short: "Change classes and teams",
-		Long: `Apply sends documents of classes and teams to an instance, which checks them and
-puts them in force everywhere within seconds, or refuses them whole.
+		Long: `Apply sends documents of classes and teams to an instance, which checks them. The
+instance applies all of them, and they are in force everywhere within seconds, or it
+rejects all of them.
 
-The change is compared with the version that it builds on: the one given by
---version, else the one in force when the command starts. If someone changed the
-same class or team since, the command shows their change and ends with code 3.`,
+The change is compared with the version that it is based on: the version given by
+--version, or else the version in force when the command starts. If another operator
+has changed the same class or team since then, the command prints that change and
+exits with code 3.`,
 		Example: `  fulmarwick apply examples/association/classes.ini examples/association/teams.ini
   fulmarwick apply --url http://127.0.0.1:7070 --version 41 classes.ini`,
 		Args: cobra.MinimumNArgs(1),
@@ -56,11 +58,12 @@
 		},
 	}
 	r.register(c)
-	c.Flags().StringVar(&by, "by", currentUser(), "name of the operator; a certificate's name goes before it")
-	c.Flags().Uint64Var(&base, "version", 0, "version that the change builds on")
+	c.Flags().StringVar(&by, "by", currentUser(), "name of the operator; the name in a certificate takes precedence")
+	c.Flags().Uint64Var(&base, "version", 0, "version that the change is based on")
 	return c
 }
 
+// readDocuments reads the files at paths. A file that cannot be read is an errUsage.
 func readDocuments(paths []string) ([]admin.Document, error) {
 	var out []admin.Document
 	for _, p := range paths {
@@ -73,7 +76,8 @@
 	return out, nil
 }
 
-// currentUser is the name of who runs the command, if it is known.
+// currentUser returns the name of the user who runs the command, or "" if it is not
+// known.
 func currentUser() string {
 	u, err := user.Current()
 	if err != nil {
--- a/internal/app/cmds/cmds_test.go
+++ b/internal/app/cmds/cmds_test.go
@@ -21,7 +21,7 @@
 	"go.uber.org/zap"
 )
 
-// fakeInstance is an instance as the commands see it.
+// fakeInstance implements the operator endpoint of an instance.
 type fakeInstance struct {
 	err     error
 	applied admin.Draft
@@ -79,7 +79,7 @@
 
 const goodSettings = "[instance]\nname = a\ndatacentre = b\nregion = c\n[listen]\ncallers = 127.0.0.1:0\n[platform]\ntable = http://127.0.0.1:1\n"
 
-// The codes that the pages promise to scripts.
+// Exit codes are documented for scripts, so each kind of failure has its code.
 func TestExitCodes(t *testing.T) {
 	conflict := serveAdmin(t, &fakeInstance{err: &admin.ConflictError{Winners: []admin.Change{{Version: 9, By: "siti", Text: "class answer"}}}})
 	refused := serveAdmin(t, &fakeInstance{err: &admin.RefusedError{Problems: []string{"classes.ini:3: percent: 200 is out of range"}}})
@@ -127,7 +127,7 @@
 	}
 }
 
-// Check prints the problems of every file in one run.
+// Check prints the problems of all files in one run.
 func TestCheckPrintsProblemsOfAllFiles(t *testing.T) {
 	code, out, _ := execute(t, "check", writeTemp(t, "a.ini", goodSettings+"[log]\nlevel = x\ncolour = y\n"), writeTemp(t, "b.ini", goodSettings), writeTemp(t, "c.ini", "[z]\n"))
 	if code != cmds.ExitUsage {
@@ -140,7 +140,7 @@
 	}
 }
 
-// Documents are checked together, and beside settings.
+// Documents are checked together, and in the same run as settings files.
 func TestCheckReadsDocuments(t *testing.T) {
 	classes := writeTemp(t, "classes.ini", "[class answer]\nkind = model\nmodel = m\nfirst = 1s\nweight = 3\n")
 	teams := writeTemp(t, "teams.ini", "[team depot]\nkey-hash = zz\n")
@@ -155,8 +155,8 @@
 	}
 }
 
-// The examples of both deployments are good as they stand: settings for other
-// machines, and documents that apply takes.
+// The examples of both deployments are valid as they are: settings for other machines,
+// and documents that apply accepts.
 func TestExamplesAreGood(t *testing.T) {
 	for _, deployment := range []string{"association", "coral"} {
 		files, err := filepath.Glob("../../../examples/" + deployment + "/*.ini")
@@ -164,7 +164,7 @@
 			t.Fatalf("got files %v, %v, want four settings and two documents", files, err)
 		}
 		if code, out, _ := execute(t, append([]string{"check", "--elsewhere"}, files...)...); code != cmds.ExitOK {
-			t.Errorf("got code %d and %q, want all good", code, out)
+			t.Errorf("got code %d and %q, want all files valid", code, out)
 		}
 	}
 }
@@ -177,19 +177,19 @@
 			t.Errorf("got %q, want %q in it", out, want)
 		}
 	}
-	// An instance that does not answer hides none of the others.
+	// An instance that does not answer doesn't hide the others.
 	code, out, _ := execute(t, "status", "--json", "--url", "http://127.0.0.1:1,"+url)
 	var list []admin.Status
 	if err := json.Unmarshal([]byte(out), &list); err != nil {
 		t.Fatal(err)
 	}
 	if code != cmds.ExitReach || len(list) != 1 || list[0].Classes[0].First.Limit != 770 {
-		t.Errorf("got code %d and %+v, want %d and the one that answered", code, list, cmds.ExitReach)
+		t.Errorf("got code %d and %+v, want %d and the status of the instance that answered", code, list, cmds.ExitReach)
 	}
 }
 
-// What show prints is a document that apply takes; the versions of the
-// instances stand in it as comments.
+// The output of show is a document that apply accepts, with the versions of the
+// instances as comments.
 func TestShowPrintsADocument(t *testing.T) {
 	s := &fakeInstance{}
 	_, out, _ := execute(t, "show", "--url", serveAdmin(t, s))
@@ -205,7 +205,7 @@
 	doc := writeTemp(t, "classes.ini", "[class answer]\n")
 	execute(t, "apply", "--url", url, "--by", "ani", doc)
 	if s.applied.Base != 7 || s.applied.By != "ani" || len(s.applied.Documents) != 1 || s.applied.Documents[0].Name != "classes.ini" {
-		t.Errorf("got %+v, want the document on version 7 by ani", s.applied)
+		t.Errorf("got %+v, want the document based on version 7 by ani", s.applied)
 	}
 	execute(t, "apply", "--url", url, "--version", "5", doc)
 	if s.applied.Base != 5 {
@@ -224,27 +224,27 @@
 	}
 	for _, want := range strings.Fields("serve trial check apply show status drain version") {
 		if !names[want] {
-			t.Errorf("got no command %s, want it", want)
+			t.Errorf("got no command %s, want one", want)
 		}
 	}
 }
 
-// checkExamples reads the flags of each example as the command would.
+// checkExamples parses the flags of each example as the command does.
 func checkExamples(t *testing.T, c *cobra.Command) {
 	t.Helper()
 	for _, line := range strings.Split(c.Example, "\n") {
 		words := strings.Fields(line)
 		if len(words) < 2 || words[0] != "fulmarwick" || words[1] != c.Name() {
-			t.Errorf("got example %q of %s, want a line that runs it", line, c.Name())
+			t.Errorf("got example %q of %s, want a line that runs the command", line, c.Name())
 			continue
 		}
 		if err := c.ParseFlags(words[2:]); err != nil {
-			t.Errorf("got %v from example %q, want its flags known", err, line)
+			t.Errorf("got %v from example %q, want known flags", err, line)
 		}
 	}
 }
 
-// stopRecorder counts what signals asked for.
+// stopRecorder records the calls made by handleSignals.
 type stopRecorder struct {
 	mu    sync.Mutex
 	calls []string
@@ -253,10 +253,10 @@
 func (s *stopRecorder) Stop()           { s.add("stop") }
 func (s *stopRecorder) CloseListeners() { s.add("hurry") }
 
-func (s *stopRecorder) add(what string) {
+func (s *stopRecorder) add(call string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.calls = append(s.calls, what)
+	s.calls = append(s.calls, call)
 }
 
 func (s *stopRecorder) joined() string {
@@ -265,9 +265,10 @@
 	return strings.Join(s.calls, " ")
 }
 
-// The platform sends SIGTERM, and again when it grows impatient. The first
-// begins the graceful stop, the second only hurries it: neither ends the
-// process, which would cut every request in progress.
+// The platform sends SIGTERM, and sends it again if the process doesn't exit soon
+// enough. The first signal starts the graceful stop, the second only closes the
+// listeners. Neither ends the process, which would interrupt every request in
+// progress.
 func TestSignalsCutNoRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		signals, ended := make(chan os.Signal, 2), make(chan struct{})
--- a/internal/app/cmds/drain.go
+++ b/internal/app/cmds/drain.go
@@ -12,7 +12,7 @@
 	"github.com/spf13/cobra"
 )
 
-// drainPollInterval is the time between two looks at an instance that stops.
+// drainPollInterval is the interval between status requests to a draining instance.
 const drainPollInterval = time.Second
 
 func newDrain() *cobra.Command {
@@ -20,10 +20,10 @@
 	var wait bool
 	c := &cobra.Command{
 		Use:   "drain",
-		Short: "Stop an instance without cutting a request",
-		Long: `Drain begins the graceful stop of an instance: it turns the balancer away,
-accepts what still comes, finishes every request however long it takes, and then
-ends with code 0.`,
+		Short: "Stop an instance without interrupting requests",
+		Long: `Drain starts the graceful stop of an instance: the instance reports to the balancer
+that it is not ready, accepts requests that still arrive, finishes every request
+however long it takes, and then exits with code 0.`,
 		Example: `  fulmarwick drain --url http://127.0.0.1:7070
   fulmarwick drain --wait`,
 		Args: cobra.NoArgs,
@@ -44,11 +44,12 @@
 		},
 	}
 	r.register(c)
-	c.Flags().BoolVar(&wait, "wait", false, "wait until the instance has ended")
+	c.Flags().BoolVar(&wait, "wait", false, "wait until the instance has exited")
 	return c
 }
 
-// waitEnded reports the requests left until the instance answers no more.
+// waitEnded prints the number of remaining requests until the instance no longer
+// answers.
 func waitEnded(ctx context.Context, out io.Writer, client *admin.Client) error {
 	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
--- a/internal/app/cmds/edge.go
+++ b/internal/app/cmds/edge.go
@@ -17,8 +17,9 @@
 		Short: "Run an instance on the users' platform",
 		Long: `Edge runs one instance between the platform's balancer and its upstreams. It
 follows the operator's configuration and the list of upstreams in the platform's
-store, and places layers on engines while it holds that duty. SIGTERM stops it:
-it tells the balancer, accepts what still comes and finishes every request.`,
+store, and places layers on engines while it holds the lease for placement. SIGTERM
+stops it: it reports to the balancer that it is not ready, accepts requests that still
+arrive and finishes every request.`,
 		Example: "  fulmarwick edge --settings /etc/fulmarwick/local.conf",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -37,11 +38,11 @@
 			})
 		},
 	}
-	c.Flags().StringVar(&path, "settings", "fulmarwick.ini", "settings of the instance")
+	c.Flags().StringVar(&path, "settings", "fulmarwick.ini", "settings file of the instance")
 	return c
 }
 
-// instance is what a command runs until signals end it.
+// instance is a process that a command runs until signals stop it.
 type instance interface {
 	stopper
 	Run(ctx context.Context) error
--- a/internal/app/cmds/exit.go
+++ b/internal/app/cmds/exit.go
@@ -11,20 +11,22 @@
 
 // Exit codes of the program.
 const (
+	// ExitOK means success.
 	ExitOK = 0
-	// ExitFail is any failure that is none of the others.
+	// ExitFail means a failure that no other code covers.
 	ExitFail = 1
-	// ExitUsage is a wrong command line, or settings or documents refused.
+	// ExitUsage means an invalid command line, or rejected settings or documents.
 	ExitUsage = 2
-	// ExitConflict is a change that lost against another one.
+	// ExitConflict means that another operator's change came first.
 	ExitConflict = 3
-	// ExitReach is an instance, or the store behind it, out of reach.
+	// ExitReach means that an instance, or the store behind it, is unreachable.
 	ExitReach = 4
 )
 
-// errUsage means that the command line was wrong.
+// errUsage means that the command line is invalid.
 var errUsage = errors.New("wrong usage")
 
+// exitCode returns the exit code for err.
 func exitCode(err error) int {
 	var conflict *admin.ConflictError
 	var refused *admin.RefusedError
--- a/internal/app/cmds/explain_test.go
+++ b/internal/app/cmds/explain_test.go
@@ -9,7 +9,8 @@
 	"fulmarwick/internal/app/cmds"
 )
 
-// Lines of two instances, recorded: a stream whose second engine died.
+// recordedLog contains recorded log lines of a stream whose second engine died, a line
+// that is not JSON and a line of another request.
 const recordedLog = `klang-1 {"level":"info","ts":"2026-01-02T03:04:06.100Z","msg":"edge: path changed","request":"9c41","path":"a:0-40,c:40-80","silent":88}
 klang-1 no object
 klang-1 {"level":"warn","ts":"2026-01-02T03:04:06.050Z","msg":"edge: engine does not answer","engine":"b","after":28}
@@ -17,8 +18,8 @@
 klang-1 {"level":"info","ts":"2026-01-02T03:04:08.000Z","msg":"edge: request served","request":"77aa"}
 `
 
-// The table tells how many were lost in each two seconds and why, with the death
-// behind it, and the same by route, team and data centre.
+// The table shows how many requests were lost in each two seconds and why, with the
+// engine that died, and the same by route, team and data centre.
 func TestExplainLosses(t *testing.T) {
 	log := recordedLog + `klang-1 {"ts":"2026-01-02T03:04:06.700Z","msg":"edge: request not served","route":"r","team":"t","centre":"klang","reason":"no room","room":{"layer":42,"free":7}}
 klang-1 {"ts":"2026-01-02T03:04:06.800Z","msg":"edge: engine left","engine":"b","repathed":3,"resumed":2,"kept":0}
@@ -45,7 +46,7 @@
 		t.Errorf("got\n%swant\n%s", got, want)
 	}
 	if got := cmds.Execute([]string{"explain"}, &out, &errOut); got == cmds.ExitOK {
-		t.Error("got an explanation of nothing, want an error")
+		t.Error("got success without an ID, want an error")
 	}
 }
 
@@ -64,6 +65,6 @@
 		t.Errorf("got %q, want %q", got, want)
 	}
 	if got := cmds.Execute([]string{"explain", "none", name}, &out, &errOut); got != cmds.ExitFail {
-		t.Errorf("got %d for an ID that no line names, want 1", got)
+		t.Errorf("got %d for an ID that no line contains, want 1", got)
 	}
 }
--- a/internal/app/cmds/export_test.go
+++ b/internal/app/cmds/export_test.go
@@ -1,6 +1,6 @@
 package cmds
 
-// Heed, NewRoot and the parts that tests drive by themselves.
+// HandleSignals and NewRoot are exported for the tests of this package only.
 var (
 	HandleSignals = handleSignals
 	NewRoot       = newRoot
--- a/internal/app/cmds/load.go
+++ b/internal/app/cmds/load.go
@@ -13,7 +13,7 @@
 	"github.com/spf13/cobra"
 )
 
-// loadFlags are what load is asked for.
+// loadFlags are the flags of the load command.
 type loadFlags struct {
 	addresses []string
 	report    string
@@ -25,10 +25,10 @@
 	var f loadFlags
 	c := &cobra.Command{
 		Use:   "load WORKLOAD",
-		Short: "Put a workload on stand-ins, or on running instances, and tell what callers got",
-		Long: `Load sends the requests of a workload file and makes its faults happen. Without
---address it starts the platform's stand-in, its upstreams and instances in this
-process; with it the requests go to those instances, and faults are refused.`,
+		Short: "Run a workload on stand-ins or on running instances and report the results",
+		Long: `Load sends the requests of a workload file and injects its faults. Without --address
+it starts a stand-in platform with its upstreams and instances in this process. With
+--address it sends the requests to those instances and rejects workloads with faults.`,
 		Example: "  fulmarwick load examples/usual.load --plot load.svg --report load.json",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -43,21 +43,23 @@
 			return runLoad(cmd.Context(), work, f, cmd.OutOrStdout(), cmd.ErrOrStderr())
 		},
 	}
-	c.Flags().StringSliceVar(&f.addresses, "address", nil, "addresses for callers of running instances, with commas")
+	c.Flags().StringSliceVar(&f.addresses, "address", nil, "caller addresses of running instances, separated by commas")
 	c.Flags().StringVar(&f.report, "report", "", "write the result as JSON to this file")
-	c.Flags().StringVar(&f.plot, "plot", "", "draw times and the served share over time to this file, as SVG")
-	c.Flags().BoolVar(&f.quiet, "quiet", false, "show no progress")
+	c.Flags().StringVar(&f.plot, "plot", "", "plot latencies and the served share over time to this file, as SVG")
+	c.Flags().BoolVar(&f.quiet, "quiet", false, "print no progress")
 	return c
 }
 
+// runLoad runs the workload, prints the report to out and writes the files that the
+// flags name.
 func runLoad(ctx context.Context, work drive.Work, f loadFlags, out, progress io.Writer) (err error) {
 	run, done, err := newRun(ctx, work, f.addresses)
 	if err != nil {
 		return err
 	}
 	defer func() {
-		if cerr := done(); err == nil {
-			err = cerr
+		if closeErr := done(); err == nil {
+			err = closeErr
 		}
 	}()
 	if !f.quiet {
@@ -78,7 +80,8 @@
 	return toFile(f.plot, report.Plot)
 }
 
-// newRun is what the workload is put on; done ends it.
+// newRun returns a run of the workload against addresses, or against fakes in this
+// process if there are none. done stops the fakes.
 func newRun(ctx context.Context, work drive.Work, addresses []string) (run *drive.Run, done func() error, err error) {
 	if len(addresses) > 0 {
 		if len(work.Faults) > 0 {
@@ -93,7 +96,7 @@
 	return d.Drive(work), d.Close, nil
 }
 
-// toFile writes a file; none if it has no name.
+// toFile calls write with a new file called name. It does nothing if name is empty.
 func toFile(name string, write func(io.Writer) error) error {
 	if name == "" {
 		return nil
--- a/internal/app/cmds/log.go
+++ b/internal/app/cmds/log.go
@@ -10,8 +10,8 @@
 	"go.uber.org/zap"
 )
 
-// newBoundedLog returns the log of an instance on a platform: bounded lines on
-// standard output, which never hold up a request. stop writes the last ones.
+// newBoundedLog returns the logger of an instance on a platform. It writes a bounded
+// number of lines to out and never blocks a request. stop flushes the last lines.
 func newBoundedLog(s setup.Log, out io.Writer) (log *zap.Logger, stop func(), err error) {
 	level, err := zap.ParseAtomicLevel(s.Level)
 	if err != nil {
@@ -21,7 +21,7 @@
 	return zap.New(w.Core()), w.Close, nil
 }
 
-// newLog returns the log of a process. Lines go to standard error.
+// newLog returns the logger of a process. It writes to standard error.
 func newLog(s setup.Log) (*zap.Logger, error) {
 	c := zap.NewProductionConfig()
 	if s.Format == "console" {
--- a/internal/app/cmds/losses.go
+++ b/internal/app/cmds/losses.go
@@ -12,11 +12,11 @@
 	"github.com/go-faster/errors"
 )
 
-// lossInterval is the span of time that one row of the table covers: a death is
-// found and mended in less, and a minute has few enough rows to read.
+// lossInterval is the time that one row of the table covers. The death of an engine is
+// detected and repaired in less time, and a minute has few enough rows to read.
 const lossInterval = 2 * time.Second
 
-// lossLine is what the table of losses takes from a line of a log.
+// lossLine contains the fields of a log line that the table of losses uses.
 type lossLine struct {
 	Time     time.Time `json:"ts"`
 	Message  string    `json:"msg"`
@@ -37,17 +37,23 @@
 	Kept     int    `json:"kept"`
 }
 
-// losses is a table of what was not served in time.
+// losses is a table of the requests that were not served in time.
 type losses struct {
-	// served, why and engines are by slice of time, of the whole log by name.
-	served      map[time.Time]int
-	reasons     map[time.Time]map[string]int
+	// served counts the requests served in each interval.
+	served map[time.Time]int
+	// reasons counts, for each interval, the lost or late requests by reason and the
+	// runs that left a dead engine by outcome.
+	reasons map[time.Time]map[string]int
+	// deadEngines lists the engines found dead in each interval.
 	deadEngines map[time.Time][]string
-	shortages   map[time.Time]map[int]int
-	groups      map[string]map[string]map[string]int
+	// shortages counts, for each interval, the requests rejected for lack of KV memory
+	// by the layer that had the least.
+	shortages map[time.Time]map[int]int
+	// groups counts the requests of the whole log by group kind, name and reason.
+	groups map[string]map[string]map[string]int
 }
 
-// kinds of rows below the slices of time.
+// groupKinds are the kinds of the rows that follow the intervals.
 var groupKinds = []string{"route", "team", "data centre"}
 
 func newLosses() *losses {
@@ -61,7 +67,7 @@
 	return l
 }
 
-// addLine takes a line of a log; those that tell of no loss are passed over.
+// addLine counts a log line and ignores lines with other messages.
 func (l *losses) addLine(line lossLine) {
 	at := line.Time.Truncate(lossInterval)
 	switch line.Message {
@@ -79,7 +85,8 @@
 			l.countLoss(at, line, "late first event")
 			return
 		}
-		// The pause counts where it was, not where the answer ended.
+		// Count the pause in the interval in which it began, not in the one in which
+		// the answer ended.
 		start := line.Time.Add(-time.Duration(line.Took) * time.Millisecond)
 		l.countLoss(start.Add(time.Duration(line.PausedAt)*time.Millisecond).Truncate(lossInterval), line, "late by a pause")
 	case "edge: engine does not answer":
@@ -91,50 +98,54 @@
 	}
 }
 
-func countLayer(m map[time.Time]map[int]int, at time.Time, key int) {
-	if m[at] == nil {
-		m[at] = map[int]int{}
+// countLayer increments the count of layer in the interval at.
+func countLayer(counts map[time.Time]map[int]int, at time.Time, layer int) {
+	if counts[at] == nil {
+		counts[at] = map[int]int{}
 	}
-	m[at][key]++
+	counts[at][layer]++
 }
 
+// countMoves counts the runs that left a dead engine, by how they were moved.
 func (l *losses) countMoves(at time.Time, line lossLine) {
-	for how, n := range map[string]int{"moved by another path": line.Repathed, "moved by another run": line.Resumed, "could not move": line.Kept} {
+	for outcome, n := range map[string]int{"moved by another path": line.Repathed, "moved by another run": line.Resumed, "could not move": line.Kept} {
 		if n > 0 {
-			l.countReason(at, how, n)
+			l.countReason(at, outcome, n)
 		}
 	}
 }
 
-func (l *losses) countReason(at time.Time, why string, n int) {
+// countReason adds n to the count of reason in the interval at.
+func (l *losses) countReason(at time.Time, reason string, n int) {
 	if l.reasons[at] == nil {
 		l.reasons[at] = map[string]int{}
 	}
-	l.reasons[at][why] += n
+	l.reasons[at][reason] += n
 }
 
-func (l *losses) countLoss(at time.Time, line lossLine, why string) {
-	l.countReason(at, why, 1)
+// countLoss counts a lost or late request in the interval at and in its groups.
+func (l *losses) countLoss(at time.Time, line lossLine, reason string) {
+	l.countReason(at, reason, 1)
 	for i, name := range []string{line.Route, line.Team, line.Centre} {
 		rows := l.groups[groupKinds[i]]
 		if rows[name] == nil {
 			rows[name] = map[string]int{}
 		}
-		rows[name][why]++
+		rows[name][reason]++
 	}
 }
 
-// read takes the lines of a log.
+// read counts the lines of a log.
 func (l *losses) read(r io.Reader) error {
 	lines := newLineScanner(r)
 	for lines.Scan() {
 		text := lines.Text()
-		at := strings.IndexByte(text, '{')
-		if at < 0 {
+		start := strings.IndexByte(text, '{')
+		if start < 0 {
 			continue
 		}
 		var line lossLine
-		if json.Unmarshal([]byte(text[at:]), &line) != nil {
+		if json.Unmarshal([]byte(text[start:]), &line) != nil {
 			continue
 		}
 		l.addLine(line)
@@ -145,7 +156,7 @@
 	return nil
 }
 
-// write prints the table.
+// write prints the table to w.
 func (l *losses) write(w io.Writer) error {
 	var b strings.Builder
 	times := map[time.Time]bool{}
@@ -174,7 +185,7 @@
 	return nil
 }
 
-// formatCounts writes counts by name, the most frequent first.
+// formatCounts formats counts by name, with the most frequent first.
 func formatCounts(counts map[string]int) string {
 	names := slices.Sorted(maps.Keys(counts))
 	slices.SortStableFunc(names, func(a, b string) int { return counts[b] - counts[a] })
@@ -185,12 +196,13 @@
 	return b.String()
 }
 
-// scarcestLayer names the layer behind which room was lacking most often.
+// scarcestLayer formats the layer that most often had the least KV memory, for a row of
+// the table.
 func (l *losses) scarcestLayer(at time.Time) string {
 	most, layer := 0, 0
-	for key, n := range l.shortages[at] {
-		if n > most || n == most && key < layer {
-			most, layer = n, key
+	for candidate, n := range l.shortages[at] {
+		if n > most || n == most && candidate < layer {
+			most, layer = n, candidate
 		}
 	}
 	if most == 0 {
--- a/internal/app/cmds/remote.go
+++ b/internal/app/cmds/remote.go
@@ -15,12 +15,13 @@
 	"go.uber.org/zap"
 )
 
-// requestTimeout bounds one question to an instance.
+// requestTimeout is the timeout of one request to an instance.
 const requestTimeout = 30 * time.Second
 
+// defaultURL is the default operator endpoint.
 const defaultURL = "http://127.0.0.1:7070"
 
-// remoteFlags is the flags of commands that ask instances.
+// remoteFlags are the flags of commands that send requests to instances.
 type remoteFlags struct {
 	urls []string
 	cert string
@@ -28,15 +29,16 @@
 	ca   string
 }
 
+// register adds the flags to a command.
 func (r *remoteFlags) register(c *cobra.Command) {
 	f := c.Flags()
 	f.StringSliceVar(&r.urls, "url", []string{defaultURL}, "operator endpoint of an instance; more than one may be given")
-	f.StringVar(&r.cert, "cert", "", "certificate to show, for an endpoint with TLS")
+	f.StringVar(&r.cert, "cert", "", "client certificate, for an endpoint with TLS")
 	f.StringVar(&r.key, "key", "", "key of the certificate")
-	f.StringVar(&r.ca, "ca", "", "certificates that sign the instance's")
+	f.StringVar(&r.ca, "ca", "", "CA certificates that verify the certificate of the instance")
 }
 
-// clients returns a client per URL.
+// clients returns one client for each URL.
 func (r *remoteFlags) clients() ([]*admin.Client, error) {
 	var out []*admin.Client
 	for _, u := range r.urls {
@@ -49,7 +51,7 @@
 	return out, nil
 }
 
-// singleClient returns the client of commands that act on a single instance.
+// singleClient returns the client for commands that act on a single instance.
 func (r *remoteFlags) singleClient() (*admin.Client, error) {
 	if len(r.urls) != 1 {
 		return nil, errors.Wrap(errUsage, "this command takes one --url")
@@ -57,6 +59,7 @@
 	return r.client(r.urls[0])
 }
 
+// client returns a client for the operator endpoint at base.
 func (r *remoteFlags) client(base string) (*admin.Client, error) {
 	u, err := url.Parse(base)
 	if err != nil || u.Host == "" || (u.Scheme != "http" && u.Scheme != "https") {
@@ -71,6 +74,7 @@
 	return &admin.Client{Base: base, HTTP: &http.Client{Timeout: requestTimeout, Transport: transport}}, nil
 }
 
+// tlsConfig returns the TLS configuration for connections to host.
 func (r *remoteFlags) tlsConfig(host string) (*tls.Config, error) {
 	if r.cert == "" || r.key == "" || r.ca == "" {
 		return nil, errors.Wrap(errUsage, "an https URL needs --cert, --key and --ca")
@@ -82,14 +86,15 @@
 	return source.Client(host), nil
 }
 
-// reply is what one instance answered.
+// reply is the response of one instance, or the error of the request.
 type reply struct {
 	url    string
 	status admin.Status
 	err    error
 }
 
-// fetchStatuses asks every instance. Those out of reach are part of the answer.
+// fetchStatuses requests the status of every instance. Unreachable instances are in the
+// result with their errors.
 func fetchStatuses(ctx context.Context, clients []*admin.Client) []reply {
 	out := make([]reply, len(clients))
 	for i, c := range clients {
--- a/internal/app/cmds/root.go
+++ b/internal/app/cmds/root.go
@@ -1,7 +1,7 @@
-// Package cmds holds the commands of the program, one file each.
+// Package cmds implements the commands of the program, one file each.
 //
-// It imports app/daemon, app/setup, wire/admin and, for trial, the stand-ins.
-// main calls Execute.
+// It imports app/daemon, app/edge, app/setup, wire/admin and, for the trial and load
+// commands, the fakes. main calls Execute.
 package cmds
 
 import (
@@ -13,8 +13,8 @@
 	"github.com/spf13/cobra"
 )
 
-const exitCodesText = `Exit codes: 0 done; 1 failed; 2 wrong usage, or settings or documents refused;
-3 conflict with another operator's change; 4 instance or store out of reach.`
+const exitCodesText = `Exit codes: 0 success; 1 failure; 2 wrong usage, or settings or documents rejected;
+3 conflict with another operator's change; 4 instance or store unreachable.`
 
 // Execute runs the command line args and returns the exit code.
 func Execute(args []string, out, errOut io.Writer) int {
@@ -29,7 +29,7 @@
 		return ExitOK
 	}
 	if !started {
-		// Only a command that runs can fail otherwise.
+		// The command did not start, so its command line is invalid.
 		err = errors.Wrap(errUsage, err.Error())
 	}
 	if !errors.Is(err, errProblemsPrinted) {
@@ -45,7 +45,7 @@
 		Long:          "Fulmarwick routes requests over pipelines of mixed accelerators and meets the\ntargets that operators set for each class of work.\n\n" + exitCodesText,
 		SilenceErrors: true,
 		SilenceUsage:  true,
-		// Without a command there is nothing to do.
+		// Without a command, print the help.
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return cmd.Help() },
 	}
--- a/internal/app/cmds/serve.go
+++ b/internal/app/cmds/serve.go
@@ -12,10 +12,10 @@
 	c := &cobra.Command{
 		Use:   "serve",
 		Short: "Run an instance",
-		Long: `Serve runs one instance until it is told to stop, by SIGTERM, SIGINT or drain.
-It then turns the balancer away, accepts what still comes, finishes every
-request however long it takes, and ends with code 0. A second signal closes the
-listeners at once; it cuts no request either.`,
+		Long: `Serve runs one instance until SIGTERM, SIGINT or the drain command stops it.
+The instance then reports to the balancer that it is not ready, accepts requests that
+still arrive, finishes every request however long it takes, and exits with code 0. A
+second signal closes the listeners at once; it interrupts no request either.`,
 		Example: "  fulmarwick serve --settings /etc/fulmarwick/klang-1.ini",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -30,6 +30,6 @@
 			return runInstance(cmd.Context(), &daemon.Daemon{Settings: settings, Log: log, Build: buildVersion()})
 		},
 	}
-	c.Flags().StringVar(&path, "settings", "fulmarwick.ini", "settings of the instance")
+	c.Flags().StringVar(&path, "settings", "fulmarwick.ini", "settings file of the instance")
 	return c
 }
--- a/internal/app/cmds/show.go
+++ b/internal/app/cmds/show.go
@@ -18,7 +18,7 @@
 		Use:   "show",
 		Short: "Show the classes and teams in force, and who changed them",
 		Long: `Show prints the version in force on each instance and the classes and teams as a
-document that apply takes. With --history it prints the newest changes instead.`,
+document that apply accepts. With --history it prints the newest changes instead.`,
 		Example: `  fulmarwick show
   fulmarwick show --history 10
   fulmarwick show --url http://127.0.0.1:7070 > classes.ini`,
@@ -39,8 +39,8 @@
 	return c
 }
 
-// printShown prints the versions as comments, so that the whole is a document,
-// and the document of the first instance that answers.
+// printShown prints the versions of the instances and the document of the first instance
+// that answers. The versions are comments, so the whole output is a valid document.
 func printShown(ctx context.Context, out io.Writer, clients []*admin.Client) error {
 	var failed error
 	var document *string
@@ -69,6 +69,7 @@
 	return failed
 }
 
+// printHistory prints the newest changes as a table.
 func printHistory(ctx context.Context, out io.Writer, c *admin.Client, limit int) error {
 	changes, err := c.History(ctx, limit)
 	if err != nil {
--- a/internal/app/cmds/status.go
+++ b/internal/app/cmds/status.go
@@ -18,13 +18,13 @@
 	var asJSON bool
 	c := &cobra.Command{
 		Use:   "status",
-		Short: "Show targets against what is attained, engines and instances",
-		Long: `Status asks instances how they are: each class's target against what was
-attained over the last five minutes, each engine's use, what is leaving, and the
-configuration version in force. Times are in milliseconds.
+		Short: "Show targets and attained values, engines and instances",
+		Long: `Status requests the status of instances: the target of each class and the value
+attained over the last five minutes, the utilization of each engine, the upstreams that
+are leaving, and the configuration version in force. Times are in milliseconds.
 
-It ends with code 4 if an instance does not answer; the others are shown all the
-same.`,
+It exits with code 4 if an instance does not answer, and still prints the status of
+the others.`,
 		Example: `  fulmarwick status
   fulmarwick status --url http://127.0.0.1:7070 --json
   fulmarwick status --url https://10.1.1.11:7070,https://10.1.1.12:7070 --cert ani.crt --key ani.key --ca ca.crt`,
@@ -46,6 +46,7 @@
 	return c
 }
 
+// printJSON prints the statuses of the instances that answered as a JSON list.
 func printJSON(out io.Writer, replies []reply) error {
 	list := []admin.Status{}
 	for _, r := range replies {
@@ -70,6 +71,7 @@
 	return nil
 }
 
+// printStatus prints each status as tables.
 func printStatus(out io.Writer, replies []reply) error {
 	for i, r := range replies {
 		if i > 0 {
@@ -135,7 +137,7 @@
 	return "NO"
 }
 
-// latencyText writes a percentile beside its limit.
+// latencyText formats the 95th percentile and its limit.
 func latencyText(t admin.Times) string {
 	if t.Limit == 0 {
 		return fmt.Sprintf("%.1f/-", t.P95)
@@ -143,7 +145,7 @@
 	return fmt.Sprintf("%.1f/%.0f", t.P95, t.Limit)
 }
 
-// versionText writes a version that may not be known.
+// versionText formats a version, or "-" if it is not known.
 func versionText(version uint64) string {
 	if version == 0 {
 		return "-"
@@ -151,8 +153,8 @@
 	return strconv.FormatUint(version, 10)
 }
 
-// answeredText is how many of 100 requests were answered, beside the reliability
-// asked for.
+// answeredText formats the percentage of requests answered and, if one is configured, the
+// reliability target.
 func answeredText(c admin.Class) string {
 	if c.Reliability == 0 {
 		return fmt.Sprintf("%.1f%%", c.Answered)
--- a/internal/app/cmds/trial.go
+++ b/internal/app/cmds/trial.go
@@ -16,7 +16,10 @@
 )
 
 const (
-	trialLayerTime     = 200 * time.Microsecond
+	// trialLayerTime is the time that a fake engine takes for one layer.
+	trialLayerTime = 200 * time.Microsecond
+	// trialWatchInterval is the interval between reads of the list of upstreams and of
+	// the engine reports.
 	trialWatchInterval = 500 * time.Millisecond
 )
 
@@ -24,7 +27,7 @@
 	var listen, operators string
 	c := &cobra.Command{
 		Use:     "trial",
-		Short:   "Serve the whole system on loopback, with stand-ins, to try it",
+		Short:   "Run the whole system on loopback with stand-ins, to try it out",
 		Example: "  fulmarwick trial --listen 127.0.0.1:8080",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -42,7 +45,7 @@
 		return err
 	}
 	defer site.Close()
-	at, err := listenAll(cmd.Context(), listen, operators)
+	listeners, err := listenAll(cmd.Context(), listen, operators)
 	if err != nil {
 		return err
 	}
@@ -56,13 +59,13 @@
 	if err != nil {
 		return err
 	}
-	d := &daemon.Daemon{Log: log, Listener: at[0], Operators: at[1], Settings: settings, Build: buildVersion()}
-	printTrial(cmd.OutOrStdout(), at[0].Addr().String(), at[1].Addr().String())
+	d := &daemon.Daemon{Log: log, Listener: listeners[0], Operators: listeners[1], Settings: settings, Build: buildVersion()}
+	printTrial(cmd.OutOrStdout(), listeners[0].Addr().String(), listeners[1].Addr().String())
 	return runInstance(cmd.Context(), d)
 }
 
-// listenAll opens both endpoints, so that their addresses are known when port
-// 0 was asked for.
+// listenAll opens a listener for each address, so that the addresses are known even if
+// port 0 was requested.
 func listenAll(ctx context.Context, addresses ...string) ([]net.Listener, error) {
 	var out []net.Listener
 	for _, address := range addresses {
@@ -75,6 +78,7 @@
 	return out, nil
 }
 
+// printTrial prints commands to try on the running system.
 func printTrial(out io.Writer, address, operators string) {
 	_, _ = fmt.Fprintf(out, `Serving on http://%[1]s with stand-in engines, service and platform.
 
--- a/internal/app/cmds/version.go
+++ b/internal/app/cmds/version.go
@@ -20,8 +20,8 @@
 	}
 }
 
-// buildVersion is the program's version, with the commit that it was built from if
-// the toolchain recorded one.
+// buildVersion returns the program's version, the commit that it was built from if the
+// toolchain recorded one, and the Go version.
 func buildVersion() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
