--- a/internal/app/cmds/drain.go
+++ b/internal/app/cmds/drain.go
@@ -12,23 +12,23 @@
 	"github.com/spf13/cobra"
 )
 
-// drainEvery is the time between two looks at an instance that stops.
-const drainEvery = time.Second
+// drainPollInterval is the interval between status requests to a draining instance.
+const drainPollInterval = time.Second
 
 func newDrain() *cobra.Command {
-	var r remote
+	var r remoteFlags
 	var wait bool
 	c := &cobra.Command{
 		Use:   "drain",
-		Short: "Stop an instance without cutting a request",
-		Long: `Drain begins the graceful stop of an instance: it turns the balancer away,
-accepts what still comes, finishes every request however long it takes, and then
-ends with code 0.`,
+		Short: "Stop an instance without interrupting requests",
+		Long: `Drain starts the graceful stop of an instance: the instance reports to the balancer
+that it is not ready, accepts requests that still arrive, finishes every request
+however long it takes, and then exits with code 0.`,
 		Example: `  fulmarwick drain --url http://127.0.0.1:7070
   fulmarwick drain --wait`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			client, err := r.one()
+			client, err := r.singleClient()
 			if err != nil {
 				return err
 			}
@@ -40,17 +40,18 @@
 			if !wait {
 				return nil
 			}
-			return follow(cmd.Context(), cmd.OutOrStdout(), client)
+			return waitEnded(cmd.Context(), cmd.OutOrStdout(), client)
 		},
 	}
-	r.add(c)
-	c.Flags().BoolVar(&wait, "wait", false, "wait until the instance has ended")
+	r.register(c)
+	c.Flags().BoolVar(&wait, "wait", false, "wait until the instance has exited")
 	return c
 }
 
-// follow reports the requests left until the instance answers no more.
-func follow(ctx context.Context, out io.Writer, client *admin.Client) error {
-	ticker := time.NewTicker(drainEvery)
+// waitEnded prints the number of remaining requests until the instance no longer
+// answers.
+func waitEnded(ctx context.Context, out io.Writer, client *admin.Client) error {
+	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
 	last := -1
 	for {
--- a/internal/app/cmds/export_test.go
+++ b/internal/app/cmds/export_test.go
@@ -1,7 +1,7 @@
 package cmds
 
-// Heed, NewRoot and the parts that tests drive by themselves.
+// HandleSignals and NewRoot are exported for the tests of this package only.
 var (
-	Heed    = heed
-	NewRoot = newRoot
+	HandleSignals = handleSignals
+	NewRoot       = newRoot
 )
--- a/internal/app/cmds/log.go
+++ b/internal/app/cmds/log.go
@@ -10,9 +10,9 @@
 	"go.uber.org/zap"
 )
 
-// newLines returns the log of an instance on a platform: bounded lines on
-// standard output, which never hold up a request. stop writes the last ones.
-func newLines(s setup.Log, out io.Writer) (log *zap.Logger, stop func(), err error) {
+// newBoundedLog returns the logger of an instance on a platform. It writes a bounded
+// number of lines to out and never blocks a request. stop flushes the last lines.
+func newBoundedLog(s setup.Log, out io.Writer) (log *zap.Logger, stop func(), err error) {
 	level, err := zap.ParseAtomicLevel(s.Level)
 	if err != nil {
 		return nil, nil, errors.Wrap(err, "cmds: log")
@@ -21,7 +21,7 @@
 	return zap.New(w.Core()), w.Close, nil
 }
 
-// newLog returns the log of a process. Lines go to standard error.
+// newLog returns the logger of a process. It writes to standard error.
 func newLog(s setup.Log) (*zap.Logger, error) {
 	c := zap.NewProductionConfig()
 	if s.Format == "console" {
