--- a/internal/fakes/bench/bench_test.go
+++ b/internal/fakes/bench/bench_test.go
@@ -13,8 +13,8 @@
 
 const seed = 1
 
-// each runs a benchmark per scenario and policy.
-func each(b *testing.B, run func(b *testing.B, c bench.Scenario, p bench.Policy)) {
+// eachPolicy runs a benchmark per scenario and policy.
+func eachPolicy(b *testing.B, run func(b *testing.B, c bench.Scenario, p bench.Policy)) {
 	for _, c := range bench.Scenarios() {
 		for _, p := range bench.Policies() {
 			b.Run(c.Name+"/"+p.Name, func(b *testing.B) { run(b, c, p) })
@@ -23,35 +23,35 @@
 }
 
 func report(b *testing.B, r bench.Result) {
-	b.ReportMetric(r.Through, "work/bound")
-	b.ReportMetric(r.Good, "good/bound")
-	b.ReportMetric(100*r.Held, "%held")
-	b.ReportMetric(100*r.HeldOf, "%heldofadmitted")
+	b.ReportMetric(r.Throughput, "work/bound")
+	b.ReportMetric(r.Goodput, "good/bound")
+	b.ReportMetric(100*r.MetTarget, "%held")
+	b.ReportMetric(100*r.AdmittedMetTarget, "%heldofadmitted")
 	b.ReportMetric(0, "ns/op")
 }
 
 // Saturation is 1.3 of the bound, overload 2.
-func BenchmarkSaturation(b *testing.B) { parts(b, 1.3) }
-func BenchmarkOverload(b *testing.B)   { parts(b, 2.0) }
-func BenchmarkTargets70(b *testing.B)  { parts(b, 0.7) }
-func BenchmarkTargets90(b *testing.B)  { parts(b, 0.9) }
+func BenchmarkSaturation(b *testing.B) { benchmarkLoad(b, 1.3) }
+func BenchmarkOverload(b *testing.B)   { benchmarkLoad(b, 2.0) }
+func BenchmarkTargets70(b *testing.B)  { benchmarkLoad(b, 0.7) }
+func BenchmarkTargets90(b *testing.B)  { benchmarkLoad(b, 0.9) }
 
 // Reach is saturation with a target that any engine can meet while it is full.
 func BenchmarkReach(b *testing.B) {
-	each(b, func(b *testing.B, c bench.Scenario, p bench.Policy) {
+	eachPolicy(b, func(b *testing.B, c bench.Scenario, p bench.Policy) {
 		for range b.N {
 			c.Load.Target = spec.NewTarget(0, 0, 60*time.Second, 95)
-			s := c.Site(p, 1.3, seed)
+			s := c.NewSimulation(p, 1.3, seed)
 			s.Length, s.Warm = 180*time.Second, 110*time.Second
 			report(b, s.Run())
 		}
 	})
 }
 
-func parts(b *testing.B, part float64) {
-	each(b, func(b *testing.B, c bench.Scenario, p bench.Policy) {
+func benchmarkLoad(b *testing.B, part float64) {
+	eachPolicy(b, func(b *testing.B, c bench.Scenario, p bench.Policy) {
 		for range b.N {
-			report(b, c.Site(p, part, seed).Run())
+			report(b, c.NewSimulation(p, part, seed).Run())
 		}
 	})
 }
@@ -59,12 +59,12 @@
 // One team asks for ten times as much as each of nine small ones, whose sum is
 // 0.45 of the bound; in all it is 0.95, and in bursts far more.
 func BenchmarkSmallTeams(b *testing.B) {
-	each(b, func(b *testing.B, c bench.Scenario, p bench.Policy) {
+	eachPolicy(b, func(b *testing.B, c bench.Scenario, p bench.Policy) {
 		for range b.N {
-			s := c.Site(p, 0.95, seed)
+			s := c.NewSimulation(p, 0.95, seed)
 			s.Load.Sizes = []float64{10, 1, 1, 1, 1, 1, 1, 1, 1, 1}
 			r := s.Run()
-			b.ReportMetric(100*r.Others(0), "%held-small")
+			b.ReportMetric(100*r.MeanWithout(0), "%held-small")
 			b.ReportMetric(100*r.Teams["team-000"], "%held-large")
 			b.ReportMetric(0, "ns/op")
 		}
@@ -86,16 +86,16 @@
 		for _, f := range faults {
 			b.Run(c.Name+"/"+f.name, func(b *testing.B) {
 				for range b.N {
-					s := c.Site(bench.Policies()[0], 0.6, seed)
+					s := c.NewSimulation(bench.Policies()[0], 0.6, seed)
 					s.Faults = f.fault
 					r := s.Run()
-					b.ReportMetric(float64(r.Hurt), "hit")
+					b.ReportMetric(float64(r.Affected), "hit")
 					b.ReportMetric(float64(r.Lost), "lost")
-					b.ReportMetric(float64(r.Found.Milliseconds()), "ms-found")
-					b.ReportMetric(float64(r.Healed50.Milliseconds()), "ms-p50")
-					b.ReportMetric(float64(r.Healed95.Milliseconds()), "ms-p95")
-					b.ReportMetric(float64(r.HealedMost.Milliseconds()), "ms-max")
-					b.ReportMetric(100*r.HeldOf, "%heldofadmitted")
+					b.ReportMetric(float64(r.DetectionMax.Milliseconds()), "ms-found")
+					b.ReportMetric(float64(r.Recovery50.Milliseconds()), "ms-p50")
+					b.ReportMetric(float64(r.Recovery95.Milliseconds()), "ms-p95")
+					b.ReportMetric(float64(r.RecoveryMax.Milliseconds()), "ms-max")
+					b.ReportMetric(100*r.AdmittedMetTarget, "%heldofadmitted")
 					b.ReportMetric(0, "ns/op")
 				}
 			})
@@ -107,16 +107,16 @@
 func BenchmarkHedge(b *testing.B) {
 	for _, c := range bench.Scenarios() {
 		for _, part := range []float64{0.5, 0.7, 0.9} {
-			plain := c.Site(bench.Policies()[0], part, seed).Run()
+			plain := c.NewSimulation(bench.Policies()[0], part, seed).Run()
 			for _, hedge := range []time.Duration{0, plain.First95} {
 				b.Run(fmt.Sprintf("%s/%.1f/after=%v", c.Name, part, hedge.Round(time.Millisecond)), func(b *testing.B) {
 					for range b.N {
-						s := c.Site(bench.Policies()[0], part, seed)
+						s := c.NewSimulation(bench.Policies()[0], part, seed)
 						s.Hedge = hedge
 						r := s.Run()
 						b.ReportMetric(float64(r.First95.Milliseconds()), "ms-first95")
 						b.ReportMetric(float64(r.First99.Milliseconds()), "ms-first99")
-						b.ReportMetric(100*r.Held, "%held")
+						b.ReportMetric(100*r.MetTarget, "%held")
 						b.ReportMetric(float64(r.Hedges), "hedges")
 						b.ReportMetric(0, "ns/op")
 					}
@@ -131,13 +131,13 @@
 		for _, p := range bench.Policies()[:2] {
 			b.Run(c.Name+"/"+p.Name, func(b *testing.B) {
 				for range b.N {
-					s := c.Site(p, 0.6, seed)
+					s := c.NewSimulation(p, 0.6, seed)
 					s.Load.Poison = 50 * time.Second
 					r := s.Run()
-					b.ReportMetric(float64(r.Kills), "engines")
+					b.ReportMetric(float64(r.Crashes), "engines")
 					b.ReportMetric(float64(r.Lost), "lost")
-					b.ReportMetric(float64(r.Hurt), "hit")
-					b.ReportMetric(float64(r.HealedMost.Milliseconds()), "ms-max")
+					b.ReportMetric(float64(r.Affected), "hit")
+					b.ReportMetric(float64(r.RecoveryMax.Milliseconds()), "ms-max")
 					b.ReportMetric(0, "ns/op")
 				}
 			})
@@ -154,19 +154,19 @@
 		for _, p := range policies {
 			b.Run(c.Name+"/"+p.Name, func(b *testing.B) {
 				for range b.N {
-					s := c.Site(p, 0.7, seed)
+					s := c.NewSimulation(p, 0.7, seed)
 					// Sixty teams with long shared beginnings: four times what
 					// the engines of one range can cache apiece.
-					s.Load.Shared, s.Load.Prompt, s.Load.Sizes = 0.8, 1024, make([]float64, 60)
+					s.Load.SharedPrefix, s.Load.Prompt, s.Load.Sizes = 0.8, 1024, make([]float64, 60)
 					for i := range s.Load.Sizes {
 						s.Load.Sizes[i] = 1
 					}
 					s.Layout.Blocks = 200
 					r := s.Run()
-					b.ReportMetric(100*r.Hits, "%hit")
+					b.ReportMetric(100*r.CacheHits, "%hit")
 					b.ReportMetric(float64(r.First50.Milliseconds()), "ms-first50")
 					b.ReportMetric(float64(r.First99.Milliseconds()), "ms-first99")
-					b.ReportMetric(100*r.Held, "%held")
+					b.ReportMetric(100*r.MetTarget, "%held")
 					b.ReportMetric(0, "ns/op")
 				}
 			})
@@ -179,13 +179,13 @@
 // two engines; every other answer that ran with it ends whole.
 func TestPoisonCostsTwoEngines(t *testing.T) {
 	for _, c := range bench.Scenarios()[:2] {
-		s := c.Site(bench.Policies()[0], 0.2, seed)
+		s := c.NewSimulation(bench.Policies()[0], 0.2, seed)
 		s.Load.Poison = 10 * time.Second
-		s.Load.Again = 20 * time.Millisecond
+		s.Load.RetryDelay = 20 * time.Millisecond
 		s.Length, s.Warm = 25*time.Second, time.Second
 		r := s.Run()
-		if r.Kills > 2 || r.Lost > 0 || r.Hurt == 0 {
-			t.Errorf("%s: got %d engines lost and %d answers lost of %d hit, want at most 2, none, and some", c.Name, r.Kills, r.Lost, r.Hurt)
+		if r.Crashes > 2 || r.Lost > 0 || r.Affected == 0 {
+			t.Errorf("%s: got %d engines lost and %d answers lost of %d hit, want at most 2, none, and some", c.Name, r.Crashes, r.Lost, r.Affected)
 		}
 	}
 }
@@ -194,12 +194,12 @@
 // loses an answer: each gets its next token from other engines.
 func TestTwoDeathsLoseNoAnswer(t *testing.T) {
 	for _, c := range bench.Scenarios()[:2] {
-		s := c.Site(bench.Policies()[0], 0.2, seed)
+		s := c.NewSimulation(bench.Policies()[0], 0.2, seed)
 		s.Faults = []bench.Fault{bench.Kill(10*time.Second, 0, false), bench.Kill(10*time.Second, 1, true)}
 		s.Length, s.Warm = 26*time.Second, time.Second
 		r := s.Run()
-		if r.Lost > 0 || r.Hurt == 0 {
-			t.Errorf("%s: got %d answers lost of %d hit, want none of some", c.Name, r.Lost, r.Hurt)
+		if r.Lost > 0 || r.Affected == 0 {
+			t.Errorf("%s: got %d answers lost of %d hit, want none of some", c.Name, r.Lost, r.Affected)
 		}
 	}
 }
@@ -208,12 +208,12 @@
 // new from any instance, and what ran on it ends there.
 func TestLeavingEngineDrains(t *testing.T) {
 	c := bench.Scenarios()[0]
-	s := c.Site(bench.Policies()[0], 0.2, seed)
+	s := c.NewSimulation(bench.Policies()[0], 0.2, seed)
 	const at = 8 * time.Second
 	s.Faults = []bench.Fault{bench.Leave(at, 0)}
 	s.Length, s.Warm = 24*time.Second, time.Second
 	r := s.Run()
-	if last := s.LastNew(0); last > at+2*time.Second || last == 0 {
+	if last := s.LastStageAt(0); last > at+2*time.Second || last == 0 {
 		t.Errorf("last new work: got at %v, want within 2s after %v", last, at)
 	}
 	if r.Lost > 0 {
@@ -224,7 +224,7 @@
 // The same seed gives the same figures.
 func TestSameSeedSameFigures(t *testing.T) {
 	run := func() string {
-		s := bench.Scenarios()[0].Site(bench.Policies()[0], 0.5, 7)
+		s := bench.Scenarios()[0].NewSimulation(bench.Policies()[0], 0.5, 7)
 		s.Length, s.Warm = 12*time.Second, time.Second
 		return fmt.Sprintf("%+v", s.Run())
 	}
--- a/internal/fakes/bench/sim.go
+++ b/internal/fakes/bench/clock.go
@@ -22,7 +22,7 @@
 type job struct {
 	at  time.Duration
 	seq uint64
-	do  func()
+	fn  func()
 }
 
 type jobs []job
@@ -53,7 +53,7 @@
 // after runs do once d has passed.
 func (c *clock) after(d time.Duration, do func()) {
 	c.seq++
-	heap.Push(&c.jobs, job{at: c.now + max(0, d), seq: c.seq, do: do})
+	heap.Push(&c.jobs, job{at: c.now + max(0, d), seq: c.seq, fn: do})
 }
 
 // every runs do each d until it returns false.
@@ -65,12 +65,12 @@
 	})
 }
 
-// until runs all that is due up to end.
-func (c *clock) until(end time.Duration) {
+// runUntil runs all that is due up to end.
+func (c *clock) runUntil(end time.Duration) {
 	for len(c.jobs) > 0 && c.jobs[0].at <= end {
 		j := heap.Pop(&c.jobs).(job)
 		c.now = j.at
-		j.do()
+		j.fn()
 	}
 	c.now = end
 }
--- a/internal/fakes/bench/engine.go
+++ b/internal/fakes/bench/engine.go
@@ -13,13 +13,13 @@
 	run     *run
 	attempt uint32
 	stage   *stage
-	// took is the time of one chunk, and chunks how many are left.
-	took     time.Duration
-	chunks   int
-	prio     int
-	seq      uint64
-	canceled bool
-	done     func()
+	// chunkTime is the time of one chunk, and chunks how many are left.
+	chunkTime time.Duration
+	chunks    int
+	priority  int
+	seq       uint64
+	canceled  bool
+	done      func()
 }
 
 type steps []*step
@@ -27,8 +27,8 @@
 func (s steps) Len() int { return len(s) }
 
 func (s steps) Less(a, b int) bool {
-	if s[a].prio != s[b].prio {
-		return s[a].prio < s[b].prio
+	if s[a].priority != s[b].priority {
+		return s[a].priority < s[b].priority
 	}
 	return s[a].seq < s[b].seq
 }
@@ -49,22 +49,22 @@
 
 // engine runs steps in slots, tighter priorities first.
 type engine struct {
-	site *Site
-	row  domain.Engine
-	// hop is the true time of one hop now.
-	hop     time.Duration
-	busy    int
-	wait    steps
-	kv      int
-	life    int
-	dead    bool
-	silent  bool
-	leaving bool
-	seq     uint64
-	work    time.Duration
-	cache   *prefix
-	// opened is when it last got a new stage.
-	opened time.Duration
+	sim  *Simulation
+	info domain.Engine
+	// hopTime is the true time of one hop now.
+	hopTime  time.Duration
+	busy     int
+	queue    steps
+	kvUsed   int
+	epoch    int
+	dead     bool
+	hung     bool
+	leaving  bool
+	seq      uint64
+	busyTime time.Duration
+	cache    *prefixCache
+	// lastStageAt is when it last got a new stage.
+	lastStageAt time.Duration
 }
 
 // submit queues a step; a dead engine never answers.
@@ -74,36 +74,36 @@
 	}
 	e.seq++
 	s.seq = e.seq
-	heap.Push(&e.wait, s)
-	e.serve()
+	heap.Push(&e.queue, s)
+	e.runQueued()
 }
 
-func (e *engine) serve() {
-	for e.busy < e.row.Slots && len(e.wait) > 0 {
-		s := heap.Pop(&e.wait).(*step)
+func (e *engine) runQueued() {
+	for e.busy < e.info.Slots && len(e.queue) > 0 {
+		s := heap.Pop(&e.queue).(*step)
 		if s.canceled {
 			continue
 		}
-		if e.dies(s) {
+		if e.crashesOn(s) {
 			return
 		}
 		e.busy++
-		e.work += s.took
-		life := e.life
-		e.site.clock.after(s.took, func() {
-			if e.life != life || e.dead {
+		e.busyTime += s.chunkTime
+		life := e.epoch
+		e.sim.clock.after(s.chunkTime, func() {
+			if e.epoch != life || e.dead {
 				return
 			}
 			e.busy--
-			e.ran(s)
-			e.serve()
+			e.chunkDone(s)
+			e.runQueued()
 		})
 	}
 }
 
-// ran ends a chunk. A prompt runs chunk by chunk between the tokens of other
+// chunkDone ends a chunk. A prompt runs chunk by chunk between the tokens of other
 // requests, as engines that batch continuously do it.
-func (e *engine) ran(s *step) {
+func (e *engine) chunkDone(s *step) {
 	s.chunks--
 	switch {
 	case s.canceled:
@@ -112,55 +112,55 @@
 	default:
 		e.seq++
 		s.seq = e.seq
-		heap.Push(&e.wait, s)
+		heap.Push(&e.queue, s)
 	}
 }
 
-// dies kills the engine if the step belongs to a poison request.
-func (e *engine) dies(s *step) bool {
-	if !s.run.poison || s.stage.done > 0 {
+// crashesOn kills the engine if the step belongs to a poison request.
+func (e *engine) crashesOn(s *step) bool {
+	if !s.run.poison || s.stage.processed > 0 {
 		return false
 	}
-	e.site.kills++
-	e.die(false)
+	e.sim.crashes++
+	e.crash(false)
 	return true
 }
 
-// die drops all state. A silent death is one whose connections hang.
-func (e *engine) die(silent bool) {
+// crash drops all state. A silent death is one whose connections hang.
+func (e *engine) crash(silent bool) {
 	if e.dead {
 		return
 	}
-	e.dead, e.silent = true, silent
-	e.life++
-	e.busy, e.kv = 0, 0
-	e.wait = nil
-	e.cache = newPrefix(e.cache.most)
-	e.site.broke(e)
+	e.dead, e.hung = true, silent
+	e.epoch++
+	e.busy, e.kvUsed = 0, 0
+	e.queue = nil
+	e.cache = newPrefixCache(e.cache.capacity)
+	e.sim.engineCrashed(e)
 }
 
 // revive restarts the engine with no state.
 func (e *engine) revive() {
 	e.dead = false
-	e.row.Incarnation++
+	e.info.Incarnation++
 }
 
 // report is what the engine tells of itself now.
 func (e *engine) report() domain.Engine {
-	e.row.Seq++
-	out := e.row
-	out.Active, out.Queued, out.KVUsed = e.busy, len(e.wait), e.kv
+	e.info.Seq++
+	out := e.info
+	out.Active, out.Queued, out.KVUsed = e.busy, len(e.queue), e.kvUsed
 	return out
 }
 
 // stage is the state of a range of a request on an engine.
 type stage struct {
-	is     spec.Stage
-	engine *engine
-	life   int
-	done   int
-	opened bool
+	spec      spec.Stage
+	engine    *engine
+	epoch     int
+	processed int
+	opened    bool
 }
 
-// lost reports whether the engine lost the stage's state.
-func (s *stage) lost() bool { return s.engine.dead || s.engine.life != s.life }
+// stateLost reports whether the engine lost the stage's state.
+func (s *stage) stateLost() bool { return s.engine.dead || s.engine.epoch != s.epoch }
--- a/internal/fakes/bench/hedge.go
+++ b/internal/fakes/bench/hedge.go
@@ -2,31 +2,31 @@
 
 import "fulmarwick/internal/route/domain"
 
-// hedge starts a second run of a request that has no token yet, as a client or
+// startHedge starts a second run of a request that has no token yet, as a client or
 // router would that hopes for a faster chain.
-func (r *run) hedge() {
-	if r.outcome != OutcomeOpen || r.tokens > 0 || r.twin != nil {
+func (r *run) startHedge() {
+	if r.outcome != OutcomeOpen || r.tokens > 0 || r.sibling != nil {
 		return
 	}
 	twin := &run{
-		site: r.site, on: r.on, target: r.target, out: r.out, came: r.came,
-		ask: r.ask, twin: r,
+		sim: r.sim, instance: r.instance, target: r.target, outputTokens: r.outputTokens, arrivedAt: r.arrivedAt,
+		arrival: r.arrival, sibling: r,
 	}
-	twin.ask.Request = "h-" + r.ask.Request
-	r.twin = twin
-	r.site.hedges++
-	r.site.send(twin)
+	twin.arrival.Request = "h-" + r.arrival.Request
+	r.sibling = twin
+	r.sim.hedges++
+	r.sim.send(twin)
 }
 
-// won ends the slower twin when the first token came.
-func (r *run) won() {
-	o := r.twin
+// cancelSibling ends the slower twin when the first token came.
+func (r *run) cancelSibling() {
+	o := r.sibling
 	if o == nil || o.outcome != OutcomeOpen {
 		return
 	}
 	if o.step != nil {
 		o.step.canceled = true
 	}
-	o.end(OutcomeHedged)
-	o.on.post(domain.RequestCanceled{Request: o.ask.Request})
+	o.finish(OutcomeHedged)
+	o.instance.post(domain.RequestCanceled{Request: o.arrival.Request})
 }
--- a/internal/fakes/bench/instance.go
+++ b/internal/fakes/bench/instance.go
@@ -8,24 +8,24 @@
 
 // instance is one router.
 type instance struct {
-	site    *Site
-	id      spec.InstanceID
-	logic   *core.Logic
-	inbox   []domain.Event
-	waking  bool
-	waits   map[spec.RequestID]*run
-	Refused int
+	sim           *Simulation
+	id            spec.InstanceID
+	logic         *core.Logic
+	inbox         []domain.Event
+	tickScheduled bool
+	requests      map[spec.RequestID]*run
+	Refused       int
 }
 
 // post queues an event and wakes the logic.
 func (i *instance) post(ev domain.Event) {
 	i.inbox = append(i.inbox, ev)
-	if i.waking {
+	if i.tickScheduled {
 		return
 	}
-	i.waking = true
-	i.site.clock.after(wakeAfter, func() {
-		i.waking = false
+	i.tickScheduled = true
+	i.sim.clock.after(wakeDelay, func() {
+		i.tickScheduled = false
 		i.tick()
 	})
 }
@@ -33,42 +33,42 @@
 func (i *instance) tick() {
 	events := i.inbox
 	i.inbox = nil
-	for _, c := range i.logic.Tick(i.site.clock.now, events) {
-		i.obey(c)
+	for _, c := range i.logic.Tick(i.sim.clock.now, events) {
+		i.execute(c)
 	}
 }
 
-func (i *instance) obey(c domain.Command) {
+func (i *instance) execute(c domain.Command) {
 	switch c := c.(type) {
 	case domain.Start:
-		i.waits[c.Request].take(c)
+		i.requests[c.Request].applyStart(c)
 	case domain.Refuse:
-		r := i.waits[c.Request]
+		r := i.requests[c.Request]
 		r.reason = c.Reason
-		if r.twin != nil && r.twin.outcome == OutcomeOpen {
-			r.end(OutcomeHedged)
+		if r.sibling != nil && r.sibling.outcome == OutcomeOpen {
+			r.finish(OutcomeHedged)
 			return
 		}
 		if c.Ran {
-			r.end(OutcomeLost)
+			r.finish(OutcomeLost)
 		} else {
-			r.end(OutcomeRefused)
+			r.finish(OutcomeRefused)
 		}
 	case domain.Forward:
-		i.waits[c.Request].end(OutcomeForwarded)
+		i.requests[c.Request].finish(OutcomeForwarded)
 	case domain.LocalLoad:
-		i.tell(domain.PeerLoad{Peer: i.id, Engine: c.Engine, Active: c.Active, LayerTokenRate: c.LayerTokenRate})
+		i.sendToPeers(domain.PeerLoad{Peer: i.id, Engine: c.Engine, Active: c.Active, LayerTokenRate: c.LayerTokenRate})
 	case domain.LocalTeamUsage:
-		i.site.rate(c, i.id)
+		i.sim.shareTeamUsage(c, i.id)
 	case domain.ReportSuspect:
-		i.tell(domain.SuspectReported(c))
+		i.sendToPeers(domain.SuspectReported(c))
 	}
 }
 
-// tell hands a message to the other instances, late.
-func (i *instance) tell(ev domain.Event) {
-	i.site.clock.after(peerLag, func() {
-		for _, o := range i.site.instances {
+// sendToPeers hands a message to the other instances, late.
+func (i *instance) sendToPeers(ev domain.Event) {
+	i.sim.clock.after(peerLag, func() {
+		for _, o := range i.sim.instances {
 			if o != i {
 				o.post(ev)
 			}
--- a/internal/fakes/bench/layout.go
+++ b/internal/fakes/bench/layout.go
@@ -19,50 +19,50 @@
 	Blocks int
 }
 
-// kind is a kind of accelerator.
-type kind struct {
-	name  string
-	layer time.Duration
-	hop   time.Duration
+// accelerator is a kind of accelerator.
+type accelerator struct {
+	name      string
+	layerTime time.Duration
+	hopTime   time.Duration
 }
 
 const (
-	slots   = 16
-	kvRoom  = 200_000
-	blocks  = 400
-	width   = 8192
-	fastBps = 10_000_000_000
-	slowBps = 100_000_000
+	slots      = 16
+	kvCapacity = 200_000
+	blocks     = 400
+	width      = 8192
+	fastBps    = 10_000_000_000
+	slowBps    = 100_000_000
 )
 
 // mixed spreads each kind over even ranges, so that every range has engines of
 // unlike speed.
-func mixed(depth, ranges, engines int, kinds []kind) Layout {
+func mixed(depth, ranges, engines int, kinds []accelerator) Layout {
 	l := Layout{Depth: depth, Blocks: blocks}
 	for i := range engines {
 		part := i % ranges
 		k := kinds[(i/ranges)%len(kinds)]
 		layers := spec.NewLayers(part*depth/ranges, (part+1)*depth/ranges)
-		l.Engines = append(l.Engines, row(i, k, depth, layers))
+		l.Engines = append(l.Engines, describeEngine(i, k, depth, layers))
 	}
 	return l
 }
 
-func row(i int, k kind, depth int, layers spec.Layers) domain.Engine {
+func describeEngine(i int, k accelerator, depth int, layers spec.Layers) domain.Engine {
 	bps := int64(fastBps)
-	if k.hop > time.Millisecond {
+	if k.hopTime > time.Millisecond {
 		bps = slowBps
 	}
 	return domain.Engine{
 		ID: spec.UpstreamID(fmt.Sprintf("%s-%03d", k.name, i)), Kind: k.name, DataCentre: "dc",
-		LayerTime: k.layer, Slots: slots, LayerCapacity: layers.Len(), KVCapacity: kvRoom, ReportedHopTime: k.hop, Bandwidth: bps,
+		LayerTime: k.layerTime, Slots: slots, LayerCapacity: layers.Len(), KVCapacity: kvCapacity, ReportedHopTime: k.hopTime, Bandwidth: bps,
 		Loaded: []domain.LoadedRange{{Model: Model, Version: "1", Depth: depth, Layers: layers, Width: width}},
 	}
 }
 
 // Association is 30 engines of three kinds over three ranges.
 func Association() Layout {
-	return mixed(24, 3, 30, []kind{
+	return mixed(24, 3, 30, []accelerator{
 		{"fast", time.Millisecond, 500 * time.Microsecond},
 		{"mid", 2 * time.Millisecond, time.Millisecond},
 		{"slow", 4 * time.Millisecond, 2 * time.Millisecond},
@@ -71,7 +71,7 @@
 
 // Coast is 30 engines of two kinds over two ranges.
 func Coast() Layout {
-	return mixed(20, 2, 30, []kind{
+	return mixed(20, 2, 30, []accelerator{
 		{"fast", 2 * time.Millisecond, 500 * time.Microsecond},
 		{"slow", 5 * time.Millisecond, 2 * time.Millisecond},
 	})
@@ -80,7 +80,7 @@
 // Centre is 60 engines of five kinds over four ranges, on links that differ a
 // hundredfold.
 func Centre() Layout {
-	return mixed(32, 4, 60, []kind{
+	return mixed(32, 4, 60, []accelerator{
 		{"a", time.Millisecond, 100 * time.Microsecond},
 		{"b", 1600 * time.Microsecond, 300 * time.Microsecond},
 		{"c", 2600 * time.Microsecond, time.Millisecond},
--- a/internal/fakes/bench/prefix.go
+++ b/internal/fakes/bench/prefix.go
@@ -6,23 +6,23 @@
 	"fulmarwick/internal/route/domain"
 )
 
-// prefix is the prefix cache of an engine: blocks, the one used longest ago
+// prefixCache is the prefix cache of an engine: blocks, the one used longest ago
 // going first.
-type prefix struct {
-	most   int
-	index  map[uint64]*list.Element
-	recent *list.List
-	seq    uint64
-	added  []uint64
-	gone   []uint64
+type prefixCache struct {
+	capacity int
+	index    map[uint64]*list.Element
+	recent   *list.List
+	seq      uint64
+	added    []uint64
+	removed  []uint64
 }
 
-func newPrefix(most int) *prefix {
-	return &prefix{most: most, index: map[uint64]*list.Element{}, recent: list.New()}
+func newPrefixCache(most int) *prefixCache {
+	return &prefixCache{capacity: most, index: map[uint64]*list.Element{}, recent: list.New()}
 }
 
-// hits is how many blocks from the first on are cached.
-func (p *prefix) hits(blocks []uint64) int {
+// lookup is how many blocks from the first on are cached.
+func (p *prefixCache) lookup(blocks []uint64) int {
 	n := 0
 	for _, b := range blocks {
 		el := p.index[b]
@@ -35,7 +35,7 @@
 	return n
 }
 
-func (p *prefix) put(blocks []uint64) {
+func (p *prefixCache) put(blocks []uint64) {
 	for _, b := range blocks {
 		if el := p.index[b]; el != nil {
 			p.recent.MoveToFront(el)
@@ -44,20 +44,20 @@
 		p.index[b] = p.recent.PushFront(b)
 		p.added = append(p.added, b)
 	}
-	for p.recent.Len() > p.most {
+	for p.recent.Len() > p.capacity {
 		last := p.recent.Back()
 		b := p.recent.Remove(last).(uint64)
 		delete(p.index, b)
-		p.gone = append(p.gone, b)
+		p.removed = append(p.removed, b)
 	}
 }
 
-// news are the cache events since the last call; whole makes them the whole
+// report are the cache events since the last call; whole makes them the whole
 // content.
-func (p *prefix) news(e *engine, whole bool) domain.CacheReport {
+func (p *prefixCache) report(e *engine, whole bool) domain.CacheReport {
 	p.seq++
-	ev := domain.CacheReport{Engine: e.row.ID, Seq: p.seq, Added: p.added, Removed: p.gone, Reset: whole}
-	p.added, p.gone = nil, nil
+	ev := domain.CacheReport{Engine: e.info.ID, Seq: p.seq, Added: p.added, Removed: p.removed, Reset: whole}
+	p.added, p.removed = nil, nil
 	if whole {
 		ev.Added, ev.Removed = nil, nil
 		for el := p.recent.Front(); el != nil; el = el.Next() {
--- a/internal/fakes/bench/result.go
+++ b/internal/fakes/bench/result.go
@@ -10,102 +10,102 @@
 
 // Result is the figures of a run, for what came after the warm-up.
 type Result struct {
-	// Through is work done over the bound, and Good the same for answers that
+	// Throughput is work done over the bound, and Good the same for answers that
 	// met their target.
-	Through, Good float64
+	Throughput, Goodput float64
 	// Came, Refused, Lost and Done count requests.
-	Came, Refused, Lost, Done int
-	// Held is the part of all that came, and HeldOf the part of those not
+	Arrived, Refused, Lost, Done int
+	// MetTarget is the part of all that came, and HeldOf the part of those not
 	// refused, that met its target.
-	Held, HeldOf float64
+	MetTarget, AdmittedMetTarget float64
 	// Teams is Held per team.
 	Teams map[spec.TeamID]float64
-	// Hits is the part of prompt positions served from prefix caches.
-	Hits float64
+	// CacheHits is the part of prompt positions served from prefix caches.
+	CacheHits float64
 	// Hedges counts requests that ran twice.
 	Hedges int
 	// First50 and First99 are of the first token.
 	First50, First95, First99 time.Duration
-	// Hurt counts requests hit by a fault; Healed50 and so on are the time to
+	// Affected counts requests hit by a fault; Healed50 and so on are the time to
 	// their next token, Found the longest time to the notice of it.
-	Hurt                           int
-	Healed50, Healed95, HealedMost time.Duration
-	Found                          time.Duration
-	Kills                          int
-	Timeouts                       int
-	Reasons                        map[domain.Reason]int
-	// MissFirst and MissGap count answers that missed that part of the target.
-	MissFirst, MissGap int
-	// Use is per kind of accelerator the part of its slots' time that ran.
-	Use map[string]float64
+	Affected                            int
+	Recovery50, Recovery95, RecoveryMax time.Duration
+	DetectionMax                        time.Duration
+	Crashes                             int
+	Timeouts                            int
+	Reasons                             map[domain.Reason]int
+	// MissedFirst and MissGap count answers that missed that part of the target.
+	MissedFirst, MissedGap int
+	// Utilization is per kind of accelerator the part of its slots' time that ran.
+	Utilization map[string]float64
 }
 
 // result gathers what ended in the window. Requests that are open at the end
 // and came too late to have met their target are left out.
-func (s *Site) result() Result {
+func (s *Simulation) result() Result {
 	out := Result{
-		Kills: s.kills, Timeouts: s.timeouts, Hedges: s.hedges,
+		Crashes: s.crashes, Timeouts: s.timeouts, Hedges: s.hedges,
 		Teams: map[spec.TeamID]float64{}, Reasons: map[domain.Reason]int{},
 	}
 	came := map[spec.TeamID]float64{}
 	held := map[spec.TeamID]float64{}
-	g := gather{out: &out, came: came, held: held}
+	g := collector{out: &out, arrived: came, metTarget: held}
 	done, good := 0, 0
 	for _, r := range s.runs {
-		out.hurt(r, &g.healed)
-		if r.outcome == OutcomeDone && r.ended >= s.Warm {
-			done += s.units(r)
-			if r.held() {
-				good += s.units(r)
+		out.countFault(r, &g.recoveries)
+		if r.outcome == OutcomeDone && r.endedAt >= s.Warm {
+			done += s.workUnits(r)
+			if r.metTarget() {
+				good += s.workUnits(r)
 			}
 		}
-		if r.came >= s.Warm && r.came <= s.Length-tail && !r.poison && r.outcome != OutcomeHedged {
-			g.take(r)
+		if r.arrivedAt >= s.Warm && r.arrivedAt <= s.Length-openMargin && !r.poison && r.outcome != OutcomeHedged {
+			g.add(r)
 		}
 	}
 	window := (s.Length - s.Warm).Seconds() * s.Layout.Bound()
-	out.Through, out.Good = float64(done)/window, float64(good)/window
-	out.Held = part(g.heldAll, out.Came)
-	out.HeldOf = part(g.heldAll, out.Came-out.Refused)
-	out.Hits = part(g.hit, g.prefill)
-	out.Use = s.use()
-	out.First50, out.First95, out.First99 = at(g.firsts, 50), at(g.firsts, 95), at(g.firsts, 99)
-	out.Healed50, out.Healed95, out.HealedMost = at(g.healed, 50), at(g.healed, 95), at(g.healed, 100)
+	out.Throughput, out.Goodput = float64(done)/window, float64(good)/window
+	out.MetTarget = ratio(g.metTargetTotal, out.Arrived)
+	out.AdmittedMetTarget = ratio(g.metTargetTotal, out.Arrived-out.Refused)
+	out.CacheHits = ratio(g.cachedTokens, g.prefillTokens)
+	out.Utilization = s.utilization()
+	out.First50, out.First95, out.First99 = percentile(g.firsts, 50), percentile(g.firsts, 95), percentile(g.firsts, 99)
+	out.Recovery50, out.Recovery95, out.RecoveryMax = percentile(g.recoveries, 50), percentile(g.recoveries, 95), percentile(g.recoveries, 100)
 	for t, n := range came {
 		out.Teams[t] = held[t] / n
 	}
 	return out
 }
 
-// gather adds up the requests of the window.
-type gather struct {
-	out            *Result
-	came, held     map[spec.TeamID]float64
-	firsts, healed []time.Duration
-	heldAll        int
-	hit, prefill   int
+// collector adds up the requests of the window.
+type collector struct {
+	out                         *Result
+	arrived, metTarget          map[spec.TeamID]float64
+	firsts, recoveries          []time.Duration
+	metTargetTotal              int
+	cachedTokens, prefillTokens int
 }
 
-func (g *gather) take(r *run) {
-	g.out.Came++
-	g.came[r.ask.Team]++
-	g.out.count(r)
+func (g *collector) add(r *run) {
+	g.out.Arrived++
+	g.arrived[r.arrival.Team]++
+	g.out.countOutcome(r)
 	switch {
-	case r.held():
-		g.heldAll++
-		g.held[r.ask.Team]++
+	case r.metTarget():
+		g.metTargetTotal++
+		g.metTarget[r.arrival.Team]++
 	case r.outcome == OutcomeDone:
-		g.out.miss(r)
+		g.out.countMiss(r)
 	}
-	if r.first > 0 {
-		g.firsts = append(g.firsts, r.first)
+	if r.firstToken > 0 {
+		g.firsts = append(g.firsts, r.firstToken)
 	}
-	g.hit += r.hit
-	g.prefill += r.prefill
+	g.cachedTokens += r.cachedTokens
+	g.prefillTokens += r.prefillTokens
 }
 
-// Others is the part held of all teams but one, each counting alike.
-func (o *Result) Others(but int) float64 {
+// MeanWithout is the part held of all teams but one, each counting alike.
+func (o *Result) MeanWithout(but int) float64 {
 	sum, n := 0.0, 0
 	for i := range len(o.Teams) {
 		if i != but {
@@ -116,14 +116,14 @@
 	return sum / float64(max(1, n))
 }
 
-// LastNew is when the nth engine last got a new stage.
-func (s *Site) LastNew(n int) time.Duration { return s.engines[n].opened }
+// LastStageAt is when the nth engine last got a new stage.
+func (s *Simulation) LastStageAt(n int) time.Duration { return s.engines[n].lastStageAt }
 
-func (s *Site) use() map[string]float64 {
+func (s *Simulation) utilization() map[string]float64 {
 	ran, all := map[string]float64{}, map[string]float64{}
 	for _, e := range s.engines {
-		ran[e.row.Kind] += e.work.Seconds()
-		all[e.row.Kind] += float64(e.row.Slots) * s.Length.Seconds()
+		ran[e.info.Kind] += e.busyTime.Seconds()
+		all[e.info.Kind] += float64(e.info.Slots) * s.Length.Seconds()
 	}
 	for kind := range ran {
 		ran[kind] /= all[kind]
@@ -131,17 +131,17 @@
 	return ran
 }
 
-// units is the work of an answer in tokens through the whole model, without
+// workUnits is the work of an answer in tokens through the whole model, without
 // what prefix caches saved and without rebuilds.
-func (s *Site) units(r *run) int {
-	return (r.ask.PromptTokens+31)/32 + r.tokens
+func (s *Simulation) workUnits(r *run) int {
+	return (r.arrival.PromptTokens+31)/32 + r.tokens
 }
 
-// tail is how long before the end requests count: those later may be open for
+// openMargin is how long before the end requests count: those later may be open for
 // no fault of theirs.
-const tail = 20 * time.Second
+const openMargin = 20 * time.Second
 
-func (o *Result) count(r *run) {
+func (o *Result) countOutcome(r *run) {
 	switch r.outcome {
 	case OutcomeDone:
 		o.Done++
@@ -154,33 +154,33 @@
 	}
 }
 
-func (o *Result) miss(r *run) {
-	if limit := r.target.FirstEvent(); limit > 0 && r.first > limit {
-		o.MissFirst++
+func (o *Result) countMiss(r *run) {
+	if limit := r.target.FirstEvent(); limit > 0 && r.firstToken > limit {
+		o.MissedFirst++
 		return
 	}
-	o.MissGap++
+	o.MissedGap++
 }
 
-func (o *Result) hurt(r *run, healed *[]time.Duration) {
-	if r.hurt == 0 || r.poison {
+func (o *Result) countFault(r *run, healed *[]time.Duration) {
+	if r.faultAt == 0 || r.poison {
 		return
 	}
-	o.Hurt++
-	o.Found = max(o.Found, r.found)
-	if r.healed > 0 {
-		*healed = append(*healed, r.healed)
+	o.Affected++
+	o.DetectionMax = max(o.DetectionMax, r.detection)
+	if r.recovery > 0 {
+		*healed = append(*healed, r.recovery)
 	}
 }
 
-func part(a, b int) float64 {
+func ratio(a, b int) float64 {
 	if b <= 0 {
 		return 0
 	}
 	return float64(a) / float64(b)
 }
 
-func at(d []time.Duration, percent int) time.Duration {
+func percentile(d []time.Duration, percent int) time.Duration {
 	if len(d) == 0 {
 		return 0
 	}
--- a/internal/fakes/bench/run.go
+++ b/internal/fakes/bench/run.go
@@ -25,206 +25,206 @@
 // run is a request as the wire would run it: stages that are behind are
 // brought up to date in order.
 type run struct {
-	site    *Site
-	on      *instance
-	ask     domain.RequestArrived
-	target  spec.Target
-	out     int
-	poison  bool
-	attempt uint32
-	stages  []*stage
-	step    *step
-	start   domain.Start
-	tokens  int
-	came    time.Duration
-	first   time.Duration
-	last    time.Duration
-	longest time.Duration
-	over    int
-	waiting bool
-	dog     time.Duration
-	barking bool
-	outcome Outcome
-	reason  domain.Reason
-	ended   time.Duration
-	hit     int
-	prefill int
-	work    int
-	// hurt is when a fault last hit the request; healed the time to its next
+	sim           *Simulation
+	instance      *instance
+	arrival       domain.RequestArrived
+	target        spec.Target
+	outputTokens  int
+	poison        bool
+	attempt       uint32
+	stages        []*stage
+	step          *step
+	start         domain.Start
+	tokens        int
+	arrivedAt     time.Duration
+	firstToken    time.Duration
+	lastToken     time.Duration
+	longestGap    time.Duration
+	lateGaps      int
+	awaitingStart bool
+	stepDeadline  time.Duration
+	timerSet      bool
+	outcome       Outcome
+	reason        domain.Reason
+	endedAt       time.Duration
+	cachedTokens  int
+	prefillTokens int
+	layerChunks   int
+	// faultAt is when a fault last hit the request; healed the time to its next
 	// token, and found the time to the notice of the loss.
-	hurt time.Duration
-	// twin is the other run of a hedged request.
-	twin   *run
-	healed time.Duration
-	found  time.Duration
+	faultAt time.Duration
+	// sibling is the other run of a hedged request.
+	sibling   *run
+	recovery  time.Duration
+	detection time.Duration
 }
 
-func (r *run) take(c domain.Start) {
+func (r *run) applyStart(c domain.Start) {
 	if r.outcome != OutcomeOpen {
 		return
 	}
 	old := r.stages
 	r.attempt = c.Attempt
 	r.start = c
-	r.waiting = false
-	if r.site.Hedge > 0 && c.Attempt == 1 && r.twin == nil {
-		r.site.clock.after(r.site.Hedge-(r.site.clock.now-r.came), r.hedge)
+	r.awaitingStart = false
+	if r.sim.Hedge > 0 && c.Attempt == 1 && r.sibling == nil {
+		r.sim.clock.after(r.sim.Hedge-(r.sim.clock.now-r.arrivedAt), r.startHedge)
 	}
 	r.stages = make([]*stage, 0, len(c.Chain))
 	for _, want := range c.Chain {
-		r.stages = append(r.stages, r.keep(&old, want))
+		r.stages = append(r.stages, r.reuseStage(&old, want))
 	}
 	for _, s := range old {
-		r.leave(s)
+		r.releaseStage(s)
 	}
 	r.advance()
 }
 
-func (r *run) keep(old *[]*stage, want spec.Stage) *stage {
+func (r *run) reuseStage(old *[]*stage, want spec.Stage) *stage {
 	for i, s := range *old {
-		if s.is == want && s.done > 0 && !r.behind(s) {
+		if s.spec == want && s.processed > 0 && !r.wasLost(s) {
 			*old = append((*old)[:i], (*old)[i+1:]...)
 			return s
 		}
 	}
-	e := r.site.engine(want.Engine())
-	return &stage{is: want, engine: e, life: e.life}
+	e := r.sim.engine(want.Engine())
+	return &stage{spec: want, engine: e, epoch: e.epoch}
 }
 
-// behind reports whether s was the stage that was lost.
-func (r *run) behind(s *stage) bool { return r.step != nil && r.step.stage == s }
+// wasLost reports whether s was the stage that was lost.
+func (r *run) wasLost(s *stage) bool { return r.step != nil && r.step.stage == s }
 
-func (r *run) leave(s *stage) {
-	if s.opened && s.engine.life == s.life {
-		s.engine.kv -= r.ask.PromptTokens + r.ask.MaxTokens
+func (r *run) releaseStage(s *stage) {
+	if s.opened && s.engine.epoch == s.epoch {
+		s.engine.kvUsed -= r.arrival.PromptTokens + r.arrival.MaxTokens
 	}
 	s.opened = false
 }
 
-func (r *run) positions() int { return r.ask.PromptTokens + r.tokens }
+func (r *run) positions() int { return r.arrival.PromptTokens + r.tokens }
 
 // advance submits the next step, or ends the request.
 func (r *run) advance() {
 	for _, s := range r.stages {
-		if s.done < r.positions() {
+		if s.processed < r.positions() {
 			r.submit(s)
 			return
 		}
 	}
-	r.token()
+	r.tokenDone()
 }
 
 func (r *run) submit(s *stage) {
 	e := s.engine
-	hop := e.hop + r.carry(s)
-	st := &step{run: r, attempt: r.attempt, stage: s, prio: r.start.Priority}
-	st.done = func() { r.stepped(st) }
+	hop := e.hopTime + r.transferTime(s)
+	st := &step{run: r, attempt: r.attempt, stage: s, priority: r.start.Priority}
+	st.done = func() { r.stepDone(st) }
 	r.step = st
 	wait := r.start.StepTimeout
-	if s.done == 0 {
+	if s.processed == 0 {
 		wait = r.start.PrefillTimeout
 	}
-	r.watch(wait)
-	r.site.clock.after(hop, func() {
+	r.armStepTimer(wait)
+	r.sim.clock.after(hop, func() {
 		if r.step != st || st.canceled {
 			return
 		}
-		r.arrive(st)
+		r.deliver(st)
 	})
 }
 
-// carry is the time that the inputs of a step take on the link.
-func (r *run) carry(s *stage) time.Duration {
-	if s.engine.row.Bandwidth <= 0 || s.is.Layers().From() == 0 {
+// transferTime is the time that the inputs of a step take on the link.
+func (r *run) transferTime(s *stage) time.Duration {
+	if s.engine.info.Bandwidth <= 0 || s.spec.Layers().From() == 0 {
 		return 0
 	}
-	bytes := float64((r.positions() - s.done) * s.engine.row.Loaded[0].Width)
-	return time.Duration(bytes / float64(s.engine.row.Bandwidth) * float64(time.Second))
+	bytes := float64((r.positions() - s.processed) * s.engine.info.Loaded[0].Width)
+	return time.Duration(bytes / float64(s.engine.info.Bandwidth) * float64(time.Second))
 }
 
-// arrive puts a step on its engine, or tells at once that the connection was
+// deliver puts a step on its engine, or tells at once that the connection was
 // refused or is broken. An engine that hangs tells nothing.
-func (r *run) arrive(st *step) {
+func (r *run) deliver(st *step) {
 	s := st.stage
 	e := s.engine
 	switch {
-	case e.dead && e.silent:
+	case e.dead && e.hung:
 		return
 	case e.dead && !s.opened:
-		r.lose(s, domain.CauseRefused)
+		r.loseStage(s, domain.CauseRefused)
 		return
-	case s.lost():
-		r.lose(s, domain.CauseBroken)
+	case s.stateLost():
+		r.loseStage(s, domain.CauseBroken)
 		return
 	case e.leaving && !s.opened:
-		r.lose(s, domain.CauseLeaving)
+		r.loseStage(s, domain.CauseLeaving)
 		return
 	}
-	if !s.opened && e.kv+r.ask.PromptTokens+r.ask.MaxTokens > e.row.KVCapacity {
-		r.lose(s, domain.CauseLeaving)
+	if !s.opened && e.kvUsed+r.arrival.PromptTokens+r.arrival.MaxTokens > e.info.KVCapacity {
+		r.loseStage(s, domain.CauseLeaving)
 		return
 	}
 	if !s.opened {
 		s.opened = true
-		e.opened = r.site.clock.now
-		e.kv += r.ask.PromptTokens + r.ask.MaxTokens
-	}
-	todo := r.positions() - s.done
-	if s.done == 0 {
-		hit := min(e.cache.hits(r.ask.BlockHashes)*pick.BlockTokens, r.ask.PromptTokens-1)
-		r.hit += hit
-		r.prefill += r.ask.PromptTokens
+		e.lastStageAt = r.sim.clock.now
+		e.kvUsed += r.arrival.PromptTokens + r.arrival.MaxTokens
+	}
+	todo := r.positions() - s.processed
+	if s.processed == 0 {
+		hit := min(e.cache.lookup(r.arrival.BlockHashes)*pick.BlockTokens, r.arrival.PromptTokens-1)
+		r.cachedTokens += hit
+		r.prefillTokens += r.arrival.PromptTokens
 		todo -= hit
 	}
 	chunks := max(1, (todo+pick.ChunkPositions-1)/pick.ChunkPositions)
-	r.work += chunks * s.is.Layers().Len()
-	st.took = time.Duration(s.is.Layers().Len()) * e.row.LayerTime
+	r.layerChunks += chunks * s.spec.Layers().Len()
+	st.chunkTime = time.Duration(s.spec.Layers().Len()) * e.info.LayerTime
 	st.chunks = chunks
 	e.submit(st)
 }
 
-func (r *run) stepped(st *step) {
+func (r *run) stepDone(st *step) {
 	if r.step != st || r.outcome != OutcomeOpen {
 		return
 	}
 	s := st.stage
-	if s.done == 0 {
-		s.engine.cache.put(r.ask.BlockHashes)
+	if s.processed == 0 {
+		s.engine.cache.put(r.arrival.BlockHashes)
 	}
-	s.done = r.positions()
+	s.processed = r.positions()
 	r.step = nil
 	r.advance()
 }
 
-// token is the end of a pass through all stages.
-func (r *run) token() {
-	now := r.site.clock.now
+// tokenDone is the end of a pass through all stages.
+func (r *run) tokenDone() {
+	now := r.sim.clock.now
 	r.tokens++
 	if r.tokens == 1 {
-		r.first = now - r.came
-		r.won()
+		r.firstToken = now - r.arrivedAt
+		r.cancelSibling()
 	} else {
-		gap := now - r.last
-		r.longest = max(r.longest, gap)
+		gap := now - r.lastToken
+		r.longestGap = max(r.longestGap, gap)
 		if limit := r.target.Gap(); limit > 0 && gap > limit {
-			r.over++
+			r.lateGaps++
 		}
 	}
-	r.last = now
-	if r.hurt > 0 && r.healed == 0 {
-		r.healed = now - r.hurt
+	r.lastToken = now
+	if r.faultAt > 0 && r.recovery == 0 {
+		r.recovery = now - r.faultAt
 	}
-	if r.attempt > 1 && r.tokens == r.progressed()+1 {
-		r.on.post(domain.RequestProgress{Request: r.ask.Request, Tokens: r.tokens})
+	if r.attempt > 1 && r.tokens == r.tokensAtStart()+1 {
+		r.instance.post(domain.RequestProgress{Request: r.arrival.Request, Tokens: r.tokens})
 	}
-	if r.tokens >= r.out {
-		r.end(OutcomeDone)
+	if r.tokens >= r.outputTokens {
+		r.finish(OutcomeDone)
 		return
 	}
 	r.advance()
 }
 
-// progressed is the tokens at the last start.
-func (r *run) progressed() int {
-	return r.on.logic.State().Requests().Get(r.ask.Request).TokensAtStart()
+// tokensAtStart is the tokens at the last start.
+func (r *run) tokensAtStart() int {
+	return r.instance.logic.State().Requests().Get(r.arrival.Request).TokensAtStart()
 }
--- a/internal/fakes/bench/scenario.go
+++ b/internal/fakes/bench/scenario.go
@@ -20,15 +20,15 @@
 func Scenarios() []Scenario {
 	return []Scenario{
 		{"association", Association(), Load{
-			Sizes: sizes(10, 3, 6), Prompt: 512, Out: 64, Burst: 3,
+			Sizes: sizes(10, 3, 6), Prompt: 512, Output: 64, Burst: 3,
 			Target: spec.NewTarget(5*time.Second, 200*time.Millisecond, 0, 95),
 		}},
 		{"coast", Coast(), Load{
-			Sizes: sizes(10, 3, 6), Prompt: 256, Out: 48, Burst: 3,
+			Sizes: sizes(10, 3, 6), Prompt: 256, Output: 48, Burst: 3,
 			Target: spec.NewTarget(4*time.Second, 0, 20*time.Second, 95),
 		}},
 		{"centre", Centre(), Load{
-			Sizes: sizes(200, 10, 10), Prompt: 256, Out: 64, Burst: 3,
+			Sizes: sizes(200, 10, 10), Prompt: 256, Output: 64, Burst: 3,
 			Target: spec.NewTarget(5*time.Second, 400*time.Millisecond, 0, 95),
 		}},
 	}
@@ -64,12 +64,12 @@
 // Rand is a seeded source.
 func Rand(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 3)) }
 
-// Site puts a scenario together with a policy at a part of the bound.
-func (c Scenario) Site(p Policy, part float64, seed uint64) *Site {
-	s := &Site{
+// NewSimulation puts a scenario together with a policy at a part of the bound.
+func (c Scenario) NewSimulation(p Policy, part float64, seed uint64) *Simulation {
+	s := &Simulation{
 		Layout: c.Layout, Load: c.Load, Logic: p.Logic, Seed: seed,
 		Length: 90 * time.Second, Warm: 30 * time.Second,
 	}
-	s.Load.Part = part
+	s.Load.LoadFactor = part
 	return s
 }
--- a/internal/fakes/drive/drive_test.go
+++ b/internal/fakes/drive/drive_test.go
@@ -14,7 +14,7 @@
 	"fulmarwick/internal/fakes/drive"
 )
 
-const small = `
+const smallWorkload = `
 [load]
 seconds = 6
 [class draft]
@@ -41,7 +41,7 @@
 // Each request of a calm workload is answered in its target, and the report has
 // them all, as a table, as JSON and as a plot.
 func TestCalmWorkload(t *testing.T) {
-	work, err := drive.Parse([]byte(small))
+	work, err := drive.Parse([]byte(smallWorkload))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -84,7 +84,7 @@
 
 // Requests and stay times are those of the file: the same seed sends the same.
 func TestSameSeedSendsTheSame(t *testing.T) {
-	work, err := drive.Parse([]byte(small))
+	work, err := drive.Parse([]byte(smallWorkload))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fakes/drive/plot.go
+++ b/internal/fakes/drive/plot.go
@@ -24,7 +24,7 @@
 	graph := chart.Chart{
 		Width: 1000, Height: 420,
 		XAxis:          chart.XAxis{Name: "second"},
-		YAxis:          chart.YAxis{Name: "first event, ms", Range: &chart.ContinuousRange{Min: 0, Max: 1.05 * max(1, most(p99))}},
+		YAxis:          chart.YAxis{Name: "first event, ms", Range: &chart.ContinuousRange{Min: 0, Max: 1.05 * max(1, maxValue(p99))}},
 		YAxisSecondary: share,
 		Series: []chart.Series{
 			chart.ContinuousSeries{Name: "p50", XValues: at, YValues: p50},
@@ -39,7 +39,7 @@
 	return nil
 }
 
-func most(xs []float64) float64 {
+func maxValue(xs []float64) float64 {
 	out := 0.0
 	for _, x := range xs {
 		out = max(out, x)
--- a/internal/fakes/drive/report.go
+++ b/internal/fakes/drive/report.go
@@ -52,27 +52,27 @@
 				mine = append(mine, a)
 			}
 		}
-		out.Classes = append(out.Classes, row(r.Work.Classes[i].Name, mine))
+		out.Classes = append(out.Classes, summarize(r.Work.Classes[i].Name, mine))
 	}
-	out.Total = row("all", r.answers)
+	out.Total = summarize("all", r.answers)
 	for n := range int(r.Work.Span / time.Second) {
-		out.Seconds = append(out.Seconds, second(n, r.answers))
+		out.Seconds = append(out.Seconds, summarizeSecond(n, r.answers))
 	}
 	return out
 }
 
-func row(name string, answers []answer) Row {
+func summarize(name string, answers []answer) Row {
 	out := Row{Class: name, Asked: len(answers)}
 	var firsts, pauses []time.Duration
 	for _, a := range answers {
-		switch a.end {
-		case EndInTarget:
+		switch a.outcome {
+		case OutcomeInTarget:
 			out.InTarget++
 			out.Worth++
-		case EndLate:
+		case OutcomeLate:
 			out.Late++
 			out.Worth += a.class.Late
-		case EndRefused:
+		case OutcomeRefused:
 			out.Refused++
 			continue
 		default:
@@ -81,7 +81,7 @@
 		}
 		firsts = append(firsts, a.first)
 		if a.class.Prompt > 0 {
-			pauses = append(pauses, a.pause)
+			pauses = append(pauses, a.longestGap)
 		}
 	}
 	out.Worth /= float64(max(1, out.Asked))
@@ -90,14 +90,14 @@
 	return out
 }
 
-func second(n int, answers []answer) Second {
+func summarizeSecond(n int, answers []answer) Second {
 	var mine []answer
 	for _, a := range answers {
-		if int(a.at/time.Second) == n {
+		if int(a.sentAt/time.Second) == n {
 			mine = append(mine, a)
 		}
 	}
-	r := row("", mine)
+	r := summarize("", mine)
 	return Second{
 		At: n, Asked: r.Asked, Served: float64(r.InTarget+r.Late) / float64(max(1, r.Asked)), Worth: r.Worth, FirstP50: r.FirstP50, FirstP99: r.FirstP99,
 	}
--- a/internal/fakes/drive/run.go
+++ b/internal/fakes/drive/run.go
@@ -39,24 +39,24 @@
 
 // answer is what one caller got in the end.
 type answer struct {
-	class *Class
-	at    time.Duration
-	end   End
+	class   *Class
+	sentAt  time.Duration
+	outcome Outcome
 	// first is the time to the first event or to the answer, pause the longest
 	// one between events.
-	first time.Duration
-	pause time.Duration
+	first      time.Duration
+	longestGap time.Duration
 }
 
-// End is how a request ended.
-type End int
+// Outcome is how a request ended.
+type Outcome int
 
 // The ends of requests.
 const (
-	EndInTarget End = iota
-	EndLate
-	EndRefused
-	EndFailed
+	OutcomeInTarget Outcome = iota
+	OutcomeLate
+	OutcomeRefused
+	OutcomeFailed
 )
 
 // Do plays the workload and returns what its callers got.
@@ -67,15 +67,15 @@
 	r.start = time.Now()
 	var callers, rest sync.WaitGroup
 	for i := range r.Work.Classes {
-		rest.Go(func() { r.send(ctx, &r.Work.Classes[i], uint64(i), &callers) })
+		rest.Go(func() { r.sendClass(ctx, &r.Work.Classes[i], uint64(i), &callers) })
 	}
 	faults := make(chan error, len(r.Work.Faults))
 	for _, f := range r.Work.Faults {
-		rest.Go(func() { faults <- r.fault(ctx, f) })
+		rest.Go(func() { faults <- r.applyFault(ctx, f) })
 	}
 	done := make(chan struct{})
 	var told sync.WaitGroup
-	told.Go(func() { r.tell(done) })
+	told.Go(func() { r.reportProgress(done) })
 	rest.Wait()
 	callers.Wait()
 	close(done)
@@ -92,12 +92,12 @@
 	return r.report(), ctx.Err()
 }
 
-// send sends the requests of a class at random moments of its rate.
-func (r *Run) send(ctx context.Context, c *Class, n uint64, callers *sync.WaitGroup) {
+// sendClass sends the requests of a class at random moments of its rate.
+func (r *Run) sendClass(ctx context.Context, c *Class, n uint64, callers *sync.WaitGroup) {
 	random := rand.New(rand.NewPCG(r.Work.Seed, n))
 	at := time.Duration(0)
 	for k := 0; ; k++ {
-		rate := c.Rate * r.times(c, at)
+		rate := c.Rate * r.rateFactor(c, at)
 		if rate <= 0 {
 			return
 		}
@@ -106,12 +106,12 @@
 			return
 		}
 		id, sent := fmt.Sprintf("%s-%d", c.Name, k), at
-		callers.Go(func() { r.call(ctx, c, id, sent) })
+		callers.Go(func() { r.runCaller(ctx, c, id, sent) })
 	}
 }
 
-// times is how much higher than usual the rate of a class is.
-func (r *Run) times(c *Class, at time.Duration) float64 {
+// rateFactor is how much higher than usual the rate of a class is.
+func (r *Run) rateFactor(c *Class, at time.Duration) float64 {
 	out := 1.0
 	for _, b := range r.Work.Bursts {
 		if (b.Class == "" || b.Class == c.Name) && at >= b.At && at < b.At+b.For {
@@ -121,15 +121,15 @@
 	return out
 }
 
-func (r *Run) fault(ctx context.Context, f Fault) error {
+func (r *Run) applyFault(ctx context.Context, f Fault) error {
 	if !feed.Sleep(ctx, f.At) {
 		return nil
 	}
 	return r.Fault(f)
 }
 
-// call is one caller: it comes back when it is told to.
-func (r *Run) call(ctx context.Context, c *Class, id string, at time.Duration) {
+// runCaller is one caller: it comes back when it is told to.
+func (r *Run) runCaller(ctx context.Context, c *Class, id string, at time.Duration) {
 	until := time.Now().Add(c.Deadline)
 	ctx, cancel := context.WithDeadline(ctx, until)
 	defer cancel()
@@ -137,32 +137,32 @@
 	var a answer
 	for try := 0; ; try++ {
 		var again time.Duration
-		a, again = r.ask(ctx, c, fmt.Sprintf("%s-%d", id, try), start, time.Until(until))
-		if a.end != EndRefused || try >= c.Retries || !feed.Sleep(ctx, again) {
+		a, again = r.request(ctx, c, fmt.Sprintf("%s-%d", id, try), start, time.Until(until))
+		if a.outcome != OutcomeRefused || try >= c.Retries || !feed.Sleep(ctx, again) {
 			break
 		}
 	}
-	a.class, a.at = c, at
+	a.class, a.sentAt = c, at
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.answers = append(r.answers, a)
 }
 
-func (r *Run) front() int {
+func (r *Run) nextFront() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.next++
 	return r.next % len(r.Fronts)
 }
 
-// ask makes one request; again is when a refused caller may come back.
-func (r *Run) ask(ctx context.Context, c *Class, id string, start time.Time, left time.Duration) (a answer, again time.Duration) {
-	a = answer{end: EndFailed}
+// request makes one request; again is when a refused caller may come back.
+func (r *Run) request(ctx context.Context, c *Class, id string, start time.Time, left time.Duration) (a answer, again time.Duration) {
+	a = answer{outcome: OutcomeFailed}
 	tokens := ""
 	if c.Prompt > 0 {
 		tokens = fmt.Sprintf("%d,%d", c.Prompt, c.Answer)
 	}
-	n := r.front()
+	n := r.nextFront()
 	req, err := stand.NewRequest(ctx, c.Method, "http://"+r.Fronts[n]+c.Path, id, tokens)
 	if err != nil {
 		return a, 0
@@ -177,7 +177,7 @@
 	switch resp.StatusCode {
 	case http.StatusOK:
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-		a.end = EndRefused
+		a.outcome = OutcomeRefused
 		seconds, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
 		if err != nil {
 			seconds = 0
@@ -190,10 +190,10 @@
 	switch {
 	case err != nil || events != stand.EventCount(c.Answer):
 		return a, 0
-	case a.first > c.Target || events > 0 && a.pause > c.Gap:
-		a.end = EndLate
+	case a.first > c.Target || events > 0 && a.longestGap > c.Gap:
+		a.outcome = OutcomeLate
 	default:
-		a.end = EndInTarget
+		a.outcome = OutcomeInTarget
 	}
 	return a, 0
 }
@@ -213,7 +213,7 @@
 			if events == 0 {
 				a.first = pause
 			} else {
-				a.pause = max(a.pause, pause)
+				a.longestGap = max(a.longestGap, pause)
 			}
 			events++
 		}
@@ -230,8 +230,8 @@
 	return events, nil
 }
 
-// tell reports each second that is over.
-func (r *Run) tell(done <-chan struct{}) {
+// reportProgress reports each second that is over.
+func (r *Run) reportProgress(done <-chan struct{}) {
 	if r.Progress == nil {
 		return
 	}
@@ -246,6 +246,6 @@
 		r.mu.Lock()
 		all := append([]answer(nil), r.answers...)
 		r.mu.Unlock()
-		r.Progress(n, second(n, all))
+		r.Progress(n, summarizeSecond(n, all))
 	}
 }
--- a/internal/fakes/drive/work.go
+++ b/internal/fakes/drive/work.go
@@ -102,102 +102,102 @@
 	for _, s := range file.Sections() {
 		p.section(s)
 	}
-	p.together()
-	if len(p.faults) > 0 {
-		return Work{}, errors.Wrap(ErrWork, strings.Join(p.faults, "; "))
+	p.checkReferences()
+	if len(p.problems) > 0 {
+		return Work{}, errors.Wrap(ErrWork, strings.Join(p.problems, "; "))
 	}
 	return p.work, nil
 }
 
 // parser gathers a workload and everything wrong with its file.
 type parser struct {
-	work   Work
-	faults []string
+	work     Work
+	problems []string
 }
 
-func (p *parser) fault(format string, args ...any) {
-	p.faults = append(p.faults, fmt.Sprintf(format, args...))
+func (p *parser) addProblem(format string, args ...any) {
+	p.problems = append(p.problems, fmt.Sprintf(format, args...))
 }
 
 func (p *parser) section(s *ini.Section) {
 	kind, name, _ := strings.Cut(s.Name(), " ")
 	switch kind {
 	case ini.DefaultSection:
-		p.known(s)
+		p.checkKeys(s)
 	case "load":
-		p.known(s, "seconds", "instances", "seed")
-		p.work.Span = p.span(s, "seconds", p.work.Span, time.Second)
+		p.checkKeys(s, "seconds", "instances", "seed")
+		p.work.Span = p.duration(s, "seconds", p.work.Span, time.Second)
 		p.work.Instances = int(p.number(s, "instances", 4, 1, 64))
 		p.work.Seed = uint64(p.number(s, "seed", 1, 0, 1e9))
 	case "class":
 		p.class(s, name)
 	case "burst":
-		p.known(s, "at", "for", "times", "class")
+		p.checkKeys(s, "at", "for", "times", "class")
 		p.work.Bursts = append(p.work.Bursts, Burst{
-			At: p.span(s, "at", 0, 0), For: p.span(s, "for", time.Second, time.Millisecond),
+			At: p.duration(s, "at", 0, 0), For: p.duration(s, "for", time.Second, time.Millisecond),
 			Times: p.number(s, "times", 2, 0, 100), Class: s.Key("class").String(),
 		})
 	case "fault":
-		p.known(s, "at", "kind", "count", "times", "zone")
+		p.checkKeys(s, "at", "kind", "count", "times", "zone")
 		p.work.Faults = append(p.work.Faults, Fault{
-			At: p.span(s, "at", 0, 0), Kind: Kind(s.Key("kind").String()), Count: int(p.number(s, "count", 1, 1, 1000)),
+			At: p.duration(s, "at", 0, 0), Kind: Kind(s.Key("kind").String()), Count: int(p.number(s, "count", 1, 1, 1000)),
 			Times: p.number(s, "times", 3, 1, 1000), Zone: s.Key("zone").String(),
 		})
 	default:
-		p.fault("section [%s] is not known", s.Name())
+		p.addProblem("section [%s] is not known", s.Name())
 	}
 }
 
 func (p *parser) class(s *ini.Section, name string) {
-	p.known(s, "rate", "method", "path", "prompt", "answer", "target", "gap", "deadline", "late", "retries", "key")
+	p.checkKeys(s, "rate", "method", "path", "prompt", "answer", "target", "gap", "deadline", "late", "retries", "key")
 	c := Class{
 		Name: name, Method: s.Key("method").MustString("POST"), Key: s.Key("key").MustString(stand.TeamKey(1)), Path: s.Key("path").String(), Rate: p.number(s, "rate", 1, 0, 1e5),
 		Prompt: int(p.number(s, "prompt", 0, 0, 1e6)), Answer: int(p.number(s, "answer", 0, 0, 1e6)),
-		Target: p.span(s, "target", 500*time.Millisecond, time.Millisecond), Gap: p.span(s, "gap", 200*time.Millisecond, time.Millisecond),
-		Deadline: p.span(s, "deadline", 20*time.Second, time.Millisecond),
+		Target: p.duration(s, "target", 500*time.Millisecond, time.Millisecond), Gap: p.duration(s, "gap", 200*time.Millisecond, time.Millisecond),
+		Deadline: p.duration(s, "deadline", 20*time.Second, time.Millisecond),
 		Late:     p.number(s, "late", 0.5, 0, 1), Retries: int(p.number(s, "retries", 1, 0, 10)),
 	}
 	if name == "" {
-		p.fault("[class] has no name")
+		p.addProblem("[class] has no name")
 	}
 	if !strings.HasPrefix(c.Path, "/") {
-		p.fault("[%s] path: %q does not begin with a slash", s.Name(), c.Path)
+		p.addProblem("[%s] path: %q does not begin with a slash", s.Name(), c.Path)
 	}
 	p.work.Classes = append(p.work.Classes, c)
 }
 
-// together checks what no section shows alone.
-func (p *parser) together() {
+// checkReferences checks what no section shows alone.
+func (p *parser) checkReferences() {
 	if len(p.work.Classes) == 0 {
-		p.fault("no [class NAME]")
+		p.addProblem("no [class NAME]")
 	}
 	names := map[string]bool{}
 	for _, c := range p.work.Classes {
 		if names[c.Name] {
-			p.fault("class %q stands twice", c.Name)
+			p.addProblem("class %q stands twice", c.Name)
 		}
 		names[c.Name] = true
 	}
 	for _, b := range p.work.Bursts {
 		if b.Class != "" && !names[b.Class] {
-			p.fault("burst of class %q, which is not there", b.Class)
+			p.addProblem("burst of class %q, which is not there", b.Class)
 		}
 	}
 	for _, f := range p.work.Faults {
 		if !slices.Contains(kinds, f.Kind) {
-			p.fault("fault of kind %q; known are %v", f.Kind, kinds)
+			p.addProblem("fault of kind %q; known are %v", f.Kind, kinds)
 		}
 		if f.Kind == KindZone && f.Zone == "" {
-			p.fault("fault of kind zone without a zone")
+			p.addProblem("fault of kind zone without a zone")
 		}
 	}
 }
 
-// known faults keys that a section does not have.
-func (p *parser) known(s *ini.Section, names ...string) {
+// checkKeys faults keys that a section does not have.
+func (p *parser) checkKeys(s *ini.Section, names ...string) {
 	for _, k := range s.KeyStrings() {
 		if !slices.Contains(names, k) {
-			p.fault("[%s] %s is not known", s.Name(), k)
+			p.addProblem("[%s] %s is not known", s.Name(), k)
 		}
 	}
 }
@@ -208,17 +208,17 @@
 	}
 	v, err := s.Key(key).Float64()
 	if err != nil || v < least || v > most {
-		p.fault("[%s] %s: %q is not a number from %g to %g", s.Name(), key, s.Key(key).String(), least, most)
+		p.addProblem("[%s] %s: %q is not a number from %g to %g", s.Name(), key, s.Key(key).String(), least, most)
 		return usual
 	}
 	return v
 }
 
-// longest is the longest time that a workload may name.
-const longest = time.Hour
+// maxDuration is the longest time that a workload may name.
+const maxDuration = time.Hour
 
-// span reads a duration such as 200ms; a bare number is seconds.
-func (p *parser) span(s *ini.Section, key string, usual, least time.Duration) time.Duration {
+// duration reads a duration such as 200ms; a bare number is seconds.
+func (p *parser) duration(s *ini.Section, key string, usual, least time.Duration) time.Duration {
 	if !s.HasKey(key) {
 		return usual
 	}
@@ -227,8 +227,8 @@
 	if err != nil {
 		d, err = time.ParseDuration(text + "s")
 	}
-	if err != nil || d < least || d > longest {
-		p.fault("[%s] %s: %q is not a time from %s to %s", s.Name(), key, text, least, longest)
+	if err != nil || d < least || d > maxDuration {
+		p.addProblem("[%s] %s: %q is not a time from %s to %s", s.Name(), key, text, least, maxDuration)
 		return usual
 	}
 	return d
--- a/internal/fakes/stage/cache.go
+++ b/internal/fakes/stage/cache.go
@@ -22,47 +22,47 @@
 // log of what came and went.
 type cache struct {
 	blocks []uint64
-	log    []entry
+	log    []loggedEvent
 	seq    uint64
 }
 
-type entry struct {
-	ev frame.Event
-	at time.Time
+type loggedEvent struct {
+	event frame.Event
+	at    time.Time
 }
 
-// take puts the blocks of a prompt in the cache of at most limit blocks.
-func (c *cache) take(text string, limit int) {
+// addPrompt puts the blocks of a prompt in the cache of at most limit blocks.
+func (c *cache) addPrompt(text string, limit int) {
 	h := xxhash.New()
 	for len(text) >= blockBytes && limit > 0 {
 		_, _ = h.WriteString(text[:blockBytes])
-		c.use(h.Sum64(), limit)
+		c.touch(h.Sum64(), limit)
 		text = text[blockBytes:]
 	}
 }
 
-func (c *cache) use(block uint64, limit int) {
+func (c *cache) touch(block uint64, limit int) {
 	if i := slices.Index(c.blocks, block); i >= 0 {
 		c.blocks = append(slices.Delete(c.blocks, i, i+1), block)
 		return
 	}
 	for len(c.blocks) >= limit {
-		c.note(false, c.blocks[0])
+		c.record(false, c.blocks[0])
 		c.blocks = slices.Delete(c.blocks, 0, 1)
 	}
 	c.blocks = append(c.blocks, block)
-	c.note(true, block)
+	c.record(true, block)
 }
 
-func (c *cache) note(added bool, block uint64) {
+func (c *cache) record(added bool, block uint64) {
 	c.seq++
-	c.log = append(c.log, entry{ev: frame.Event{Seq: c.seq, Added: added, Block: block}, at: time.Now()})
+	c.log = append(c.log, loggedEvent{event: frame.Event{Seq: c.seq, Added: added, Block: block}, at: time.Now()})
 	if len(c.log) > keptEvents {
 		c.log = slices.Delete(c.log, 0, len(c.log)-keptEvents)
 	}
 }
 
-func (e *Engine) events(w http.ResponseWriter, req *http.Request) {
+func (e *Engine) handleEvents(w http.ResponseWriter, req *http.Request) {
 	since, err := strconv.ParseUint(req.URL.Query().Get("since"), 10, 64)
 	if err != nil {
 		http.Error(w, "since is not a number", http.StatusBadRequest)
@@ -70,10 +70,10 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	reply(w, e.page(since))
+	writeJSON(w, e.eventsSince(since))
 }
 
-func (e *Engine) page(since uint64) frame.Events {
+func (e *Engine) eventsSince(since uint64) frame.Events {
 	c := &e.cache
 	first := c.seq - uint64(len(c.log)) + 1
 	if since > c.seq || since+1 < first {
@@ -81,15 +81,15 @@
 	}
 	out := frame.Events{Seq: since}
 	for _, en := range c.log {
-		if en.ev.Seq <= since {
+		if en.event.Seq <= since {
 			continue
 		}
 		if time.Since(en.at) < e.EventLag {
 			break
 		}
-		out.Seq = en.ev.Seq
-		if e.Gap == nil || !e.Gap(en.ev.Seq) {
-			out.Events = append(out.Events, en.ev)
+		out.Seq = en.event.Seq
+		if e.Gap == nil || !e.Gap(en.event.Seq) {
+			out.Events = append(out.Events, en.event)
 		}
 	}
 	return out
--- a/internal/fakes/stage/kv.go
+++ b/internal/fakes/stage/kv.go
@@ -10,7 +10,7 @@
 	"fulmarwick/internal/fakes/layer"
 )
 
-const kvBytes = 256 << 20
+const maxKVBytes = 256 << 20
 
 // exportKV gives the cache of a range of a request's state.
 func (e *Engine) exportKV(w http.ResponseWriter, req *http.Request) {
@@ -28,7 +28,7 @@
 			continue
 		}
 		if data, ok := ses.kv.Export(from, to); ok {
-			reply(w, frame.KV{Req: k.req, Model: ses.model, From: from, To: to, Try: ses.try, Pos: ses.kv.Pos(), Data: data})
+			writeJSON(w, frame.KV{Req: k.req, Model: ses.model, From: from, To: to, Try: ses.attempt, Pos: ses.kv.Pos(), Data: data})
 			return
 		}
 	}
@@ -38,26 +38,26 @@
 // importKV opens a state from a cache that another engine gave.
 func (e *Engine) importKV(w http.ResponseWriter, req *http.Request) {
 	var kv frame.KV
-	if err := json.NewDecoder(http.MaxBytesReader(w, req.Body, kvBytes)).Decode(&kv); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(w, req.Body, maxKVBytes)).Decode(&kv); err != nil {
 		http.Error(w, "not a KV cache", http.StatusBadRequest)
 		return
 	}
 	state, ok := layer.Import(kv.From, kv.To, kv.Pos, kv.Data)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	depth, held := e.holds(kv.Model, kv.From, kv.To)
+	depth, held := e.findLoaded(kv.Model, kv.From, kv.To)
 	if !ok || !held {
 		http.Error(w, "no such range, or data of another size", http.StatusUnprocessableEntity)
 		return
 	}
 	k := key{req: kv.Req, from: kv.From}
-	if ses := e.sessions[k]; ses != nil && ses.try >= kv.Try {
+	if ses := e.sessions[k]; ses != nil && ses.attempt >= kv.Try {
 		http.Error(w, "a state of this attempt exists", http.StatusConflict)
 		return
 	}
 	e.sessions[k] = &session{
-		try: kv.Try, to: kv.To, depth: depth, model: kv.Model, kv: state,
-		used: time.Now(), orphaned: time.Now(),
+		attempt: kv.Try, to: kv.To, depth: depth, model: kv.Model, kv: state,
+		lastUsed: time.Now(), orphaned: time.Now(),
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
--- a/internal/fakes/stage/link.go
+++ b/internal/fakes/stage/link.go
@@ -21,21 +21,21 @@
 // link is one connection of a router.
 type link struct {
 	ws   *websocket.Conn
-	out  chan passing
-	in   chan passing
+	out  chan timedFrame
+	in   chan timedFrame
 	done chan struct{}
 }
 
-// passing is a frame that reaches the other end at a time.
-type passing struct {
+// timedFrame is a frame that reaches the other end at a time.
+type timedFrame struct {
 	at    time.Time
 	step  *frame.Step
 	reply *frame.Reply
 }
 
-func (e *Engine) stream(w http.ResponseWriter, req *http.Request) {
+func (e *Engine) handleSteps(w http.ResponseWriter, req *http.Request) {
 	up := websocket.Upgrader{ReadBufferSize: bufferBytes, WriteBufferSize: bufferBytes}
-	head := http.Header{frame.HeaderIncarnation: {e.incarnation()}}
+	head := http.Header{frame.HeaderIncarnation: {e.incarnationHeader()}}
 	ws, err := up.Upgrade(w, req, head)
 	if err != nil {
 		return
@@ -43,21 +43,21 @@
 	ws.SetReadLimit(frame.MaxBytes)
 	l := &link{
 		ws: ws, done: make(chan struct{}),
-		out: make(chan passing, linkReplies), in: make(chan passing, linkSteps),
+		out: make(chan timedFrame, linkReplies), in: make(chan timedFrame, linkSteps),
 	}
 	e.mu.Lock()
 	e.links[l] = true
 	e.mu.Unlock()
-	go e.write(l)
-	go e.accept(l)
-	e.read(l)
+	go e.writeReplies(l)
+	go e.deliverSteps(l)
+	e.readSteps(l)
 	close(l.done)
 	_ = ws.Close()
 	e.orphan(l)
 }
 
-// read takes the steps off the connection and lets them travel for a hop.
-func (e *Engine) read(l *link) {
+// readSteps takes the steps off the connection and lets them travel for a hop.
+func (e *Engine) readSteps(l *link) {
 	for {
 		_, data, err := l.ws.ReadMessage()
 		if err != nil {
@@ -69,38 +69,38 @@
 			if err != nil {
 				return
 			}
-			e.carry(l, s)
+			e.receive(l, s)
 		}
 	}
 }
 
-// carry lets a step travel; without a delay it is there at once.
-func (e *Engine) carry(l *link, s *frame.Step) {
-	at := e.arrival(stepBytes(s))
+// receive lets a step travel; without a delay it is there at once.
+func (e *Engine) receive(l *link, s *frame.Step) {
+	at := e.arrivalTime(stepBytes(s))
 	if at.IsZero() {
 		e.submit(s, l)
 		return
 	}
 	select {
-	case l.in <- passing{at: at, step: s}:
+	case l.in <- timedFrame{at: at, step: s}:
 	case <-l.done:
 	}
 }
 
-func (e *Engine) accept(l *link) {
+func (e *Engine) deliverSteps(l *link) {
 	for {
 		select {
 		case <-l.done:
 			return
 		case p := <-l.in:
-			wait(p.at)
+			waitUntil(p.at)
 			e.submit(p.step, l)
 		}
 	}
 }
 
-// arrival is when a frame of so many bytes gets to the other end.
-func (e *Engine) arrival(bytes int) time.Time {
+// arrivalTime is when a frame of so many bytes gets to the other end.
+func (e *Engine) arrivalTime(bytes int) time.Time {
 	if e.Link == 0 && e.Bandwidth == 0 {
 		return time.Time{}
 	}
@@ -111,7 +111,7 @@
 	return time.Now().Add(delay)
 }
 
-func wait(at time.Time) {
+func waitUntil(at time.Time) {
 	if at.IsZero() {
 		return
 	}
@@ -120,8 +120,8 @@
 	}
 }
 
-// write sends replies; all that wait go out as one message.
-func (e *Engine) write(l *link) {
+// writeReplies sends replies; all that wait go out as one message.
+func (e *Engine) writeReplies(l *link) {
 	var buf bytes.Buffer
 	for {
 		select {
@@ -129,8 +129,8 @@
 			return
 		case p := <-l.out:
 			buf.Reset()
-			wait(p.at)
-			if !gather(&buf, p, l) || l.ws.WriteMessage(websocket.BinaryMessage, buf.Bytes()) != nil {
+			waitUntil(p.at)
+			if !batchReplies(&buf, p, l) || l.ws.WriteMessage(websocket.BinaryMessage, buf.Bytes()) != nil {
 				_ = l.ws.Close()
 				return
 			}
@@ -138,7 +138,7 @@
 	}
 }
 
-func gather(buf *bytes.Buffer, p passing, l *link) bool {
+func batchReplies(buf *bytes.Buffer, p timedFrame, l *link) bool {
 	for {
 		if frame.AppendReply(buf, p.reply) != nil {
 			return false
@@ -148,15 +148,15 @@
 		}
 		select {
 		case p = <-l.out:
-			wait(p.at)
+			waitUntil(p.at)
 		default:
 			return true
 		}
 	}
 }
 
-// answer sends the reply of s back, unless a fault is due.
-func (e *Engine) answer(l *link, s *frame.Step, r *frame.Reply) {
+// sendReply sends the reply of s back, unless a fault is due.
+func (e *Engine) sendReply(l *link, s *frame.Step, r *frame.Reply) {
 	fault := FaultNone
 	if e.Faults != nil {
 		fault = e.Faults(s)
@@ -168,17 +168,17 @@
 		_ = l.ws.Close()
 		return
 	case FaultDelay:
-		time.AfterFunc(e.Late, func() { e.post(l, r) })
+		time.AfterFunc(e.Late, func() { e.queueReply(l, r) })
 		return
 	case FaultDouble:
-		e.post(l, r)
+		e.queueReply(l, r)
 	}
-	e.post(l, r)
+	e.queueReply(l, r)
 }
 
-func (e *Engine) post(l *link, r *frame.Reply) {
+func (e *Engine) queueReply(l *link, r *frame.Reply) {
 	select {
-	case l.out <- passing{at: e.arrival(replyBytes(r)), reply: r}:
+	case l.out <- timedFrame{at: e.arrivalTime(replyBytes(r)), reply: r}:
 	case <-l.done:
 	}
 }
--- a/internal/fakes/stage/order.go
+++ b/internal/fakes/stage/order.go
@@ -15,29 +15,29 @@
 type Weights struct {
 	Rate float64
 
-	mu   sync.Mutex
-	free time.Time
+	mu     sync.Mutex
+	freeAt time.Time
 }
 
-// book takes the next turn for so many layers and returns how long until they
+// reserve takes the next turn for so many layers and returns how long until they
 // are there.
-func (w *Weights) book(layers int) time.Duration {
+func (w *Weights) reserve(layers int) time.Duration {
 	if w == nil || w.Rate <= 0 || layers == 0 {
 		return 0
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
-	if w.free.Before(now) {
-		w.free = now
+	if w.freeAt.Before(now) {
+		w.freeAt = now
 	}
-	w.free = w.free.Add(time.Duration(float64(layers) / w.Rate * float64(time.Second)))
-	return w.free.Sub(now)
+	w.freeAt = w.freeAt.Add(time.Duration(float64(layers) / w.Rate * float64(time.Second)))
+	return w.freeAt.Sub(now)
 }
 
-// order takes the state to end in: what is not wanted goes at once, what is
+// handleOrder takes the state to end in: what is not wanted goes at once, what is
 // missing comes when the weight store has given it.
-func (e *Engine) order(w http.ResponseWriter, req *http.Request) {
+func (e *Engine) handleOrder(w http.ResponseWriter, req *http.Request) {
 	var o frame.Order
 	if err := json.NewDecoder(http.MaxBytesReader(w, req.Body, frame.MaxBytes)).Decode(&o); err != nil {
 		http.Error(w, "not an order", http.StatusBadRequest)
@@ -49,7 +49,7 @@
 		http.Error(w, "fencing number too old", http.StatusConflict)
 		return
 	}
-	if e.Memory > 0 && layers(o.Holds) > e.Memory {
+	if e.Memory > 0 && layerCount(o.Holds) > e.Memory {
 		http.Error(w, "more layers than memory", http.StatusUnprocessableEntity)
 		return
 	}
@@ -57,29 +57,29 @@
 	if o.Role != "" {
 		e.role = o.Role
 	}
-	e.orders++
-	e.held = common(e.held, o.Holds)
-	e.fetch(o.Holds, e.orders, e.life)
+	e.orderCount++
+	e.loaded = intersect(e.loaded, o.Holds)
+	e.loadWeights(o.Holds, e.orderCount, e.epoch)
 	w.WriteHeader(http.StatusAccepted)
 }
 
-func (e *Engine) fetch(want []frame.Hold, order, life uint64) {
-	wait := e.Store.book(layers(want) - layers(e.held))
+func (e *Engine) loadWeights(want []frame.Hold, order, life uint64) {
+	wait := e.Store.reserve(layerCount(want) - layerCount(e.loaded))
 	if wait == 0 {
-		e.held = slices.Clone(want)
+		e.loaded = slices.Clone(want)
 		return
 	}
 	time.AfterFunc(wait, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		if e.orders == order && e.life == life {
-			e.held = slices.Clone(want)
+		if e.orderCount == order && e.epoch == life {
+			e.loaded = slices.Clone(want)
 		}
 	})
 }
 
-// common is what of want is held already.
-func common(held, want []frame.Hold) []frame.Hold {
+// intersect is what of want is held already.
+func intersect(held, want []frame.Hold) []frame.Hold {
 	var out []frame.Hold
 	for _, w := range want {
 		for _, h := range held {
@@ -96,7 +96,7 @@
 	return out
 }
 
-func layers(holds []frame.Hold) int {
+func layerCount(holds []frame.Hold) int {
 	n := 0
 	for _, h := range holds {
 		n += h.To - h.From
--- a/internal/fakes/stage/queue.go
+++ b/internal/fakes/stage/queue.go
@@ -9,16 +9,16 @@
 
 // work is a step that waits or runs.
 type work struct {
-	step  *frame.Step
-	link  *link
-	key   key
-	order uint64
-	life  uint64
-	since time.Time
+	step     *frame.Step
+	link     *link
+	key      key
+	arrival  uint64
+	epoch    uint64
+	queuedAt time.Time
 	// index counts the tokens of a run.
 	index int
-	// gone is set when the request was canceled.
-	gone bool
+	// canceled is set when the request was canceled.
+	canceled bool
 }
 
 // queue holds waiting work: a lower priority number first, then as it came.
@@ -32,7 +32,7 @@
 	if q[i].step.Prio != q[j].step.Prio {
 		return q[i].step.Prio < q[j].step.Prio
 	}
-	return q[i].order < q[j].order
+	return q[i].arrival < q[j].arrival
 }
 
 // Swap exchanges two entries.
@@ -69,9 +69,9 @@
 		e.Traced(s.Trace)
 	}
 	if s.From == 0 && s.Seq == 1 {
-		e.cache.take(s.Text, e.Cache)
+		e.cache.addPrompt(s.Text, e.Cache)
 	}
-	w := &work{step: s, link: l, key: key{req: s.Req, from: s.From}, life: e.life, since: time.Now()}
+	w := &work{step: s, link: l, key: key{req: s.Req, from: s.From}, epoch: e.epoch, queuedAt: time.Now()}
 	e.push(w)
 	if e.running < max(1, e.Slots) {
 		e.running++
@@ -81,14 +81,14 @@
 
 func (e *Engine) push(w *work) {
 	e.arrivals++
-	w.order = e.arrivals
+	w.arrival = e.arrivals
 	heap.Push(&e.waiting, w)
 }
 
 // cancel forgets the state and what waits or runs for it.
 func (e *Engine) cancel(s *frame.Step) {
 	k := key{req: s.Req, from: s.From}
-	if ses := e.sessions[k]; ses != nil && ses.try <= s.Try {
+	if ses := e.sessions[k]; ses != nil && ses.attempt <= s.Try {
 		delete(e.sessions, k)
 	}
 	kept := e.waiting[:0]
@@ -102,7 +102,7 @@
 	heap.Init(&e.waiting)
 	for w := range e.busy {
 		if w.key == k && w.step.Try <= s.Try {
-			w.gone = true
+			w.canceled = true
 		}
 	}
 }
@@ -119,16 +119,16 @@
 		w := heap.Pop(&e.waiting).(*work)
 		e.busy[w] = true
 		e.mu.Unlock()
-		e.work(w)
+		e.runWork(w)
 		e.mu.Lock()
 		delete(e.busy, w)
 		e.mu.Unlock()
 	}
 }
 
-// work runs a step, and for a run the tokens after it until the run ends or
+// runWork runs a step, and for a run the tokens after it until the run ends or
 // something more urgent waits.
-func (e *Engine) work(w *work) {
+func (e *Engine) runWork(w *work) {
 	for {
 		if e.Layer > 0 {
 			time.Sleep(e.Layer * time.Duration(max(0, w.step.To-w.step.From)))
@@ -138,7 +138,7 @@
 		if r == nil {
 			return
 		}
-		e.answer(w.link, s, r)
+		e.sendReply(w.link, s, r)
 		if !more || e.yield(w) {
 			return
 		}
--- a/internal/fakes/stage/run.go
+++ b/internal/fakes/stage/run.go
@@ -5,11 +5,11 @@
 	"fulmarwick/internal/fakes/layer"
 )
 
-// run puts the inputs of s through the range.
-func (e *Engine) run(ses *session, s *frame.Step) *frame.Reply {
+// runStep puts the inputs of s through the range.
+func (e *Engine) runStep(ses *session, s *frame.Step) *frame.Reply {
 	inputs, ok := ses.inputs(s)
 	if !ok || len(inputs) == 0 {
-		return fail(s, frame.CodeGap, "no input that this range can read")
+		return failure(s, frame.CodeGap, "no input that this range can read")
 	}
 	r := &frame.Reply{Req: s.Req, Try: s.Try, Seq: s.Seq, From: s.From, Pos: ses.kv.Pos()}
 	var last uint64
@@ -19,16 +19,16 @@
 			r.Hidden = append(r.Hidden, layer.Encode(last))
 		}
 	}
-	e.runs.Add(int64(len(inputs) * (s.To - s.From)))
+	e.layerRuns.Add(int64(len(inputs) * (s.To - s.From)))
 	r.Next = ses.kv.Pos()
 	r.Left = max(0, len(ses.prompt)-r.Next)
 	if ses.to == ses.depth {
-		named(r, layer.Pick(last))
+		setToken(r, layer.Pick(last))
 	}
 	return r
 }
 
-func named(r *frame.Reply, token uint32) {
+func setToken(r *frame.Reply, token uint32) {
 	r.Token = token
 	r.Last = token == 0
 	if !r.Last {
--- a/internal/fakes/stage/stage.go
+++ b/internal/fakes/stage/stage.go
@@ -64,25 +64,25 @@
 	Faults func(*frame.Step) Fault
 	Late   time.Duration
 
-	once     sync.Once
-	mu       sync.Mutex
-	life     uint64
-	held     []frame.Hold
-	fence    uint64
-	orders   uint64
-	role     string
-	sessions map[key]*session
-	links    map[*link]bool
-	waiting  queue
-	busy     map[*work]bool
-	arrivals uint64
-	running  int
-	load     load
-	cache    cache
-	seq      uint64
-	runs     atomic.Int64
-	dead     atomic.Bool
-	leaving  atomic.Bool
+	once       sync.Once
+	mu         sync.Mutex
+	epoch      uint64
+	loaded     []frame.Hold
+	fence      uint64
+	orderCount uint64
+	role       string
+	sessions   map[key]*session
+	links      map[*link]bool
+	waiting    queue
+	busy       map[*work]bool
+	arrivals   uint64
+	running    int
+	load       load
+	cache      cache
+	seq        uint64
+	layerRuns  atomic.Int64
+	dead       atomic.Bool
+	leaving    atomic.Bool
 }
 
 // load is what a report says of the load, as of at.
@@ -92,7 +92,7 @@
 }
 
 // Steps is how many layer runs of a position this engine has done.
-func (e *Engine) Steps() int64 { return e.runs.Load() }
+func (e *Engine) Steps() int64 { return e.layerRuns.Load() }
 
 // Sessions is how many request states the engine keeps.
 func (e *Engine) Sessions() int {
@@ -109,7 +109,7 @@
 	e.dead.Store(true)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.life++
+	e.epoch++
 	e.seq = 0
 	e.sessions = map[key]*session{}
 	e.waiting = nil
@@ -154,9 +154,9 @@
 		e.sessions = map[key]*session{}
 		e.links = map[*link]bool{}
 		e.busy = map[*work]bool{}
-		e.held = slices.Clone(e.Holds)
+		e.loaded = slices.Clone(e.Holds)
 		e.role = e.Role
-		e.life = 1
+		e.epoch = 1
 	})
 }
 
@@ -164,10 +164,10 @@
 func (e *Engine) Handler() http.Handler {
 	e.init()
 	r := mux.NewRouter()
-	r.HandleFunc("/v1/engine", e.report).Methods(http.MethodGet)
-	r.HandleFunc("/v1/steps", e.stream).Methods(http.MethodGet)
-	r.HandleFunc("/v1/events", e.events).Methods(http.MethodGet)
-	r.HandleFunc("/v1/orders", e.order).Methods(http.MethodPost)
+	r.HandleFunc("/v1/engine", e.handleReport).Methods(http.MethodGet)
+	r.HandleFunc("/v1/steps", e.handleSteps).Methods(http.MethodGet)
+	r.HandleFunc("/v1/events", e.handleEvents).Methods(http.MethodGet)
+	r.HandleFunc("/v1/orders", e.handleOrder).Methods(http.MethodPost)
 	r.HandleFunc("/v1/kv", e.exportKV).Methods(http.MethodGet)
 	r.HandleFunc("/v1/kv", e.importKV).Methods(http.MethodPut)
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
@@ -178,8 +178,8 @@
 	})
 }
 
-func (e *Engine) report(w http.ResponseWriter, _ *http.Request) {
-	reply(w, e.Report())
+func (e *Engine) handleReport(w http.ResponseWriter, _ *http.Request) {
+	writeJSON(w, e.Report())
 }
 
 // Report is what the engine says of itself now.
@@ -198,21 +198,21 @@
 	}
 	return frame.Engine{
 		Name: e.Name, DataCentre: e.DataCentre, Kind: e.Kind, Role: e.role,
-		Holds: slices.Clone(e.held), Layer: int64(e.Layer), Slots: max(1, e.Slots),
+		Holds: slices.Clone(e.loaded), Layer: int64(e.Layer), Slots: max(1, e.Slots),
 		Memory: e.Memory, Cache: e.Cache, Cached: len(e.cache.blocks),
-		Fenced: e.Fenced, Fence: e.fence, State: state, Incarnation: e.life, Seq: e.seq,
+		Fenced: e.Fenced, Fence: e.fence, State: state, Incarnation: e.epoch, Seq: e.seq,
 		Active: e.load.active, Queued: e.load.queued,
 		Link: e.Link.Microseconds(), Bandwidth: e.Bandwidth,
 	}
 }
 
-func (e *Engine) incarnation() string {
+func (e *Engine) incarnationHeader() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return strconv.FormatUint(e.life, 10)
+	return strconv.FormatUint(e.epoch, 10)
 }
 
-func reply(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(v)
 }
--- a/internal/fakes/stage/state.go
+++ b/internal/fakes/stage/state.go
@@ -15,25 +15,25 @@
 
 // session is the state of one request's range on this engine.
 type session struct {
-	try   uint32
-	seq   uint64
-	to    int
-	depth int
-	model string
-	kv    *layer.State
+	attempt uint32
+	seq     uint64
+	to      int
+	depth   int
+	model   string
+	kv      *layer.State
 	// prompt is the tokens of the prompt, run or not.
 	prompt []uint32
-	// last answers a repeat of the last step.
-	last *frame.Reply
-	// made are the tokens of the steps up to seq, so that a run whose replies
+	// lastReply answers a repeat of the last step.
+	lastReply *frame.Reply
+	// tokens are the tokens of the steps up to seq, so that a run whose replies
 	// were lost can be asked for again from any of them.
-	made []uint32
+	tokens []uint32
 	// run is the work that runs this state now; a later one takes its place.
 	run  *work
 	link *link
 	// orphaned is when the connection broke; zero while it stands.
 	orphaned time.Time
-	used     time.Time
+	lastUsed time.Time
 }
 
 // apply checks the numbers of the step of w and runs it at most once. It
@@ -41,13 +41,13 @@
 func (e *Engine) apply(w *work) (*frame.Reply, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if w.gone || w.life != e.life {
+	if w.canceled || w.epoch != e.epoch {
 		return nil, false
 	}
 	s := w.step
 	ses, code := e.session(s)
 	if code != frame.CodeOK {
-		return fail(s, code, ""), false
+		return failure(s, code, ""), false
 	}
 	if w.index == 0 {
 		ses.run = w
@@ -55,13 +55,13 @@
 	if s.Verb == frame.VerbRun && ses.run != w {
 		return nil, false
 	}
-	e.used(ses, w.link)
+	e.touch(ses, w.link)
 	if s.Verb == frame.VerbRun && !e.links[w.link] {
 		return nil, false
 	}
-	r := e.step(ses, s)
+	r := e.applyStep(ses, s)
 	out := *r
-	out.Took = time.Since(w.since).Microseconds()
+	out.Took = time.Since(w.queuedAt).Microseconds()
 	if s.Verb != frame.VerbRun || r.Code != frame.CodeOK {
 		if out.Last {
 			out.End, out.Total = true, out.Next
@@ -71,10 +71,10 @@
 	return &out, w.advance(&out)
 }
 
-func (e *Engine) used(ses *session, l *link) {
-	ses.link, ses.orphaned, ses.used = l, time.Time{}, time.Now()
+func (e *Engine) touch(ses *session, l *link) {
+	ses.link, ses.orphaned, ses.lastUsed = l, time.Time{}, time.Now()
 	if !e.links[l] {
-		ses.orphaned = ses.used
+		ses.orphaned = ses.lastUsed
 	}
 }
 
@@ -99,46 +99,46 @@
 	return true
 }
 
-func (e *Engine) step(ses *session, s *frame.Step) *frame.Reply {
-	if r := ses.remembered(s); r != nil {
+func (e *Engine) applyStep(ses *session, s *frame.Step) *frame.Reply {
+	if r := ses.replay(s); r != nil {
 		return r
 	}
 	if s.Seq != ses.seq+1 || s.Pos != ses.kv.Pos() {
-		return fail(s, frame.CodeGap, "step or position out of order")
+		return failure(s, frame.CodeGap, "step or position out of order")
 	}
-	r := e.run(ses, s)
+	r := e.runStep(ses, s)
 	if r.Code == frame.CodeOK {
 		ses.seq = s.Seq
-		ses.last = r
+		ses.lastReply = r
 		if s.Verb == frame.VerbRun {
-			ses.made = append(ses.made, r.Token)
+			ses.tokens = append(ses.tokens, r.Token)
 		}
 	}
 	return r
 }
 
-// remembered answers a step that was done already.
-func (s *session) remembered(step *frame.Step) *frame.Reply {
-	if step.Seq == s.seq && s.last != nil {
-		return s.last
+// replay answers a step that was done already.
+func (s *session) replay(step *frame.Step) *frame.Reply {
+	if step.Seq == s.seq && s.lastReply != nil {
+		return s.lastReply
 	}
 	back := s.seq - step.Seq
-	if step.Verb != frame.VerbRun || step.Seq > s.seq || back >= uint64(len(s.made)) {
+	if step.Verb != frame.VerbRun || step.Seq > s.seq || back >= uint64(len(s.tokens)) {
 		return nil
 	}
 	next := s.kv.Pos() - int(back)
 	r := &frame.Reply{Req: step.Req, Try: step.Try, Seq: step.Seq, From: step.From, Pos: step.Pos, Next: next}
-	named(r, s.made[len(s.made)-1-int(back)])
+	setToken(r, s.tokens[len(s.tokens)-1-int(back)])
 	return r
 }
 
 func (e *Engine) session(s *frame.Step) (*session, frame.Code) {
 	k := key{req: s.Req, from: s.From}
 	ses := e.sessions[k]
-	if ses != nil && s.Try < ses.try {
+	if ses != nil && s.Try < ses.attempt {
 		return nil, frame.CodeStale
 	}
-	if ses != nil && s.Try == ses.try {
+	if ses != nil && s.Try == ses.attempt {
 		if ses.to != s.To {
 			return nil, frame.CodeRange
 		}
@@ -150,7 +150,7 @@
 	if e.leaving.Load() {
 		return nil, frame.CodeLeave
 	}
-	depth, ok := e.holds(s.Model, s.From, s.To)
+	depth, ok := e.findLoaded(s.Model, s.From, s.To)
 	if !ok {
 		return nil, frame.CodeRange
 	}
@@ -158,13 +158,13 @@
 		return nil, frame.CodeRange
 	}
 	e.expire()
-	ses = &session{try: s.Try, to: s.To, depth: depth, model: s.Model, kv: layer.NewState(s.From, s.To)}
+	ses = &session{attempt: s.Try, to: s.To, depth: depth, model: s.Model, kv: layer.NewState(s.From, s.To)}
 	e.sessions[k] = ses
 	return ses, frame.CodeOK
 }
 
-func (e *Engine) holds(model string, from, to int) (depth int, ok bool) {
-	for _, h := range e.held {
+func (e *Engine) findLoaded(model string, from, to int) (depth int, ok bool) {
+	for _, h := range e.loaded {
 		if h.Model == model && h.From <= from && from < to && to <= h.To {
 			return h.Depth, true
 		}
@@ -202,13 +202,13 @@
 	now := time.Now()
 	for k, ses := range e.sessions {
 		lost := !ses.orphaned.IsZero() && now.Sub(ses.orphaned) >= e.grace()
-		idle := e.Idle > 0 && now.Sub(ses.used) >= e.Idle
+		idle := e.Idle > 0 && now.Sub(ses.lastUsed) >= e.Idle
 		if lost || idle {
 			delete(e.sessions, k)
 		}
 	}
 }
 
-func fail(s *frame.Step, code frame.Code, why string) *frame.Reply {
+func failure(s *frame.Step, code frame.Code, why string) *frame.Reply {
 	return &frame.Reply{Req: s.Req, Try: s.Try, Seq: s.Seq, From: s.From, Code: code, Why: why}
 }
