--- a/internal/fakes/bench/bench_test.go
+++ b/internal/fakes/bench/bench_test.go
@@ -30,13 +30,14 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// Saturation is 1.3 of the bound, overload 2.
+// Saturation offers 1.3 times the layout's Bound, overload twice the Bound.
 func BenchmarkSaturation(b *testing.B) { benchmarkLoad(b, 1.3) }
 func BenchmarkOverload(b *testing.B)   { benchmarkLoad(b, 2.0) }
 func BenchmarkTargets70(b *testing.B)  { benchmarkLoad(b, 0.7) }
 func BenchmarkTargets90(b *testing.B)  { benchmarkLoad(b, 0.9) }
 
-// Reach is saturation with a target that any engine can meet while it is full.
+// BenchmarkReach measures saturation with a target that any engine can meet
+// while all its slots are in use.
 func BenchmarkReach(b *testing.B) {
 	eachPolicy(b, func(b *testing.B, c bench.Scenario, p bench.Policy) {
 		for range b.N {
@@ -48,16 +49,17 @@
 	})
 }
 
-func benchmarkLoad(b *testing.B, part float64) {
+func benchmarkLoad(b *testing.B, loadFactor float64) {
 	eachPolicy(b, func(b *testing.B, c bench.Scenario, p bench.Policy) {
 		for range b.N {
-			report(b, c.NewSimulation(p, part, seed).Run())
+			report(b, c.NewSimulation(p, loadFactor, seed).Run())
 		}
 	})
 }
 
-// One team asks for ten times as much as each of nine small ones, whose sum is
-// 0.45 of the bound; in all it is 0.95, and in bursts far more.
+// BenchmarkSmallTeams has one team that offers ten times the load of each of
+// nine small teams. The small teams add up to 0.45 of the bound and all teams
+// to 0.95. During bursts the load is far higher.
 func BenchmarkSmallTeams(b *testing.B) {
 	eachPolicy(b, func(b *testing.B, c bench.Scenario, p bench.Policy) {
 		for range b.N {
@@ -103,15 +105,17 @@
 	}
 }
 
-// Hedged requests run twice once they waited as long as 95 of 100 do.
+// BenchmarkHedge compares runs without hedging to runs that start a second run
+// of a request once it has waited for the 95th percentile of the time to the
+// first token.
 func BenchmarkHedge(b *testing.B) {
 	for _, c := range bench.Scenarios() {
-		for _, part := range []float64{0.5, 0.7, 0.9} {
-			plain := c.NewSimulation(bench.Policies()[0], part, seed).Run()
+		for _, loadFactor := range []float64{0.5, 0.7, 0.9} {
+			plain := c.NewSimulation(bench.Policies()[0], loadFactor, seed).Run()
 			for _, hedge := range []time.Duration{0, plain.First95} {
-				b.Run(fmt.Sprintf("%s/%.1f/after=%v", c.Name, part, hedge.Round(time.Millisecond)), func(b *testing.B) {
+				b.Run(fmt.Sprintf("%s/%.1f/after=%v", c.Name, loadFactor, hedge.Round(time.Millisecond)), func(b *testing.B) {
 					for range b.N {
-						s := c.NewSimulation(bench.Policies()[0], part, seed)
+						s := c.NewSimulation(bench.Policies()[0], loadFactor, seed)
 						s.Hedge = hedge
 						r := s.Run()
 						b.ReportMetric(float64(r.First95.Milliseconds()), "ms-first95")
@@ -155,8 +159,8 @@
 			b.Run(c.Name+"/"+p.Name, func(b *testing.B) {
 				for range b.N {
 					s := c.NewSimulation(p, 0.7, seed)
-					// Sixty teams with long shared beginnings: four times what
-					// the engines of one range can cache apiece.
+					// Sixty teams with long shared prefixes: four times what
+					// each engine of a range can cache.
 					s.Load.SharedPrefix, s.Load.Prompt, s.Load.Sizes = 0.8, 1024, make([]float64, 60)
 					for i := range s.Load.Sizes {
 						s.Load.Sizes[i] = 1
@@ -174,9 +178,9 @@
 	}
 }
 
-// A poison request comes while others run. Its caller sends it again to the
-// next instance each time it ends, and sees it refused for good once it killed
-// two engines; every other answer that ran with it ends whole.
+// A poison request arrives while others run. Its caller sends it again to the
+// next instance each time it ends. It must be refused permanently after it has
+// crashed two engines, and all other answers must complete.
 func TestPoisonCostsTwoEngines(t *testing.T) {
 	for _, c := range bench.Scenarios()[:2] {
 		s := c.NewSimulation(bench.Policies()[0], 0.2, seed)
@@ -185,13 +189,14 @@
 		s.Length, s.Warm = 25*time.Second, time.Second
 		r := s.Run()
 		if r.Crashes > 2 || r.Lost > 0 || r.Affected == 0 {
-			t.Errorf("%s: got %d engines lost and %d answers lost of %d hit, want at most 2, none, and some", c.Name, r.Crashes, r.Lost, r.Affected)
+			t.Errorf("%s: got %d crashed engines and %d lost answers of %d affected, want at most 2, none, and some", c.Name, r.Crashes, r.Lost, r.Affected)
 		}
 	}
 }
 
-// Two engines die at once under load, one of them without a word. No caller
-// loses an answer: each gets its next token from other engines.
+// Two engines crash at the same time under load, and one of them hangs with its
+// connections open. No answer may be lost: each request gets its next token
+// from other engines.
 func TestTwoDeathsLoseNoAnswer(t *testing.T) {
 	for _, c := range bench.Scenarios()[:2] {
 		s := c.NewSimulation(bench.Policies()[0], 0.2, seed)
@@ -199,13 +204,13 @@
 		s.Length, s.Warm = 26*time.Second, time.Second
 		r := s.Run()
 		if r.Lost > 0 || r.Affected == 0 {
-			t.Errorf("%s: got %d answers lost of %d hit, want none of some", c.Name, r.Lost, r.Affected)
+			t.Errorf("%s: got %d lost answers of %d affected, want none of some", c.Name, r.Lost, r.Affected)
 		}
 	}
 }
 
-// An engine tells that it leaves. From two seconds after on it gets nothing
-// new from any instance, and what ran on it ends there.
+// An engine announces that it leaves. After two seconds it must receive no new
+// stage from any instance, and no answer that runs on it may be lost.
 func TestLeavingEngineDrains(t *testing.T) {
 	c := bench.Scenarios()[0]
 	s := c.NewSimulation(bench.Policies()[0], 0.2, seed)
@@ -214,14 +219,14 @@
 	s.Length, s.Warm = 24*time.Second, time.Second
 	r := s.Run()
 	if last := s.LastStageAt(0); last > at+2*time.Second || last == 0 {
-		t.Errorf("last new work: got at %v, want within 2s after %v", last, at)
+		t.Errorf("last new stage: got at %v, want within 2s after %v", last, at)
 	}
 	if r.Lost > 0 {
-		t.Errorf("got %d answers lost, want none", r.Lost)
+		t.Errorf("got %d lost answers, want none", r.Lost)
 	}
 }
 
-// The same seed gives the same figures.
+// Two simulations with the same seed must yield the same results.
 func TestSameSeedSameFigures(t *testing.T) {
 	run := func() string {
 		s := bench.Scenarios()[0].NewSimulation(bench.Policies()[0], 0.5, 7)
--- a/internal/fakes/bench/clock.go
+++ b/internal/fakes/bench/clock.go
@@ -1,8 +1,8 @@
-// Package bench is a small fake of engines and callers in virtual time, with
-// which the routing decisions are measured: stages, batching slots, KV memory,
-// prefix caches, lagging reports, and engines that die. It drives the logic of
-// several instances by Tick and hands their messages over; there is no socket,
-// no real time and no draw that its seed does not fix.
+// Package bench simulates engines and callers in virtual time to measure the
+// routing decisions. The simulation covers stages, batching slots, KV memory,
+// prefix caches, delayed reports and engine crashes. It calls Tick on the
+// routing logic of several instances and passes their messages on. It uses no
+// sockets and no real time, and the seed determines every random value.
 //
 // It imports base/spec and the route packages. Benchmarks and tests run it.
 package bench
@@ -12,7 +12,8 @@
 	"time"
 )
 
-// clock runs functions in order of virtual time.
+// clock runs functions in order of virtual time. Functions due at the same
+// time run in the order in which they were scheduled.
 type clock struct {
 	now  time.Duration
 	seq  uint64
@@ -38,10 +39,10 @@
 
 func (j jobs) Swap(a, b int) { j[a], j[b] = j[b], j[a] }
 
-// Push is for package heap.
+// Push implements heap.Interface.
 func (j *jobs) Push(x any) { *j = append(*j, x.(job)) }
 
-// Pop is for package heap.
+// Pop implements heap.Interface.
 func (j *jobs) Pop() any {
 	last := len(*j) - 1
 	x := (*j)[last]
@@ -50,27 +51,28 @@
 	return x
 }
 
-// after runs do once d has passed.
-func (c *clock) after(d time.Duration, do func()) {
+// after runs fn once, d from now.
+func (c *clock) after(d time.Duration, fn func()) {
 	c.seq++
-	heap.Push(&c.jobs, job{at: c.now + max(0, d), seq: c.seq, fn: do})
+	heap.Push(&c.jobs, job{at: c.now + max(0, d), seq: c.seq, fn: fn})
 }
 
-// every runs do each d until it returns false.
-func (c *clock) every(d time.Duration, do func() bool) {
+// every runs fn at intervals of d until fn returns false.
+func (c *clock) every(d time.Duration, fn func() bool) {
 	c.after(d, func() {
-		if do() {
-			c.every(d, do)
+		if fn() {
+			c.every(d, fn)
 		}
 	})
 }
 
-// runUntil runs all that is due up to end.
+// runUntil runs all jobs that are due up to and including end and then sets the
+// time to end.
 func (c *clock) runUntil(end time.Duration) {
 	for len(c.jobs) > 0 && c.jobs[0].at <= end {
-		j := heap.Pop(&c.jobs).(job)
-		c.now = j.at
-		j.fn()
+		next := heap.Pop(&c.jobs).(job)
+		c.now = next.at
+		next.fn()
 	}
 	c.now = end
 }
--- a/internal/fakes/bench/engine.go
+++ b/internal/fakes/bench/engine.go
@@ -8,12 +8,12 @@
 	"fulmarwick/internal/route/domain"
 )
 
-// step is a piece of work on an engine: some tokens through some layers.
+// step is a unit of work on an engine: it runs some tokens through some layers.
 type step struct {
 	run     *run
 	attempt uint32
 	stage   *stage
-	// chunkTime is the time of one chunk, and chunks how many are left.
+	// chunkTime is the duration of one chunk, chunks the number of chunks left.
 	chunkTime time.Duration
 	chunks    int
 	priority  int
@@ -35,10 +35,10 @@
 
 func (s steps) Swap(a, b int) { s[a], s[b] = s[b], s[a] }
 
-// Push is for package heap.
+// Push implements heap.Interface.
 func (s *steps) Push(x any) { *s = append(*s, x.(*step)) }
 
-// Pop is for package heap.
+// Pop implements heap.Interface.
 func (s *steps) Pop() any {
 	last := len(*s) - 1
 	x := (*s)[last]
@@ -47,11 +47,12 @@
 	return x
 }
 
-// engine runs steps in slots, tighter priorities first.
+// engine runs steps in slots, those with the lowest priority number first.
 type engine struct {
 	sim  *Simulation
 	info domain.Engine
-	// hopTime is the true time of one hop now.
+	// hopTime is the actual time of one hop, which may differ from the reported
+	// one.
 	hopTime  time.Duration
 	busy     int
 	queue    steps
@@ -63,11 +64,11 @@
 	seq      uint64
 	busyTime time.Duration
 	cache    *prefixCache
-	// lastStageAt is when it last got a new stage.
+	// lastStageAt is when the engine last received a new stage.
 	lastStageAt time.Duration
 }
 
-// submit queues a step; a dead engine never answers.
+// submit queues a step. A dead engine ignores it and never answers.
 func (e *engine) submit(s *step) {
 	if e.dead {
 		return
@@ -78,6 +79,7 @@
 	e.runQueued()
 }
 
+// runQueued starts queued steps while slots are free.
 func (e *engine) runQueued() {
 	for e.busy < e.info.Slots && len(e.queue) > 0 {
 		s := heap.Pop(&e.queue).(*step)
@@ -89,9 +91,9 @@
 		}
 		e.busy++
 		e.busyTime += s.chunkTime
-		life := e.epoch
+		epoch := e.epoch
 		e.sim.clock.after(s.chunkTime, func() {
-			if e.epoch != life || e.dead {
+			if e.epoch != epoch || e.dead {
 				return
 			}
 			e.busy--
@@ -101,8 +103,9 @@
 	}
 }
 
-// chunkDone ends a chunk. A prompt runs chunk by chunk between the tokens of other
-// requests, as engines that batch continuously do it.
+// chunkDone completes a chunk and queues the next one of its step. The chunks
+// of a prompt alternate with the tokens of other requests, as on engines with
+// continuous batching.
 func (e *engine) chunkDone(s *step) {
 	s.chunks--
 	switch {
@@ -116,7 +119,8 @@
 	}
 }
 
-// crashesOn kills the engine if the step belongs to a poison request.
+// crashesOn crashes the engine if the step is the first one of a stage of a
+// poison request, and reports whether it did.
 func (e *engine) crashesOn(s *step) bool {
 	if !s.run.poison || s.stage.processed > 0 {
 		return false
@@ -126,12 +130,13 @@
 	return true
 }
 
-// crash drops all state. A silent death is one whose connections hang.
-func (e *engine) crash(silent bool) {
+// crash stops the engine and drops all its state. If hung is true, its
+// connections stay open without an answer; otherwise they break.
+func (e *engine) crash(hung bool) {
 	if e.dead {
 		return
 	}
-	e.dead, e.hung = true, silent
+	e.dead, e.hung = true, hung
 	e.epoch++
 	e.busy, e.kvUsed = 0, 0
 	e.queue = nil
@@ -145,7 +150,7 @@
 	e.info.Incarnation++
 }
 
-// report is what the engine tells of itself now.
+// report returns the engine's report of its current state.
 func (e *engine) report() domain.Engine {
 	e.info.Seq++
 	out := e.info
@@ -153,7 +158,7 @@
 	return out
 }
 
-// stage is the state of a range of a request on an engine.
+// stage is the state that an engine keeps for one range of layers of a request.
 type stage struct {
 	spec      spec.Stage
 	engine    *engine
--- a/internal/fakes/bench/fault.go
+++ b/internal/fakes/bench/fault.go
@@ -2,18 +2,19 @@
 
 import "time"
 
-// Kill makes the nth engine die at a time: with broken connections, or
-// silently, so that only timeouts and missing reports tell.
-func Kill(at time.Duration, n int, silent bool) Fault {
-	return Fault{At: at, Apply: func(s *Simulation) { s.engines[n].crash(silent) }}
+// Kill crashes the nth engine at a time. Its connections break, or, if hang is
+// true, stay open without an answer, so that only timeouts and missing reports
+// reveal the crash.
+func Kill(at time.Duration, n int, hang bool) Fault {
+	return Fault{At: at, Apply: func(s *Simulation) { s.engines[n].crash(hang) }}
 }
 
-// Revive restarts the nth engine empty.
+// Revive restarts the nth engine without state at a time.
 func Revive(at time.Duration, n int) Fault {
 	return Fault{At: at, Apply: func(s *Simulation) { s.engines[n].revive() }}
 }
 
-// Degrade makes each hop to the nth engine take this long.
+// Degrade sets the time of each hop to the nth engine to hop.
 func Degrade(at time.Duration, n int, hop time.Duration) Fault {
 	return Fault{At: at, Apply: func(s *Simulation) {
 		e := s.engines[n]
@@ -26,7 +27,7 @@
 	}}
 }
 
-// Leave makes the nth engine leave: it tells so, and refuses new work.
+// Leave makes the nth engine announce that it leaves and refuse new work.
 func Leave(at time.Duration, n int) Fault {
 	return Fault{At: at, Apply: func(s *Simulation) {
 		e := s.engines[n]
--- a/internal/fakes/bench/finish.go
+++ b/internal/fakes/bench/finish.go
@@ -6,33 +6,36 @@
 	"fulmarwick/internal/route/domain"
 )
 
-// armStepTimer loses the stage of the running step unless it ends in time.
-func (r *run) armStepTimer(wait time.Duration) {
-	if wait <= 0 {
+// armStepTimer sets the deadline of the running step. If the step does not end
+// in time, its stage is lost with CauseTimeout.
+func (r *run) armStepTimer(timeout time.Duration) {
+	if timeout <= 0 {
 		return
 	}
-	r.stepDeadline = r.sim.clock.now + wait
+	r.stepDeadline = r.sim.clock.now + timeout
 	if !r.timerSet {
 		r.timerSet = true
-		r.sim.clock.after(wait, r.stepTimerFired)
+		r.sim.clock.after(timeout, r.stepTimerFired)
 	}
 }
 
+// stepTimerFired reports a timeout, or waits again if the deadline has moved.
 func (r *run) stepTimerFired() {
 	r.timerSet = false
 	if r.outcome != OutcomeOpen || r.awaitingStart || r.step == nil {
 		return
 	}
-	if left := r.stepDeadline - r.sim.clock.now; left > 0 {
+	if remaining := r.stepDeadline - r.sim.clock.now; remaining > 0 {
 		r.timerSet = true
-		r.sim.clock.after(left, r.stepTimerFired)
+		r.sim.clock.after(remaining, r.stepTimerFired)
 		return
 	}
 	r.sim.timeouts++
 	r.loseStage(r.step.stage, domain.CauseTimeout)
 }
 
-// loseStage gives up a stage and asks for a decision.
+// loseStage cancels the running step and reports the loss of a stage to the
+// routing logic, which then starts another attempt or refuses the request.
 func (r *run) loseStage(s *stage, cause domain.Cause) {
 	if r.awaitingStart || r.outcome != OutcomeOpen {
 		return
@@ -47,14 +50,16 @@
 	r.instance.post(domain.StageLost{Request: r.arrival.Request, Attempt: r.attempt, Engine: s.spec.Engine(), Cause: cause, Tokens: r.tokens})
 }
 
-func (r *run) finish(o Outcome) {
-	r.outcome = o
+// finish ends the request, releases its stages and reports a completed request
+// to the routing logic.
+func (r *run) finish(outcome Outcome) {
+	r.outcome = outcome
 	r.endedAt = r.sim.clock.now
 	for _, s := range r.stages {
 		r.releaseStage(s)
 	}
 	r.sim.removeRequest(r)
-	if o != OutcomeDone {
+	if outcome != OutcomeDone {
 		return
 	}
 	r.instance.post(domain.RequestFinished{
@@ -63,8 +68,8 @@
 	})
 }
 
-// metTarget reports whether the answer met its target: the first token, the whole
-// answer, and each gap but the part that the percentage leaves.
+// metTarget reports whether the answer met its target: the time to the first
+// token, the total time, and the required percentage of gaps between tokens.
 func (r *run) metTarget() bool {
 	t := r.target
 	if r.outcome != OutcomeDone {
--- a/internal/fakes/bench/hedge.go
+++ b/internal/fakes/bench/hedge.go
@@ -2,31 +2,31 @@
 
 import "fulmarwick/internal/route/domain"
 
-// startHedge starts a second run of a request that has no token yet, as a client or
-// router would that hopes for a faster chain.
+// startHedge starts a second run of a request that has no token yet. A client
+// or router would do so to get a faster chain.
 func (r *run) startHedge() {
 	if r.outcome != OutcomeOpen || r.tokens > 0 || r.sibling != nil {
 		return
 	}
-	twin := &run{
+	sibling := &run{
 		sim: r.sim, instance: r.instance, target: r.target, outputTokens: r.outputTokens, arrivedAt: r.arrivedAt,
 		arrival: r.arrival, sibling: r,
 	}
-	twin.arrival.Request = "h-" + r.arrival.Request
-	r.sibling = twin
+	sibling.arrival.Request = "h-" + r.arrival.Request
+	r.sibling = sibling
 	r.sim.hedges++
-	r.sim.send(twin)
+	r.sim.send(sibling)
 }
 
-// cancelSibling ends the slower twin when the first token came.
+// cancelSibling cancels the slower run of a hedged request at the first token.
 func (r *run) cancelSibling() {
-	o := r.sibling
-	if o == nil || o.outcome != OutcomeOpen {
+	sibling := r.sibling
+	if sibling == nil || sibling.outcome != OutcomeOpen {
 		return
 	}
-	if o.step != nil {
-		o.step.canceled = true
+	if sibling.step != nil {
+		sibling.step.canceled = true
 	}
-	o.finish(OutcomeHedged)
-	o.instance.post(domain.RequestCanceled{Request: o.arrival.Request})
+	sibling.finish(OutcomeHedged)
+	sibling.instance.post(domain.RequestCanceled{Request: sibling.arrival.Request})
 }
--- a/internal/fakes/bench/instance.go
+++ b/internal/fakes/bench/instance.go
@@ -6,7 +6,7 @@
 	"fulmarwick/internal/route/domain"
 )
 
-// instance is one router.
+// instance simulates one router instance.
 type instance struct {
 	sim           *Simulation
 	id            spec.InstanceID
@@ -17,7 +17,7 @@
 	Refused       int
 }
 
-// post queues an event and wakes the logic.
+// post queues an event and schedules a tick of the routing logic.
 func (i *instance) post(ev domain.Event) {
 	i.inbox = append(i.inbox, ev)
 	if i.tickScheduled {
@@ -38,39 +38,39 @@
 	}
 }
 
-func (i *instance) execute(c domain.Command) {
-	switch c := c.(type) {
+func (i *instance) execute(cmd domain.Command) {
+	switch cmd := cmd.(type) {
 	case domain.Start:
-		i.requests[c.Request].applyStart(c)
+		i.requests[cmd.Request].applyStart(cmd)
 	case domain.Refuse:
-		r := i.requests[c.Request]
-		r.reason = c.Reason
+		r := i.requests[cmd.Request]
+		r.reason = cmd.Reason
 		if r.sibling != nil && r.sibling.outcome == OutcomeOpen {
 			r.finish(OutcomeHedged)
 			return
 		}
-		if c.Ran {
+		if cmd.Ran {
 			r.finish(OutcomeLost)
 		} else {
 			r.finish(OutcomeRefused)
 		}
 	case domain.Forward:
-		i.requests[c.Request].finish(OutcomeForwarded)
+		i.requests[cmd.Request].finish(OutcomeForwarded)
 	case domain.LocalLoad:
-		i.sendToPeers(domain.PeerLoad{Peer: i.id, Engine: c.Engine, Active: c.Active, LayerTokenRate: c.LayerTokenRate})
+		i.sendToPeers(domain.PeerLoad{Peer: i.id, Engine: cmd.Engine, Active: cmd.Active, LayerTokenRate: cmd.LayerTokenRate})
 	case domain.LocalTeamUsage:
-		i.sim.shareTeamUsage(c, i.id)
+		i.sim.shareTeamUsage(cmd, i.id)
 	case domain.ReportSuspect:
-		i.sendToPeers(domain.SuspectReported(c))
+		i.sendToPeers(domain.SuspectReported(cmd))
 	}
 }
 
-// sendToPeers hands a message to the other instances, late.
+// sendToPeers sends an event to the other instances after peerLag.
 func (i *instance) sendToPeers(ev domain.Event) {
 	i.sim.clock.after(peerLag, func() {
-		for _, o := range i.sim.instances {
-			if o != i {
-				o.post(ev)
+		for _, peer := range i.sim.instances {
+			if peer != i {
+				peer.post(ev)
 			}
 		}
 	})
--- a/internal/fakes/bench/layout.go
+++ b/internal/fakes/bench/layout.go
@@ -8,18 +8,19 @@
 	"fulmarwick/internal/route/domain"
 )
 
-// Model is the model of all layouts.
+// Model is the name of the model that all layouts serve.
 const Model = "m"
 
-// Layout is a set of engines with what they hold.
+// Layout is a set of engines with the layers that each has loaded.
 type Layout struct {
 	Engines []domain.Engine
 	Depth   int
-	// Blocks is how many prompt blocks an engine caches.
+	// Blocks is the capacity of an engine's prefix cache in prompt blocks.
 	Blocks int
 }
 
-// accelerator is a kind of accelerator.
+// accelerator describes a kind of accelerator: the time that one layer takes
+// and the time of a hop to its engines.
 type accelerator struct {
 	name      string
 	layerTime time.Duration
@@ -35,27 +36,30 @@
 	slowBps    = 100_000_000
 )
 
-// mixed spreads each kind over even ranges, so that every range has engines of
-// unlike speed.
-func mixed(depth, ranges, engines int, kinds []accelerator) Layout {
+// mixed splits the model into ranges of about equal length and assigns engines
+// of each kind to all of them, so that every range has engines of different
+// speeds.
+func mixed(depth, ranges, engines int, accelerators []accelerator) Layout {
 	l := Layout{Depth: depth, Blocks: blocks}
 	for i := range engines {
 		part := i % ranges
-		k := kinds[(i/ranges)%len(kinds)]
+		accel := accelerators[(i/ranges)%len(accelerators)]
 		layers := spec.NewLayers(part*depth/ranges, (part+1)*depth/ranges)
-		l.Engines = append(l.Engines, describeEngine(i, k, depth, layers))
+		l.Engines = append(l.Engines, describeEngine(i, accel, depth, layers))
 	}
 	return l
 }
 
-func describeEngine(i int, k accelerator, depth int, layers spec.Layers) domain.Engine {
+// describeEngine returns the i-th engine of a layout. Engines with hops above a
+// millisecond have the slow link.
+func describeEngine(i int, accel accelerator, depth int, layers spec.Layers) domain.Engine {
 	bps := int64(fastBps)
-	if k.hopTime > time.Millisecond {
+	if accel.hopTime > time.Millisecond {
 		bps = slowBps
 	}
 	return domain.Engine{
-		ID: spec.UpstreamID(fmt.Sprintf("%s-%03d", k.name, i)), Kind: k.name, DataCentre: "dc",
-		LayerTime: k.layerTime, Slots: slots, LayerCapacity: layers.Len(), KVCapacity: kvCapacity, ReportedHopTime: k.hopTime, Bandwidth: bps,
+		ID: spec.UpstreamID(fmt.Sprintf("%s-%03d", accel.name, i)), Kind: accel.name, DataCentre: "dc",
+		LayerTime: accel.layerTime, Slots: slots, LayerCapacity: layers.Len(), KVCapacity: kvCapacity, ReportedHopTime: accel.hopTime, Bandwidth: bps,
 		Loaded: []domain.LoadedRange{{Model: Model, Version: "1", Depth: depth, Layers: layers, Width: width}},
 	}
 }
@@ -77,8 +81,8 @@
 	})
 }
 
-// Centre is 60 engines of five kinds over four ranges, on links that differ a
-// hundredfold.
+// Centre is 60 engines of five kinds over four ranges, on links whose bandwidth
+// differs by a factor of 100.
 func Centre() Layout {
 	return mixed(32, 4, 60, []accelerator{
 		{"a", time.Millisecond, 100 * time.Microsecond},
@@ -89,20 +93,20 @@
 	})
 }
 
-// Bound is the most tokens a second that the layout can make: the ranges do
-// not overlap, so it is that of the weakest range.
+// Bound returns the maximum number of tokens per second that the layout can
+// generate. The ranges do not overlap, so the slowest range limits it.
 func (l *Layout) Bound() float64 {
 	sum := map[int]float64{}
 	for _, e := range l.Engines {
 		layers := e.Loaded[0].Layers
 		sum[layers.From()] += float64(e.Slots) / (float64(layers.Len()) * e.LayerTime.Seconds())
 	}
-	least := -1.0
+	minimum := -1.0
 	for _, e := range l.Engines {
 		v := sum[e.Loaded[0].Layers.From()]
-		if least < 0 || v < least {
-			least = v
+		if minimum < 0 || v < minimum {
+			minimum = v
 		}
 	}
-	return least
+	return minimum
 }
--- a/internal/fakes/bench/load.go
+++ b/internal/fakes/bench/load.go
@@ -10,29 +10,33 @@
 	"fulmarwick/internal/route/pick"
 )
 
-// Load is what callers ask for.
+// Load describes the requests that callers send.
 type Load struct {
-	// LoadFactor is the offered work over the bound of the layout.
+	// LoadFactor is the offered load as a fraction of the layout's Bound.
 	LoadFactor float64
 	// Sizes are the relative sizes of the teams.
 	Sizes []float64
-	// Target is that of the only class.
+	// Target is the latency target of the only class.
 	Target spec.Target
-	// Burst is how many times its mean a team asks for while it bursts; 1 is
-	// none. A burst lasts a second on average and the mean stays the same.
+	// Burst is the factor by which a team's request rate exceeds its mean
+	// during a burst; 1 means no bursts. A burst lasts one second on average,
+	// and bursts do not change the mean.
 	Burst float64
-	// SharedPrefix is the part of a prompt that is the team's own beginning.
+	// SharedPrefix is the fraction of a prompt that is a prefix shared by all
+	// requests of the team.
 	SharedPrefix float64
-	// Prompt and Out are mean tokens.
+	// Prompt and Output are the mean numbers of prompt and output tokens.
 	Prompt, Output int
-	// Poison is when a poison request comes first; its caller sends it again
-	// to the next instance each time it ends. Zero is none.
+	// Poison is when a poison request, which crashes engines, is first sent.
+	// Its caller sends it again to the next instance each time it ends. Zero
+	// means none.
 	Poison time.Duration
-	// RetryDelay is how soon after its end the poison request is sent again.
+	// RetryDelay is the interval at which the caller of the poison request
+	// checks whether it has ended and sends it again.
 	RetryDelay time.Duration
 }
 
-// ClassName is the class of all requests.
+// ClassName is the name of the class of all requests.
 const ClassName = "answer"
 
 const (
@@ -56,7 +60,8 @@
 
 func teamID(i int) spec.TeamID { return spec.TeamID(fmt.Sprintf("team-%03d", i)) }
 
-// meanCost is the mean cost of a request, in tokens through the whole model.
+// meanCost returns the mean cost of a request in tokens through the whole
+// model.
 func (l *Load) meanCost() float64 {
 	return float64(l.Prompt)/pick.ChunkPositions + 0.5 + float64(l.Output)
 }
@@ -64,12 +69,12 @@
 // scheduleArrivals schedules the arrivals of each team.
 func (l *Load) scheduleArrivals(s *Simulation) {
 	total := 0.0
-	for _, z := range l.Sizes {
-		total += z
+	for _, size := range l.Sizes {
+		total += size
 	}
 	rate := l.LoadFactor * s.Layout.Bound() / l.meanCost()
-	for i, z := range l.Sizes {
-		t := &source{sim: s, load: l, team: i, rate: rate * z / total}
+	for i, size := range l.Sizes {
+		t := &source{sim: s, load: l, team: i, rate: rate * size / total}
 		t.scheduleNext()
 		t.togglePhase()
 	}
@@ -78,7 +83,8 @@
 	}
 }
 
-// sendPoison sends the poison request and then again to the next instance.
+// sendPoison sends the poison request to the nth instance and, each time it
+// ends, to the next one, up to poisonAttempts times.
 func (l *Load) sendPoison(s *Simulation, n int) {
 	if n >= poisonAttempts {
 		return
@@ -96,8 +102,8 @@
 	})
 }
 
-// source is one team's callers: a Poisson process whose rate switches between
-// a high and a low phase.
+// source generates the requests of one team: a Poisson process whose rate
+// switches between a high and a low phase.
 type source struct {
 	sim        *Simulation
 	load       *Load
@@ -107,7 +113,7 @@
 	generation int
 }
 
-// lowPhaseFactor is how many bursts long the time between bursts is.
+// lowPhaseFactor is the mean time between bursts in burst lengths.
 const lowPhaseFactor = 4
 
 func (t *source) currentRate() float64 {
@@ -118,6 +124,7 @@
 	return t.rate * max(0, (lowPhaseFactor+1-b)/lowPhaseFactor)
 }
 
+// togglePhase schedules the next change between the high and the low phase.
 func (t *source) togglePhase() {
 	if t.load.Burst <= 1 {
 		return
@@ -134,9 +141,11 @@
 	})
 }
 
+// expDelay returns an exponentially distributed delay with a mean in seconds,
+// limited to an hour.
 func (t *source) expDelay(mean float64) time.Duration {
-	x := -math.Log(1-t.sim.rand.Float64()) * mean
-	return time.Duration(min(x, 3600) * float64(time.Second))
+	delay := -math.Log(1-t.sim.rand.Float64()) * mean
+	return time.Duration(min(delay, 3600) * float64(time.Second))
 }
 
 func (t *source) scheduleNext() {
@@ -144,23 +153,23 @@
 	if rate <= 0 {
 		return
 	}
-	gen := t.generation
+	generation := t.generation
 	t.sim.clock.after(t.expDelay(1/rate), func() {
-		if t.generation != gen {
+		if t.generation != generation {
 			return
 		}
-		on := t.sim.instances[t.sim.rand.IntN(len(t.sim.instances))]
-		t.sim.send(t.load.newRequest(t.sim, t.team, on))
+		inst := t.sim.instances[t.sim.rand.IntN(len(t.sim.instances))]
+		t.sim.send(t.load.newRequest(t.sim, t.team, inst))
 		t.scheduleNext()
 	})
 }
 
-// newRequest draws a request of a team.
-func (l *Load) newRequest(s *Simulation, team int, on *instance) *run {
+// newRequest returns a request of a team with random prompt and output lengths.
+func (l *Load) newRequest(s *Simulation, team int, inst *instance) *run {
 	n := len(s.runs)
 	prompt := l.Prompt/2 + s.rand.IntN(l.Prompt)
-	out := l.Output/2 + s.rand.IntN(l.Output)
-	r := &run{sim: s, instance: on, target: l.Target, outputTokens: out, arrivedAt: s.clock.now}
+	output := l.Output/2 + s.rand.IntN(l.Output)
+	r := &run{sim: s, instance: inst, target: l.Target, outputTokens: output, arrivedAt: s.clock.now}
 	r.arrival = domain.RequestArrived{
 		Request: spec.RequestID(fmt.Sprintf("r-%06d", n)), Team: teamID(team), Class: ClassName,
 		Model: Model, PromptTokens: prompt, MaxTokens: l.Output * 3 / 2 * maxTokensFactor,
--- a/internal/fakes/bench/prefix.go
+++ b/internal/fakes/bench/prefix.go
@@ -6,8 +6,8 @@
 	"fulmarwick/internal/route/domain"
 )
 
-// prefixCache is the prefix cache of an engine: blocks, the one used longest ago
-// going first.
+// prefixCache is the prefix cache of an engine. It holds prompt blocks and
+// evicts the least recently used one first.
 type prefixCache struct {
 	capacity int
 	index    map[uint64]*list.Element
@@ -17,51 +17,52 @@
 	removed  []uint64
 }
 
-func newPrefixCache(most int) *prefixCache {
-	return &prefixCache{capacity: most, index: map[uint64]*list.Element{}, recent: list.New()}
+func newPrefixCache(capacity int) *prefixCache {
+	return &prefixCache{capacity: capacity, index: map[uint64]*list.Element{}, recent: list.New()}
 }
 
-// lookup is how many blocks from the first on are cached.
+// lookup returns how many leading blocks are cached and marks them as used.
 func (p *prefixCache) lookup(blocks []uint64) int {
 	n := 0
 	for _, b := range blocks {
-		el := p.index[b]
-		if el == nil {
+		elem := p.index[b]
+		if elem == nil {
 			break
 		}
-		p.recent.MoveToFront(el)
+		p.recent.MoveToFront(elem)
 		n++
 	}
 	return n
 }
 
+// put adds blocks, or marks them as used, and evicts down to the capacity.
 func (p *prefixCache) put(blocks []uint64) {
 	for _, b := range blocks {
-		if el := p.index[b]; el != nil {
-			p.recent.MoveToFront(el)
+		if elem := p.index[b]; elem != nil {
+			p.recent.MoveToFront(elem)
 			continue
 		}
 		p.index[b] = p.recent.PushFront(b)
 		p.added = append(p.added, b)
 	}
 	for p.recent.Len() > p.capacity {
-		last := p.recent.Back()
-		b := p.recent.Remove(last).(uint64)
+		oldest := p.recent.Back()
+		b := p.recent.Remove(oldest).(uint64)
 		delete(p.index, b)
 		p.removed = append(p.removed, b)
 	}
 }
 
-// report are the cache events since the last call; whole makes them the whole
-// content.
-func (p *prefixCache) report(e *engine, whole bool) domain.CacheReport {
+// report returns the changes of the cache since the last call, or its entire
+// content if full is true.
+func (p *prefixCache) report(e *engine, full bool) domain.CacheReport {
 	p.seq++
-	ev := domain.CacheReport{Engine: e.info.ID, Seq: p.seq, Added: p.added, Removed: p.removed, Reset: whole}
+	ev := domain.CacheReport{Engine: e.info.ID, Seq: p.seq, Added: p.added, Removed: p.removed, Reset: full}
 	p.added, p.removed = nil, nil
-	if whole {
+	if full {
 		ev.Added, ev.Removed = nil, nil
-		for el := p.recent.Front(); el != nil; el = el.Next() {
-			ev.Added = append(ev.Added, el.Value.(uint64))
+		for elem := p.recent.Front(); elem != nil; elem = elem.Next() {
+			ev.Added = append(ev.Added, elem.Value.(uint64))
 		}
 	}
 	return ev
--- a/internal/fakes/bench/result.go
+++ b/internal/fakes/bench/result.go
@@ -8,48 +8,53 @@
 	"fulmarwick/internal/route/domain"
 )
 
-// Result is the figures of a run, for what came after the warm-up.
+// Result holds the measurements of a simulation after the warm-up.
 type Result struct {
-	// Throughput is work done over the bound, and Good the same for answers that
-	// met their target.
+	// Throughput is the completed work as a fraction of the layout's Bound.
+	// Goodput is the same for answers that met their target.
 	Throughput, Goodput float64
-	// Came, Refused, Lost and Done count requests.
+	// Arrived, Refused, Lost and Done count requests.
 	Arrived, Refused, Lost, Done int
-	// MetTarget is the part of all that came, and HeldOf the part of those not
-	// refused, that met its target.
+	// MetTarget is the fraction of all requests that met their target, and
+	// AdmittedMetTarget the fraction of those that were not refused.
 	MetTarget, AdmittedMetTarget float64
-	// Teams is Held per team.
+	// Teams is MetTarget per team.
 	Teams map[spec.TeamID]float64
-	// CacheHits is the part of prompt positions served from prefix caches.
+	// CacheHits is the fraction of prompt positions served from prefix caches.
 	CacheHits float64
 	// Hedges counts requests that ran twice.
 	Hedges int
-	// First50 and First99 are of the first token.
+	// First50, First95 and First99 are percentiles of the time to the first
+	// token.
 	First50, First95, First99 time.Duration
-	// Affected counts requests hit by a fault; Healed50 and so on are the time to
-	// their next token, Found the longest time to the notice of it.
+	// Affected counts requests affected by a fault. Recovery50, Recovery95 and
+	// RecoveryMax are the time from the fault to the request's next token;
+	// DetectionMax is the longest time until a lost stage was noticed.
 	Affected                            int
 	Recovery50, Recovery95, RecoveryMax time.Duration
 	DetectionMax                        time.Duration
 	Crashes                             int
 	Timeouts                            int
 	Reasons                             map[domain.Reason]int
-	// MissedFirst and MissGap count answers that missed that part of the target.
+	// MissedFirst counts answers that missed the target for the first token,
+	// MissedGap those that missed another part of their target.
 	MissedFirst, MissedGap int
-	// Utilization is per kind of accelerator the part of its slots' time that ran.
+	// Utilization is the fraction of slot time spent on steps for each kind of
+	// accelerator.
 	Utilization map[string]float64
 }
 
-// result gathers what ended in the window. Requests that are open at the end
-// and came too late to have met their target are left out.
+// result computes the measurements. Work counts if its request ended after the
+// warm-up. Requests that arrived less than openMargin before the end are
+// excluded, because some of them had no time to finish.
 func (s *Simulation) result() Result {
 	out := Result{
 		Crashes: s.crashes, Timeouts: s.timeouts, Hedges: s.hedges,
 		Teams: map[spec.TeamID]float64{}, Reasons: map[domain.Reason]int{},
 	}
-	came := map[spec.TeamID]float64{}
-	held := map[spec.TeamID]float64{}
-	g := collector{out: &out, arrived: came, metTarget: held}
+	arrived := map[spec.TeamID]float64{}
+	metTarget := map[spec.TeamID]float64{}
+	g := collector{out: &out, arrived: arrived, metTarget: metTarget}
 	done, good := 0, 0
 	for _, r := range s.runs {
 		out.countFault(r, &g.recoveries)
@@ -71,13 +76,13 @@
 	out.Utilization = s.utilization()
 	out.First50, out.First95, out.First99 = percentile(g.firsts, 50), percentile(g.firsts, 95), percentile(g.firsts, 99)
 	out.Recovery50, out.Recovery95, out.RecoveryMax = percentile(g.recoveries, 50), percentile(g.recoveries, 95), percentile(g.recoveries, 100)
-	for t, n := range came {
-		out.Teams[t] = held[t] / n
+	for t, n := range arrived {
+		out.Teams[t] = metTarget[t] / n
 	}
 	return out
 }
 
-// collector adds up the requests of the window.
+// collector sums up the requests that arrived within the measured window.
 type collector struct {
 	out                         *Result
 	arrived, metTarget          map[spec.TeamID]float64
@@ -104,11 +109,12 @@
 	g.prefillTokens += r.prefillTokens
 }
 
-// MeanWithout is the part held of all teams but one, each counting alike.
-func (o *Result) MeanWithout(but int) float64 {
+// MeanWithout returns the mean fraction of requests that met their target over
+// all teams except one. Each team has the same weight.
+func (o *Result) MeanWithout(excluded int) float64 {
 	sum, n := 0.0, 0
 	for i := range len(o.Teams) {
-		if i != but {
+		if i != excluded {
 			sum += o.Teams[teamID(i)]
 			n++
 		}
@@ -116,29 +122,29 @@
 	return sum / float64(max(1, n))
 }
 
-// LastStageAt is when the nth engine last got a new stage.
+// LastStageAt returns when the nth engine last received a new stage.
 func (s *Simulation) LastStageAt(n int) time.Duration { return s.engines[n].lastStageAt }
 
 func (s *Simulation) utilization() map[string]float64 {
-	ran, all := map[string]float64{}, map[string]float64{}
+	busy, total := map[string]float64{}, map[string]float64{}
 	for _, e := range s.engines {
-		ran[e.info.Kind] += e.busyTime.Seconds()
-		all[e.info.Kind] += float64(e.info.Slots) * s.Length.Seconds()
+		busy[e.info.Kind] += e.busyTime.Seconds()
+		total[e.info.Kind] += float64(e.info.Slots) * s.Length.Seconds()
 	}
-	for kind := range ran {
-		ran[kind] /= all[kind]
+	for kind := range busy {
+		busy[kind] /= total[kind]
 	}
-	return ran
+	return busy
 }
 
-// workUnits is the work of an answer in tokens through the whole model, without
-// what prefix caches saved and without rebuilds.
+// workUnits returns the work of an answer in tokens through the whole model. It
+// ignores savings from prefix caches and repeated work after a lost stage.
 func (s *Simulation) workUnits(r *run) int {
 	return (r.arrival.PromptTokens+31)/32 + r.tokens
 }
 
-// openMargin is how long before the end requests count: those later may be open for
-// no fault of theirs.
+// openMargin is the time before the end of the simulation in which arriving
+// requests are not counted, because they may be unfinished without a fault.
 const openMargin = 20 * time.Second
 
 func (o *Result) countOutcome(r *run) {
@@ -162,14 +168,15 @@
 	o.MissedGap++
 }
 
-func (o *Result) countFault(r *run, healed *[]time.Duration) {
+// countFault records how a fault affected a request and how long recovery took.
+func (o *Result) countFault(r *run, recoveries *[]time.Duration) {
 	if r.faultAt == 0 || r.poison {
 		return
 	}
 	o.Affected++
 	o.DetectionMax = max(o.DetectionMax, r.detection)
 	if r.recovery > 0 {
-		*healed = append(*healed, r.recovery)
+		*recoveries = append(*recoveries, r.recovery)
 	}
 }
 
@@ -180,10 +187,10 @@
 	return float64(a) / float64(b)
 }
 
-func percentile(d []time.Duration, percent int) time.Duration {
-	if len(d) == 0 {
+func percentile(durations []time.Duration, percent int) time.Duration {
+	if len(durations) == 0 {
 		return 0
 	}
-	sort.Slice(d, func(i, j int) bool { return d[i] < d[j] })
-	return d[min(len(d)-1, len(d)*percent/100)]
+	sort.Slice(durations, func(i, j int) bool { return durations[i] < durations[j] })
+	return durations[min(len(durations)-1, len(durations)*percent/100)]
 }
--- a/internal/fakes/bench/run.go
+++ b/internal/fakes/bench/run.go
@@ -8,7 +8,7 @@
 	"fulmarwick/internal/route/pick"
 )
 
-// Outcome says how a request ended.
+// Outcome describes how a request ended.
 type Outcome int
 
 // The outcomes.
@@ -18,12 +18,12 @@
 	OutcomeRefused
 	OutcomeLost
 	OutcomeForwarded
-	// OutcomeHedged is the slower of two runs of one request.
+	// OutcomeHedged is the outcome of the slower of two runs of one request.
 	OutcomeHedged
 )
 
-// run is a request as the wire would run it: stages that are behind are
-// brought up to date in order.
+// run executes a request as the wire packages do: in the order of the chain,
+// each stage processes the positions that it has not processed yet.
 type run struct {
 	sim           *Simulation
 	instance      *instance
@@ -50,8 +50,9 @@
 	cachedTokens  int
 	prefillTokens int
 	layerChunks   int
-	// faultAt is when a fault last hit the request; healed the time to its next
-	// token, and found the time to the notice of the loss.
+	// faultAt is when a fault first affected the request, recovery the time
+	// from then to its next token, and detection the time until the lost stage
+	// was noticed.
 	faultAt time.Duration
 	// sibling is the other run of a hedged request.
 	sibling   *run
@@ -59,19 +60,21 @@
 	detection time.Duration
 }
 
-func (r *run) applyStart(c domain.Start) {
+// applyStart starts an attempt on a new chain. Stages that the chain keeps from
+// the previous attempt continue, the others are released.
+func (r *run) applyStart(start domain.Start) {
 	if r.outcome != OutcomeOpen {
 		return
 	}
 	old := r.stages
-	r.attempt = c.Attempt
-	r.start = c
+	r.attempt = start.Attempt
+	r.start = start
 	r.awaitingStart = false
-	if r.sim.Hedge > 0 && c.Attempt == 1 && r.sibling == nil {
+	if r.sim.Hedge > 0 && start.Attempt == 1 && r.sibling == nil {
 		r.sim.clock.after(r.sim.Hedge-(r.sim.clock.now-r.arrivedAt), r.startHedge)
 	}
-	r.stages = make([]*stage, 0, len(c.Chain))
-	for _, want := range c.Chain {
+	r.stages = make([]*stage, 0, len(start.Chain))
+	for _, want := range start.Chain {
 		r.stages = append(r.stages, r.reuseStage(&old, want))
 	}
 	for _, s := range old {
@@ -80,6 +83,8 @@
 	r.advance()
 }
 
+// reuseStage removes the wanted stage from old and returns it if its state is
+// usable. Otherwise it returns a new stage.
 func (r *run) reuseStage(old *[]*stage, want spec.Stage) *stage {
 	for i, s := range *old {
 		if s.spec == want && s.processed > 0 && !r.wasLost(s) {
@@ -91,9 +96,10 @@
 	return &stage{spec: want, engine: e, epoch: e.epoch}
 }
 
-// wasLost reports whether s was the stage that was lost.
+// wasLost reports whether s is the stage whose step did not finish.
 func (r *run) wasLost(s *stage) bool { return r.step != nil && r.step.stage == s }
 
+// releaseStage frees the KV memory of a stage unless its engine lost the state.
 func (r *run) releaseStage(s *stage) {
 	if s.opened && s.engine.epoch == s.epoch {
 		s.engine.kvUsed -= r.arrival.PromptTokens + r.arrival.MaxTokens
@@ -101,9 +107,11 @@
 	s.opened = false
 }
 
+// positions is the number of prompt and output positions so far.
 func (r *run) positions() int { return r.arrival.PromptTokens + r.tokens }
 
-// advance submits the next step, or ends the request.
+// advance submits a step for the first stage that has positions left to
+// process. Without one the pass is complete and a token is counted.
 func (r *run) advance() {
 	for _, s := range r.stages {
 		if s.processed < r.positions() {
@@ -114,6 +122,7 @@
 	r.tokenDone()
 }
 
+// submit sends a step to a stage and starts the timer for it.
 func (r *run) submit(s *stage) {
 	e := s.engine
 	hop := e.hopTime + r.transferTime(s)
@@ -133,7 +142,7 @@
 	})
 }
 
-// transferTime is the time that the inputs of a step take on the link.
+// transferTime returns how long the inputs of a step take on the link.
 func (r *run) transferTime(s *stage) time.Duration {
 	if s.engine.info.Bandwidth <= 0 || s.spec.Layers().From() == 0 {
 		return 0
@@ -142,8 +151,8 @@
 	return time.Duration(bytes / float64(s.engine.info.Bandwidth) * float64(time.Second))
 }
 
-// deliver puts a step on its engine, or tells at once that the connection was
-// refused or is broken. An engine that hangs tells nothing.
+// deliver queues a step on its engine, or reports at once that the connection
+// was refused or is broken. An engine that hangs reports nothing.
 func (r *run) deliver(st *step) {
 	s := st.stage
 	e := s.engine
@@ -169,20 +178,21 @@
 		e.lastStageAt = r.sim.clock.now
 		e.kvUsed += r.arrival.PromptTokens + r.arrival.MaxTokens
 	}
-	todo := r.positions() - s.processed
+	remaining := r.positions() - s.processed
 	if s.processed == 0 {
-		hit := min(e.cache.lookup(r.arrival.BlockHashes)*pick.BlockTokens, r.arrival.PromptTokens-1)
-		r.cachedTokens += hit
+		cached := min(e.cache.lookup(r.arrival.BlockHashes)*pick.BlockTokens, r.arrival.PromptTokens-1)
+		r.cachedTokens += cached
 		r.prefillTokens += r.arrival.PromptTokens
-		todo -= hit
+		remaining -= cached
 	}
-	chunks := max(1, (todo+pick.ChunkPositions-1)/pick.ChunkPositions)
+	chunks := max(1, (remaining+pick.ChunkPositions-1)/pick.ChunkPositions)
 	r.layerChunks += chunks * s.spec.Layers().Len()
 	st.chunkTime = time.Duration(s.spec.Layers().Len()) * e.info.LayerTime
 	st.chunks = chunks
 	e.submit(st)
 }
 
+// stepDone marks the positions of a step as processed and continues.
 func (r *run) stepDone(st *step) {
 	if r.step != st || r.outcome != OutcomeOpen {
 		return
@@ -196,7 +206,8 @@
 	r.advance()
 }
 
-// tokenDone is the end of a pass through all stages.
+// tokenDone counts the token that a pass through all stages generated and
+// records its latency. It ends the request after the last token.
 func (r *run) tokenDone() {
 	now := r.sim.clock.now
 	r.tokens++
@@ -224,7 +235,8 @@
 	r.advance()
 }
 
-// tokensAtStart is the tokens at the last start.
+// tokensAtStart returns how many tokens existed when the current attempt
+// started.
 func (r *run) tokensAtStart() int {
 	return r.instance.logic.State().Requests().Get(r.arrival.Request).TokensAtStart()
 }
--- a/internal/fakes/bench/scenario.go
+++ b/internal/fakes/bench/scenario.go
@@ -9,14 +9,14 @@
 	"fulmarwick/internal/route/pick"
 )
 
-// Scenario is a deployment with its usual load.
+// Scenario is a deployment with its typical load.
 type Scenario struct {
 	Name   string
 	Layout Layout
 	Load   Load
 }
 
-// Scenarios are the deployments that are measured.
+// Scenarios returns the deployments that the benchmarks measure.
 func Scenarios() []Scenario {
 	return []Scenario{
 		{"association", Association(), Load{
@@ -34,25 +34,27 @@
 	}
 }
 
-// sizes are n teams of which the first few are large.
-func sizes(n, large int, times float64) []float64 {
+// sizes returns the relative sizes of n teams. The first large ones have the
+// size factor, the others 1.
+func sizes(n, large int, factor float64) []float64 {
 	out := make([]float64, n)
 	for i := range out {
 		out[i] = 1
 		if i < large {
-			out[i] = times
+			out[i] = factor
 		}
 	}
 	return out
 }
 
-// Policy makes the logic of an instance.
+// Policy is a named routing policy. Logic returns the routing logic of instance
+// i.
 type Policy struct {
 	Name  string
 	Logic func(i int) *core.Logic
 }
 
-// Policies are the logic as served and its naive baselines.
+// Policies returns the production routing logic and naive baselines.
 func Policies() []Policy {
 	return []Policy{
 		{"served", func(int) *core.Logic { return &core.Logic{} }},
@@ -61,15 +63,16 @@
 	}
 }
 
-// Rand is a seeded source.
+// Rand returns a random source with the given seed.
 func Rand(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 3)) }
 
-// NewSimulation puts a scenario together with a policy at a part of the bound.
-func (c Scenario) NewSimulation(p Policy, part float64, seed uint64) *Simulation {
+// NewSimulation returns a simulation of the scenario with a policy. The offered
+// load is loadFactor times the layout's Bound.
+func (c Scenario) NewSimulation(p Policy, loadFactor float64, seed uint64) *Simulation {
 	s := &Simulation{
 		Layout: c.Layout, Load: c.Load, Logic: p.Logic, Seed: seed,
 		Length: 90 * time.Second, Warm: 30 * time.Second,
 	}
-	s.Load.LoadFactor = part
+	s.Load.LoadFactor = loadFactor
 	return s
 }
--- a/internal/fakes/bench/simulation.go
+++ b/internal/fakes/bench/simulation.go
@@ -18,36 +18,40 @@
 	peerLag        = 100 * time.Millisecond
 	usageDelay     = time.Second
 	cacheInterval  = 500 * time.Millisecond
-	// deadAfter is how many reports in a row must fail before an engine that
-	// hangs counts as down.
+	// deadAfter is how long reports must fail before an engine that crashed or
+	// hangs is declared dead.
 	deadAfter = 2 * time.Second
-	// cacheLoss is the part of cache events that is lost, and resync the time
-	// until the whole list is read again.
+	// cacheLoss is the fraction of cache reports that is lost. resyncDelay is
+	// the time until the full content is sent instead.
 	cacheLoss   = 0.05
 	resyncDelay = 2 * time.Second
 )
 
-// Simulation is a deployment in virtual time. Set the exported fields before Run.
+// Simulation runs a deployment in virtual time. Set the exported fields before
+// Run.
 type Simulation struct {
 	Layout Layout
 	Load   Load
-	// Logic makes the logic of instance i; nil is core.Logic as it is served.
+	// Logic returns the routing logic of instance i. If it is nil, instances
+	// use core.Logic with the settings of production.
 	Logic func(i int) *core.Logic
-	// Instances is how many there are; zero is 4.
+	// Instances is the number of router instances; zero means 4.
 	Instances int
 	Seed      uint64
-	// Length is the virtual time simulated; Warm is left out of the figures.
+	// Length is the simulated time. Warm is the warm-up at its start, which is
+	// excluded from the results.
 	Length time.Duration
 	Warm   time.Duration
-	// Hedge is the time without a first token after which a request runs twice
-	// until one of the runs has it; zero never.
+	// Hedge is the time without a first token after which a second run of the
+	// request starts; the slower run is canceled at the first token. Zero
+	// disables hedging.
 	Hedge time.Duration
-	// Faults happen at their times.
+	// Faults are applied at their times.
 	Faults []Fault
 
 	clock clock
-	// rand draws what callers do, noise the rest, so that the same seed gives
-	// the same callers under every policy.
+	// rand is the random source for callers and noise the one for everything
+	// else, so that a seed yields the same requests under every policy.
 	rand      *rand.Rand
 	noise     *rand.Rand
 	engines   []*engine
@@ -61,31 +65,34 @@
 	teamRates map[spec.TeamID]map[spec.InstanceID]float64
 }
 
-// Fault is something that happens to engines.
+// Fault is an event that affects engines, such as a crash. Apply is called at
+// time At.
 type Fault struct {
 	At    time.Duration
 	Apply func(s *Simulation)
 }
 
-func (s *Simulation) shareTeamUsage(c domain.LocalTeamUsage, from spec.InstanceID) {
-	if s.teamRates[c.Team] == nil {
-		s.teamRates[c.Team] = map[spec.InstanceID]float64{}
+// shareTeamUsage records the request rate of a team at one instance and sends
+// the sum over all instances to all of them.
+func (s *Simulation) shareTeamUsage(usage domain.LocalTeamUsage, from spec.InstanceID) {
+	if s.teamRates[usage.Team] == nil {
+		s.teamRates[usage.Team] = map[spec.InstanceID]float64{}
 	}
-	s.teamRates[c.Team][from] = c.Rate
+	s.teamRates[usage.Team][from] = usage.Rate
 	sum := 0.0
 	for _, i := range s.instances {
-		sum += s.teamRates[c.Team][i.id]
+		sum += s.teamRates[usage.Team][i.id]
 	}
 	s.clock.after(usageDelay, func() {
 		for _, i := range s.instances {
-			i.post(domain.TeamUsage{Team: c.Team, Rate: sum})
+			i.post(domain.TeamUsage{Team: usage.Team, Rate: sum})
 		}
 	})
 }
 
 func (s *Simulation) engine(id spec.UpstreamID) *engine { return s.byID[id] }
 
-// Run simulates the whole length and returns the figures.
+// Run simulates the deployment for Length and returns the results.
 func (s *Simulation) Run() Result {
 	s.build()
 	for _, f := range s.Faults {
@@ -102,10 +109,10 @@
 	s.byID = map[spec.UpstreamID]*engine{}
 	s.teamRates = map[spec.TeamID]map[spec.InstanceID]float64{}
 	s.open = map[*run]bool{}
-	for _, row := range s.Layout.Engines {
-		e := &engine{sim: s, info: row, hopTime: row.ReportedHopTime, cache: newPrefixCache(s.Layout.Blocks)}
+	for _, info := range s.Layout.Engines {
+		e := &engine{sim: s, info: info, hopTime: info.ReportedHopTime, cache: newPrefixCache(s.Layout.Blocks)}
 		s.engines = append(s.engines, e)
-		s.byID[row.ID] = e
+		s.byID[info.ID] = e
 	}
 	if s.Instances == 0 {
 		s.Instances = 4
@@ -135,7 +142,8 @@
 	})
 }
 
-// startReports reports an engine to all instances, late, until it is silent.
+// startReports announces an engine to all instances at once and then schedules
+// its periodic reports and cache reports.
 func (s *Simulation) startReports(e *engine) {
 	s.broadcast(domain.EngineReport{Engine: e.report()})
 	phase := time.Duration(s.noise.Int64N(int64(reportInterval)))
@@ -152,6 +160,9 @@
 	})
 }
 
+// reportEngine sends a report of an engine to all instances after reportLag.
+// For an engine that is dead it sends EngineDead once deadAfter has passed.
+// It returns how long the engine has been dead.
 func (s *Simulation) reportEngine(e *engine, deadFor time.Duration) time.Duration {
 	if e.dead {
 		if deadFor < deadAfter && deadFor+reportInterval >= deadAfter {
@@ -167,6 +178,8 @@
 	return 0
 }
 
+// reportCache sends the changes of an engine's prefix cache to all instances.
+// A share of the reports is lost and replaced by the full content later.
 func (s *Simulation) reportCache(e *engine) {
 	if e.dead || (len(e.cache.added) == 0 && len(e.cache.removed) == 0) {
 		return
@@ -174,15 +187,15 @@
 	ev := e.cache.report(e, false)
 	if s.noise.Float64() < cacheLoss {
 		s.clock.after(resyncDelay, func() {
-			whole := e.cache.report(e, true)
-			s.broadcast(whole)
+			full := e.cache.report(e, true)
+			s.broadcast(full)
 		})
 		return
 	}
 	s.clock.after(reportLag, func() { s.broadcast(ev) })
 }
 
-// announceLeaving tells the signal of a leaving engine to all.
+// announceLeaving sends EngineLeaving to all instances.
 func (s *Simulation) announceLeaving(e *engine) {
 	s.clock.after(peerLag, func() { s.broadcast(domain.EngineLeaving{Engine: e.info.ID}) })
 }
@@ -193,7 +206,9 @@
 	}
 }
 
-// engineCrashed tells the runs that wait on a dead engine, unless it hangs.
+// engineCrashed marks all runs with a stage on a crashed engine as affected. A
+// run that waits for a step on it loses the stage after a millisecond, unless
+// the engine hangs with its connections open.
 func (s *Simulation) engineCrashed(e *engine) {
 	for _, r := range s.runs {
 		if r.outcome != OutcomeOpen {
@@ -211,6 +226,7 @@
 	}
 }
 
+// markFault records the time of the first fault that affects a run.
 func (s *Simulation) markFault(r *run) {
 	if r.faultAt == 0 {
 		r.faultAt = s.clock.now
