--- a/internal/fakes/stage/cache.go
+++ b/internal/fakes/stage/cache.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	// blockBytes is the size of the prompt blocks that the cache keeps.
+	// blockBytes is the size of a cached prompt block.
 	blockBytes = 256
-	// keptEvents is how many cache events the engine can still tell.
+	// keptEvents is the number of cache events that the log retains.
 	keptEvents = 1024
 )
 
-// cache is the prefix cache: block hashes, the longest unused first, and the
-// log of what came and went.
+// cache is the prefix cache. It holds the hashes of prompt blocks, the least
+// recently used one first, and a log of added and removed blocks.
 type cache struct {
 	blocks []uint64
 	log    []loggedEvent
@@ -31,16 +31,19 @@
 	at    time.Time
 }
 
-// addPrompt puts the blocks of a prompt in the cache of at most limit blocks.
+// addPrompt adds the blocks of a prompt to the cache, which holds at most limit
+// blocks.
 func (c *cache) addPrompt(text string, limit int) {
-	h := xxhash.New()
+	hash := xxhash.New()
 	for len(text) >= blockBytes && limit > 0 {
-		_, _ = h.WriteString(text[:blockBytes])
-		c.touch(h.Sum64(), limit)
+		_, _ = hash.WriteString(text[:blockBytes])
+		c.touch(hash.Sum64(), limit)
 		text = text[blockBytes:]
 	}
 }
 
+// touch marks a block as used and adds it if it is missing. It evicts the least
+// recently used blocks to stay within limit.
 func (c *cache) touch(block uint64, limit int) {
 	if i := slices.Index(c.blocks, block); i >= 0 {
 		c.blocks = append(slices.Delete(c.blocks, i, i+1), block)
@@ -54,6 +57,7 @@
 	c.record(true, block)
 }
 
+// record logs that a block was added or removed.
 func (c *cache) record(added bool, block uint64) {
 	c.seq++
 	c.log = append(c.log, loggedEvent{event: frame.Event{Seq: c.seq, Added: added, Block: block}, at: time.Now()})
@@ -65,7 +69,7 @@
 func (e *Engine) handleEvents(w http.ResponseWriter, req *http.Request) {
 	since, err := strconv.ParseUint(req.URL.Query().Get("since"), 10, 64)
 	if err != nil {
-		http.Error(w, "since is not a number", http.StatusBadRequest)
+		http.Error(w, "parameter since must be a number", http.StatusBadRequest)
 		return
 	}
 	e.mu.Lock()
@@ -73,6 +77,9 @@
 	writeJSON(w, e.eventsSince(since))
 }
 
+// eventsSince returns the cache events after a sequence number that are at
+// least EventLag old. If the log does not cover them, it returns the entire
+// content of the cache with Reset set.
 func (e *Engine) eventsSince(since uint64) frame.Events {
 	c := &e.cache
 	first := c.seq - uint64(len(c.log)) + 1
@@ -80,16 +87,16 @@
 		return frame.Events{Seq: c.seq, Reset: true, Blocks: slices.Clone(c.blocks)}
 	}
 	out := frame.Events{Seq: since}
-	for _, en := range c.log {
-		if en.event.Seq <= since {
+	for _, entry := range c.log {
+		if entry.event.Seq <= since {
 			continue
 		}
-		if time.Since(en.at) < e.EventLag {
+		if time.Since(entry.at) < e.EventLag {
 			break
 		}
-		out.Seq = en.event.Seq
-		if e.Gap == nil || !e.Gap(en.event.Seq) {
-			out.Events = append(out.Events, en.event)
+		out.Seq = entry.event.Seq
+		if e.Gap == nil || !e.Gap(entry.event.Seq) {
+			out.Events = append(out.Events, entry.event)
 		}
 	}
 	return out
--- a/internal/fakes/stage/kv.go
+++ b/internal/fakes/stage/kv.go
@@ -12,34 +12,35 @@
 
 const maxKVBytes = 256 << 20
 
-// exportKV gives the cache of a range of a request's state.
+// exportKV serves the KV cache of a range of layers of a request.
 func (e *Engine) exportKV(w http.ResponseWriter, req *http.Request) {
-	q := req.URL.Query()
-	from, err1 := strconv.Atoi(q.Get("from"))
-	to, err2 := strconv.Atoi(q.Get("to"))
+	query := req.URL.Query()
+	from, err1 := strconv.Atoi(query.Get("from"))
+	to, err2 := strconv.Atoi(query.Get("to"))
 	if err1 != nil || err2 != nil {
-		http.Error(w, "from and to must be layers", http.StatusBadRequest)
+		http.Error(w, "parameters from and to must be layer numbers", http.StatusBadRequest)
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for k, ses := range e.sessions {
-		if k.req != q.Get("req") {
+	for k, sess := range e.sessions {
+		if k.req != query.Get("req") {
 			continue
 		}
-		if data, ok := ses.kv.Export(from, to); ok {
-			writeJSON(w, frame.KV{Req: k.req, Model: ses.model, From: from, To: to, Try: ses.attempt, Pos: ses.kv.Pos(), Data: data})
+		if data, ok := sess.kv.Export(from, to); ok {
+			writeJSON(w, frame.KV{Req: k.req, Model: sess.model, From: from, To: to, Try: sess.attempt, Pos: sess.kv.Pos(), Data: data})
 			return
 		}
 	}
-	http.Error(w, "no such state", http.StatusNotFound)
+	http.Error(w, "no state for this request and range", http.StatusNotFound)
 }
 
-// importKV opens a state from a cache that another engine gave.
+// importKV creates the state of a request from a KV cache that another engine
+// exported.
 func (e *Engine) importKV(w http.ResponseWriter, req *http.Request) {
 	var kv frame.KV
 	if err := json.NewDecoder(http.MaxBytesReader(w, req.Body, maxKVBytes)).Decode(&kv); err != nil {
-		http.Error(w, "not a KV cache", http.StatusBadRequest)
+		http.Error(w, "body is not a valid KV cache", http.StatusBadRequest)
 		return
 	}
 	state, ok := layer.Import(kv.From, kv.To, kv.Pos, kv.Data)
@@ -47,12 +48,12 @@
 	defer e.mu.Unlock()
 	depth, held := e.findLoaded(kv.Model, kv.From, kv.To)
 	if !ok || !held {
-		http.Error(w, "no such range, or data of another size", http.StatusUnprocessableEntity)
+		http.Error(w, "range is not loaded, or KV data has the wrong size", http.StatusUnprocessableEntity)
 		return
 	}
 	k := key{req: kv.Req, from: kv.From}
-	if ses := e.sessions[k]; ses != nil && ses.attempt >= kv.Try {
-		http.Error(w, "a state of this attempt exists", http.StatusConflict)
+	if sess := e.sessions[k]; sess != nil && sess.attempt >= kv.Try {
+		http.Error(w, "a state of this or a later attempt exists", http.StatusConflict)
 		return
 	}
 	e.sessions[k] = &session{
--- a/internal/fakes/stage/link.go
+++ b/internal/fakes/stage/link.go
@@ -13,12 +13,13 @@
 
 const (
 	bufferBytes = 64 << 10
-	// linkReplies and linkSteps bound what is on its way on a link.
+	// linkReplies is the maximum number of replies in transit on a link.
 	linkReplies = 1024
-	linkSteps   = 1024
+	// linkSteps is the maximum number of steps in transit on a link.
+	linkSteps = 1024
 )
 
-// link is one connection of a router.
+// link is a connection from a router.
 type link struct {
 	ws   *websocket.Conn
 	out  chan timedFrame
@@ -26,7 +27,8 @@
 	done chan struct{}
 }
 
-// timedFrame is a frame that reaches the other end at a time.
+// timedFrame is a frame in transit. It reaches the other end at time at; the
+// zero time means at once.
 type timedFrame struct {
 	at    time.Time
 	step  *frame.Step
@@ -56,7 +58,7 @@
 	e.orphan(l)
 }
 
-// readSteps takes the steps off the connection and lets them travel for a hop.
+// readSteps reads steps from the connection until it fails.
 func (e *Engine) readSteps(l *link) {
 	for {
 		_, data, err := l.ws.ReadMessage()
@@ -74,7 +76,8 @@
 	}
 }
 
-// receive lets a step travel; without a delay it is there at once.
+// receive passes a step on after the simulated delay of the link. Without a
+// delay it submits the step directly.
 func (e *Engine) receive(l *link, s *frame.Step) {
 	at := e.arrivalTime(stepBytes(s))
 	if at.IsZero() {
@@ -87,19 +90,21 @@
 	}
 }
 
+// deliverSteps submits the steps of a link as they arrive.
 func (e *Engine) deliverSteps(l *link) {
 	for {
 		select {
 		case <-l.done:
 			return
-		case p := <-l.in:
-			waitUntil(p.at)
-			e.submit(p.step, l)
+		case next := <-l.in:
+			waitUntil(next.at)
+			e.submit(next.step, l)
 		}
 	}
 }
 
-// arrivalTime is when a frame of so many bytes gets to the other end.
+// arrivalTime returns when a frame of the given size that is sent now reaches
+// the other end. It returns the zero time if the link has no delay.
 func (e *Engine) arrivalTime(bytes int) time.Time {
 	if e.Link == 0 && e.Bandwidth == 0 {
 		return time.Time{}
@@ -120,17 +125,18 @@
 	}
 }
 
-// writeReplies sends replies; all that wait go out as one message.
+// writeReplies sends queued replies. Replies that are due together are sent as
+// one message.
 func (e *Engine) writeReplies(l *link) {
 	var buf bytes.Buffer
 	for {
 		select {
 		case <-l.done:
 			return
-		case p := <-l.out:
+		case next := <-l.out:
 			buf.Reset()
-			waitUntil(p.at)
-			if !batchReplies(&buf, p, l) || l.ws.WriteMessage(websocket.BinaryMessage, buf.Bytes()) != nil {
+			waitUntil(next.at)
+			if !batchReplies(&buf, next, l) || l.ws.WriteMessage(websocket.BinaryMessage, buf.Bytes()) != nil {
 				_ = l.ws.Close()
 				return
 			}
@@ -138,6 +144,8 @@
 	}
 }
 
+// batchReplies appends p and the replies queued after it to buf, up to about
+// bufferBytes. It reports whether all of them could be encoded.
 func batchReplies(buf *bytes.Buffer, p timedFrame, l *link) bool {
 	for {
 		if frame.AppendReply(buf, p.reply) != nil {
@@ -155,7 +163,7 @@
 	}
 }
 
-// sendReply sends the reply of s back, unless a fault is due.
+// sendReply sends the reply to s, subject to the fault that Faults selects.
 func (e *Engine) sendReply(l *link, s *frame.Step, r *frame.Reply) {
 	fault := FaultNone
 	if e.Faults != nil {
@@ -195,10 +203,11 @@
 	return n
 }
 
+// containsWord reports whether text contains the first token of word.
 func containsWord(text, word string) bool {
 	want := layer.Split(word)[0]
-	for _, t := range layer.Split(text) {
-		if t == want {
+	for _, token := range layer.Split(text) {
+		if token == want {
 			return true
 		}
 	}
--- a/internal/fakes/stage/order.go
+++ b/internal/fakes/stage/order.go
@@ -10,8 +10,8 @@
 	"fulmarwick/internal/base/frame"
 )
 
-// Weights is a weight store that gives so many layers a second to all the
-// engines that share it.
+// Weights is a weight store shared by several engines. It serves Rate layers
+// per second in total.
 type Weights struct {
 	Rate float64
 
@@ -19,10 +19,10 @@
 	freeAt time.Time
 }
 
-// reserve takes the next turn for so many layers and returns how long until they
-// are there.
-func (w *Weights) reserve(layers int) time.Duration {
-	if w == nil || w.Rate <= 0 || layers == 0 {
+// reserve queues the transfer of a number of layers and returns the time until
+// it completes.
+func (w *Weights) reserve(count int) time.Duration {
+	if w == nil || w.Rate <= 0 || count == 0 {
 		return 0
 	}
 	w.mu.Lock()
@@ -31,58 +31,61 @@
 	if w.freeAt.Before(now) {
 		w.freeAt = now
 	}
-	w.freeAt = w.freeAt.Add(time.Duration(float64(layers) / w.Rate * float64(time.Second)))
+	w.freeAt = w.freeAt.Add(time.Duration(float64(count) / w.Rate * float64(time.Second)))
 	return w.freeAt.Sub(now)
 }
 
-// handleOrder takes the state to end in: what is not wanted goes at once, what is
-// missing comes when the weight store has given it.
+// handleOrder accepts a load order, which lists the ranges to hold. Ranges that
+// are not in the order are unloaded at once. Missing ranges are available after
+// the weight store has delivered them.
 func (e *Engine) handleOrder(w http.ResponseWriter, req *http.Request) {
-	var o frame.Order
-	if err := json.NewDecoder(http.MaxBytesReader(w, req.Body, frame.MaxBytes)).Decode(&o); err != nil {
-		http.Error(w, "not an order", http.StatusBadRequest)
+	var order frame.Order
+	if err := json.NewDecoder(http.MaxBytesReader(w, req.Body, frame.MaxBytes)).Decode(&order); err != nil {
+		http.Error(w, "body is not a valid order", http.StatusBadRequest)
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.Fenced && o.Fence < e.fence {
+	if e.Fenced && order.Fence < e.fence {
 		http.Error(w, "fencing number too old", http.StatusConflict)
 		return
 	}
-	if e.Memory > 0 && layerCount(o.Holds) > e.Memory {
-		http.Error(w, "more layers than memory", http.StatusUnprocessableEntity)
+	if e.Memory > 0 && layerCount(order.Holds) > e.Memory {
+		http.Error(w, "layers exceed memory", http.StatusUnprocessableEntity)
 		return
 	}
-	e.fence = max(e.fence, o.Fence)
-	if o.Role != "" {
-		e.role = o.Role
+	e.fence = max(e.fence, order.Fence)
+	if order.Role != "" {
+		e.role = order.Role
 	}
 	e.orderCount++
-	e.loaded = intersect(e.loaded, o.Holds)
-	e.loadWeights(o.Holds, e.orderCount, e.epoch)
+	e.loaded = intersect(e.loaded, order.Holds)
+	e.loadWeights(order.Holds, e.orderCount, e.epoch)
 	w.WriteHeader(http.StatusAccepted)
 }
 
-func (e *Engine) loadWeights(want []frame.Hold, order, life uint64) {
-	wait := e.Store.reserve(layerCount(want) - layerCount(e.loaded))
-	if wait == 0 {
+// loadWeights loads the wanted ranges after the delay of the weight store,
+// unless a later order or a crash happens first.
+func (e *Engine) loadWeights(want []frame.Hold, order, epoch uint64) {
+	delay := e.Store.reserve(layerCount(want) - layerCount(e.loaded))
+	if delay == 0 {
 		e.loaded = slices.Clone(want)
 		return
 	}
-	time.AfterFunc(wait, func() {
+	time.AfterFunc(delay, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		if e.orderCount == order && e.epoch == life {
+		if e.orderCount == order && e.epoch == epoch {
 			e.loaded = slices.Clone(want)
 		}
 	})
 }
 
-// intersect is what of want is held already.
-func intersect(held, want []frame.Hold) []frame.Hold {
+// intersect returns the parts of want that are already loaded.
+func intersect(loaded, want []frame.Hold) []frame.Hold {
 	var out []frame.Hold
 	for _, w := range want {
-		for _, h := range held {
+		for _, h := range loaded {
 			if h.Model != w.Model || h.Version != w.Version {
 				continue
 			}
--- a/internal/fakes/stage/queue.go
+++ b/internal/fakes/stage/queue.go
@@ -7,7 +7,7 @@
 	"fulmarwick/internal/base/frame"
 )
 
-// work is a step that waits or runs.
+// work is a step that waits for a slot or runs in one.
 type work struct {
 	step     *frame.Step
 	link     *link
@@ -15,16 +15,18 @@
 	arrival  uint64
 	epoch    uint64
 	queuedAt time.Time
-	// index counts the tokens of a run.
+	// index is the number of tokens that a run has generated.
 	index int
-	// canceled is set when the request was canceled.
+	// canceled is set if the request is canceled while the step runs.
 	canceled bool
 }
 
-// queue holds waiting work: a lower priority number first, then as it came.
+// queue is a heap of waiting work, ordered by priority number and then by
+// arrival.
 type queue []*work
 
-// Len, Less, Swap, Push and Pop are for container/heap.
+// Len returns the number of entries. With Less, Swap, Push and Pop it
+// implements heap.Interface.
 func (q queue) Len() int { return len(q) }
 
 // Less orders by priority and arrival.
@@ -41,7 +43,7 @@
 // Push adds a *work.
 func (q *queue) Push(x any) { *q = append(*q, x.(*work)) }
 
-// Pop takes the last entry.
+// Pop removes and returns the last entry.
 func (q *queue) Pop() any {
 	old := *q
 	w := old[len(old)-1]
@@ -50,7 +52,8 @@
 	return w
 }
 
-// submit takes a step off a link: cancel at once, else wait for a slot.
+// submit processes a step received on a link. A cancel takes effect at once,
+// other steps wait for a slot. A step with the poison word kills the engine.
 func (e *Engine) submit(s *frame.Step, l *link) {
 	if e.Poison != "" && containsWord(s.Text, e.Poison) {
 		e.Kill()
@@ -85,10 +88,11 @@
 	heap.Push(&e.waiting, w)
 }
 
-// cancel forgets the state and what waits or runs for it.
+// cancel drops the state of a request, removes its waiting work and marks its
+// running work as canceled.
 func (e *Engine) cancel(s *frame.Step) {
 	k := key{req: s.Req, from: s.From}
-	if ses := e.sessions[k]; ses != nil && ses.attempt <= s.Try {
+	if sess := e.sessions[k]; sess != nil && sess.attempt <= s.Try {
 		delete(e.sessions, k)
 	}
 	kept := e.waiting[:0]
@@ -107,7 +111,7 @@
 	}
 }
 
-// serve is one slot at work until nothing waits.
+// serve runs waiting work in one slot until the queue is empty.
 func (e *Engine) serve() {
 	for {
 		e.mu.Lock()
@@ -126,8 +130,8 @@
 	}
 }
 
-// runWork runs a step, and for a run the tokens after it until the run ends or
-// something more urgent waits.
+// runWork executes a step. For a run it generates further tokens until the run
+// ends or more urgent work waits.
 func (e *Engine) runWork(w *work) {
 	for {
 		if e.Layer > 0 {
@@ -145,7 +149,8 @@
 	}
 }
 
-// yield puts a run back in the queue if something more urgent waits.
+// yield puts a run back into the queue if more urgent work waits, and reports
+// whether it did.
 func (e *Engine) yield(w *work) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/fakes/stage/run.go
+++ b/internal/fakes/stage/run.go
@@ -5,29 +5,30 @@
 	"fulmarwick/internal/fakes/layer"
 )
 
-// runStep puts the inputs of s through the range.
-func (e *Engine) runStep(ses *session, s *frame.Step) *frame.Reply {
-	inputs, ok := ses.inputs(s)
+// runStep runs the inputs of s through the layers of the session.
+func (e *Engine) runStep(sess *session, s *frame.Step) *frame.Reply {
+	inputs, ok := sess.inputs(s)
 	if !ok || len(inputs) == 0 {
-		return failure(s, frame.CodeGap, "no input that this range can read")
+		return failure(s, frame.CodeGap, "step has no valid input for this range")
 	}
-	r := &frame.Reply{Req: s.Req, Try: s.Try, Seq: s.Seq, From: s.From, Pos: ses.kv.Pos()}
+	r := &frame.Reply{Req: s.Req, Try: s.Try, Seq: s.Seq, From: s.From, Pos: sess.kv.Pos()}
 	var last uint64
 	for _, h := range inputs {
-		last = ses.kv.Run(h)
-		if ses.to != ses.depth {
+		last = sess.kv.Run(h)
+		if sess.to != sess.depth {
 			r.Hidden = append(r.Hidden, layer.Encode(last))
 		}
 	}
 	e.layerRuns.Add(int64(len(inputs) * (s.To - s.From)))
-	r.Next = ses.kv.Pos()
-	r.Left = max(0, len(ses.prompt)-r.Next)
-	if ses.to == ses.depth {
+	r.Next = sess.kv.Pos()
+	r.Left = max(0, len(sess.prompt)-r.Next)
+	if sess.to == sess.depth {
 		setToken(r, layer.Pick(last))
 	}
 	return r
 }
 
+// setToken sets the generated token and its text. Token zero ends the answer.
 func setToken(r *frame.Reply, token uint32) {
 	r.Token = token
 	r.Last = token == 0
@@ -36,7 +37,8 @@
 	}
 }
 
-// inputs are the hidden values before the range that the step is to run.
+// inputs returns the hidden values that the step feeds into the range. The
+// second result is false if they are not valid.
 func (s *session) inputs(step *frame.Step) ([]uint64, bool) {
 	if step.From > 0 {
 		return decode(step.Hidden)
@@ -55,11 +57,11 @@
 		}
 	}
 	var out []uint64
-	for _, t := range tokens {
-		out = append(out, layer.Embed(t))
+	for _, token := range tokens {
+		out = append(out, layer.Embed(token))
 	}
-	for _, t := range step.Tokens {
-		out = append(out, layer.Embed(t))
+	for _, token := range step.Tokens {
+		out = append(out, layer.Embed(token))
 	}
 	return out, true
 }
--- a/internal/fakes/stage/stage.go
+++ b/internal/fakes/stage/stage.go
@@ -1,5 +1,5 @@
-// Package stage is a stand-in model engine that holds ranges of layers of the
-// model of fakes/layer and speaks the protocol of base/frame.
+// Package stage is a fake model engine. It holds ranges of layers of the model
+// of fakes/layer and implements the protocol of base/frame.
 //
 // It imports base/frame and fakes/layer. The trial command and tests run it.
 package stage
@@ -18,51 +18,57 @@
 	"github.com/gorilla/mux"
 )
 
-// defaultGrace is how long states outlive their connection if Grace is zero.
+// defaultGrace is how long a state is kept after its connection breaks if Grace
+// is zero.
 const defaultGrace = 5 * time.Second
 
-// Engine is a stand-in engine. Set the exported fields before serving.
+// Engine is a fake engine. Set the exported fields before serving.
 type Engine struct {
 	Name       string
 	DataCentre string
 	Kind       string
 	Role       string
-	// Holds are the ranges loaded at start; orders change what is loaded.
+	// Holds are the ranges loaded at start. Orders change them later.
 	Holds []frame.Hold
-	// Layer is the time that one token takes through one layer; zero answers
-	// at once.
+	// Layer is the time that one layer takes for a step; zero means none.
 	Layer time.Duration
-	// Slots is how many steps run at once; zero is one.
+	// Slots is how many steps run concurrently; zero means one.
 	Slots int
-	// Memory is in layers and Cache in prompt blocks; zero Memory is unbounded.
+	// Memory is the capacity for weights in layers; zero means unlimited.
 	Memory int
-	Cache  int
-	// Link is the time of one hop and Bandwidth, in bytes a second, of the
-	// link; zero is unbounded.
-	Link      time.Duration
+	// Cache is the capacity of the prefix cache in prompt blocks.
+	Cache int
+	// Link is the time of one hop.
+	Link time.Duration
+	// Bandwidth is the bandwidth of the link in bytes per second; zero means
+	// unlimited.
 	Bandwidth int64
-	// Fenced says that orders with an old fencing number are refused; other
-	// engines take any order.
+	// Fenced makes the engine refuse orders with an old fencing number. Other
+	// engines accept any order.
 	Fenced bool
-	// Store limits how fast weights load; nil loads at once.
+	// Store limits how fast weights load; nil means they load at once.
 	Store *Weights
-	// Lag is how old the load in a report may be, EventLag how late cache
-	// events show, and Gap, if set, picks events that are never shown.
-	Lag      time.Duration
+	// Lag is how old the load in a report may be.
+	Lag time.Duration
+	// EventLag is how long cache events are held back.
 	EventLag time.Duration
-	Gap      func(seq uint64) bool
-	// Grace is how long a state outlives its connection (zero is 5 s), Idle
-	// how long it is kept unused (zero is for ever).
+	// Gap, if set, selects cache events that are never sent.
+	Gap func(seq uint64) bool
+	// Grace is how long a state is kept after its connection breaks; zero
+	// means 5 s.
 	Grace time.Duration
-	Idle  time.Duration
-	// Traced, if set, is told the traceparent of each state's first step.
+	// Idle is how long an unused state is kept; zero means forever.
+	Idle time.Duration
+	// Traced, if set, is called with the traceparent of each state's first
+	// step.
 	Traced func(traceparent string)
-	// Poison is a word whose presence in a prompt kills the engine; "" is none.
+	// Poison is a word that kills the engine if a prompt contains it; "" means
+	// none.
 	Poison string
-	// Faults, if set, picks what happens to the reply of a step; Late is the
-	// delay of FaultDelay.
+	// Faults, if set, selects the fault injected into the reply of a step.
 	Faults func(*frame.Step) Fault
-	Late   time.Duration
+	// Late is the delay of FaultDelay.
+	Late time.Duration
 
 	once       sync.Once
 	mu         sync.Mutex
@@ -85,16 +91,17 @@
 	leaving    atomic.Bool
 }
 
-// load is what a report says of the load, as of at.
+// load is the reported load, measured at time at.
 type load struct {
 	at             time.Time
 	active, queued int
 }
 
-// Steps is how many layer runs of a position this engine has done.
+// Steps returns how many layer executions of single positions this engine has
+// done.
 func (e *Engine) Steps() int64 { return e.layerRuns.Load() }
 
-// Sessions is how many request states the engine keeps.
+// Sessions returns the number of request states that the engine keeps.
 func (e *Engine) Sessions() int {
 	e.init()
 	e.mu.Lock()
@@ -103,7 +110,7 @@
 	return len(e.sessions)
 }
 
-// Kill drops all connections and state, as a crash would.
+// Kill drops all connections and state, like a crash.
 func (e *Engine) Kill() {
 	e.init()
 	e.dead.Store(true)
@@ -119,7 +126,7 @@
 	}
 }
 
-// Cut drops all connections and keeps the states, as a broken link would.
+// Cut drops all connections and keeps the states, like a broken link.
 func (e *Engine) Cut() {
 	e.init()
 	e.mu.Lock()
@@ -129,8 +136,8 @@
 	}
 }
 
-// Freeze has the engine hang with its connections open, as a stuck driver
-// does, until Thaw.
+// Freeze makes the engine hang with its connections open until Thaw, like a
+// stuck driver.
 func (e *Engine) Freeze() {
 	e.init()
 	e.mu.Lock()
@@ -142,8 +149,8 @@
 // Dead reports whether the engine was killed and not revived.
 func (e *Engine) Dead() bool { return e.dead.Load() }
 
-// Revive lets a killed engine serve again, with no state and as a new
-// incarnation.
+// Revive makes a killed engine serve again, without state and with a new
+// incarnation number.
 func (e *Engine) Revive() { e.dead.Store(false) }
 
 // Leave marks the engine as leaving in its reports.
@@ -160,7 +167,8 @@
 	})
 }
 
-// Handler serves the engine protocol.
+// Handler returns the HTTP handler of the engine protocol. While the engine is
+// dead, it aborts each connection.
 func (e *Engine) Handler() http.Handler {
 	e.init()
 	r := mux.NewRouter()
@@ -182,7 +190,8 @@
 	writeJSON(w, e.Report())
 }
 
-// Report is what the engine says of itself now.
+// Report returns the engine's current report. Its load figures are up to Lag
+// old.
 func (e *Engine) Report() frame.Engine {
 	e.init()
 	e.mu.Lock()
--- a/internal/fakes/stage/state.go
+++ b/internal/fakes/stage/state.go
@@ -7,13 +7,14 @@
 	"fulmarwick/internal/fakes/layer"
 )
 
-// key names one cached state of the engine.
+// key identifies a session: a request and the first layer of its range.
 type key struct {
 	req  string
 	from int
 }
 
-// session is the state of one request's range on this engine.
+// session is the state that this engine keeps for one range of layers of a
+// request.
 type session struct {
 	attempt uint32
 	seq     uint64
@@ -21,23 +22,24 @@
 	depth   int
 	model   string
 	kv      *layer.State
-	// prompt is the tokens of the prompt, run or not.
+	// prompt holds all tokens of the prompt, including those not processed yet.
 	prompt []uint32
-	// lastReply answers a repeat of the last step.
+	// lastReply is sent again if the last step is repeated.
 	lastReply *frame.Reply
-	// tokens are the tokens of the steps up to seq, so that a run whose replies
-	// were lost can be asked for again from any of them.
+	// tokens are the generated tokens of a run up to seq. A run whose replies
+	// were lost can be resumed from any of them.
 	tokens []uint32
-	// run is the work that runs this state now; a later one takes its place.
+	// run is the work that currently runs this session. A later run replaces it.
 	run  *work
 	link *link
-	// orphaned is when the connection broke; zero while it stands.
+	// orphaned is when the connection broke; zero while it is open.
 	orphaned time.Time
 	lastUsed time.Time
 }
 
-// apply checks the numbers of the step of w and runs it at most once. It
-// returns no reply if nobody waits for it any more, and whether w goes on.
+// apply checks the sequence numbers of the step of w and runs it at most once.
+// It returns nil if the reply is no longer needed. The second result reports
+// whether w has further steps.
 func (e *Engine) apply(w *work) (*frame.Reply, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -45,21 +47,21 @@
 		return nil, false
 	}
 	s := w.step
-	ses, code := e.session(s)
+	sess, code := e.session(s)
 	if code != frame.CodeOK {
 		return failure(s, code, ""), false
 	}
 	if w.index == 0 {
-		ses.run = w
+		sess.run = w
 	}
-	if s.Verb == frame.VerbRun && ses.run != w {
+	if s.Verb == frame.VerbRun && sess.run != w {
 		return nil, false
 	}
-	e.touch(ses, w.link)
+	e.touch(sess, w.link)
 	if s.Verb == frame.VerbRun && !e.links[w.link] {
 		return nil, false
 	}
-	r := e.applyStep(ses, s)
+	r := e.applyStep(sess, s)
 	out := *r
 	out.Took = time.Since(w.queuedAt).Microseconds()
 	if s.Verb != frame.VerbRun || r.Code != frame.CodeOK {
@@ -71,14 +73,16 @@
 	return &out, w.advance(&out)
 }
 
-func (e *Engine) touch(ses *session, l *link) {
-	ses.link, ses.orphaned, ses.lastUsed = l, time.Time{}, time.Now()
+// touch assigns a session to the link of its latest step and records its use.
+func (e *Engine) touch(sess *session, l *link) {
+	sess.link, sess.orphaned, sess.lastUsed = l, time.Time{}, time.Now()
 	if !e.links[l] {
-		ses.orphaned = ses.lastUsed
+		sess.orphaned = sess.lastUsed
 	}
 }
 
-// advance numbers the reply of a run and sets the next step.
+// advance numbers the reply of a run and prepares the next step. It reports
+// whether there is one.
 func (w *work) advance(r *frame.Reply) bool {
 	r.Index = w.index
 	w.index++
@@ -90,59 +94,64 @@
 		}
 		return false
 	}
-	n := *w.step
-	n.Seq++
-	n.Pos = r.Next
-	n.Text = ""
-	n.Tokens = []uint32{r.Token}
-	w.step = &n
+	next := *w.step
+	next.Seq++
+	next.Pos = r.Next
+	next.Text = ""
+	next.Tokens = []uint32{r.Token}
+	w.step = &next
 	return true
 }
 
-func (e *Engine) applyStep(ses *session, s *frame.Step) *frame.Reply {
-	if r := ses.replay(s); r != nil {
+// applyStep runs a step if it is the next one, or replays the reply of an
+// earlier one.
+func (e *Engine) applyStep(sess *session, s *frame.Step) *frame.Reply {
+	if r := sess.replay(s); r != nil {
 		return r
 	}
-	if s.Seq != ses.seq+1 || s.Pos != ses.kv.Pos() {
+	if s.Seq != sess.seq+1 || s.Pos != sess.kv.Pos() {
 		return failure(s, frame.CodeGap, "step or position out of order")
 	}
-	r := e.runStep(ses, s)
+	r := e.runStep(sess, s)
 	if r.Code == frame.CodeOK {
-		ses.seq = s.Seq
-		ses.lastReply = r
+		sess.seq = s.Seq
+		sess.lastReply = r
 		if s.Verb == frame.VerbRun {
-			ses.tokens = append(ses.tokens, r.Token)
+			sess.tokens = append(sess.tokens, r.Token)
 		}
 	}
 	return r
 }
 
-// replay answers a step that was done already.
+// replay returns the reply of a step that has already run, or nil if there is
+// none.
 func (s *session) replay(step *frame.Step) *frame.Reply {
 	if step.Seq == s.seq && s.lastReply != nil {
 		return s.lastReply
 	}
-	back := s.seq - step.Seq
-	if step.Verb != frame.VerbRun || step.Seq > s.seq || back >= uint64(len(s.tokens)) {
+	offset := s.seq - step.Seq
+	if step.Verb != frame.VerbRun || step.Seq > s.seq || offset >= uint64(len(s.tokens)) {
 		return nil
 	}
-	next := s.kv.Pos() - int(back)
+	next := s.kv.Pos() - int(offset)
 	r := &frame.Reply{Req: step.Req, Try: step.Try, Seq: step.Seq, From: step.From, Pos: step.Pos, Next: next}
-	setToken(r, s.tokens[len(s.tokens)-1-int(back)])
+	setToken(r, s.tokens[len(s.tokens)-1-int(offset)])
 	return r
 }
 
+// session returns the session of a step. The first step of an attempt creates
+// it; the steps of older attempts are refused.
 func (e *Engine) session(s *frame.Step) (*session, frame.Code) {
 	k := key{req: s.Req, from: s.From}
-	ses := e.sessions[k]
-	if ses != nil && s.Try < ses.attempt {
+	sess := e.sessions[k]
+	if sess != nil && s.Try < sess.attempt {
 		return nil, frame.CodeStale
 	}
-	if ses != nil && s.Try == ses.attempt {
-		if ses.to != s.To {
+	if sess != nil && s.Try == sess.attempt {
+		if sess.to != s.To {
 			return nil, frame.CodeRange
 		}
-		return ses, frame.CodeOK
+		return sess, frame.CodeOK
 	}
 	if s.Seq != 1 {
 		return nil, frame.CodeGap
@@ -158,11 +167,12 @@
 		return nil, frame.CodeRange
 	}
 	e.expire()
-	ses = &session{attempt: s.Try, to: s.To, depth: depth, model: s.Model, kv: layer.NewState(s.From, s.To)}
-	e.sessions[k] = ses
-	return ses, frame.CodeOK
+	sess = &session{attempt: s.Try, to: s.To, depth: depth, model: s.Model, kv: layer.NewState(s.From, s.To)}
+	e.sessions[k] = sess
+	return sess, frame.CodeOK
 }
 
+// findLoaded returns the depth of a model if the engine has the range loaded.
 func (e *Engine) findLoaded(model string, from, to int) (depth int, ok bool) {
 	for _, h := range e.loaded {
 		if h.Model == model && h.From <= from && from < to && to <= h.To {
@@ -172,15 +182,15 @@
 	return 0, false
 }
 
-// orphan starts the grace time of the states of a link that broke.
+// orphan starts the grace period for the sessions of a broken link.
 func (e *Engine) orphan(l *link) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	delete(e.links, l)
 	now := time.Now()
-	for _, ses := range e.sessions {
-		if ses.link == l {
-			ses.orphaned = now
+	for _, sess := range e.sessions {
+		if sess.link == l {
+			sess.orphaned = now
 		}
 	}
 	time.AfterFunc(e.grace(), func() {
@@ -197,12 +207,12 @@
 	return e.Grace
 }
 
-// expire drops the states that nobody came back for.
+// expire drops the sessions that are past the grace period or unused for Idle.
 func (e *Engine) expire() {
 	now := time.Now()
-	for k, ses := range e.sessions {
-		lost := !ses.orphaned.IsZero() && now.Sub(ses.orphaned) >= e.grace()
-		idle := e.Idle > 0 && now.Sub(ses.lastUsed) >= e.Idle
+	for k, sess := range e.sessions {
+		lost := !sess.orphaned.IsZero() && now.Sub(sess.orphaned) >= e.grace()
+		idle := e.Idle > 0 && now.Sub(sess.lastUsed) >= e.Idle
 		if lost || idle {
 			delete(e.sessions, k)
 		}
