--- a/internal/fakes/drive/drive_test.go
+++ b/internal/fakes/drive/drive_test.go
@@ -38,8 +38,9 @@
 times = 1.1
 `
 
-// Each request of a calm workload is answered in its target, and the report has
-// them all, as a table, as JSON and as a plot.
+// Each request of a workload without faults must be answered within its target.
+// The report must cover all of them and be written as a table, as JSON and as a
+// plot.
 func TestCalmWorkload(t *testing.T) {
 	work, err := drive.Parse([]byte(smallWorkload))
 	if err != nil {
@@ -61,11 +62,11 @@
 			t.Error(err)
 		}
 		if seconds < 6 {
-			t.Errorf("got %d seconds told, want 6", seconds)
+			t.Errorf("got %d progress reports, want 6", seconds)
 		}
 	})
 	if all := report.Total; all.Asked < 100 || all.InTarget != all.Asked || all.Worth != 1 {
-		t.Errorf("got %+v, want all of more than 100 in target", all)
+		t.Errorf("got %+v, want at least 100 requests, all within their target", all)
 	}
 	var table, doc, plot bytes.Buffer
 	for name, err := range map[string]error{"table": report.Table(&table), "json": report.JSON(&doc), "plot": report.Plot(&plot)} {
@@ -78,11 +79,12 @@
 		t.Errorf("got %+v (%v) back, want %+v and six seconds", back.Total, err, report.Total)
 	}
 	if !strings.Contains(table.String(), "draft") || !strings.HasPrefix(plot.String(), "<svg") {
-		t.Errorf("got table %q and a plot that begins %.20q, want the class and a picture", table.String(), plot.String())
+		t.Errorf("got table %q and a plot that begins with %.20q, want the class and an SVG image", table.String(), plot.String())
 	}
 }
 
-// Requests and stay times are those of the file: the same seed sends the same.
+// The file and its seed determine the requests: two runs with the same seed
+// must send the same number of them.
 func TestSameSeedSendsTheSame(t *testing.T) {
 	work, err := drive.Parse([]byte(smallWorkload))
 	if err != nil {
@@ -106,11 +108,11 @@
 		})
 	}
 	if asked[0] != asked[1] {
-		t.Errorf("got %d and %d requests, want as many", asked[0], asked[1])
+		t.Errorf("got %d and %d requests, want equal numbers", asked[0], asked[1])
 	}
 }
 
-// A file with faults is refused, and the error names all of them.
+// An invalid file must be refused with an error that names all its problems.
 func TestParseNamesAllFaults(t *testing.T) {
 	_, err := drive.Parse([]byte("[load]\nseconds = never\n[class a]\npath = x\nrate = -1\nrates = 3\n[burst b]\nclass = none\n[fault f]\nkind = rain\n[what]\n"))
 	if !errors.Is(err, drive.ErrWork) {
--- a/internal/fakes/drive/plot.go
+++ b/internal/fakes/drive/plot.go
@@ -7,10 +7,11 @@
 	"github.com/wcharczuk/go-chart/v2"
 )
 
-// Plot draws the time to first events and the served share over time as SVG.
+// Plot draws the time to the first event and the share of served requests over
+// time as SVG.
 func (r Report) Plot(out io.Writer) error {
 	if len(r.Seconds) < 2 {
-		return errors.New("drive: plot: fewer than two seconds")
+		return errors.New("drive: plot: report covers fewer than two seconds")
 	}
 	var at, p50, p99, served []float64
 	for _, s := range r.Seconds {
@@ -19,7 +20,8 @@
 		p99 = append(p99, s.FirstP99)
 		served = append(served, 100*s.Served)
 	}
-	// Without a range of its own an axis of equal values cannot be drawn.
+	// An axis whose values are all equal cannot be drawn without an explicit
+	// range.
 	share := chart.YAxis{Name: "served, %", Range: &chart.ContinuousRange{Min: 0, Max: 105}}
 	graph := chart.Chart{
 		Width: 1000, Height: 420,
@@ -39,10 +41,10 @@
 	return nil
 }
 
-func maxValue(xs []float64) float64 {
-	out := 0.0
-	for _, x := range xs {
-		out = max(out, x)
+func maxValue(values []float64) float64 {
+	maximum := 0.0
+	for _, value := range values {
+		maximum = max(maximum, value)
 	}
-	return out
+	return maximum
 }
--- a/internal/fakes/drive/report.go
+++ b/internal/fakes/drive/report.go
@@ -9,14 +9,16 @@
 	"time"
 )
 
-// Report is what the callers of a run got.
+// Report holds the results that the callers of a run observed.
 type Report struct {
 	Classes []Row    `json:"classes"`
 	Total   Row      `json:"total"`
 	Seconds []Second `json:"seconds"`
 }
 
-// Row sums up a class. Times are in milliseconds.
+// Row summarizes the requests of a class. Times are in milliseconds. Worth is
+// the mean value of an answer: 1 within its target, Class.Late outside it and 0
+// if it was refused or failed.
 type Row struct {
 	Class    string  `json:"class"`
 	Asked    int     `json:"asked"`
@@ -31,7 +33,7 @@
 	PauseP99 float64 `json:"pause_ms_p99"`
 }
 
-// Second sums up the requests of one second, by when they were first sent.
+// Second summarizes the requests that were first sent within one second.
 type Second struct {
 	At       int     `json:"at"`
 	Asked    int     `json:"asked"`
@@ -46,13 +48,13 @@
 	defer r.mu.Unlock()
 	var out Report
 	for i := range r.Work.Classes {
-		var mine []answer
+		var answers []answer
 		for _, a := range r.answers {
 			if a.class == &r.Work.Classes[i] {
-				mine = append(mine, a)
+				answers = append(answers, a)
 			}
 		}
-		out.Classes = append(out.Classes, summarize(r.Work.Classes[i].Name, mine))
+		out.Classes = append(out.Classes, summarize(r.Work.Classes[i].Name, answers))
 	}
 	out.Total = summarize("all", r.answers)
 	for n := range int(r.Work.Span / time.Second) {
@@ -91,19 +93,19 @@
 }
 
 func summarizeSecond(n int, answers []answer) Second {
-	var mine []answer
+	var matching []answer
 	for _, a := range answers {
 		if int(a.sentAt/time.Second) == n {
-			mine = append(mine, a)
+			matching = append(matching, a)
 		}
 	}
-	r := summarize("", mine)
+	r := summarize("", matching)
 	return Second{
 		At: n, Asked: r.Asked, Served: float64(r.InTarget+r.Late) / float64(max(1, r.Asked)), Worth: r.Worth, FirstP50: r.FirstP50, FirstP99: r.FirstP99,
 	}
 }
 
-// quantile is in milliseconds; 0 without values.
+// quantile returns the q-quantile in milliseconds, or 0 if there are no values.
 func quantile(values []time.Duration, q float64) float64 {
 	if len(values) == 0 {
 		return 0
@@ -112,7 +114,7 @@
 	return float64(sorted[min(len(sorted)-1, int(q*float64(len(sorted))))]) / float64(time.Millisecond)
 }
 
-// Table writes the report for people.
+// Table writes the report as an aligned text table.
 func (r Report) Table(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	_, _ = fmt.Fprintln(w, "class\tasked\tin target\tlate\trefused\tfailed\tworth\tfirst p50\tp99 ms\tpause p50\tp99 ms\t")
@@ -123,7 +125,7 @@
 	return w.Flush()
 }
 
-// JSON writes the report for programs.
+// JSON writes the report as indented JSON.
 func (r Report) JSON(out io.Writer) error {
 	e := json.NewEncoder(out)
 	e.SetIndent("", "  ")
--- a/internal/fakes/drive/run.go
+++ b/internal/fakes/drive/run.go
@@ -17,16 +17,16 @@
 	"fulmarwick/platform/stand"
 )
 
-// Run plays a workload once. Set the exported fields before Do.
+// Run executes a workload once. Set the exported fields before Do.
 type Run struct {
 	Work Work
-	// Fronts are the addresses for callers; requests go to each in turn.
+	// Fronts are the addresses that callers use in turn.
 	Fronts []string
 	// Dial opens connections; nil uses the network.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// Fault makes a fault happen; nil where there is none to make.
+	// Fault injects a fault. It may be nil if the workload has no faults.
 	Fault func(Fault) error
-	// Progress is told of each second that is over; nil if no one listens.
+	// Progress, if set, is called after each second.
 	Progress func(second int, s Second)
 
 	clients []*http.Client
@@ -37,21 +37,21 @@
 	next    int
 }
 
-// answer is what one caller got in the end.
+// answer is the final result of one caller.
 type answer struct {
 	class   *Class
 	sentAt  time.Duration
 	outcome Outcome
-	// first is the time to the first event or to the answer, pause the longest
-	// one between events.
-	first      time.Duration
+	// first is the time to the first event, or to the answer if it has none.
+	first time.Duration
+	// longestGap is the longest time between two events.
 	longestGap time.Duration
 }
 
-// Outcome is how a request ended.
+// Outcome describes how a request ended.
 type Outcome int
 
-// The ends of requests.
+// The outcomes of requests.
 const (
 	OutcomeInTarget Outcome = iota
 	OutcomeLate
@@ -59,30 +59,30 @@
 	OutcomeFailed
 )
 
-// Do plays the workload and returns what its callers got.
+// Do executes the workload and returns the results that its callers observed.
 func (r *Run) Do(ctx context.Context) (Report, error) {
 	for range r.Fronts {
 		r.clients = append(r.clients, &http.Client{Transport: &http.Transport{DialContext: r.Dial, MaxIdleConnsPerHost: 64}})
 	}
 	r.start = time.Now()
-	var callers, rest sync.WaitGroup
+	var callers, senders sync.WaitGroup
 	for i := range r.Work.Classes {
-		rest.Go(func() { r.sendClass(ctx, &r.Work.Classes[i], uint64(i), &callers) })
+		senders.Go(func() { r.sendClass(ctx, &r.Work.Classes[i], uint64(i), &callers) })
 	}
 	faults := make(chan error, len(r.Work.Faults))
 	for _, f := range r.Work.Faults {
-		rest.Go(func() { faults <- r.applyFault(ctx, f) })
+		senders.Go(func() { faults <- r.applyFault(ctx, f) })
 	}
 	done := make(chan struct{})
-	var told sync.WaitGroup
-	told.Go(func() { r.reportProgress(done) })
-	rest.Wait()
+	var progress sync.WaitGroup
+	progress.Go(func() { r.reportProgress(done) })
+	senders.Wait()
 	callers.Wait()
 	close(done)
-	told.Wait()
+	progress.Wait()
 	close(faults)
-	for _, c := range r.clients {
-		c.CloseIdleConnections()
+	for _, client := range r.clients {
+		client.CloseIdleConnections()
 	}
 	for err := range faults {
 		if err != nil {
@@ -92,7 +92,8 @@
 	return r.report(), ctx.Err()
 }
 
-// sendClass sends the requests of a class at random moments of its rate.
+// sendClass sends the requests of a class at random intervals with the mean
+// given by its rate.
 func (r *Run) sendClass(ctx context.Context, c *Class, n uint64, callers *sync.WaitGroup) {
 	random := rand.New(rand.NewPCG(r.Work.Seed, n))
 	at := time.Duration(0)
@@ -110,17 +111,19 @@
 	}
 }
 
-// rateFactor is how much higher than usual the rate of a class is.
+// rateFactor returns the factor by which bursts change the rate of a class at a
+// given time.
 func (r *Run) rateFactor(c *Class, at time.Duration) float64 {
-	out := 1.0
+	factor := 1.0
 	for _, b := range r.Work.Bursts {
 		if (b.Class == "" || b.Class == c.Name) && at >= b.At && at < b.At+b.For {
-			out *= b.Times
+			factor *= b.Times
 		}
 	}
-	return out
+	return factor
 }
 
+// applyFault injects a fault at its time.
 func (r *Run) applyFault(ctx context.Context, f Fault) error {
 	if !feed.Sleep(ctx, f.At) {
 		return nil
@@ -128,17 +131,18 @@
 	return r.Fault(f)
 }
 
-// runCaller is one caller: it comes back when it is told to.
+// runCaller sends one request and, while it is refused, sends it again after
+// the time that the router asks for, up to the retries of the class.
 func (r *Run) runCaller(ctx context.Context, c *Class, id string, at time.Duration) {
-	until := time.Now().Add(c.Deadline)
-	ctx, cancel := context.WithDeadline(ctx, until)
+	deadline := time.Now().Add(c.Deadline)
+	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
 	start := time.Now()
 	var a answer
-	for try := 0; ; try++ {
-		var again time.Duration
-		a, again = r.request(ctx, c, fmt.Sprintf("%s-%d", id, try), start, time.Until(until))
-		if a.outcome != OutcomeRefused || try >= c.Retries || !feed.Sleep(ctx, again) {
+	for attempt := 0; ; attempt++ {
+		var retryAfter time.Duration
+		a, retryAfter = r.request(ctx, c, fmt.Sprintf("%s-%d", id, attempt), start, time.Until(deadline))
+		if a.outcome != OutcomeRefused || attempt >= c.Retries || !feed.Sleep(ctx, retryAfter) {
 			break
 		}
 	}
@@ -148,6 +152,7 @@
 	r.answers = append(r.answers, a)
 }
 
+// nextFront returns the index of the next address in turn.
 func (r *Run) nextFront() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -155,8 +160,9 @@
 	return r.next % len(r.Fronts)
 }
 
-// request makes one request; again is when a refused caller may come back.
-func (r *Run) request(ctx context.Context, c *Class, id string, start time.Time, left time.Duration) (a answer, again time.Duration) {
+// request sends one request. If it is refused, retryAfter is the time from its
+// Retry-After header.
+func (r *Run) request(ctx context.Context, c *Class, id string, start time.Time, timeLeft time.Duration) (a answer, retryAfter time.Duration) {
 	a = answer{outcome: OutcomeFailed}
 	tokens := ""
 	if c.Prompt > 0 {
@@ -167,7 +173,7 @@
 	if err != nil {
 		return a, 0
 	}
-	stand.SetDeadline(req, left)
+	stand.SetDeadline(req, timeLeft)
 	stand.SetKey(req, c.Key)
 	resp, err := r.clients[n].Do(req)
 	if err != nil {
@@ -198,7 +204,8 @@
 	return a, 0
 }
 
-// read takes an answer to its end and returns how many events it had, in order.
+// read reads an answer to its end and returns the number of events. Events that
+// are out of order are an error.
 func (a *answer) read(body io.Reader, start time.Time) (events int, err error) {
 	last := start
 	lines := bufio.NewReader(body)
@@ -206,14 +213,14 @@
 		line, err := lines.ReadString('\n')
 		if text, ok := strings.CutPrefix(line, "id: "); ok {
 			if id, err := strconv.Atoi(strings.TrimSpace(text)); err != nil || id != events+1 {
-				return events, fmt.Errorf("event %q after %d", text, events)
+				return events, fmt.Errorf("drive: event %q out of order after %d events", text, events)
 			}
-			pause := time.Since(last)
+			gap := time.Since(last)
 			last = time.Now()
 			if events == 0 {
-				a.first = pause
+				a.first = gap
 			} else {
-				a.longestGap = max(a.longestGap, pause)
+				a.longestGap = max(a.longestGap, gap)
 			}
 			events++
 		}
@@ -230,7 +237,7 @@
 	return events, nil
 }
 
-// reportProgress reports each second that is over.
+// reportProgress calls Progress after each second until done is closed.
 func (r *Run) reportProgress(done <-chan struct{}) {
 	if r.Progress == nil {
 		return
@@ -244,8 +251,8 @@
 		case <-ticker.C:
 		}
 		r.mu.Lock()
-		all := append([]answer(nil), r.answers...)
+		answers := append([]answer(nil), r.answers...)
 		r.mu.Unlock()
-		r.Progress(n, summarizeSecond(n, all))
+		r.Progress(n, summarizeSecond(n, answers))
 	}
 }
--- a/internal/fakes/drive/work.go
+++ b/internal/fakes/drive/work.go
@@ -1,8 +1,9 @@
-// Package drive puts a workload on a router and tells what its callers got.
+// Package drive runs a workload against a router and reports the results that
+// its callers observe.
 //
 // It imports the INI and chart libraries and the platform's stand-in, which
-// knows how requests are written. The load command and the measurements of the
-// stand-in use it, on a real clock or on a virtual one.
+// defines the format of requests. The load command and the measurements of the
+// stand-in use it, on a real or a virtual clock.
 package drive
 
 import (
@@ -17,63 +18,65 @@
 	"gopkg.in/ini.v1"
 )
 
-// ErrWork means that a workload cannot be played; the text names all faults.
-var ErrWork = errors.New("drive: workload refused")
+// ErrWork is returned for an invalid workload. The message lists all problems.
+var ErrWork = errors.New("drive: invalid workload")
 
-// Work is a workload: who asks for what, and what goes wrong meanwhile.
+// Work is a workload: the requests to send and the faults to inject.
 type Work struct {
-	// Span is how long requests are sent, Instances how many routers stand-ins
-	// get.
-	Span      time.Duration
+	// Span is how long requests are sent.
+	Span time.Duration
+	// Instances is the number of router instances that a stand-in starts.
 	Instances int
-	// Seed makes the times of requests repeatable.
+	// Seed determines the times at which requests are sent.
 	Seed    uint64
 	Classes []Class
 	Bursts  []Burst
 	Faults  []Fault
 }
 
-// Class is one kind of request.
+// Class describes requests of one kind.
 type Class struct {
 	Name   string
 	Method string
-	// Key is that of the team that asks.
+	// Key is the API key of the team that sends the requests.
 	Key  string
 	Path string
-	// Rate is requests a second.
+	// Rate is the number of requests per second.
 	Rate float64
-	// Prompt and Answer are tokens; both are zero for a plain call.
+	// Prompt and Answer are numbers of tokens. Both are zero for a plain call.
 	Prompt int
 	Answer int
-	// Target bounds the time to the first event or to the answer, Gap the
-	// pause between events.
-	Target   time.Duration
+	// Target is the maximum time to the first event, or to an answer without
+	// events.
+	Target time.Duration
+	// Gap is the maximum time between events.
 	Gap      time.Duration
 	Deadline time.Duration
-	// Late is the worth of an answer outside its target; one inside it is 1.
+	// Late is the value of an answer outside its target. An answer within its
+	// target has the value 1.
 	Late float64
-	// Retries is how often a caller that was refused comes back.
+	// Retries is how often a caller repeats a refused request.
 	Retries int
 }
 
-// Burst multiplies rates for a while.
+// Burst multiplies request rates by Times for the duration For.
 type Burst struct {
 	At    time.Duration
 	For   time.Duration
 	Times float64
-	// Class is whose rate it is; empty for all.
+	// Class is the class whose rate changes; empty means all classes.
 	Class string
 }
 
-// Fault is something that goes wrong at a moment.
+// Fault is a fault to inject at time At.
 type Fault struct {
 	At   time.Duration
 	Kind Kind
-	// Count is how many engines it meets, Times how much slower they or the
-	// pipes get.
+	// Count is the number of affected engines.
 	Count int
+	// Times is the factor by which the engines or the pipes slow down.
 	Times float64
-	// Zone is the data centre that is lost.
+	// Zone is the data centre that fails.
 	Zone string
 }
 
@@ -109,7 +112,7 @@
 	return p.work, nil
 }
 
-// parser gathers a workload and everything wrong with its file.
+// parser collects a workload and all problems of its file.
 type parser struct {
 	work     Work
 	problems []string
@@ -166,70 +169,75 @@
 	p.work.Classes = append(p.work.Classes, c)
 }
 
-// checkReferences checks what no section shows alone.
+// checkReferences checks what involves several sections: that a class exists,
+// that names are unique and that bursts refer to existing classes. It also
+// checks the kinds of faults.
 func (p *parser) checkReferences() {
 	if len(p.work.Classes) == 0 {
-		p.addProblem("no [class NAME]")
+		p.addProblem("no section [class NAME]")
 	}
 	names := map[string]bool{}
-	for _, c := range p.work.Classes {
-		if names[c.Name] {
-			p.addProblem("class %q stands twice", c.Name)
+	for _, class := range p.work.Classes {
+		if names[class.Name] {
+			p.addProblem("class %q is defined twice", class.Name)
 		}
-		names[c.Name] = true
+		names[class.Name] = true
 	}
-	for _, b := range p.work.Bursts {
-		if b.Class != "" && !names[b.Class] {
-			p.addProblem("burst of class %q, which is not there", b.Class)
+	for _, burst := range p.work.Bursts {
+		if burst.Class != "" && !names[burst.Class] {
+			p.addProblem("burst refers to class %q, which is not defined", burst.Class)
 		}
 	}
-	for _, f := range p.work.Faults {
-		if !slices.Contains(kinds, f.Kind) {
-			p.addProblem("fault of kind %q; known are %v", f.Kind, kinds)
+	for _, fault := range p.work.Faults {
+		if !slices.Contains(kinds, fault.Kind) {
+			p.addProblem("fault of kind %q is unknown; known kinds are %v", fault.Kind, kinds)
 		}
-		if f.Kind == KindZone && f.Zone == "" {
-			p.addProblem("fault of kind zone without a zone")
+		if fault.Kind == KindZone && fault.Zone == "" {
+			p.addProblem("fault of kind zone has no zone")
 		}
 	}
 }
 
-// checkKeys faults keys that a section does not have.
+// checkKeys reports unknown keys of a section.
 func (p *parser) checkKeys(s *ini.Section, names ...string) {
-	for _, k := range s.KeyStrings() {
-		if !slices.Contains(names, k) {
-			p.addProblem("[%s] %s is not known", s.Name(), k)
+	for _, key := range s.KeyStrings() {
+		if !slices.Contains(names, key) {
+			p.addProblem("[%s] %s is not known", s.Name(), key)
 		}
 	}
 }
 
-func (p *parser) number(s *ini.Section, key string, usual, least, most float64) float64 {
+// number reads a number between least and most. It returns the default if the
+// key is missing or invalid.
+func (p *parser) number(s *ini.Section, key string, defaultValue, minimum, maximum float64) float64 {
 	if !s.HasKey(key) {
-		return usual
+		return defaultValue
 	}
-	v, err := s.Key(key).Float64()
-	if err != nil || v < least || v > most {
-		p.addProblem("[%s] %s: %q is not a number from %g to %g", s.Name(), key, s.Key(key).String(), least, most)
-		return usual
+	value, err := s.Key(key).Float64()
+	if err != nil || value < minimum || value > maximum {
+		p.addProblem("[%s] %s: %q is not a number from %g to %g", s.Name(), key, s.Key(key).String(), minimum, maximum)
+		return defaultValue
 	}
-	return v
+	return value
 }
 
-// maxDuration is the longest time that a workload may name.
+// maxDuration is the longest duration allowed in a workload.
 const maxDuration = time.Hour
 
-// duration reads a duration such as 200ms; a bare number is seconds.
-func (p *parser) duration(s *ini.Section, key string, usual, least time.Duration) time.Duration {
+// duration reads a duration such as 200ms. A number without a unit is in
+// seconds.
+func (p *parser) duration(s *ini.Section, key string, defaultValue, minimum time.Duration) time.Duration {
 	if !s.HasKey(key) {
-		return usual
+		return defaultValue
 	}
 	text := s.Key(key).String()
 	d, err := time.ParseDuration(text)
 	if err != nil {
 		d, err = time.ParseDuration(text + "s")
 	}
-	if err != nil || d < least || d > maxDuration {
-		p.addProblem("[%s] %s: %q is not a time from %s to %s", s.Name(), key, text, least, maxDuration)
-		return usual
+	if err != nil || d < minimum || d > maxDuration {
+		p.addProblem("[%s] %s: %q is not a duration from %s to %s", s.Name(), key, text, minimum, maxDuration)
+		return defaultValue
 	}
 	return d
 }
