--- a/internal/fakes/bench/result.go
+++ b/internal/fakes/bench/result.go
@@ -29,7 +29,8 @@
 	First50, First95, First99 time.Duration
 	// Affected counts requests affected by a fault. Recovery50, Recovery95 and
 	// RecoveryMax are the time from the fault to the request's next token;
-	// DetectionMax is the longest time until a lost stage was noticed.
+	// DetectionMax is the longest time until a lost stage was noticed. Crashes
+	// counts engines crashed by poison requests.
 	Affected                            int
 	Recovery50, Recovery95, RecoveryMax time.Duration
 	DetectionMax                        time.Duration
--- a/internal/fakes/bench/simulation.go
+++ b/internal/fakes/bench/simulation.go
@@ -18,8 +18,8 @@
 	peerLag        = 100 * time.Millisecond
 	usageDelay     = time.Second
 	cacheInterval  = 500 * time.Millisecond
-	// deadAfter is how long reports must fail before an engine that crashed or
-	// hangs is declared dead.
+	// deadAfter is how long all reports in a row must fail before an engine
+	// that crashed or hangs is declared dead.
 	deadAfter = 2 * time.Second
 	// cacheLoss is the fraction of cache reports that is lost. resyncDelay is
 	// the time until the full content is sent instead.
@@ -143,7 +143,7 @@
 }
 
 // startReports announces an engine to all instances at once and then schedules
-// its periodic reports and cache reports.
+// its periodic reports and cache reports, which stop while it is dead.
 func (s *Simulation) startReports(e *engine) {
 	s.broadcast(domain.EngineReport{Engine: e.report()})
 	phase := time.Duration(s.noise.Int64N(int64(reportInterval)))
--- a/internal/fakes/stage/kv.go
+++ b/internal/fakes/stage/kv.go
@@ -46,8 +46,8 @@
 	state, ok := layer.Import(kv.From, kv.To, kv.Pos, kv.Data)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	depth, held := e.findLoaded(kv.Model, kv.From, kv.To)
-	if !ok || !held {
+	depth, loaded := e.findLoaded(kv.Model, kv.From, kv.To)
+	if !ok || !loaded {
 		http.Error(w, "range is not loaded, or KV data has the wrong size", http.StatusUnprocessableEntity)
 		return
 	}
