--- a/internal/fakes/bench/instance.go
+++ b/internal/fakes/bench/instance.go
@@ -6,26 +6,26 @@
 	"fulmarwick/internal/route/domain"
 )
 
-// instance is one router.
+// instance simulates one router instance.
 type instance struct {
-	site    *Site
-	id      spec.InstanceID
-	logic   *core.Logic
-	inbox   []domain.Event
-	waking  bool
-	waits   map[spec.RequestID]*run
-	Refused int
+	sim           *Simulation
+	id            spec.InstanceID
+	logic         *core.Logic
+	inbox         []domain.Event
+	tickScheduled bool
+	requests      map[spec.RequestID]*run
+	Refused       int
 }
 
-// post queues an event and wakes the logic.
+// post queues an event and schedules a tick of the routing logic.
 func (i *instance) post(ev domain.Event) {
 	i.inbox = append(i.inbox, ev)
-	if i.waking {
+	if i.tickScheduled {
 		return
 	}
-	i.waking = true
-	i.site.clock.after(wakeAfter, func() {
-		i.waking = false
+	i.tickScheduled = true
+	i.sim.clock.after(wakeDelay, func() {
+		i.tickScheduled = false
 		i.tick()
 	})
 }
@@ -33,44 +33,44 @@
 func (i *instance) tick() {
 	events := i.inbox
 	i.inbox = nil
-	for _, c := range i.logic.Tick(i.site.clock.now, events) {
-		i.obey(c)
+	for _, c := range i.logic.Tick(i.sim.clock.now, events) {
+		i.execute(c)
 	}
 }
 
-func (i *instance) obey(c domain.Command) {
-	switch c := c.(type) {
+func (i *instance) execute(cmd domain.Command) {
+	switch cmd := cmd.(type) {
 	case domain.Start:
-		i.waits[c.Request].take(c)
+		i.requests[cmd.Request].applyStart(cmd)
 	case domain.Refuse:
-		r := i.waits[c.Request]
-		r.reason = c.Reason
-		if r.twin != nil && r.twin.outcome == OutcomeOpen {
-			r.end(OutcomeHedged)
+		r := i.requests[cmd.Request]
+		r.reason = cmd.Reason
+		if r.sibling != nil && r.sibling.outcome == OutcomeOpen {
+			r.finish(OutcomeHedged)
 			return
 		}
-		if c.Ran {
-			r.end(OutcomeLost)
+		if cmd.Ran {
+			r.finish(OutcomeLost)
 		} else {
-			r.end(OutcomeRefused)
+			r.finish(OutcomeRefused)
 		}
 	case domain.Forward:
-		i.waits[c.Request].end(OutcomeForwarded)
+		i.requests[cmd.Request].finish(OutcomeForwarded)
 	case domain.LocalLoad:
-		i.tell(domain.PeerLoad{Peer: i.id, Engine: c.Engine, Active: c.Active, LayerTokenRate: c.LayerTokenRate})
+		i.sendToPeers(domain.PeerLoad{Peer: i.id, Engine: cmd.Engine, Active: cmd.Active, LayerTokenRate: cmd.LayerTokenRate})
 	case domain.LocalTeamUsage:
-		i.site.rate(c, i.id)
+		i.sim.shareTeamUsage(cmd, i.id)
 	case domain.ReportSuspect:
-		i.tell(domain.SuspectReported(c))
+		i.sendToPeers(domain.SuspectReported(cmd))
 	}
 }
 
-// tell hands a message to the other instances, late.
-func (i *instance) tell(ev domain.Event) {
-	i.site.clock.after(peerLag, func() {
-		for _, o := range i.site.instances {
-			if o != i {
-				o.post(ev)
+// sendToPeers sends an event to the other instances after peerLag.
+func (i *instance) sendToPeers(ev domain.Event) {
+	i.sim.clock.after(peerLag, func() {
+		for _, peer := range i.sim.instances {
+			if peer != i {
+				peer.post(ev)
 			}
 		}
 	})
--- a/internal/fakes/bench/prefix.go
+++ b/internal/fakes/bench/prefix.go
@@ -6,62 +6,63 @@
 	"fulmarwick/internal/route/domain"
 )
 
-// prefix is the prefix cache of an engine: blocks, the one used longest ago
-// going first.
-type prefix struct {
-	most   int
-	index  map[uint64]*list.Element
-	recent *list.List
-	seq    uint64
-	added  []uint64
-	gone   []uint64
+// prefixCache is the prefix cache of an engine. It holds prompt blocks and
+// evicts the least recently used one first.
+type prefixCache struct {
+	capacity int
+	index    map[uint64]*list.Element
+	recent   *list.List
+	seq      uint64
+	added    []uint64
+	removed  []uint64
 }
 
-func newPrefix(most int) *prefix {
-	return &prefix{most: most, index: map[uint64]*list.Element{}, recent: list.New()}
+func newPrefixCache(capacity int) *prefixCache {
+	return &prefixCache{capacity: capacity, index: map[uint64]*list.Element{}, recent: list.New()}
 }
 
-// hits is how many blocks from the first on are cached.
-func (p *prefix) hits(blocks []uint64) int {
+// lookup returns how many leading blocks are cached and marks them as used.
+func (p *prefixCache) lookup(blocks []uint64) int {
 	n := 0
 	for _, b := range blocks {
-		el := p.index[b]
-		if el == nil {
+		elem := p.index[b]
+		if elem == nil {
 			break
 		}
-		p.recent.MoveToFront(el)
+		p.recent.MoveToFront(elem)
 		n++
 	}
 	return n
 }
 
-func (p *prefix) put(blocks []uint64) {
+// put adds blocks, or marks them as used, and evicts down to the capacity.
+func (p *prefixCache) put(blocks []uint64) {
 	for _, b := range blocks {
-		if el := p.index[b]; el != nil {
-			p.recent.MoveToFront(el)
+		if elem := p.index[b]; elem != nil {
+			p.recent.MoveToFront(elem)
 			continue
 		}
 		p.index[b] = p.recent.PushFront(b)
 		p.added = append(p.added, b)
 	}
-	for p.recent.Len() > p.most {
-		last := p.recent.Back()
-		b := p.recent.Remove(last).(uint64)
+	for p.recent.Len() > p.capacity {
+		oldest := p.recent.Back()
+		b := p.recent.Remove(oldest).(uint64)
 		delete(p.index, b)
-		p.gone = append(p.gone, b)
+		p.removed = append(p.removed, b)
 	}
 }
 
-// news are the cache events since the last call; whole makes them the whole
-// content.
-func (p *prefix) news(e *engine, whole bool) domain.CacheReport {
+// report returns the changes of the cache since the last call, or its entire
+// content if full is true.
+func (p *prefixCache) report(e *engine, full bool) domain.CacheReport {
 	p.seq++
-	ev := domain.CacheReport{Engine: e.row.ID, Seq: p.seq, Added: p.added, Removed: p.gone, Reset: whole}
-	p.added, p.gone = nil, nil
-	if whole {
+	ev := domain.CacheReport{Engine: e.info.ID, Seq: p.seq, Added: p.added, Removed: p.removed, Reset: full}
+	p.added, p.removed = nil, nil
+	if full {
 		ev.Added, ev.Removed = nil, nil
-		for el := p.recent.Front(); el != nil; el = el.Next() {
-			ev.Added = append(ev.Added, el.Value.(uint64))
+		for elem := p.recent.Front(); elem != nil; elem = elem.Next() {
+			ev.Added = append(ev.Added, elem.Value.(uint64))
 		}
 	}
 	return ev
--- a/internal/fakes/bench/result.go
+++ b/internal/fakes/bench/result.go
@@ -8,107 +8,114 @@
 	"fulmarwick/internal/route/domain"
 )
 
-// Result is the figures of a run, for what came after the warm-up.
+// Result holds the measurements of a simulation after the warm-up.
 type Result struct {
-	// Through is work done over the bound, and Good the same for answers that
-	// met their target.
-	Through, Good float64
-	// Came, Refused, Lost and Done count requests.
-	Came, Refused, Lost, Done int
-	// Held is the part of all that came, and HeldOf the part of those not
-	// refused, that met its target.
-	Held, HeldOf float64
-	// Teams is Held per team.
+	// Throughput is the completed work as a fraction of the layout's Bound.
+	// Goodput is the same for answers that met their target.
+	Throughput, Goodput float64
+	// Arrived, Refused, Lost and Done count requests.
+	Arrived, Refused, Lost, Done int
+	// MetTarget is the fraction of all requests that met their target, and
+	// AdmittedMetTarget the fraction of those that were not refused.
+	MetTarget, AdmittedMetTarget float64
+	// Teams is MetTarget per team.
 	Teams map[spec.TeamID]float64
-	// Hits is the part of prompt positions served from prefix caches.
-	Hits float64
+	// CacheHits is the fraction of prompt positions served from prefix caches.
+	CacheHits float64
 	// Hedges counts requests that ran twice.
 	Hedges int
-	// First50 and First99 are of the first token.
+	// First50, First95 and First99 are percentiles of the time to the first
+	// token.
 	First50, First95, First99 time.Duration
-	// Hurt counts requests hit by a fault; Healed50 and so on are the time to
-	// their next token, Found the longest time to the notice of it.
-	Hurt                           int
-	Healed50, Healed95, HealedMost time.Duration
-	Found                          time.Duration
-	Kills                          int
-	Timeouts                       int
-	Reasons                        map[domain.Reason]int
-	// MissFirst and MissGap count answers that missed that part of the target.
-	MissFirst, MissGap int
-	// Use is per kind of accelerator the part of its slots' time that ran.
-	Use map[string]float64
+	// Affected counts requests affected by a fault. Recovery50, Recovery95 and
+	// RecoveryMax are the time from the fault to the request's next token;
+	// DetectionMax is the longest time until a lost stage was noticed. Crashes
+	// counts engines crashed by poison requests.
+	Affected                            int
+	Recovery50, Recovery95, RecoveryMax time.Duration
+	DetectionMax                        time.Duration
+	Crashes                             int
+	Timeouts                            int
+	Reasons                             map[domain.Reason]int
+	// MissedFirst counts answers that missed the target for the first token,
+	// MissedGap those that missed another part of their target.
+	MissedFirst, MissedGap int
+	// Utilization is the fraction of slot time spent on steps for each kind of
+	// accelerator.
+	Utilization map[string]float64
 }
 
-// result gathers what ended in the window. Requests that are open at the end
-// and came too late to have met their target are left out.
-func (s *Site) result() Result {
+// result computes the measurements. Work counts if its request ended after the
+// warm-up. Requests that arrived less than openMargin before the end are
+// excluded, because some of them had no time to finish.
+func (s *Simulation) result() Result {
 	out := Result{
-		Kills: s.kills, Timeouts: s.timeouts, Hedges: s.hedges,
+		Crashes: s.crashes, Timeouts: s.timeouts, Hedges: s.hedges,
 		Teams: map[spec.TeamID]float64{}, Reasons: map[domain.Reason]int{},
 	}
-	came := map[spec.TeamID]float64{}
-	held := map[spec.TeamID]float64{}
-	g := gather{out: &out, came: came, held: held}
+	arrived := map[spec.TeamID]float64{}
+	metTarget := map[spec.TeamID]float64{}
+	g := collector{out: &out, arrived: arrived, metTarget: metTarget}
 	done, good := 0, 0
 	for _, r := range s.runs {
-		out.hurt(r, &g.healed)
-		if r.outcome == OutcomeDone && r.ended >= s.Warm {
-			done += s.units(r)
-			if r.held() {
-				good += s.units(r)
+		out.countFault(r, &g.recoveries)
+		if r.outcome == OutcomeDone && r.endedAt >= s.Warm {
+			done += s.workUnits(r)
+			if r.metTarget() {
+				good += s.workUnits(r)
 			}
 		}
-		if r.came >= s.Warm && r.came <= s.Length-tail && !r.poison && r.outcome != OutcomeHedged {
-			g.take(r)
+		if r.arrivedAt >= s.Warm && r.arrivedAt <= s.Length-openMargin && !r.poison && r.outcome != OutcomeHedged {
+			g.add(r)
 		}
 	}
 	window := (s.Length - s.Warm).Seconds() * s.Layout.Bound()
-	out.Through, out.Good = float64(done)/window, float64(good)/window
-	out.Held = part(g.heldAll, out.Came)
-	out.HeldOf = part(g.heldAll, out.Came-out.Refused)
-	out.Hits = part(g.hit, g.prefill)
-	out.Use = s.use()
-	out.First50, out.First95, out.First99 = at(g.firsts, 50), at(g.firsts, 95), at(g.firsts, 99)
-	out.Healed50, out.Healed95, out.HealedMost = at(g.healed, 50), at(g.healed, 95), at(g.healed, 100)
-	for t, n := range came {
-		out.Teams[t] = held[t] / n
+	out.Throughput, out.Goodput = float64(done)/window, float64(good)/window
+	out.MetTarget = ratio(g.metTargetTotal, out.Arrived)
+	out.AdmittedMetTarget = ratio(g.metTargetTotal, out.Arrived-out.Refused)
+	out.CacheHits = ratio(g.cachedTokens, g.prefillTokens)
+	out.Utilization = s.utilization()
+	out.First50, out.First95, out.First99 = percentile(g.firsts, 50), percentile(g.firsts, 95), percentile(g.firsts, 99)
+	out.Recovery50, out.Recovery95, out.RecoveryMax = percentile(g.recoveries, 50), percentile(g.recoveries, 95), percentile(g.recoveries, 100)
+	for t, n := range arrived {
+		out.Teams[t] = metTarget[t] / n
 	}
 	return out
 }
 
-// gather adds up the requests of the window.
-type gather struct {
-	out            *Result
-	came, held     map[spec.TeamID]float64
-	firsts, healed []time.Duration
-	heldAll        int
-	hit, prefill   int
+// collector sums up the requests that arrived within the measured window.
+type collector struct {
+	out                         *Result
+	arrived, metTarget          map[spec.TeamID]float64
+	firsts, recoveries          []time.Duration
+	metTargetTotal              int
+	cachedTokens, prefillTokens int
 }
 
-func (g *gather) take(r *run) {
-	g.out.Came++
-	g.came[r.ask.Team]++
-	g.out.count(r)
+func (g *collector) add(r *run) {
+	g.out.Arrived++
+	g.arrived[r.arrival.Team]++
+	g.out.countOutcome(r)
 	switch {
-	case r.held():
-		g.heldAll++
-		g.held[r.ask.Team]++
+	case r.metTarget():
+		g.metTargetTotal++
+		g.metTarget[r.arrival.Team]++
 	case r.outcome == OutcomeDone:
-		g.out.miss(r)
+		g.out.countMiss(r)
 	}
-	if r.first > 0 {
-		g.firsts = append(g.firsts, r.first)
+	if r.firstToken > 0 {
+		g.firsts = append(g.firsts, r.firstToken)
 	}
-	g.hit += r.hit
-	g.prefill += r.prefill
+	g.cachedTokens += r.cachedTokens
+	g.prefillTokens += r.prefillTokens
 }
 
-// Others is the part held of all teams but one, each counting alike.
-func (o *Result) Others(but int) float64 {
+// MeanWithout returns the mean fraction of requests that met their target over
+// all teams except one. Each team has the same weight.
+func (o *Result) MeanWithout(excluded int) float64 {
 	sum, n := 0.0, 0
 	for i := range len(o.Teams) {
-		if i != but {
+		if i != excluded {
 			sum += o.Teams[teamID(i)]
 			n++
 		}
@@ -116,32 +123,32 @@
 	return sum / float64(max(1, n))
 }
 
-// LastNew is when the nth engine last got a new stage.
-func (s *Site) LastNew(n int) time.Duration { return s.engines[n].opened }
+// LastStageAt returns when the nth engine last received a new stage.
+func (s *Simulation) LastStageAt(n int) time.Duration { return s.engines[n].lastStageAt }
 
-func (s *Site) use() map[string]float64 {
-	ran, all := map[string]float64{}, map[string]float64{}
+func (s *Simulation) utilization() map[string]float64 {
+	busy, total := map[string]float64{}, map[string]float64{}
 	for _, e := range s.engines {
-		ran[e.row.Kind] += e.work.Seconds()
-		all[e.row.Kind] += float64(e.row.Slots) * s.Length.Seconds()
+		busy[e.info.Kind] += e.busyTime.Seconds()
+		total[e.info.Kind] += float64(e.info.Slots) * s.Length.Seconds()
 	}
-	for kind := range ran {
-		ran[kind] /= all[kind]
+	for kind := range busy {
+		busy[kind] /= total[kind]
 	}
-	return ran
+	return busy
 }
 
-// units is the work of an answer in tokens through the whole model, without
-// what prefix caches saved and without rebuilds.
-func (s *Site) units(r *run) int {
-	return (r.ask.PromptTokens+31)/32 + r.tokens
+// workUnits returns the work of an answer in tokens through the whole model. It
+// ignores savings from prefix caches and repeated work after a lost stage.
+func (s *Simulation) workUnits(r *run) int {
+	return (r.arrival.PromptTokens+31)/32 + r.tokens
 }
 
-// tail is how long before the end requests count: those later may be open for
-// no fault of theirs.
-const tail = 20 * time.Second
+// openMargin is the time before the end of the simulation in which arriving
+// requests are not counted, because they may be unfinished without a fault.
+const openMargin = 20 * time.Second
 
-func (o *Result) count(r *run) {
+func (o *Result) countOutcome(r *run) {
 	switch r.outcome {
 	case OutcomeDone:
 		o.Done++
@@ -154,36 +161,37 @@
 	}
 }
 
-func (o *Result) miss(r *run) {
-	if limit := r.target.FirstEvent(); limit > 0 && r.first > limit {
-		o.MissFirst++
+func (o *Result) countMiss(r *run) {
+	if limit := r.target.FirstEvent(); limit > 0 && r.firstToken > limit {
+		o.MissedFirst++
 		return
 	}
-	o.MissGap++
+	o.MissedGap++
 }
 
-func (o *Result) hurt(r *run, healed *[]time.Duration) {
-	if r.hurt == 0 || r.poison {
+// countFault records how a fault affected a request and how long recovery took.
+func (o *Result) countFault(r *run, recoveries *[]time.Duration) {
+	if r.faultAt == 0 || r.poison {
 		return
 	}
-	o.Hurt++
-	o.Found = max(o.Found, r.found)
-	if r.healed > 0 {
-		*healed = append(*healed, r.healed)
+	o.Affected++
+	o.DetectionMax = max(o.DetectionMax, r.detection)
+	if r.recovery > 0 {
+		*recoveries = append(*recoveries, r.recovery)
 	}
 }
 
-func part(a, b int) float64 {
+func ratio(a, b int) float64 {
 	if b <= 0 {
 		return 0
 	}
 	return float64(a) / float64(b)
 }
 
-func at(d []time.Duration, percent int) time.Duration {
-	if len(d) == 0 {
+func percentile(durations []time.Duration, percent int) time.Duration {
+	if len(durations) == 0 {
 		return 0
 	}
-	sort.Slice(d, func(i, j int) bool { return d[i] < d[j] })
-	return d[min(len(d)-1, len(d)*percent/100)]
+	sort.Slice(durations, func(i, j int) bool { return durations[i] < durations[j] })
+	return durations[min(len(durations)-1, len(durations)*percent/100)]
 }
--- a/internal/fakes/drive/run.go
+++ b/internal/fakes/drive/run.go
@@ -17,16 +17,16 @@
 	"fulmarwick/platform/stand"
 )
 
-// Run plays a workload once. Set the exported fields before Do.
+// Run executes a workload once. Set the exported fields before Do.
 type Run struct {
 	Work Work
-	// Fronts are the addresses for callers; requests go to each in turn.
+	// Fronts are the addresses that callers use in turn.
 	Fronts []string
 	// Dial opens connections; nil uses the network.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// Fault makes a fault happen; nil where there is none to make.
+	// Fault injects a fault. It may be nil if the workload has no faults.
 	Fault func(Fault) error
-	// Progress is told of each second that is over; nil if no one listens.
+	// Progress, if set, is called after each second.
 	Progress func(second int, s Second)
 
 	clients []*http.Client
@@ -37,52 +37,52 @@
 	next    int
 }
 
-// answer is what one caller got in the end.
+// answer is the final result of one caller.
 type answer struct {
-	class *Class
-	at    time.Duration
-	end   End
-	// first is the time to the first event or to the answer, pause the longest
-	// one between events.
+	class   *Class
+	sentAt  time.Duration
+	outcome Outcome
+	// first is the time to the first event, or to the answer if it has none.
 	first time.Duration
-	pause time.Duration
+	// longestGap is the longest time between two events.
+	longestGap time.Duration
 }
 
-// End is how a request ended.
-type End int
+// Outcome describes how a request ended.
+type Outcome int
 
-// The ends of requests.
+// The outcomes of requests.
 const (
-	EndInTarget End = iota
-	EndLate
-	EndRefused
-	EndFailed
+	OutcomeInTarget Outcome = iota
+	OutcomeLate
+	OutcomeRefused
+	OutcomeFailed
 )
 
-// Do plays the workload and returns what its callers got.
+// Do executes the workload and returns the results that its callers observed.
 func (r *Run) Do(ctx context.Context) (Report, error) {
 	for range r.Fronts {
 		r.clients = append(r.clients, &http.Client{Transport: &http.Transport{DialContext: r.Dial, MaxIdleConnsPerHost: 64}})
 	}
 	r.start = time.Now()
-	var callers, rest sync.WaitGroup
+	var callers, senders sync.WaitGroup
 	for i := range r.Work.Classes {
-		rest.Go(func() { r.send(ctx, &r.Work.Classes[i], uint64(i), &callers) })
+		senders.Go(func() { r.sendClass(ctx, &r.Work.Classes[i], uint64(i), &callers) })
 	}
 	faults := make(chan error, len(r.Work.Faults))
 	for _, f := range r.Work.Faults {
-		rest.Go(func() { faults <- r.fault(ctx, f) })
+		senders.Go(func() { faults <- r.applyFault(ctx, f) })
 	}
 	done := make(chan struct{})
-	var told sync.WaitGroup
-	told.Go(func() { r.tell(done) })
-	rest.Wait()
+	var progress sync.WaitGroup
+	progress.Go(func() { r.reportProgress(done) })
+	senders.Wait()
 	callers.Wait()
 	close(done)
-	told.Wait()
+	progress.Wait()
 	close(faults)
-	for _, c := range r.clients {
-		c.CloseIdleConnections()
+	for _, client := range r.clients {
+		client.CloseIdleConnections()
 	}
 	for err := range faults {
 		if err != nil {
@@ -92,12 +92,13 @@
 	return r.report(), ctx.Err()
 }
 
-// send sends the requests of a class at random moments of its rate.
-func (r *Run) send(ctx context.Context, c *Class, n uint64, callers *sync.WaitGroup) {
+// sendClass sends the requests of a class at random intervals with the mean
+// given by its rate.
+func (r *Run) sendClass(ctx context.Context, c *Class, n uint64, callers *sync.WaitGroup) {
 	random := rand.New(rand.NewPCG(r.Work.Seed, n))
 	at := time.Duration(0)
 	for k := 0; ; k++ {
-		rate := c.Rate * r.times(c, at)
+		rate := c.Rate * r.rateFactor(c, at)
 		if rate <= 0 {
 			return
 		}
@@ -106,68 +107,73 @@
 			return
 		}
 		id, sent := fmt.Sprintf("%s-%d", c.Name, k), at
-		callers.Go(func() { r.call(ctx, c, id, sent) })
+		callers.Go(func() { r.runCaller(ctx, c, id, sent) })
 	}
 }
 
-// times is how much higher than usual the rate of a class is.
-func (r *Run) times(c *Class, at time.Duration) float64 {
-	out := 1.0
+// rateFactor returns the factor by which bursts change the rate of a class at a
+// given time.
+func (r *Run) rateFactor(c *Class, at time.Duration) float64 {
+	factor := 1.0
 	for _, b := range r.Work.Bursts {
 		if (b.Class == "" || b.Class == c.Name) && at >= b.At && at < b.At+b.For {
-			out *= b.Times
+			factor *= b.Times
 		}
 	}
-	return out
+	return factor
 }
 
-func (r *Run) fault(ctx context.Context, f Fault) error {
+// applyFault injects a fault at its time.
+func (r *Run) applyFault(ctx context.Context, f Fault) error {
 	if !feed.Sleep(ctx, f.At) {
 		return nil
 	}
 	return r.Fault(f)
 }
 
-// call is one caller: it comes back when it is told to.
-func (r *Run) call(ctx context.Context, c *Class, id string, at time.Duration) {
-	until := time.Now().Add(c.Deadline)
-	ctx, cancel := context.WithDeadline(ctx, until)
+// runCaller sends one request and, while it is refused, sends it again after
+// the time that the router asks for, up to the retries of the class.
+func (r *Run) runCaller(ctx context.Context, c *Class, id string, at time.Duration) {
+	deadline := time.Now().Add(c.Deadline)
+	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
 	start := time.Now()
 	var a answer
-	for try := 0; ; try++ {
-		var again time.Duration
-		a, again = r.ask(ctx, c, fmt.Sprintf("%s-%d", id, try), start, time.Until(until))
-		if a.end != EndRefused || try >= c.Retries || !feed.Sleep(ctx, again) {
+	for attempt := 0; ; attempt++ {
+		var retryAfter time.Duration
+		a, retryAfter = r.request(ctx, c, fmt.Sprintf("%s-%d", id, attempt), start, time.Until(deadline))
+		if a.outcome != OutcomeRefused || attempt >= c.Retries || !feed.Sleep(ctx, retryAfter) {
 			break
 		}
 	}
-	a.class, a.at = c, at
+	a.class, a.sentAt = c, at
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.answers = append(r.answers, a)
 }
 
-func (r *Run) front() int {
+// nextFront returns the index of the next address in turn.
+func (r *Run) nextFront() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.next++
 	return r.next % len(r.Fronts)
 }
 
-// ask makes one request; again is when a refused caller may come back.
-func (r *Run) ask(ctx context.Context, c *Class, id string, start time.Time, left time.Duration) (a answer, again time.Duration) {
-	a = answer{end: EndFailed}
+// request sends one request. If it is refused, retryAfter is the time from its
+// Retry-After header.
+func (r *Run) request(ctx context.Context, c *Class, id string, start time.Time, timeLeft time.Duration) (a answer, retryAfter time.Duration) {
+	a = answer{outcome: OutcomeFailed}
 	tokens := ""
 	if c.Prompt > 0 {
 		tokens = fmt.Sprintf("%d,%d", c.Prompt, c.Answer)
 	}
-	n := r.front()
+	n := r.nextFront()
 	req, err := stand.NewRequest(ctx, c.Method, "http://"+r.Fronts[n]+c.Path, id, tokens)
 	if err != nil {
 		return a, 0
 	}
-	stand.SetDeadline(req, left)
+	stand.SetDeadline(req, timeLeft)
 	stand.SetKey(req, c.Key)
 	resp, err := r.clients[n].Do(req)
 	if err != nil {
@@ -177,7 +183,7 @@
 	switch resp.StatusCode {
 	case http.StatusOK:
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-		a.end = EndRefused
+		a.outcome = OutcomeRefused
 		seconds, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
 		if err != nil {
 			seconds = 0
@@ -190,15 +196,16 @@
 	switch {
 	case err != nil || events != stand.EventCount(c.Answer):
 		return a, 0
-	case a.first > c.Target || events > 0 && a.pause > c.Gap:
-		a.end = EndLate
+	case a.first > c.Target || events > 0 && a.longestGap > c.Gap:
+		a.outcome = OutcomeLate
 	default:
-		a.end = EndInTarget
+		a.outcome = OutcomeInTarget
 	}
 	return a, 0
 }
 
-// read takes an answer to its end and returns how many events it had, in order.
+// read reads an answer to its end and returns the number of events. Events that
+// are out of order are an error.
 func (a *answer) read(body io.Reader, start time.Time) (events int, err error) {
 	last := start
 	lines := bufio.NewReader(body)
@@ -206,14 +213,14 @@
 		line, err := lines.ReadString('\n')
 		if text, ok := strings.CutPrefix(line, "id: "); ok {
 			if id, err := strconv.Atoi(strings.TrimSpace(text)); err != nil || id != events+1 {
-				return events, fmt.Errorf("event %q after %d", text, events)
+				return events, fmt.Errorf("drive: event %q out of order after %d events", text, events)
 			}
-			pause := time.Since(last)
+			gap := time.Since(last)
 			last = time.Now()
 			if events == 0 {
-				a.first = pause
+				a.first = gap
 			} else {
-				a.pause = max(a.pause, pause)
+				a.longestGap = max(a.longestGap, gap)
 			}
 			events++
 		}
@@ -230,8 +237,8 @@
 	return events, nil
 }
 
-// tell reports each second that is over.
-func (r *Run) tell(done <-chan struct{}) {
+// reportProgress calls Progress after each second until done is closed.
+func (r *Run) reportProgress(done <-chan struct{}) {
 	if r.Progress == nil {
 		return
 	}
@@ -244,8 +251,8 @@
 		case <-ticker.C:
 		}
 		r.mu.Lock()
-		all := append([]answer(nil), r.answers...)
+		answers := append([]answer(nil), r.answers...)
 		r.mu.Unlock()
-		r.Progress(n, second(n, all))
+		r.Progress(n, summarizeSecond(n, answers))
 	}
 }
--- a/internal/fakes/stage/link.go
+++ b/internal/fakes/stage/link.go
@@ -13,29 +13,31 @@
 
 const (
 	bufferBytes = 64 << 10
-	// linkReplies and linkSteps bound what is on its way on a link.
+	// linkReplies is the maximum number of replies in transit on a link.
 	linkReplies = 1024
-	linkSteps   = 1024
+	// linkSteps is the maximum number of steps in transit on a link.
+	linkSteps = 1024
 )
 
-// link is one connection of a router.
+// link is a connection from a router.
 type link struct {
 	ws   *websocket.Conn
-	out  chan passing
-	in   chan passing
+	out  chan timedFrame
+	in   chan timedFrame
 	done chan struct{}
 }
 
-// passing is a frame that reaches the other end at a time.
-type passing struct {
+// timedFrame is a frame in transit. It reaches the other end at time at; the
+// zero time means at once.
+type timedFrame struct {
 	at    time.Time
 	step  *frame.Step
 	reply *frame.Reply
 }
 
-func (e *Engine) stream(w http.ResponseWriter, req *http.Request) {
+func (e *Engine) handleSteps(w http.ResponseWriter, req *http.Request) {
 	up := websocket.Upgrader{ReadBufferSize: bufferBytes, WriteBufferSize: bufferBytes}
-	head := http.Header{frame.HeaderIncarnation: {e.incarnation()}}
+	head := http.Header{frame.HeaderIncarnation: {e.incarnationHeader()}}
 	ws, err := up.Upgrade(w, req, head)
 	if err != nil {
 		return
@@ -43,21 +45,21 @@
 	ws.SetReadLimit(frame.MaxBytes)
 	l := &link{
 		ws: ws, done: make(chan struct{}),
-		out: make(chan passing, linkReplies), in: make(chan passing, linkSteps),
+		out: make(chan timedFrame, linkReplies), in: make(chan timedFrame, linkSteps),
 	}
 	e.mu.Lock()
 	e.links[l] = true
 	e.mu.Unlock()
-	go e.write(l)
-	go e.accept(l)
-	e.read(l)
+	go e.writeReplies(l)
+	go e.deliverSteps(l)
+	e.readSteps(l)
 	close(l.done)
 	_ = ws.Close()
 	e.orphan(l)
 }
 
-// read takes the steps off the connection and lets them travel for a hop.
-func (e *Engine) read(l *link) {
+// readSteps reads steps from the connection until it fails.
+func (e *Engine) readSteps(l *link) {
 	for {
 		_, data, err := l.ws.ReadMessage()
 		if err != nil {
@@ -69,38 +71,41 @@
 			if err != nil {
 				return
 			}
-			e.carry(l, s)
+			e.receive(l, s)
 		}
 	}
 }
 
-// carry lets a step travel; without a delay it is there at once.
-func (e *Engine) carry(l *link, s *frame.Step) {
-	at := e.arrival(stepBytes(s))
+// receive passes a step on after the simulated delay of the link. Without a
+// delay it submits the step directly.
+func (e *Engine) receive(l *link, s *frame.Step) {
+	at := e.arrivalTime(stepBytes(s))
 	if at.IsZero() {
 		e.submit(s, l)
 		return
 	}
 	select {
-	case l.in <- passing{at: at, step: s}:
+	case l.in <- timedFrame{at: at, step: s}:
 	case <-l.done:
 	}
 }
 
-func (e *Engine) accept(l *link) {
+// deliverSteps submits the steps of a link as they arrive.
+func (e *Engine) deliverSteps(l *link) {
 	for {
 		select {
 		case <-l.done:
 			return
-		case p := <-l.in:
-			wait(p.at)
-			e.submit(p.step, l)
+		case next := <-l.in:
+			waitUntil(next.at)
+			e.submit(next.step, l)
 		}
 	}
 }
 
-// arrival is when a frame of so many bytes gets to the other end.
-func (e *Engine) arrival(bytes int) time.Time {
+// arrivalTime returns when a frame of the given size that is sent now reaches
+// the other end. It returns the zero time if the link has no delay.
+func (e *Engine) arrivalTime(bytes int) time.Time {
 	if e.Link == 0 && e.Bandwidth == 0 {
 		return time.Time{}
 	}
@@ -111,7 +116,7 @@
 	return time.Now().Add(delay)
 }
 
-func wait(at time.Time) {
+func waitUntil(at time.Time) {
 	if at.IsZero() {
 		return
 	}
@@ -120,17 +125,18 @@
 	}
 }
 
-// write sends replies; all that wait go out as one message.
-func (e *Engine) write(l *link) {
+// writeReplies sends queued replies. Replies that are due together are sent as
+// one message.
+func (e *Engine) writeReplies(l *link) {
 	var buf bytes.Buffer
 	for {
 		select {
 		case <-l.done:
 			return
-		case p := <-l.out:
+		case next := <-l.out:
 			buf.Reset()
-			wait(p.at)
-			if !gather(&buf, p, l) || l.ws.WriteMessage(websocket.BinaryMessage, buf.Bytes()) != nil {
+			waitUntil(next.at)
+			if !batchReplies(&buf, next, l) || l.ws.WriteMessage(websocket.BinaryMessage, buf.Bytes()) != nil {
 				_ = l.ws.Close()
 				return
 			}
@@ -138,7 +144,9 @@
 	}
 }
 
-func gather(buf *bytes.Buffer, p passing, l *link) bool {
+// batchReplies appends p and the replies queued after it to buf, up to about
+// bufferBytes. It reports whether all of them could be encoded.
+func batchReplies(buf *bytes.Buffer, p timedFrame, l *link) bool {
 	for {
 		if frame.AppendReply(buf, p.reply) != nil {
 			return false
@@ -148,15 +156,15 @@
 		}
 		select {
 		case p = <-l.out:
-			wait(p.at)
+			waitUntil(p.at)
 		default:
 			return true
 		}
 	}
 }
 
-// answer sends the reply of s back, unless a fault is due.
-func (e *Engine) answer(l *link, s *frame.Step, r *frame.Reply) {
+// sendReply sends the reply to s, subject to the fault that Faults selects.
+func (e *Engine) sendReply(l *link, s *frame.Step, r *frame.Reply) {
 	fault := FaultNone
 	if e.Faults != nil {
 		fault = e.Faults(s)
@@ -168,17 +176,17 @@
 		_ = l.ws.Close()
 		return
 	case FaultDelay:
-		time.AfterFunc(e.Late, func() { e.post(l, r) })
+		time.AfterFunc(e.Late, func() { e.queueReply(l, r) })
 		return
 	case FaultDouble:
-		e.post(l, r)
+		e.queueReply(l, r)
 	}
-	e.post(l, r)
+	e.queueReply(l, r)
 }
 
-func (e *Engine) post(l *link, r *frame.Reply) {
+func (e *Engine) queueReply(l *link, r *frame.Reply) {
 	select {
-	case l.out <- passing{at: e.arrival(replyBytes(r)), reply: r}:
+	case l.out <- timedFrame{at: e.arrivalTime(replyBytes(r)), reply: r}:
 	case <-l.done:
 	}
 }
@@ -195,10 +203,11 @@
 	return n
 }
 
+// containsWord reports whether text contains the first token of word.
 func containsWord(text, word string) bool {
 	want := layer.Split(word)[0]
-	for _, t := range layer.Split(text) {
-		if t == want {
+	for _, token := range layer.Split(text) {
+		if token == want {
 			return true
 		}
 	}
--- a/internal/fakes/stage/queue.go
+++ b/internal/fakes/stage/queue.go
@@ -7,24 +7,26 @@
 	"fulmarwick/internal/base/frame"
 )
 
-// work is a step that waits or runs.
+// work is a step that waits for a slot or runs in one.
 type work struct {
-	step  *frame.Step
-	link  *link
-	key   key
-	order uint64
-	life  uint64
-	since time.Time
-	// index counts the tokens of a run.
+	step     *frame.Step
+	link     *link
+	key      key
+	arrival  uint64
+	epoch    uint64
+	queuedAt time.Time
+	// index is the number of tokens that a run has generated.
 	index int
-	// gone is set when the request was canceled.
-	gone bool
+	// canceled is set if the request is canceled while the step runs.
+	canceled bool
 }
 
-// queue holds waiting work: a lower priority number first, then as it came.
+// queue is a heap of waiting work, ordered by priority number and then by
+// arrival.
 type queue []*work
 
-// Len, Less, Swap, Push and Pop are for container/heap.
+// Len returns the number of entries. With Less, Swap, Push and Pop it
+// implements heap.Interface.
 func (q queue) Len() int { return len(q) }
 
 // Less orders by priority and arrival.
@@ -32,7 +34,7 @@
 	if q[i].step.Prio != q[j].step.Prio {
 		return q[i].step.Prio < q[j].step.Prio
 	}
-	return q[i].order < q[j].order
+	return q[i].arrival < q[j].arrival
 }
 
 // Swap exchanges two entries.
@@ -41,7 +43,7 @@
 // Push adds a *work.
 func (q *queue) Push(x any) { *q = append(*q, x.(*work)) }
 
-// Pop takes the last entry.
+// Pop removes and returns the last entry.
 func (q *queue) Pop() any {
 	old := *q
 	w := old[len(old)-1]
@@ -50,7 +52,8 @@
 	return w
 }
 
-// submit takes a step off a link: cancel at once, else wait for a slot.
+// submit processes a step received on a link. A cancel takes effect at once,
+// other steps wait for a slot. A step with the poison word kills the engine.
 func (e *Engine) submit(s *frame.Step, l *link) {
 	if e.Poison != "" && containsWord(s.Text, e.Poison) {
 		e.Kill()
@@ -69,9 +72,9 @@
 		e.Traced(s.Trace)
 	}
 	if s.From == 0 && s.Seq == 1 {
-		e.cache.take(s.Text, e.Cache)
+		e.cache.addPrompt(s.Text, e.Cache)
 	}
-	w := &work{step: s, link: l, key: key{req: s.Req, from: s.From}, life: e.life, since: time.Now()}
+	w := &work{step: s, link: l, key: key{req: s.Req, from: s.From}, epoch: e.epoch, queuedAt: time.Now()}
 	e.push(w)
 	if e.running < max(1, e.Slots) {
 		e.running++
@@ -81,14 +84,15 @@
 
 func (e *Engine) push(w *work) {
 	e.arrivals++
-	w.order = e.arrivals
+	w.arrival = e.arrivals
 	heap.Push(&e.waiting, w)
 }
 
-// cancel forgets the state and what waits or runs for it.
+// cancel drops the state of a request, removes its waiting work and marks its
+// running work as canceled.
 func (e *Engine) cancel(s *frame.Step) {
 	k := key{req: s.Req, from: s.From}
-	if ses := e.sessions[k]; ses != nil && ses.try <= s.Try {
+	if sess := e.sessions[k]; sess != nil && sess.attempt <= s.Try {
 		delete(e.sessions, k)
 	}
 	kept := e.waiting[:0]
@@ -102,12 +106,12 @@
 	heap.Init(&e.waiting)
 	for w := range e.busy {
 		if w.key == k && w.step.Try <= s.Try {
-			w.gone = true
+			w.canceled = true
 		}
 	}
 }
 
-// serve is one slot at work until nothing waits.
+// serve runs waiting work in one slot until the queue is empty.
 func (e *Engine) serve() {
 	for {
 		e.mu.Lock()
@@ -119,16 +123,16 @@
 		w := heap.Pop(&e.waiting).(*work)
 		e.busy[w] = true
 		e.mu.Unlock()
-		e.work(w)
+		e.runWork(w)
 		e.mu.Lock()
 		delete(e.busy, w)
 		e.mu.Unlock()
 	}
 }
 
-// work runs a step, and for a run the tokens after it until the run ends or
-// something more urgent waits.
-func (e *Engine) work(w *work) {
+// runWork executes a step. For a run it generates further tokens until the run
+// ends or more urgent work waits.
+func (e *Engine) runWork(w *work) {
 	for {
 		if e.Layer > 0 {
 			time.Sleep(e.Layer * time.Duration(max(0, w.step.To-w.step.From)))
@@ -138,14 +142,15 @@
 		if r == nil {
 			return
 		}
-		e.answer(w.link, s, r)
+		e.sendReply(w.link, s, r)
 		if !more || e.yield(w) {
 			return
 		}
 	}
 }
 
-// yield puts a run back in the queue if something more urgent waits.
+// yield puts a run back into the queue if more urgent work waits, and reports
+// whether it did.
 func (e *Engine) yield(w *work) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
