--- a/internal/app/daemon/build.go
+++ b/internal/app/daemon/build.go
@@ -32,43 +32,43 @@
 // parts are what an instance consists of.
 type parts struct {
 	// owner names this incarnation of the instance in leases and records.
-	owner    string
-	halt     *halt.Drainer
-	meters   *metrics.Set
-	board    *meters.Board
-	spans    *spans.Sender
-	book     *config.Active
-	follower *config.Follower
-	applier  *config.Applier
-	// changed wakes whoever tells others of a new version.
-	changed  chan struct{}
-	budget   *store.Budget
-	breaker  *store.Breaker
-	table    store.Table
-	ledger   *ledger.Ledger
-	sender   *plain.Sender
-	logic    *core.Logic
-	planner  *place.Planner
-	loop     *loop.Loop
-	pool     *engine.Pool
-	controls *controls
-	tap      *tap
-	watcher  *watch.Watcher
-	runner   *chain.Runner
-	callers  *entry.Server
-	fleet    *fleet
-	duties   *duties
+	owner      string
+	drainer    *halt.Drainer
+	metrics    *metrics.Set
+	attainment *meters.Recorder
+	spans      *spans.Sender
+	active     *config.Active
+	follower   *config.Follower
+	applier    *config.Applier
+	// versionChanged wakes whoever tells others of a new version.
+	versionChanged chan struct{}
+	budget         *store.Budget
+	breaker        *store.Breaker
+	table          store.Table
+	ledger         *ledger.Ledger
+	sender         *plain.Sender
+	logic          *core.Logic
+	planner        *place.Planner
+	loop           *loop.Loop
+	pool           *engine.Pool
+	controls       *controls
+	interceptor    *interceptor
+	watcher        *watch.Watcher
+	runner         *chain.Runner
+	callers        *entry.Server
+	fleet          *fleet
+	duties         *duties
 }
 
 // build makes the parts, once.
 func (d *Daemon) build() error {
-	d.once.Do(func() { d.broken = d.buildParts() })
-	return d.broken
+	d.once.Do(func() { d.buildErr = d.buildParts() })
+	return d.buildErr
 }
 
 func (d *Daemon) buildParts() error {
-	d.buildSight()
-	d.buildRoute()
+	d.buildTelemetry()
+	d.buildRouting()
 	sender := d.buildState()
 	f, err := d.newFleet()
 	if err != nil {
@@ -86,31 +86,31 @@
 	return nil
 }
 
-func (d *Daemon) buildSight() {
+func (d *Daemon) buildTelemetry() {
 	p := &d.parts
 	p.owner = d.Settings.Instance.Name + "/" + uuid.NewString()
-	p.halt = &halt.Drainer{Grace: d.Settings.Times.Grace, Log: d.Log}
-	p.meters = metrics.NewSet()
-	p.meters.RegisterMetricsWriter(d.gauges)
-	p.board = &meters.Board{Meters: p.meters}
+	p.drainer = &halt.Drainer{Grace: d.Settings.Times.Grace, Log: d.Log}
+	p.metrics = metrics.NewSet()
+	p.metrics.RegisterMetricsWriter(d.gauges)
+	p.attainment = &meters.Recorder{Meters: p.metrics}
 	p.spans = &spans.Sender{
 		URL: d.Settings.Trace.URL, Part: d.Settings.Trace.Part,
 		Instance: d.Settings.Instance.Name, DataCentre: d.Settings.Instance.DataCentre,
 	}
 }
 
-func (d *Daemon) buildRoute() {
+func (d *Daemon) buildRouting() {
 	p := &d.parts
 	name := d.Settings.Instance.Name
-	p.planner = &place.Planner{Goal: goal(d.Settings.Goal), DataCentre: d.planned()}
+	p.planner = &place.Planner{Goal: plannerGoal(d.Settings.Goal), DataCentre: d.plannedCentre()}
 	p.logic = &core.Logic{ID: spec.InstanceID(name), Seed: xxhash.Sum64String(name), Planner: p.planner}
-	p.loop = &loop.Loop{Logic: p.logic, HandleOther: d.told, MaxArrivals: d.Settings.Limits.Queue, Meters: p.meters}
-	p.pool = &engine.Pool{HTTP: &http.Client{}, Post: p.loop.Post, Meters: p.meters}
+	p.loop = &loop.Loop{Logic: p.logic, HandleOther: d.handleRouteCommand, MaxArrivals: d.Settings.Limits.Queue, Meters: p.metrics}
+	p.pool = &engine.Pool{HTTP: &http.Client{}, Post: p.loop.Post, Meters: p.metrics}
 	p.controls = &controls{pool: p.pool, http: p.pool.HTTP}
-	p.runner = &chain.Runner{Engines: p.pool, Router: p.loop, KV: p.pool, Meters: p.meters}
+	p.runner = &chain.Runner{Engines: p.pool, Router: p.loop, KV: p.pool, Meters: p.metrics}
 }
 
-func goal(g setup.Goal) place.Goal {
+func plannerGoal(g setup.Goal) place.Goal {
 	if g == setup.GoalRecovery {
 		return place.Recovery
 	}
@@ -123,54 +123,54 @@
 	p := &d.parts
 	client := &store.Client{BaseURL: d.Settings.Platform.Table, HTTP: store.NewHTTPClient()}
 	seed := xxhash.Sum64String(p.owner)
-	p.breaker = &store.Breaker{Table: client, Rand: rand.New(rand.NewPCG(seed, 0)), Meters: p.meters}
-	p.budget = &store.Budget{Meters: p.meters}
+	p.breaker = &store.Breaker{Table: client, Rand: rand.New(rand.NewPCG(seed, 0)), Meters: p.metrics}
+	p.budget = &store.Budget{Meters: p.metrics}
 	p.table = p.budget.Limit(store.RankLease, p.breaker)
 	rest := p.budget.Limit(store.RankOther, p.breaker)
-	p.book = &config.Active{}
-	p.changed = make(chan struct{}, 1)
+	p.active = &config.Active{}
+	p.versionChanged = make(chan struct{}, 1)
 	p.follower = &config.Follower{
-		Table: rest, Active: p.book, OnChange: d.adopt, Jitter: jitter, Meters: p.meters,
+		Table: rest, Active: p.active, OnChange: d.onConfigChange, Jitter: jitter, Meters: p.metrics,
 		OnError: func(err error) { d.Log.Warn("config: not followed", zap.Error(err)) },
 	}
 	p.applier = &config.Applier{Table: rest, StartFrom: p.follower}
-	sender := &plain.Sender{HTTP: plain.NewHTTP(), Repeats: d.repeats, Meters: p.meters}
+	sender := &plain.Sender{HTTP: plain.NewHTTP(), Repeats: d.retryable, Meters: p.metrics}
 	p.ledger = &ledger.Ledger{
-		Table:       &store.Batcher{Table: p.budget.Limit(store.RankRecord, p.breaker), Meters: p.meters},
+		Table:       &store.Batcher{Table: p.budget.Limit(store.RankRecord, p.breaker), Meters: p.metrics},
 		LookupTable: rest,
-		Sender:      sender, Querier: sender, SupportsOutcomes: d.asks, Repeatable: d.repeats,
-		ServiceOf: d.service, Owner: p.owner, HasExited: d.gone, Jitter: jitter, Meters: p.meters,
+		Sender:      sender, Querier: sender, SupportsOutcomes: d.supportsOutcomes, Repeatable: d.retryable,
+		ServiceOf: d.serviceOf, Owner: p.owner, HasExited: d.ownerExited, Jitter: jitter, Meters: p.metrics,
 	}
 	return sender
 }
 
 func (d *Daemon) buildWatch(sender *plain.Sender) {
 	p := &d.parts
-	p.tap = &tap{Daemon: d}
+	p.interceptor = &interceptor{Daemon: d}
 	lister := &store.Client{BaseURL: d.Settings.Platform.List, HTTP: store.NewHTTPClient()}
 	if lister.BaseURL == "" {
 		lister.BaseURL = d.Settings.Platform.Table
 	}
 	p.watcher = &watch.Watcher{
-		List: lister, Loop: p.tap, Engines: p.controls, Services: sender, HTTP: &http.Client{},
+		List: lister, Loop: p.interceptor, Engines: p.controls, Services: sender, HTTP: &http.Client{},
 		Log: d.Log, Every: d.Settings.Platform.Watch, Caches: p.controls,
 	}
 	if p.fleet != nil {
 		p.watcher.News = p.fleet.hub
 		p.watcher.Self = p.fleet.hub.Self.ID
-		p.watcher.Listed = p.fleet.listed
+		p.watcher.Listed = p.fleet.handleList
 	}
 }
 
 func (d *Daemon) buildCallers() {
 	p := &d.parts
 	p.callers = &entry.Server{
-		Models: &models{d}, Calls: p.ledger, Book: p.book, Limits: limits(d.Settings),
-		Log: d.Log, Meters: p.meters, Observer: p.board,
+		Models: &modelRunner{d}, Calls: p.ledger, Book: p.active, Limits: entryLimits(d.Settings),
+		Log: d.Log, Meters: p.metrics, Observer: p.attainment,
 	}
 }
 
-func limits(s setup.File) entry.Limits {
+func entryLimits(s setup.File) entry.Limits {
 	return entry.Limits{
 		Body: s.Limits.Body, Header: s.Limits.Header, Tokens: s.Limits.Tokens,
 		Streams: s.Limits.Streams, Team: s.Limits.Team, Connection: s.Limits.Connection, Buffer: s.Limits.Buffer,
@@ -179,62 +179,62 @@
 	}
 }
 
-// adopt acts on a configuration that came in force.
-func (d *Daemon) adopt(s *config.Snapshot) {
+// onConfigChange acts on a configuration that came in force.
+func (d *Daemon) onConfigChange(s *config.Snapshot) {
 	p := &d.parts
-	p.board.Keep(s.Classes())
+	p.attainment.Retain(s.Classes())
 	p.loop.Post(domain.ConfigChanged{Version: s.Version(), Classes: s.Classes(), Teams: s.Teams()})
 	d.Log.Info("config: in force", zap.Uint64("version", s.Version()))
 	select {
-	case p.changed <- struct{}{}:
+	case p.versionChanged <- struct{}{}:
 	default:
 	}
 }
 
-// repeats says whether calls of a class may run more than once.
-func (d *Daemon) repeats(name spec.ClassName) bool {
-	class, ok := d.parts.book.Class(name)
+// retryable says whether calls of a class may run more than once.
+func (d *Daemon) retryable(name spec.ClassName) bool {
+	class, ok := d.parts.active.Class(name)
 	return ok && class.Retryable()
 }
 
-// service names the service of a class, so that a look-up can ask it.
-func (d *Daemon) service(name spec.ClassName) spec.ServiceName {
-	class, _ := d.parts.book.Class(name)
+// serviceOf names the service of a class, so that a look-up can ask it.
+func (d *Daemon) serviceOf(name spec.ClassName) spec.ServiceName {
+	class, _ := d.parts.active.Class(name)
 	return class.Service()
 }
 
-// asks says whether a service can tell the outcome of a call.
-func (d *Daemon) asks(service spec.ServiceName) bool {
-	now := d.parts.book.Snapshot()
+// supportsOutcomes says whether a service can tell the outcome of a call.
+func (d *Daemon) supportsOutcomes(service spec.ServiceName) bool {
+	now := d.parts.active.Snapshot()
 	return now != nil && now.SupportsOutcomes(service)
 }
 
-// gone reports evidence that another incarnation will not go on with its
+// ownerExited reports evidence that another incarnation will not go on with its
 // records. A former self ended, since instances have names of their own.
-func (d *Daemon) gone(owner string) bool {
+func (d *Daemon) ownerExited(owner string) bool {
 	name, _, _ := strings.Cut(owner, "/")
 	if name == d.Settings.Instance.Name {
 		return owner != d.parts.owner
 	}
-	return d.parts.fleet != nil && d.parts.fleet.gone(spec.InstanceID(name))
+	return d.parts.fleet != nil && d.parts.fleet.peerExited(spec.InstanceID(name))
 }
 
 // jitter is a factor around 1 for waits, so that instances do not keep step.
 func jitter() float64 { return 0.75 + rand.Float64()/2 }
 
-// unit is the data centres that share the detail of engines with this one:
+// localSpan is the data centres that share the detail of engines with this one:
 // itself, or all of the region.
-func (d *Daemon) unit() string { return d.unitOf(d.Settings.Instance.DataCentre) }
+func (d *Daemon) localSpan() string { return d.spanOf(d.Settings.Instance.DataCentre) }
 
-func (d *Daemon) unitOf(centre string) string {
+func (d *Daemon) spanOf(centre string) string {
 	if d.Settings.Instance.Span == setup.SpanRegion {
 		return d.Settings.Instance.Region
 	}
 	return centre
 }
 
-// planned is the data centre whose engines are planned here; "" is all.
-func (d *Daemon) planned() spec.DataCentre {
+// plannedCentre is the data centre whose engines are planned here; "" is all.
+func (d *Daemon) plannedCentre() spec.DataCentre {
 	if d.Settings.Instance.Span == setup.SpanRegion {
 		return ""
 	}
--- a/internal/app/daemon/config_test.go
+++ b/internal/app/daemon/config_test.go
@@ -23,8 +23,8 @@
 	slow  = "[class answer]\nkind = model\nmodel = levy-13b\nfirst = 9s\n"
 )
 
-// await asks until the instance has version in force.
-func await(t *testing.T, c *admin.Client, version uint64) admin.Shown {
+// waitVersion asks until the instance has version in force.
+func waitVersion(t *testing.T, c *admin.Client, version uint64) admin.Shown {
 	t.Helper()
 	for {
 		shown, err := c.Show(t.Context())
@@ -58,7 +58,7 @@
 	if w := lost.Winners; len(w) != 1 || w[0].By != "siti" || w[0].Version != second.Version || w[0].Text != "class answer" {
 		t.Errorf("got winners %+v, want siti's change of class answer", w)
 	}
-	if shown := await(t, c, second.Version); !strings.Contains(shown.Document, "first = 9s") || !strings.Contains(shown.Document, "[class draft]") {
+	if shown := waitVersion(t, c, second.Version); !strings.Contains(shown.Document, "first = 9s") || !strings.Contains(shown.Document, "[class draft]") {
 		t.Errorf("got %q in force, want siti's target and the other class", shown.Document)
 	}
 	history, err := c.History(t.Context(), 10)
@@ -86,7 +86,7 @@
 func TestApplyWhileTheTableIsDown(t *testing.T) {
 	site, _, operators := startBoth(t)
 	c := &admin.Client{Base: operators, HTTP: http.DefaultClient}
-	await(t, c, 1)
+	waitVersion(t, c, 1)
 	site.Table().Fault(infra.Faults{Down: true})
 	if _, err := c.Apply(t.Context(), draft(0, "ani", quick)); !errors.Is(err, admin.ErrDown) {
 		t.Errorf("got %v, want ErrDown", err)
@@ -117,7 +117,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	await(t, c, applied.Version)
+	waitVersion(t, c, applied.Version)
 	if got := status(t, base+"/readyz"); got != http.StatusOK {
 		t.Errorf("got %d from /readyz with one, want 200", got)
 	}
--- a/internal/app/daemon/daemon.go
+++ b/internal/app/daemon/daemon.go
@@ -29,15 +29,15 @@
 	Operators net.Listener
 	Peers     net.Listener
 
-	once   sync.Once
-	broken error
-	parts  parts
+	once     sync.Once
+	buildErr error
+	parts    parts
 }
 
 // Stop begins the graceful stop; Run returns once the last request ended.
 func (d *Daemon) Stop() {
 	if d.build() == nil {
-		d.parts.halt.Begin()
+		d.parts.drainer.Begin()
 	}
 }
 
@@ -45,7 +45,7 @@
 // Requests in progress go on.
 func (d *Daemon) CloseListeners() {
 	if d.build() == nil {
-		d.parts.halt.CloseListeners()
+		d.parts.drainer.CloseListeners()
 	}
 }
 
@@ -78,18 +78,18 @@
 // know is known here.
 func (d *Daemon) ready() bool {
 	p := &d.parts
-	if p.halt.Stopping() || !p.follower.Ready() {
+	if p.drainer.Stopping() || !p.follower.Ready() {
 		return false
 	}
 	return p.fleet == nil || p.fleet.isReady()
 }
 
 // run keeps the parts alive until the last request ended.
-func (d *Daemon) run(ctx context.Context, ends *ends) error {
+func (d *Daemon) run(ctx context.Context, ends *endpoints) error {
 	p := &d.parts
 	inner, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	context.AfterFunc(ctx, p.halt.Begin)
+	context.AfterFunc(ctx, p.drainer.Begin)
 	var g errgroup.Group
 	for _, part := range d.runners() {
 		g.Go(func() error { return part(inner) })
@@ -113,19 +113,19 @@
 		return nil
 	}}
 	if p.fleet == nil {
-		p.duties.all()
+		p.duties.takeAll()
 		return out
 	}
 	p.fleet.hub.Post(node.SetDuties{Duties: p.duties.specs()})
-	return append(out, p.fleet.hub.Run, p.fleet.follow, p.fleet.sayHead, p.fleet.leaving)
+	return append(out, p.fleet.hub.Run, p.fleet.followWatches, p.fleet.announceVersions, p.fleet.announceStop)
 }
 
 // finish waits for the end of the graceful stop: the last request of a caller,
 // the last record, the last request of another instance, the release of the
 // leases, and the farewell to the others, in this order.
-func (d *Daemon) finish(ctx context.Context, ends *ends) error {
+func (d *Daemon) finish(ctx context.Context, ends *endpoints) error {
 	p := &d.parts
-	if err := p.halt.Run(ctx, ends.callers.server); err != nil {
+	if err := p.drainer.Run(ctx, ends.callers.server); err != nil {
 		return errors.Wrap(err, "daemon: stop")
 	}
 	if err := p.ledger.Wait(ctx); err != nil {
@@ -135,19 +135,19 @@
 		p.duties.stop()
 		return nil
 	}
-	p.fleet.quit(ctx)
+	p.fleet.leave(ctx)
 	return nil
 }
 
 // serve serves one endpoint. One that fails ends the instance, since an
 // instance that looks alive but answers nobody would never be replaced.
-func (d *Daemon) serve(e end) error {
+func (d *Daemon) serve(e endpoint) error {
 	serve := e.server.Serve
 	if e.server.TLSConfig != nil {
 		serve = func(l net.Listener) error { return e.server.ServeTLS(l, "", "") }
 	}
-	if err := serve(e.at); !errors.Is(err, http.ErrServerClosed) {
-		d.parts.halt.CloseListeners()
+	if err := serve(e.listener); !errors.Is(err, http.ErrServerClosed) {
+		d.parts.drainer.CloseListeners()
 		return errors.Wrapf(err, "daemon: serve %s", e.name)
 	}
 	return nil
--- a/internal/app/daemon/duties.go
+++ b/internal/app/daemon/duties.go
@@ -22,8 +22,8 @@
 const (
 	dutyPlace = "place/"
 	dutyTrim  = "trim"
-	// dutyLook is the time between two looks of a duty at its lease and work.
-	dutyLook = 500 * time.Millisecond
+	// dutyInterval is the time between two looks of a duty at its lease and work.
+	dutyInterval = 500 * time.Millisecond
 	// trimEvery and trimRows bound what trimming costs the table.
 	trimEvery = 10 * time.Second
 	trimRows  = 200
@@ -36,37 +36,37 @@
 	lease  *lease.Lease
 
 	mu      sync.Mutex
-	over    bool
+	stopped bool
 	running map[string]context.CancelFunc
 	group   sync.WaitGroup
-	places  []domain.LoadLayers
+	pending []domain.LoadLayers
 }
 
 func (d *Daemon) newDuties() *duties {
-	centre := d.unit()
+	centre := d.localSpan()
 	out := &duties{Daemon: d, running: map[string]context.CancelFunc{}}
 	out.lease = d.newLease(dutyPlace + centre)
 	out.orders = &order.Reconciler{
 		Table: d.parts.table, Sender: d.parts.controls, Lease: out.lease, Duty: centre, ChecksFence: d.fenced,
-		Meters: d.parts.meters,
+		Meters: d.parts.metrics,
 	}
 	return out
 }
 
 func (d *Daemon) newLease(name string) *lease.Lease {
-	return &lease.Lease{Table: d.parts.table, Duty: name, Owner: d.parts.owner, Jitter: jitter, Meters: d.parts.meters}
+	return &lease.Lease{Table: d.parts.table, Duty: name, Owner: d.parts.owner, Jitter: jitter, Meters: d.parts.metrics}
 }
 
 // specs are the duties there are, for the fleet logic to spread.
 func (u *duties) specs() []node.DutySpec {
 	return []node.DutySpec{
-		{Name: dutyPlace + u.unit(), Scope: news.ScopeCentre},
+		{Name: dutyPlace + u.localSpan(), Scope: news.ScopeCentre},
 		{Name: dutyTrim, Scope: news.ScopeFleet},
 	}
 }
 
-// all takes every duty: an instance that stands alone holds them all.
-func (u *duties) all() {
+// takeAll takes every duty: an instance that stands alone holds them all.
+func (u *duties) takeAll() {
 	for _, s := range u.specs() {
 		u.set(s.Name, true)
 	}
@@ -81,7 +81,7 @@
 	case !mine && cancel != nil:
 		cancel()
 		delete(u.running, name)
-	case mine && cancel == nil && !u.over:
+	case mine && cancel == nil && !u.stopped:
 		ctx, cancel := context.WithCancel(context.Background())
 		u.running[name] = cancel
 		u.group.Add(1)
@@ -95,7 +95,7 @@
 // stop ends all duties and waits until their leases are released.
 func (u *duties) stop() {
 	u.mu.Lock()
-	u.over = true
+	u.stopped = true
 	for name, cancel := range u.running {
 		cancel()
 		delete(u.running, name)
@@ -106,19 +106,19 @@
 
 func (u *duties) run(ctx context.Context, name string) {
 	if strings.HasPrefix(name, dutyPlace) {
-		u.runPlace(ctx)
+		u.runPlacement(ctx)
 		return
 	}
 	u.runTrim(ctx)
 }
 
-// runPlace plans the placement of the data centre while the lease is held.
-func (u *duties) runPlace(ctx context.Context) {
+// runPlacement plans the placement of the data centre while the lease is held.
+func (u *duties) runPlacement(ctx context.Context) {
 	var group sync.WaitGroup
 	defer group.Wait()
 	group.Go(func() { u.lease.Run(ctx) })
 	adopted := uint64(0)
-	u.every(ctx, dutyLook, func() {
+	u.every(ctx, dutyInterval, func() {
 		held := u.lease.Held()
 		if !held {
 			adopted = 0
@@ -141,7 +141,7 @@
 		u.Log.Info("duties: placing engines", zap.Uint64("fence", fence))
 		adopted = fence
 	}
-	for _, p := range u.taken() {
+	for _, p := range u.takePending() {
 		if err := u.orders.SetDesired(ctx, p.Engine, holdFrames(p.Ranges), ""); err != nil {
 			u.Log.Warn("duties: wish not written", zap.String("engine", string(p.Engine)), zap.Error(err))
 		}
@@ -152,18 +152,18 @@
 	return adopted
 }
 
-// place queues a wish of the planner.
-func (u *duties) place(p domain.LoadLayers) {
+// queuePlan queues a wish of the planner.
+func (u *duties) queuePlan(p domain.LoadLayers) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.places = append(u.places, p)
+	u.pending = append(u.pending, p)
 }
 
-func (u *duties) taken() []domain.LoadLayers {
+func (u *duties) takePending() []domain.LoadLayers {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	out := u.places
-	u.places = nil
+	out := u.pending
+	u.pending = nil
 	return out
 }
 
@@ -199,7 +199,7 @@
 
 // fenced says whether an engine refuses old fencing numbers, by its kind.
 func (d *Daemon) fenced(id spec.UpstreamID) bool {
-	return d.Settings.Fenced[d.parts.tap.kind(id)]
+	return d.Settings.Fenced[d.parts.interceptor.kind(id)]
 }
 
 func holdFrames(holds []domain.LoadedRange) []frame.Hold {
--- a/internal/app/daemon/ends.go
+++ b/internal/app/daemon/endpoints.go
@@ -18,29 +18,29 @@
 )
 
 const (
-	headerTime = 10 * time.Second
-	// closeTime bounds the wait for an operator's last question.
-	closeTime = 2 * time.Second
+	headerTimeout = 10 * time.Second
+	// closeTimeout bounds the wait for an operator's last question.
+	closeTimeout = 2 * time.Second
 )
 
-// end is one endpoint: a server and where it listens.
-type end struct {
-	name   string
-	server *http.Server
-	at     net.Listener
+// endpoint is one endpoint: a server and where it listens.
+type endpoint struct {
+	name     string
+	server   *http.Server
+	listener net.Listener
 }
 
-// ends are the endpoints of an instance. Those without a server are not
+// endpoints are the endpoints of an instance. Those without a server are not
 // served.
-type ends struct {
-	callers   end
-	operators end
-	peers     end
+type endpoints struct {
+	callers   endpoint
+	operators endpoint
+	peers     endpoint
 }
 
-func (e *ends) all() []end {
-	var out []end
-	for _, one := range []end{e.callers, e.operators, e.peers} {
+func (e *endpoints) all() []endpoint {
+	var out []endpoint
+	for _, one := range []endpoint{e.callers, e.operators, e.peers} {
 		if one.server != nil {
 			out = append(out, one)
 		}
@@ -48,17 +48,17 @@
 	return out
 }
 
-func (e *ends) log(log *zap.Logger, instance string) {
+func (e *endpoints) log(log *zap.Logger, instance string) {
 	for _, one := range e.all() {
-		log.Info("daemon: serving "+one.name, zap.String("instance", instance), zap.Stringer("address", one.at.Addr()))
+		log.Info("daemon: serving "+one.name, zap.String("instance", instance), zap.Stringer("address", one.listener.Addr()))
 	}
 }
 
 // close ends the endpoints of operators and peers, which answer until all else
 // has ended.
-func (e *ends) close() {
+func (e *endpoints) close() {
 	for _, one := range e.all() {
-		ctx, cancel := context.WithTimeout(context.Background(), closeTime)
+		ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 		if err := one.server.Shutdown(ctx); err != nil {
 			_ = one.server.Close()
 		}
@@ -66,10 +66,10 @@
 	}
 }
 
-func (d *Daemon) listen(ctx context.Context) (*ends, error) {
+func (d *Daemon) listen(ctx context.Context) (*endpoints, error) {
 	s := d.Settings
-	var e ends
-	secure, err := d.secure(s.TLS.Callers)
+	var e endpoints
+	secure, err := d.tlsConfig(s.TLS.Callers)
 	if err != nil {
 		return nil, err
 	}
@@ -86,19 +86,19 @@
 		if e.peers, err = d.open(ctx, "peers", d.parts.fleet.handler(), s.TLS.Peers, d.Peers, s.Listen.Peers); err != nil {
 			return nil, err
 		}
-		d.parts.fleet.hub.Self.URL = d.parts.fleet.scheme() + e.peers.at.Addr().String()
+		d.parts.fleet.hub.Self.URL = d.parts.fleet.scheme() + e.peers.listener.Addr().String()
 		d.parts.fleet.logic.Local = d.parts.fleet.hub.Self
 	}
 	return &e, nil
 }
 
 // open makes an endpoint for others than callers.
-func (d *Daemon) open(ctx context.Context, name string, h http.Handler, pair setup.Pair, l net.Listener, address string) (end, error) {
-	secure, err := d.secure(pair)
+func (d *Daemon) open(ctx context.Context, name string, h http.Handler, pair setup.Pair, l net.Listener, address string) (endpoint, error) {
+	secure, err := d.tlsConfig(pair)
 	if err != nil {
-		return end{}, err
+		return endpoint{}, err
 	}
-	server := &http.Server{Handler: h, TLSConfig: secure, ReadHeaderTimeout: headerTime}
+	server := &http.Server{Handler: h, TLSConfig: secure, ReadHeaderTimeout: headerTimeout}
 	// Failed handshakes are what others did, and may be many.
 	if log, err := zap.NewStdLogAt(d.Log.Named(name), zapcore.DebugLevel); err == nil {
 		server.ErrorLog = log
@@ -107,31 +107,31 @@
 }
 
 // open listens at address unless there is a listener.
-func open(ctx context.Context, name string, server *http.Server, l net.Listener, address string) (end, error) {
+func open(ctx context.Context, name string, server *http.Server, l net.Listener, address string) (endpoint, error) {
 	if l == nil {
 		opened, err := new(net.ListenConfig).Listen(ctx, "tcp", address)
 		if err != nil {
-			return end{}, errors.Wrapf(err, "daemon: listen for %s", name)
+			return endpoint{}, errors.Wrapf(err, "daemon: listen for %s", name)
 		}
 		l = opened
 	}
-	return end{name: name, server: server, at: l}, nil
+	return endpoint{name: name, server: server, listener: l}, nil
 }
 
-// secure returns the TLS settings of an endpoint, or nil without.
-func (d *Daemon) secure(p setup.Pair) (*tls.Config, error) {
+// tlsConfig returns the TLS settings of an endpoint, or nil without.
+func (d *Daemon) tlsConfig(p setup.Pair) (*tls.Config, error) {
 	if !p.Set() {
 		return nil, nil
 	}
-	source, err := d.source(p)
+	source, err := d.certSource(p)
 	if err != nil {
 		return nil, err
 	}
 	return source.Server(), nil
 }
 
-// source opens the certificates of an endpoint.
-func (d *Daemon) source(p setup.Pair) (*certs.Source, error) {
+// certSource opens the certificates of an endpoint.
+func (d *Daemon) certSource(p setup.Pair) (*certs.Source, error) {
 	s := &certs.Source{Cert: p.Cert, Key: p.Key, CA: p.CA, Log: d.Log}
 	return s, s.Open()
 }
@@ -141,13 +141,13 @@
 func (d *Daemon) handler() http.Handler {
 	r := mux.NewRouter().UseEncodedPath()
 	admin.Health(r, d.ready)
-	r.PathPrefix("/").Handler(d.parts.halt.Handler(d.parts.callers.Handler()))
+	r.PathPrefix("/").Handler(d.parts.drainer.Handler(d.parts.callers.Handler()))
 	return r
 }
 
 func (d *Daemon) operators() http.Handler {
 	s := &admin.Server{
-		Viewer: d, Drainer: d.parts.halt, Config: &settings{d}, Meters: d.parts.meters, Log: d.Log, Ready: d.ready,
+		Viewer: d, Drainer: d.parts.drainer, Config: &configAdmin{d}, Meters: d.parts.metrics, Log: d.Log, Ready: d.ready,
 	}
 	return s.Handler()
 }
--- a/internal/app/daemon/fleet.go
+++ b/internal/app/daemon/fleet.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	// snapshotsFrom is how many peers are asked for a configuration at most.
-	snapshotsFrom = 3
-	// goneAfter is how long an instance must be out of the members before it
+	// maxSnapshots is how many peers are asked for a configuration at most.
+	maxSnapshots = 3
+	// exitedAfter is how long an instance must be out of the members before it
 	// counts as ended for the records that it left at running.
-	goneAfter = 10 * time.Second
-	// quitTime bounds the wait for the others to hear of the end.
-	quitTime = 2 * time.Second
-	// jobsLook is the time between two looks at forwarded requests at a stop.
-	jobsLook = 20 * time.Millisecond
+	exitedAfter = 10 * time.Second
+	// leaveTimeout bounds the wait for the others to hear of the end.
+	leaveTimeout = 2 * time.Second
+	// jobsInterval is the time between two looks at forwarded requests at a stop.
+	jobsInterval = 20 * time.Millisecond
 )
 
 // fleet is this instance's part among the others.
@@ -36,12 +36,12 @@
 
 	mu      sync.Mutex
 	members []node.Peer
-	// left is when an instance was last among the members.
-	left    map[spec.InstanceID]time.Time
-	began   time.Time
-	ready   bool
-	done    chan struct{}
-	watches chan node.Watch
+	// lastSeen is when an instance was last among the members.
+	lastSeen  map[spec.InstanceID]time.Time
+	startTime time.Time
+	ready     bool
+	done      chan struct{}
+	watches   chan node.Watch
 }
 
 // newFleet builds the part; nil for an instance that stands alone.
@@ -50,20 +50,20 @@
 		return nil, nil
 	}
 	f := &fleet{
-		Daemon: d, left: map[spec.InstanceID]time.Time{}, began: time.Now(),
+		Daemon: d, lastSeen: map[spec.InstanceID]time.Time{}, startTime: time.Now(),
 		done: make(chan struct{}), watches: make(chan node.Watch, 1),
 	}
 	name := d.Settings.Instance.Name
-	self := node.Peer{ID: spec.InstanceID(name), DataCentre: spec.DataCentre(d.unit())}
+	self := node.Peer{ID: spec.InstanceID(name), DataCentre: spec.DataCentre(d.localSpan())}
 	f.logic = &node.Logic{
-		Local: self, StartTime: uint32(f.began.Unix()),
-		Rand: rand.New(rand.NewPCG(xxhash.Sum64String(name), uint64(f.began.UnixNano()))),
+		Local: self, StartTime: uint32(f.startTime.Unix()),
+		Rand: rand.New(rand.NewPCG(xxhash.Sum64String(name), uint64(f.startTime.UnixNano()))),
 	}
 	f.hub = &peer.Hub{
-		Self: self, Logic: f.logic, On: f.on, Serve: &server{d}, Config: f, Log: d.Log, Meters: d.parts.meters,
+		Self: self, Logic: f.logic, On: f.handleCommand, Serve: &forwardServer{d}, Config: f, Log: d.Log, Meters: d.parts.metrics,
 	}
 	if pair := d.Settings.TLS.Peers; pair.Set() {
-		source, err := d.source(pair)
+		source, err := d.certSource(pair)
 		if err != nil {
 			return nil, err
 		}
@@ -74,7 +74,7 @@
 
 // Snapshot is the configuration in force, for an instance that joins.
 func (f *fleet) Snapshot() []byte {
-	if now := f.parts.book.Snapshot(); now != nil {
+	if now := f.parts.active.Snapshot(); now != nil {
 		return now.Encode()
 	}
 	return nil
@@ -89,20 +89,20 @@
 			continue
 		}
 		out = append(out, data)
-		if len(out) >= snapshotsFrom {
+		if len(out) >= maxSnapshots {
 			break
 		}
 	}
 	return out, nil
 }
 
-// on takes a command of the fleet logic. It runs on the hub's goroutine and
+// handleCommand takes a command of the fleet logic. It runs on the hub's goroutine and
 // must not block.
-func (f *fleet) on(c node.Command) {
+func (f *fleet) handleCommand(c node.Command) {
 	loop := f.parts.loop
 	switch c := c.(type) {
 	case node.Deliver:
-		f.deliver(c.Item)
+		f.handleItem(c.Item)
 	case node.PeerEngineLoad:
 		loop.Post(domain.PeerLoad{Engine: c.Engine, Active: c.Active, LayerTokenRate: c.Tokens})
 	case node.TeamUsage:
@@ -110,9 +110,9 @@
 	case node.ExpirePeer:
 		loop.Post(domain.PeerRemoved{Peer: c.Peer})
 	case node.Members:
-		f.met(c.Peers)
+		f.setMembers(c.Peers)
 	case node.Watch:
-		f.watch(c)
+		f.queueWatch(c)
 	case node.Duty:
 		f.duties.set(c.Name, c.Assigned)
 	case node.Ready:
@@ -125,9 +125,9 @@
 	}
 }
 
-// watch hands the newest assignment to the goroutine that follows it; the
+// queueWatch hands the newest assignment to the goroutine that follows it; the
 // watcher may be busy with its table and the hub must not wait.
-func (f *fleet) watch(c node.Watch) {
+func (f *fleet) queueWatch(c node.Watch) {
 	select {
 	case <-f.watches:
 	default:
@@ -135,7 +135,7 @@
 	f.watches <- c
 }
 
-func (f *fleet) follow(ctx context.Context) error {
+func (f *fleet) followWatches(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
@@ -159,25 +159,25 @@
 	return "http://"
 }
 
-// leaving tells the fleet logic of the stop as soon as it begins, so that
+// announceStop tells the fleet logic of the stop as soon as it begins, so that
 // duties and watches pass on while requests end.
-func (f *fleet) leaving(ctx context.Context) error {
+func (f *fleet) announceStop(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
-	case <-f.parts.halt.Begun():
+	case <-f.parts.drainer.Begun():
 		f.hub.Post(node.Stop{})
 	}
 	return nil
 }
 
-// quit tells the others of the end, once nothing is in progress here.
-func (f *fleet) quit(ctx context.Context) {
+// leave tells the others of the end, once nothing is in progress here.
+func (f *fleet) leave(ctx context.Context) {
 	for f.hub.Jobs() > 0 && ctx.Err() == nil {
-		time.Sleep(jobsLook)
+		time.Sleep(jobsInterval)
 	}
 	f.duties.stop()
 	f.hub.Post(node.Leave{})
-	ctx, cancel := context.WithTimeout(ctx, quitTime)
+	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
 	select {
 	case <-f.done:
--- a/internal/app/daemon/fleet_test.go
+++ b/internal/app/daemon/fleet_test.go
@@ -20,18 +20,18 @@
 )
 
 const (
-	// askers and payers are callers at once.
-	askers = 16
-	payers = 4
-	// between is how many answers come between two faults.
-	between = 40
-	// longest bounds the whole test; it fails then, and never earlier by time.
-	longest  = 5 * time.Minute
-	pollTime = 10 * time.Millisecond
+	// chatClients and payers are callers at once.
+	chatClients = 16
+	payClients  = 4
+	// faultSpacing is how many answers come between two faults.
+	faultSpacing = 40
+	// testTimeout bounds the whole test; it fails then, and never earlier by time.
+	testTimeout  = 5 * time.Minute
+	pollInterval = 10 * time.Millisecond
 )
 
-// entries are instances as processes, before stand-ins in this one.
-type entries struct {
+// cluster are instances as processes, before stand-ins in this one.
+type cluster struct {
 	t        testing.TB
 	ctx      context.Context
 	site     *trial.Site
@@ -43,22 +43,22 @@
 	watch time.Duration
 }
 
-func newEntries(t testing.TB, n int) *entries {
+func newCluster(t testing.TB, n int) *cluster {
 	t.Helper()
-	return newEntriesAt(t, n, &trial.Site{Layer: 20 * time.Microsecond})
+	return newClusterAt(t, n, &trial.Site{Layer: 20 * time.Microsecond})
 }
 
-// newEntriesAt puts n instances before a site that is not started yet.
-func newEntriesAt(t testing.TB, n int, site *trial.Site) *entries {
+// newClusterAt puts n instances before a site that is not started yet.
+func newClusterAt(t testing.TB, n int, site *trial.Site) *cluster {
 	t.Helper()
-	return newEntriesThat(t, n, site, 100*time.Millisecond)
+	return newClusterWatch(t, n, site, 100*time.Millisecond)
 }
 
-func newEntriesThat(t testing.TB, n int, site *trial.Site, watch time.Duration) *entries {
+func newClusterWatch(t testing.TB, n int, site *trial.Site, watch time.Duration) *cluster {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), longest)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	t.Cleanup(cancel)
-	e := &entries{
+	e := &cluster{
 		t: t, ctx: ctx, site: site, watch: watch,
 		live: map[string]*process{}, bases: map[string]string{},
 	}
@@ -77,12 +77,12 @@
 }
 
 // start launches one more instance in a data centre and lists it.
-func (e *entries) start(centre string) string {
+func (e *cluster) start(centre string) string {
 	e.t.Helper()
 	return e.startWith(centre, "datacentre")
 }
 
-func (e *entries) startWith(centre, span string) string {
+func (e *cluster) startWith(centre, span string) string {
 	e.t.Helper()
 	e.started++
 	name := fmt.Sprintf("%s-%d", centre, e.started)
@@ -112,7 +112,7 @@
 	return name
 }
 
-func (e *entries) list(name, centre, state string) {
+func (e *cluster) list(name, centre, state string) {
 	e.site.List(store.ListedBody{
 		ID: name, Role: store.RoleEntry, State: state, DataCentre: centre,
 		URL: "http://" + e.live[name].address(e.t, "daemon: serving peers"),
@@ -120,7 +120,7 @@
 }
 
 // ready waits until the instance says that callers may come.
-func (e *entries) ready(name string) {
+func (e *cluster) ready(name string) {
 	e.t.Helper()
 	for {
 		req, err := http.NewRequestWithContext(e.ctx, http.MethodGet, e.bases[name]+"/readyz", http.NoBody)
@@ -140,7 +140,7 @@
 }
 
 // balance has the balancer send callers to the instances listed now.
-func (e *entries) balance() {
+func (e *cluster) balance() {
 	var bases []string
 	for name := range e.live {
 		bases = append(bases, e.bases[name])
@@ -148,7 +148,7 @@
 	e.balancer.Set(bases)
 }
 
-func (e *entries) remove(name string) *process {
+func (e *cluster) remove(name string) *process {
 	p := e.live[name]
 	delete(e.live, name)
 	e.balance()
@@ -158,28 +158,28 @@
 func pause(ctx context.Context) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(pollTime):
+	case <-time.After(pollInterval):
 	}
 }
 
 // work is steady work of many callers, and what came of it.
 type work struct {
-	e       *entries
-	stop    chan struct{}
-	group   sync.WaitGroup
-	mu      sync.Mutex
-	answers int
-	cuts    int
-	faults  []string
-	told    map[string]string
+	e        *cluster
+	stop     chan struct{}
+	group    sync.WaitGroup
+	mu       sync.Mutex
+	answers  int
+	cuts     int
+	faults   []string
+	outcomes map[string]string
 }
 
-func (e *entries) work() *work {
-	w := &work{e: e, stop: make(chan struct{}), told: map[string]string{}}
-	for i := range askers {
+func (e *cluster) work() *work {
+	w := &work{e: e, stop: make(chan struct{}), outcomes: map[string]string{}}
+	for i := range chatClients {
 		w.group.Go(func() { w.ask(i) })
 	}
-	for i := range payers {
+	for i := range payClients {
 		w.group.Go(func() { w.pay(i) })
 	}
 	return w
@@ -229,13 +229,13 @@
 		if err != nil {
 			w.faults = append(w.faults, fmt.Sprintf("payment %s: %v", key, err))
 		}
-		w.told[key] = o.State
+		w.outcomes[key] = o.State
 		w.mu.Unlock()
 	}
 }
 
-// more waits until n more answers came.
-func (w *work) more(n int) {
+// waitAnswers waits until n more answers came.
+func (w *work) waitAnswers(n int) {
 	want := w.count() + n
 	for w.count() < want && w.e.ctx.Err() == nil {
 		pause(w.e.ctx)
@@ -248,8 +248,8 @@
 	return w.answers
 }
 
-// end stops the callers and checks what came.
-func (w *work) end(t *testing.T) {
+// finish stops the callers and checks what came.
+func (w *work) finish(t *testing.T) {
 	t.Helper()
 	close(w.stop)
 	w.group.Wait()
@@ -257,7 +257,7 @@
 		t.Error(f)
 	}
 	states := map[string]int{}
-	for key, state := range w.told {
+	for key, state := range w.outcomes {
 		states[state]++
 		runs := w.e.site.Desk().Runs(key)
 		if runs > 1 {
@@ -278,52 +278,52 @@
 // token twice, and no payment may run twice: a cut stream is resumed at another
 // instance by its resume token, and payments are fenced by their record.
 func TestFourInstancesUnderFaultsLoseNothing(t *testing.T) {
-	e := newEntries(t, 4)
+	e := newCluster(t, 4)
 	w := e.work()
-	w.more(between)
+	w.waitAnswers(faultSpacing)
 
 	e.remove("klang-1").kill()
-	w.more(between)
+	w.waitAnswers(faultSpacing)
 	name := e.start(trial.Centre)
 	e.ready(name)
 	e.balance()
-	w.more(between)
+	w.waitAnswers(faultSpacing)
 
 	e.list("klang-2", trial.Centre, frame.StateLeaving)
 	if code := e.remove("klang-2").stop(); code != 0 {
 		t.Errorf("got exit code %d of a stopped instance, want 0", code)
 	}
-	w.more(between)
+	w.waitAnswers(faultSpacing)
 
 	e.site.Table().Fault(infra.Faults{Down: true})
-	w.more(between)
+	w.waitAnswers(faultSpacing)
 	e.site.Table().Fault(infra.Faults{})
-	w.more(between)
+	w.waitAnswers(faultSpacing)
 
 	frozen := e.remove("klang-3")
 	frozen.freeze()
-	w.more(between / 2)
+	w.waitAnswers(faultSpacing / 2)
 	frozen.thaw()
-	w.more(between)
+	w.waitAnswers(faultSpacing)
 
 	e.site.Engines()[1].Kill()
-	w.more(between)
+	w.waitAnswers(faultSpacing)
 	e.site.Engines()[1].Revive()
-	w.more(between)
-	w.end(t)
+	w.waitAnswers(faultSpacing)
+	w.finish(t)
 }
 
 // A stopped instance ends with code 0 only after its streams ended; callers
 // see no cut, although new ones come until the balancer knows.
 func TestStopOfAnInstanceCutsNothing(t *testing.T) {
-	e := newEntries(t, 2)
+	e := newCluster(t, 2)
 	w := e.work()
-	w.more(between)
+	w.waitAnswers(faultSpacing)
 	if code := e.remove("klang-1").stop(); code != 0 {
 		t.Errorf("got exit code %d, want 0", code)
 	}
-	w.more(between)
-	w.end(t)
+	w.waitAnswers(faultSpacing)
+	w.finish(t)
 	if w.cuts != 0 {
 		t.Errorf("got %d cut streams, want 0", w.cuts)
 	}
@@ -337,16 +337,16 @@
 // caller sees a cut: their instance goes on with another one, checks each
 // token's index, and passes over what callers have.
 func TestForwardedAnswersAreWholeThoughTheirInstanceDies(t *testing.T) {
-	e := newEntries(t, 2)
+	e := newCluster(t, 2)
 	far := e.start("penang")
 	e.ready(far)
 	e.balancer.Set([]string{e.bases[far]})
 	w := e.work()
-	w.more(between)
+	w.waitAnswers(faultSpacing)
 	e.live["klang-1"].kill()
 	delete(e.live, "klang-1")
-	w.more(between)
-	w.end(t)
+	w.waitAnswers(faultSpacing)
+	w.finish(t)
 	if w.cuts != 0 {
 		t.Errorf("got %d cut streams, want 0", w.cuts)
 	}
@@ -356,9 +356,9 @@
 // rolling upgrade: a new one joins and is ready, then an old one stops. Callers
 // see no cut and no refusal that lasts, and each old one ends with code 0.
 func TestRollingRestartCutsNothing(t *testing.T) {
-	e := newEntries(t, 4)
+	e := newCluster(t, 4)
 	w := e.work()
-	w.more(between / 2)
+	w.waitAnswers(faultSpacing / 2)
 	for i := range 4 {
 		fresh := e.start(trial.Centre)
 		e.ready(fresh)
@@ -368,9 +368,9 @@
 			t.Errorf("got exit code %d of %s, want 0", code, old)
 		}
 		e.site.Unlist(old)
-		w.more(between / 2)
+		w.waitAnswers(faultSpacing / 2)
 	}
-	w.end(t)
+	w.finish(t)
 	if w.cuts != 0 {
 		t.Errorf("got %d cut streams, want 0", w.cuts)
 	}
@@ -380,31 +380,31 @@
 // An instance in one without engines runs chains over those of the others by
 // itself, and loses nothing when the instance beside the engines dies.
 func TestChainsRunOverARegion(t *testing.T) {
-	e := newEntries(t, 0)
+	e := newCluster(t, 0)
 	beside := e.startWith(trial.Centre, "region")
 	far := e.startWith("penang", "region")
 	e.ready(beside)
 	e.ready(far)
 	e.remove(beside).kill()
 	w := e.work()
-	w.more(between)
-	w.end(t)
+	w.waitAnswers(faultSpacing)
+	w.finish(t)
 }
 
 // A day's deaths in less than a minute: nineteen instances fail one after
 // another and each is replaced, while clerks ask and pay. Every answer comes
 // whole and no payment runs twice, whatever died while it was under way.
 func TestNineteenDeathsLoseNothing(t *testing.T) {
-	e := newEntries(t, 4)
+	e := newCluster(t, 4)
 	w := e.work()
 	for i := range 19 {
-		w.more(5)
+		w.waitAnswers(5)
 		e.remove(fmt.Sprintf("%s-%d", trial.Centre, i+1)).kill()
 		e.site.Unlist(fmt.Sprintf("%s-%d", trial.Centre, i+1))
 		fresh := e.start(trial.Centre)
 		e.ready(fresh)
 		e.balance()
 	}
-	w.more(between)
-	w.end(t)
+	w.waitAnswers(faultSpacing)
+	w.finish(t)
 }
--- a/internal/app/daemon/forward.go
+++ b/internal/app/daemon/forward.go
@@ -20,28 +20,28 @@
 // stays here.
 const maxForwards = 3
 
-// models runs model requests here, or at another data centre if the routing
+// modelRunner runs model requests here, or at another data centre if the routing
 // logic says so.
-type models struct {
+type modelRunner struct {
 	*Daemon
 }
 
 // Run brings the whole answer to sink. A request whose other instance is lost
 // is decided on anew, from the next token: staying here would lose the answer
 // where the own data centre has no engines of the model.
-func (m *models) Run(ctx context.Context, job chain.Job, sink chain.Sink) (chain.Result, error) {
+func (m *modelRunner) Run(ctx context.Context, job chain.Job, sink chain.Sink) (chain.Result, error) {
 	if m.parts.fleet == nil {
 		return m.parts.runner.Run(ctx, job, sink)
 	}
-	given := &given{sum: xxhash.New(), sink: sink}
+	given := &delivered{hash: xxhash.New(), sink: sink}
 	for try := range maxForwards {
-		result, err := m.parts.runner.Run(ctx, job, given.next())
+		result, err := m.parts.runner.Run(ctx, job, given.nextSink())
 		var forward *chain.ForwardError
 		if !errors.As(err, &forward) {
 			return result, err
 		}
-		to := m.parts.fleet.beside(forward.To, try)
-		result, err = m.forward(ctx, to, job, given.next())
+		to := m.parts.fleet.forwardTarget(forward.To, try)
+		result, err = m.forward(ctx, to, job, given.nextSink())
 		if !errors.Is(err, peer.ErrRefused) && !errors.Is(err, peer.ErrBroken) {
 			return result, err
 		}
@@ -53,11 +53,11 @@
 		job.Arrived.ReceivedTokens = max(job.Arrived.ReceivedTokens, given.count)
 	}
 	job.Arrived.Hops = 1
-	return m.parts.runner.Run(ctx, job, given.next())
+	return m.parts.runner.Run(ctx, job, given.nextSink())
 }
 
 // forward has another instance run the request.
-func (m *models) forward(ctx context.Context, to spec.InstanceID, job chain.Job, sink chain.Sink) (chain.Result, error) {
+func (m *modelRunner) forward(ctx context.Context, to spec.InstanceID, job chain.Job, sink chain.Sink) (chain.Result, error) {
 	end, err := m.parts.fleet.hub.Forward(ctx, to, peerJob(job), func(t peer.Token) error {
 		return sink(chain.Token{Index: t.Index, Text: t.Text})
 	})
@@ -68,22 +68,22 @@
 	return chain.Result{Tokens: end.Count, Stop: end.Stop}, err
 }
 
-// given is what the caller has of an answer that may be made more than once.
-type given struct {
-	sum   *xxhash.Digest
+// delivered is what the caller has of an answer that may be made more than once.
+type delivered struct {
+	hash  *xxhash.Digest
 	count int
 	sink  chain.Sink
 }
 
-// next is the sink of one more making of the answer, from its first token. It
+// nextSink is the sink of one more making of the answer, from its first token. It
 // passes over what the caller has, and refuses an answer that differs from it:
 // halves of different answers must not be joined.
-func (g *given) next() chain.Sink {
-	had, want := g.count, g.sum.Sum64()
+func (g *delivered) nextSink() chain.Sink {
+	had, want := g.count, g.hash.Sum64()
 	sum := xxhash.New()
 	return func(t chain.Token) error {
 		if t.Index >= had {
-			_, _ = g.sum.WriteString(t.Text)
+			_, _ = g.hash.WriteString(t.Text)
 			g.count++
 			return g.sink(t)
 		}
@@ -118,13 +118,13 @@
 	return errors.Errorf("forward: the other instance failed: %s %s", f.Code, f.Text)
 }
 
-// server runs requests that other instances forward.
-type server struct {
+// forwardServer runs requests that other instances forward.
+type forwardServer struct {
 	*Daemon
 }
 
 // ServeForwarded brings the answer to the other instance.
-func (s *server) ServeForwarded(ctx context.Context, _ spec.InstanceID, job peer.Job, sink func(peer.Token) error) (peer.End, error) {
+func (s *forwardServer) ServeForwarded(ctx context.Context, _ spec.InstanceID, job peer.Job, sink func(peer.Token) error) (peer.End, error) {
 	arrived := domain.RequestArrived{
 		Request: job.Request, Team: job.Team, Class: job.Class, Model: job.Model, PromptTokens: job.Prompt,
 		MaxTokens: job.Limit, BlockHashes: job.Blocks, Fingerprint: job.Print, Hops: job.Hops,
--- a/internal/app/daemon/gauges.go
+++ b/internal/app/daemon/gauges.go
@@ -12,21 +12,21 @@
 	"go.uber.org/zap"
 )
 
-// gaugeTime bounds how long a scrape waits for the routing logic.
-const gaugeTime = time.Second
+// gaugeTimeout bounds how long a scrape waits for the routing logic.
+const gaugeTimeout = time.Second
 
 // gauges writes what stands in the status as metrics, at each scrape. What has
 // gone since leaves no stale line behind.
 func (d *Daemon) gauges(w io.Writer) {
-	ctx, cancel := context.WithTimeout(context.Background(), gaugeTime)
+	ctx, cancel := context.WithTimeout(context.Background(), gaugeTimeout)
 	defer cancel()
 	s, err := d.Status(ctx)
 	if err != nil {
 		d.Log.Warn("daemon: no gauges, the routing logic does not answer", zap.Error(err))
 		return
 	}
-	gauge(w, "ready", "", number(s.Ready))
-	gauge(w, "stopping", "", number(s.Stopping))
+	gauge(w, "ready", "", boolValue(s.Ready))
+	gauge(w, "stopping", "", boolValue(s.Stopping))
 	gauge(w, "configuration_version", "", float64(s.Version))
 	gauge(w, "leaving", "", float64(len(s.Leaving)))
 	if p := s.Placement; p != nil {
@@ -58,7 +58,7 @@
 	metrics.WriteGaugeFloat64(w, "fulmarwick_"+name+label, value)
 }
 
-func number(b bool) float64 {
+func boolValue(b bool) float64 {
 	if b {
 		return 1
 	}
--- a/internal/app/daemon/idle_test.go
+++ b/internal/app/daemon/idle_test.go
@@ -21,7 +21,7 @@
 // BenchmarkIdle gives the processor time and the memory of one of four
 // instances before thirty engines while no caller asks: what control takes.
 func BenchmarkIdle(b *testing.B) {
-	e := newEntriesThat(b, 4, &trial.Site{Layer: 20 * time.Microsecond, Copies: 5}, time.Second)
+	e := newClusterWatch(b, 4, &trial.Site{Layer: 20 * time.Microsecond, Copies: 5}, time.Second)
 	for range b.N {
 		before := map[string]int{}
 		for name, p := range e.live {
@@ -42,7 +42,7 @@
 // ticks is the processor time of a process in clock ticks.
 func ticks(b *testing.B, p *process) int {
 	b.Helper()
-	fields := strings.Fields(proc(b, p, "stat"))
+	fields := strings.Fields(procFile(b, p, "stat"))
 	sum := 0
 	for _, f := range fields[13:15] {
 		n, err := strconv.Atoi(f)
@@ -57,7 +57,7 @@
 // residentKB is the memory of a process that is not swapped.
 func residentKB(b *testing.B, p *process) int {
 	b.Helper()
-	_, rest, _ := strings.Cut(proc(b, p, "status"), "VmRSS:")
+	_, rest, _ := strings.Cut(procFile(b, p, "status"), "VmRSS:")
 	n, err := strconv.Atoi(strings.Fields(rest)[0])
 	if err != nil {
 		b.Fatal(err)
@@ -65,7 +65,7 @@
 	return n
 }
 
-func proc(b *testing.B, p *process, file string) string {
+func procFile(b *testing.B, p *process, file string) string {
 	b.Helper()
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/%s", p.cmd.Process.Pid, file))
 	if err != nil {
--- a/internal/app/daemon/tap.go
+++ b/internal/app/daemon/interceptor.go
@@ -11,19 +11,19 @@
 	"fulmarwick/internal/wire/engine"
 )
 
-// tap passes events on to the routing logic and shows engines' reports to the
+// interceptor passes events on to the routing logic and shows engines' reports to the
 // orders, which trust nothing else.
-type tap struct {
+type interceptor struct {
 	*Daemon
 	mu    sync.Mutex
 	kinds map[spec.UpstreamID]string
 }
 
 // Post passes an event on.
-func (t *tap) Post(ev domain.Event) {
+func (t *interceptor) Post(ev domain.Event) {
 	switch ev := ev.(type) {
 	case domain.EngineReport:
-		t.seen(ev.Engine)
+		t.recordReport(ev.Engine)
 	case domain.EngineDead:
 		t.parts.duties.orders.RemoveReport(ev.Engine)
 		t.parts.pool.Break(ev.Engine)
@@ -37,7 +37,7 @@
 	t.parts.loop.Post(ev)
 }
 
-func (t *tap) seen(e domain.Engine) {
+func (t *interceptor) recordReport(e domain.Engine) {
 	t.mu.Lock()
 	if t.kinds == nil {
 		t.kinds = map[spec.UpstreamID]string{}
@@ -47,7 +47,7 @@
 	t.parts.duties.orders.ApplyReport(e.ID, frame.Engine{Seq: e.Seq, Holds: holdFrames(e.Loaded)})
 }
 
-func (t *tap) kind(id spec.UpstreamID) string {
+func (t *interceptor) kind(id spec.UpstreamID) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.kinds[id]
@@ -58,17 +58,17 @@
 	pool *engine.Pool
 	http *http.Client
 
-	mu    sync.Mutex
-	bases map[spec.UpstreamID]string
+	mu       sync.Mutex
+	baseURLs map[spec.UpstreamID]string
 }
 
 // Locate learns where an engine is.
 func (c *controls) Locate(id spec.UpstreamID, base string) {
 	c.mu.Lock()
-	if c.bases == nil {
-		c.bases = map[spec.UpstreamID]string{}
+	if c.baseURLs == nil {
+		c.baseURLs = map[spec.UpstreamID]string{}
 	}
-	c.bases[id] = base
+	c.baseURLs[id] = base
 	c.mu.Unlock()
 	c.pool.Locate(id, base)
 }
@@ -76,7 +76,7 @@
 // SendOrder sends an order to an engine.
 func (c *controls) SendOrder(ctx context.Context, id spec.UpstreamID, o frame.Order) error {
 	c.mu.Lock()
-	base := c.bases[id]
+	base := c.baseURLs[id]
 	c.mu.Unlock()
 	return (&engine.Control{HTTP: c.http, Base: base}).Order(ctx, o)
 }
--- a/internal/app/daemon/members.go
+++ b/internal/app/daemon/members.go
@@ -19,36 +19,36 @@
 	return slices.Clone(f.members)
 }
 
-// near are the peers that share the detail of engines.
-func (f *fleet) near(peers []node.Peer) []spec.InstanceID {
+// inLocalSpan are the peers that share the detail of engines.
+func (f *fleet) inLocalSpan(peers []node.Peer) []spec.InstanceID {
 	var out []spec.InstanceID
 	for _, p := range peers {
-		if string(p.DataCentre) == f.unit() {
+		if string(p.DataCentre) == f.localSpan() {
 			out = append(out, p.ID)
 		}
 	}
 	return out
 }
 
-func (f *fleet) met(peers []node.Peer) {
+func (f *fleet) setMembers(peers []node.Peer) {
 	f.mu.Lock()
 	now := time.Now()
 	for _, p := range f.members {
-		f.left[p.ID] = now
+		f.lastSeen[p.ID] = now
 	}
 	f.members = peers
 	for _, p := range peers {
-		delete(f.left, p.ID)
+		delete(f.lastSeen, p.ID)
 	}
 	f.mu.Unlock()
 	f.parts.budget.SetInstances(1 + len(peers))
-	f.parts.loop.Post(domain.PeersChanged{Peers: f.near(peers)})
+	f.parts.loop.Post(domain.PeersChanged{Peers: f.inLocalSpan(peers)})
 }
 
-// gone reports whether an instance is out of the members for so long that it
+// peerExited reports whether an instance is out of the members for so long that it
 // will not bring its records to their end. If it only pauses, its caller may
 // be told unsure before the end, which is true at that time.
-func (f *fleet) gone(id spec.InstanceID) bool {
+func (f *fleet) peerExited(id spec.InstanceID) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if string(id) == f.Settings.Instance.Name {
@@ -57,22 +57,22 @@
 	if slices.ContainsFunc(f.members, func(p node.Peer) bool { return p.ID == id }) {
 		return false
 	}
-	since, ok := f.left[id]
+	since, ok := f.lastSeen[id]
 	if !ok {
-		since = f.began
+		since = f.startTime
 	}
-	return time.Since(since) > goneAfter
+	return time.Since(since) > exitedAfter
 }
 
-// tellers is up to how many instances each tells the room of its own part.
-const tellers = 16
+// maxReporters is up to how many instances each tells the room of its own part.
+const maxReporters = 16
 
-// beside is whom a request goes to that is forwarded to an instance: that one,
+// forwardTarget is whom a request goes to that is forwarded to an instance: that one,
 // or at the first try in a large fleet any of its data centre. There one
 // instance tells the room for all, and would get all that others forward.
-func (f *fleet) beside(to spec.InstanceID, try int) spec.InstanceID {
+func (f *fleet) forwardTarget(to spec.InstanceID, try int) spec.InstanceID {
 	peers := f.peers()
-	if try > 0 || len(peers) < tellers {
+	if try > 0 || len(peers) < maxReporters {
 		return to
 	}
 	at := slices.IndexFunc(peers, func(p node.Peer) bool { return p.ID == to })
@@ -87,8 +87,8 @@
 	return peers[rand.IntN(len(peers))].ID
 }
 
-// listed tells the fleet logic who should be there.
-func (f *fleet) listed(list []store.ListedBody) {
+// handleList tells the fleet logic who should be there.
+func (f *fleet) handleList(list []store.ListedBody) {
 	var ev node.DiscoveryList
 	for _, p := range f.Settings.Peers {
 		ev.Peers = append(ev.Peers, node.Peer{ID: spec.InstanceID(p.Name), URL: f.scheme() + p.Address})
@@ -98,7 +98,7 @@
 		case store.RoleEntry:
 			ev.Peers = f.addPeer(ev.Peers, l)
 		case store.RoleEngine:
-			if f.unitOf(l.DataCentre) == f.unit() {
+			if f.spanOf(l.DataCentre) == f.localSpan() {
 				ev.Engines = append(ev.Engines, spec.UpstreamID(l.ID))
 			}
 		}
@@ -112,7 +112,7 @@
 // addPeer adds an instance of the platform's list, which knows more than the
 // settings.
 func (f *fleet) addPeer(peers []node.Peer, l store.ListedBody) []node.Peer {
-	p := node.Peer{ID: spec.InstanceID(l.ID), DataCentre: spec.DataCentre(f.unitOf(l.DataCentre)), URL: l.URL}
+	p := node.Peer{ID: spec.InstanceID(l.ID), DataCentre: spec.DataCentre(f.spanOf(l.DataCentre)), URL: l.URL}
 	p.Passive = l.State == frame.StateLeaving
 	for i := range peers {
 		if peers[i].ID == p.ID {
--- a/internal/app/daemon/outage_test.go
+++ b/internal/app/daemon/outage_test.go
@@ -15,7 +15,7 @@
 // outage. It takes the configuration from the others and serves model work;
 // payments are refused as not run, which is true, until the platform is back.
 func TestInstanceStartsWhileThePlatformIsOut(t *testing.T) {
-	e := newEntries(t, 2)
+	e := newCluster(t, 2)
 	e.site.Table().Fault(infra.Faults{Down: true})
 	fresh := e.start(trial.Centre)
 	e.ready(fresh)
@@ -25,7 +25,7 @@
 		t.Errorf("got %d tokens and %v in the outage, want 10", a.Tokens, err)
 	}
 	status, text := post(t, e.bases[fresh]+"/v1/calls/payment", "k1", `{"amount":1}`)
-	if status != http.StatusServiceUnavailable || code(text) != "store-down" {
+	if status != http.StatusServiceUnavailable || errorCode(text) != "store-down" {
 		t.Errorf("got %d %s for a payment in the outage, want 503 store-down", status, text)
 	}
 	if got := e.site.Desk().Runs("k1"); got != 0 {
@@ -42,16 +42,16 @@
 // unsure, never not run; the outcome look-up then settles each from the
 // service itself, at any instance, and a repeat of the key pays nothing more.
 func TestLostAnswersOfPaymentsAreSettledByLookUp(t *testing.T) {
-	e := newEntries(t, 2)
+	e := newCluster(t, 2)
 	e.site.Desk().Cut(3)
 	for i := range 3 {
 		key := fmt.Sprintf("k%d", i)
 		status, text := post(t, e.bases["klang-1"]+"/v1/calls/payment", key, `{"amount":1}`)
-		if status != http.StatusOK && code(text) != "unsure" {
+		if status != http.StatusOK && errorCode(text) != "unsure" {
 			t.Errorf("got %d %s, want unsure or the answer", status, text)
 		}
 		for !settled(t, e, key) {
-			time.Sleep(pollTime)
+			time.Sleep(pollInterval)
 		}
 		post(t, e.bases["klang-2"]+"/v1/calls/payment", key, `{"amount":1}`)
 		if got := e.site.Desk().Runs(key); got != 1 {
@@ -61,7 +61,7 @@
 }
 
 // settled asks the other instance whether the payment is known as done.
-func settled(t *testing.T, e *entries, key string) bool {
+func settled(t *testing.T, e *cluster, key string) bool {
 	t.Helper()
 	req, err := http.NewRequestWithContext(e.ctx, http.MethodGet, e.bases["klang-2"]+"/v1/calls/payment/"+key, http.NoBody)
 	if err != nil {
@@ -83,7 +83,7 @@
 // one sends nothing, but must not say that the payment did not run: its caller
 // would pay again under a new key.
 func TestRepeatInAnOutageIsNotToldAsNotRun(t *testing.T) {
-	e := newEntries(t, 2)
+	e := newCluster(t, 2)
 	post(t, e.bases["klang-1"]+"/v1/calls/payment", "k1", `{"amount":1}`)
 	e.remove("klang-1").kill()
 	e.site.Table().Fault(infra.Faults{Down: true})
--- a/internal/app/daemon/peertls_test.go
+++ b/internal/app/daemon/peertls_test.go
@@ -20,8 +20,8 @@
 	"go.uber.org/zap"
 )
 
-// mutual runs an instance whose peers' endpoint uses the certificate in files.
-func mutual(t *testing.T, site *trial.Site, name string, files trust.Files) (callers, peers string) {
+// runPeerTLS runs an instance whose peers' endpoint uses the certificate in files.
+func runPeerTLS(t *testing.T, site *trial.Site, name string, files trust.Files) (callers, peers string) {
 	t.Helper()
 	var at [3]net.Listener
 	for i := range at {
@@ -73,11 +73,11 @@
 			t.Fatal(err)
 		}
 		authority = files.CA
-		operators[i], peers[i] = mutual(t, site, name, files)
+		operators[i], peers[i] = runPeerTLS(t, site, name, files)
 	}
 	for _, base := range operators {
-		for others(t, base) != 1 {
-			time.Sleep(pollTime)
+		for peerCount(t, base) != 1 {
+			time.Sleep(pollInterval)
 		}
 	}
 	pool := x509.NewCertPool()
@@ -93,8 +93,8 @@
 	}
 }
 
-// others is how many other instances the instance at base knows.
-func others(t *testing.T, base string) int {
+// peerCount is how many other instances the instance at base knows.
+func peerCount(t *testing.T, base string) int {
 	t.Helper()
 	c := &admin.Client{Base: base, HTTP: http.DefaultClient}
 	s, err := c.Status(t.Context())
--- a/internal/app/daemon/poison_test.go
+++ b/internal/app/daemon/poison_test.go
@@ -15,9 +15,9 @@
 // the second death names it, and every instance refuses it from then on. All
 // that ran beside it on those engines finish whole.
 func TestPoisonCostsTwoEnginesOverTheFleet(t *testing.T) {
-	e := newEntriesAt(t, 4, &trial.Site{Layer: 20 * time.Microsecond, Copies: 5, Poison: "venom"})
+	e := newClusterAt(t, 4, &trial.Site{Layer: 20 * time.Microsecond, Copies: 5, Poison: "venom"})
 	w := e.work()
-	w.more(between)
+	w.waitAnswers(faultSpacing)
 	body := `{"model":"levy-13b","max_tokens":20,"messages":[{"role":"user","content":"this is venom for engines"}]}`
 	codes := map[string]int{}
 	for i := range 12 {
@@ -25,10 +25,10 @@
 		if status == http.StatusOK {
 			t.Errorf("got an answer to a request that kills its engines: %s", text)
 		}
-		codes[code(text)]++
+		codes[errorCode(text)]++
 	}
-	w.more(between)
-	w.end(t)
+	w.waitAnswers(faultSpacing)
+	w.finish(t)
 	dead := 0
 	for _, engine := range e.site.Engines() {
 		if engine.Dead() {
@@ -44,8 +44,8 @@
 	t.Logf("%d engines lost, refusals %v", dead, codes)
 }
 
-// code is the stable code of an error body.
-func code(text string) string {
+// errorCode is the stable code of an error body.
+func errorCode(text string) string {
 	_, rest, _ := strings.Cut(text, `"code":"`)
 	out, _, _ := strings.Cut(rest, `"`)
 	return out
--- a/internal/app/daemon/recovery_test.go
+++ b/internal/app/daemon/recovery_test.go
@@ -16,15 +16,15 @@
 const (
 	// longAnswer is in tokens and takes about two seconds alone.
 	longAnswer = 600
-	// under is how many streams are under way when something dies.
-	under = 24
+	// streamCount is how many streams are under way when something dies.
+	streamCount = 24
 )
 
 // streams starts long answers and returns what waits for all of them.
-func (e *entries) streams(b *testing.B) func() []caller.Answer {
+func (e *cluster) streams(b *testing.B) func() []caller.Answer {
 	var group sync.WaitGroup
-	out := make([]caller.Answer, under)
-	for i := range under {
+	out := make([]caller.Answer, streamCount)
+	for i := range streamCount {
 		group.Go(func() {
 			c := (&work{e: e}).caller()
 			text := fmt.Sprintf("a long notice %d", i)
@@ -50,17 +50,17 @@
 func BenchmarkRecovery(b *testing.B) {
 	deaths := []struct {
 		name string
-		die  func(e *entries)
+		die  func(e *cluster)
 	}{
-		{"none", func(*entries) {}},
-		{"instance", func(e *entries) { e.remove("klang-1").kill() }},
-		{"engine", func(e *entries) { e.busiest()[0].Kill() }},
-		{"engines", func(e *entries) {
+		{"none", func(*cluster) {}},
+		{"instance", func(e *cluster) { e.remove("klang-1").kill() }},
+		{"engine", func(e *cluster) { e.busiest()[0].Kill() }},
+		{"engines", func(e *cluster) {
 			for _, engine := range e.busiest()[:2] {
 				engine.Kill()
 			}
 		}},
-		{"hang", func(e *entries) {
+		{"hang", func(e *cluster) {
 			engine := e.busiest()[0]
 			engine.Freeze()
 			e.t.Cleanup(engine.Thaw)
@@ -69,22 +69,22 @@
 	for _, d := range deaths {
 		b.Run(d.name, func(b *testing.B) {
 			for range b.N {
-				recovery(b, d.die)
+				runRecovery(b, d.die)
 			}
 		})
 	}
 }
 
 // busiest are the engines by how many requests they hold state of.
-func (e *entries) busiest() []*stage.Engine {
+func (e *cluster) busiest() []*stage.Engine {
 	out := slices.Clone(e.site.Engines())
 	slices.SortStableFunc(out, func(a, b *stage.Engine) int { return b.Sessions() - a.Sessions() })
 	return out
 }
 
-func recovery(b *testing.B, die func(*entries)) {
+func runRecovery(b *testing.B, die func(*cluster)) {
 	// Five of each make the thirty engines of the association.
-	e := newEntriesAt(b, 4, &trial.Site{Layer: 20 * time.Microsecond, Copies: 5})
+	e := newClusterAt(b, 4, &trial.Site{Layer: 20 * time.Microsecond, Copies: 5})
 	wait := e.streams(b)
 	time.Sleep(500 * time.Millisecond)
 	die(e)
--- a/internal/app/daemon/settings.go
+++ b/internal/app/daemon/settings.go
@@ -11,15 +11,15 @@
 	"github.com/go-faster/errors"
 )
 
-// settings shows and changes the configuration for operators.
-type settings struct {
+// configAdmin shows and changes the configuration for operators.
+type configAdmin struct {
 	*Daemon
 }
 
 // Show is what is in force here and, as last heard, on the others.
-func (s *settings) Show(context.Context) (admin.Shown, error) {
+func (s *configAdmin) Show(context.Context) (admin.Shown, error) {
 	out := admin.Shown{Instance: s.Settings.Instance.Name, Instances: []admin.Instance{}}
-	if now := s.parts.book.Snapshot(); now != nil {
+	if now := s.parts.active.Snapshot(); now != nil {
 		out.Version, out.Document = now.Version(), now.Text()
 	}
 	if s.parts.fleet != nil {
@@ -29,36 +29,36 @@
 }
 
 // History is the newest changes.
-func (s *settings) History(ctx context.Context, limit int) ([]admin.Change, error) {
+func (s *configAdmin) History(ctx context.Context, limit int) ([]admin.Change, error) {
 	entries, err := s.parts.applier.History(ctx, limit)
 	if err != nil {
-		return nil, settingsError(err)
+		return nil, adminError(err)
 	}
 	out := make([]admin.Change, 0, len(entries))
 	for _, e := range entries {
 		out = append(out, admin.Change{
-			Version: e.Version, ID: e.ID, By: e.Author, At: stamp(time.Unix(e.At, 0)), Text: strings.Join(e.Sections, ", "),
+			Version: e.Version, ID: e.ID, By: e.Author, At: formatTime(time.Unix(e.At, 0)), Text: strings.Join(e.Sections, ", "),
 		})
 	}
 	return out, nil
 }
 
 // Apply puts a change in force.
-func (s *settings) Apply(ctx context.Context, d admin.Draft) (admin.Applied, error) {
+func (s *configAdmin) Apply(ctx context.Context, d admin.Draft) (admin.Applied, error) {
 	change := config.Change{Author: d.By, BaseVersion: d.Base}
 	for _, doc := range d.Documents {
 		change.Documents = append(change.Documents, config.Document{File: doc.Name, Data: []byte(doc.Text)})
 	}
 	version, err := s.parts.applier.Apply(ctx, change)
 	if err != nil {
-		return admin.Applied{}, settingsError(err)
+		return admin.Applied{}, adminError(err)
 	}
 	s.parts.follower.NotifyVersion(version)
 	return admin.Applied{Version: version}, nil
 }
 
-// settingsError turns an error of the configuration into what operators see.
-func settingsError(err error) error {
+// adminError turns an error of the configuration into what operators see.
+func adminError(err error) error {
 	var invalid *config.InvalidError
 	var conflict *config.ConflictError
 	var unsure *config.OutcomeUnknownError
@@ -72,7 +72,7 @@
 	case errors.As(err, &conflict):
 		out := &admin.ConflictError{}
 		for _, w := range conflict.Winners {
-			out.Winners = append(out.Winners, admin.Change{Version: w.Version, By: w.Author, At: stamp(w.At), Text: w.Section})
+			out.Winners = append(out.Winners, admin.Change{Version: w.Version, By: w.Author, At: formatTime(w.At), Text: w.Section})
 		}
 		return out
 	case errors.As(err, &unsure):
@@ -83,4 +83,4 @@
 	return err
 }
 
-func stamp(t time.Time) string { return t.UTC().Format(time.RFC3339) }
+func formatTime(t time.Time) string { return t.UTC().Format(time.RFC3339) }
--- a/internal/app/daemon/spread_test.go
+++ b/internal/app/daemon/spread_test.go
@@ -11,7 +11,7 @@
 )
 
 // operators are clients of the operators' endpoints of all instances.
-func (e *entries) operators() map[string]*admin.Client {
+func (e *cluster) operators() map[string]*admin.Client {
 	out := map[string]*admin.Client{}
 	for name, p := range e.live {
 		out[name] = &admin.Client{
@@ -22,14 +22,14 @@
 	return out
 }
 
-func target(first time.Duration) admin.Draft {
+func targetDraft(first time.Duration) admin.Draft {
 	text := fmt.Sprintf("[class answer]\nkind = model\nmodel = %s\nfirst = %s\ngap = 100ms\npercent = 95\n", trial.Model, first)
 	return admin.Draft{By: "siti", Documents: []admin.Document{{Name: "answer.ini", Text: text}}}
 }
 
-// everywhere waits until every instance has the version in force, and fails if
+// waitVersion waits until every instance has the version in force, and fails if
 // one ever goes back.
-func (e *entries) everywhere(version uint64) {
+func (e *cluster) waitVersion(version uint64) {
 	e.t.Helper()
 	for name, c := range e.operators() {
 		for last := uint64(0); last < version; {
@@ -51,13 +51,13 @@
 // An operator changes a target at one instance. It comes in force on all four,
 // and a new instance that replaces one of them has it too, never an older one.
 func TestChangeIsInForceEverywhereAndStays(t *testing.T) {
-	e := newEntries(t, 4)
+	e := newCluster(t, 4)
 	for i := range 3 {
-		applied, err := e.operators()["klang-2"].Apply(e.ctx, target(time.Duration(2+i)*time.Second))
+		applied, err := e.operators()["klang-2"].Apply(e.ctx, targetDraft(time.Duration(2+i)*time.Second))
 		if err != nil {
 			t.Fatal(err)
 		}
-		e.everywhere(applied.Version)
+		e.waitVersion(applied.Version)
 		e.remove(fmt.Sprintf("klang-%d", []int{1, 3, 4}[i])).kill()
 		fresh := e.start(trial.Centre)
 		e.ready(fresh)
@@ -71,16 +71,16 @@
 // BenchmarkInForce gives the time from an accepted change to its being in
 // force on four instances that are processes.
 func BenchmarkInForce(b *testing.B) {
-	e := newEntries(b, 4)
+	e := newCluster(b, 4)
 	worst := time.Duration(0)
 	total := time.Duration(0)
 	for i := range b.N {
-		applied, err := e.operators()["klang-1"].Apply(e.ctx, target(time.Duration(1+i%9)*time.Second))
+		applied, err := e.operators()["klang-1"].Apply(e.ctx, targetDraft(time.Duration(1+i%9)*time.Second))
 		if err != nil {
 			b.Fatal(err)
 		}
 		at := time.Now()
-		e.everywhere(applied.Version)
+		e.waitVersion(applied.Version)
 		took := time.Since(at)
 		total += took
 		worst = max(worst, took)
--- a/internal/app/daemon/status.go
+++ b/internal/app/daemon/status.go
@@ -17,10 +17,10 @@
 	out := admin.Status{
 		Instance: d.Settings.Instance.Name, DataCentre: d.Settings.Instance.DataCentre,
 		Region: d.Settings.Instance.Region, Build: d.Build, Goal: d.Settings.Goal.String(),
-		Ready: d.ready(), Stopping: p.halt.Stopping(), Running: p.halt.Running(),
+		Ready: d.ready(), Stopping: p.drainer.Stopping(), Running: p.drainer.Running(),
 		Classes: d.classes(), Engines: []admin.Engine{}, Leaving: []string{}, Instances: []admin.Instance{},
 	}
-	if now := p.book.Snapshot(); now != nil {
+	if now := p.active.Snapshot(); now != nil {
 		out.Version = now.Version()
 	}
 	if p.fleet != nil {
@@ -44,13 +44,13 @@
 // classes are the classes in force, also those that nobody has asked for.
 func (d *Daemon) classes() []admin.Class {
 	out := []admin.Class{}
-	now := d.parts.book.Snapshot()
+	now := d.parts.active.Snapshot()
 	if now == nil {
 		return out
 	}
-	d.parts.board.Keep(now.Classes())
-	seen := map[string]meters.Attained{}
-	for _, a := range d.parts.board.All() {
+	d.parts.attainment.Retain(now.Classes())
+	seen := map[string]meters.Attainment{}
+	for _, a := range d.parts.attainment.All() {
 		seen[string(a.Class.Name())] = a
 	}
 	for _, c := range now.Classes() {
@@ -61,7 +61,7 @@
 		out = append(out, admin.Class{
 			Name: string(c.Name()), Kind: c.Kind().String(), Percent: t.Percent(),
 			Attained: a.Percent(), Requests: a.Seen, Reliability: reliable, Answered: a.Reliability(),
-			Holds: a.Holds() && a.Reliability() >= reliable,
+			Holds: a.MeetsTarget() && a.Reliability() >= reliable,
 			First: timesStatus(t.FirstEvent(), a.First), Gap: timesStatus(t.Gap(), a.Gap), Whole: timesStatus(t.TotalTime(), a.Whole),
 		})
 	}
--- a/internal/app/daemon/stop_test.go
+++ b/internal/app/daemon/stop_test.go
@@ -47,8 +47,8 @@
 	return ledger.Outcome{}, nil
 }
 
-// stopping is an instance's callers' side with all limits on time in force.
-func stopping(g *gated) (*entry.Server, *halt.Drainer) {
+// newStopping is an instance's callers' side with all limits on time in force.
+func newStopping(g *gated) (*entry.Server, *halt.Drainer) {
 	book := &config.Active{}
 	book.SetIfNewer(snapshot())
 	s := setup.Default()
@@ -88,7 +88,7 @@
 	for _, http2 := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			g := &gated{gate: make(chan struct{})}
-			callers, h := stopping(g)
+			callers, h := newStopping(g)
 			listener := inmem.Listen()
 			server := callers.HTTP(h.Handler(callers.Handler()), nil)
 			go func() { _ = server.Serve(listener) }()
--- a/internal/app/lines/lines.go
+++ b/internal/app/lines/lines.go
@@ -21,15 +21,15 @@
 )
 
 const (
-	// backlog is how many lines wait for the writer: about a second of a busy
+	// queueSize is how many lines wait for the writer: about a second of a busy
 	// instance, 300 KB.
-	backlog = 1024
-	// budget is how many lines of a kind are written in a second. An instance
+	queueSize = 1024
+	// lineBudget is how many lines of a kind are written in a second. An instance
 	// of today serves 25 requests a second.
-	budget = 60
-	// urgent is the same for lines of warnings and errors, which tell of what
+	lineBudget = 60
+	// warnBudget is the same for lines of warnings and errors, which tell of what
 	// failed.
-	urgent = 240
+	warnBudget = 240
 )
 
 // Writer writes lines. Set the exported fields before Core.
@@ -44,20 +44,20 @@
 	queue chan []byte
 	done  chan struct{}
 
-	mu      sync.Mutex
-	closed  bool
-	second  int64
-	written map[string]int
-	left    map[string]int
-	lost    int
+	mu         sync.Mutex
+	closed     bool
+	second     int64
+	written    map[string]int
+	overBudget map[string]int
+	lost       int
 }
 
 // Core returns the core of a logger.
 func (w *Writer) Core() zapcore.Core {
 	w.once.Do(func() {
-		w.queue = make(chan []byte, backlog)
+		w.queue = make(chan []byte, queueSize)
 		w.done = make(chan struct{})
-		w.written, w.left = map[string]int{}, map[string]int{}
+		w.written, w.overBudget = map[string]int{}, map[string]int{}
 		go w.run()
 	})
 	config := zap.NewProductionEncoderConfig()
@@ -76,7 +76,7 @@
 	w.closed = true
 	close(w.queue)
 	w.mu.Unlock()
-	timer := time.NewTimer(closeTime)
+	timer := time.NewTimer(closeTimeout)
 	defer timer.Stop()
 	select {
 	case <-w.done:
@@ -84,8 +84,8 @@
 	}
 }
 
-// closeTime bounds the wait for the last lines at the end of the process.
-const closeTime = 200 * time.Millisecond
+// closeTimeout bounds the wait for the last lines at the end of the process.
+const closeTimeout = 200 * time.Millisecond
 
 func (w *Writer) run() {
 	defer close(w.done)
@@ -109,23 +109,23 @@
 	defer w.mu.Unlock()
 	if second := w.now().Unix(); second != w.second {
 		w.second = second
-		left, lost = w.left, w.lost
-		w.written, w.left, w.lost = map[string]int{}, map[string]int{}, 0
+		left, lost = w.overBudget, w.lost
+		w.written, w.overBudget, w.lost = map[string]int{}, map[string]int{}, 0
 	}
-	most := budget
+	most := lineBudget
 	if e.Level >= zapcore.WarnLevel {
-		most = urgent
+		most = warnBudget
 	}
 	if w.written[e.Message] >= most {
-		w.left[e.Message]++
+		w.overBudget[e.Message]++
 		return false, left, lost
 	}
 	w.written[e.Message]++
 	return true, left, lost
 }
 
-// offer queues a line; without room it is lost and counted.
-func (w *Writer) offer(line []byte) {
+// enqueue queues a line; without room it is lost and counted.
+func (w *Writer) enqueue(line []byte) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.closed {
@@ -150,7 +150,7 @@
 // With returns a core that adds fields to each line.
 func (c *core) With(fields []zapcore.Field) zapcore.Core {
 	clone := &core{writer: c.writer, encoder: c.encoder.Clone()}
-	for _, f := range text(fields) {
+	for _, f := range errorsAsText(fields) {
 		f.AddTo(clone.encoder)
 	}
 	return clone
@@ -168,16 +168,16 @@
 func (c *core) Write(e zapcore.Entry, fields []zapcore.Field) error {
 	ok, left, lost := c.writer.admit(e)
 	if len(left) > 0 || lost > 0 {
-		c.leftOut(e, left, lost)
+		c.logDropped(e, left, lost)
 	}
 	if !ok {
 		return nil
 	}
-	return c.encode(e, text(fields))
+	return c.encode(e, errorsAsText(fields))
 }
 
-// leftOut tells what was not written in the second before.
-func (c *core) leftOut(e zapcore.Entry, left map[string]int, lost int) {
+// logDropped tells what was not written in the second before.
+func (c *core) logDropped(e zapcore.Entry, left map[string]int, lost int) {
 	kinds := make([]string, 0, len(left))
 	for kind := range left {
 		kinds = append(kinds, kind)
@@ -199,16 +199,16 @@
 	}
 	line := append([]byte(nil), b.Bytes()...)
 	b.Free()
-	c.writer.offer(line)
+	c.writer.enqueue(line)
 	return nil
 }
 
 // Sync does nothing: lines are written as they come.
 func (c *core) Sync() error { return nil }
 
-// text writes errors as their texts: the stacks that the errors library adds
+// errorsAsText writes errors as their texts: the stacks that the errors library adds
 // would make most of the log's volume.
-func text(fields []zapcore.Field) []zapcore.Field {
+func errorsAsText(fields []zapcore.Field) []zapcore.Field {
 	out := append([]zapcore.Field(nil), fields...)
 	for i, f := range out {
 		if err, ok := f.Interface.(error); ok && f.Type == zapcore.ErrorType {
--- a/internal/app/lines/lines_test.go
+++ b/internal/app/lines/lines_test.go
@@ -28,7 +28,7 @@
 	return c.at
 }
 
-func (c *clock) move(d time.Duration) {
+func (c *clock) advance(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.at = c.at.Add(d)
@@ -48,7 +48,7 @@
 		log.Warn("failed", zap.Error(errors.Wrap(errors.New("cause"), "outer")))
 		log.Debug("hidden")
 	}
-	c.move(time.Second)
+	c.advance(time.Second)
 	log.Info("served", zap.Duration("took", 1500*time.Microsecond))
 	w.Close()
 	got := out.String()
@@ -72,13 +72,13 @@
 	}
 }
 
-// stuck is a reader that takes nothing until it is freed.
-type stuck struct {
+// blockedWriter is a reader that takes nothing until it is freed.
+type blockedWriter struct {
 	free  chan struct{}
 	taken int
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
+func (s *blockedWriter) Write(p []byte) (int, error) {
 	<-s.free
 	s.taken++
 	return len(p), nil
@@ -87,7 +87,7 @@
 // The reader of the log stops. Callers of the log go on without waiting; the
 // lines beyond the buffer are lost and counted.
 func TestStoppedReaderCostsNoTime(t *testing.T) {
-	out := &stuck{free: make(chan struct{})}
+	out := &blockedWriter{free: make(chan struct{})}
 	c := &clock{at: time.Unix(100, 0)}
 	w := &lines.Writer{Out: out, Level: zapcore.InfoLevel, Now: c.now}
 	log := zap.New(w.Core())
@@ -95,7 +95,7 @@
 		for range 50 {
 			log.Info("a")
 		}
-		c.move(time.Second)
+		c.advance(time.Second)
 	}
 	close(out.free)
 	w.Close()
--- a/internal/app/meters/meters.go
+++ b/internal/app/meters/meters.go
@@ -21,30 +21,30 @@
 
 const (
 	// windows of windowTime each are what "of late" means.
-	windows    = 5
-	windowTime = time.Minute
-	// unit is the finest time kept; longest the longest told apart.
-	unit    = 100 * time.Microsecond
-	longest = time.Hour
-	digits  = 2
+	windows      = 5
+	windowLength = time.Minute
+	// resolution is the finest time kept; longest the longest told apart.
+	resolution = 100 * time.Microsecond
+	maxTime    = time.Hour
+	digits     = 2
 )
 
-// Board is the record of all classes. Set the exported fields before use.
-type Board struct {
+// Recorder is the record of all classes. Set the exported fields before use.
+type Recorder struct {
 	// Meters takes the metrics; nil makes a private set.
 	Meters *metrics.Set
 
 	once    sync.Once
 	mu      sync.Mutex
 	start   time.Time
-	classes map[spec.ClassName]*row
+	classes map[spec.ClassName]*classStats
 }
 
-// row is one class.
-type row struct {
+// classStats is one class.
+type classStats struct {
 	class spec.Class
-	// at numbers the newest window since the start.
-	at     int64
+	// window numbers the newest window since the start.
+	window int64
 	counts [windows]counts
 	first  *hdrhistogram.WindowedHistogram
 	gap    *hdrhistogram.WindowedHistogram
@@ -62,8 +62,8 @@
 	P99 time.Duration
 }
 
-// Attained is how a class was served of late.
-type Attained struct {
+// Attainment is how a class was served of late.
+type Attainment struct {
 	Class spec.Class
 	// Seen is how many requests ended, Met how many of them met the target.
 	Seen int64
@@ -76,7 +76,7 @@
 }
 
 // Percent is how many of 100 requests met the target; 100 if there were none.
-func (a Attained) Percent() float64 {
+func (a Attainment) Percent() float64 {
 	if a.Seen == 0 {
 		return 100
 	}
@@ -85,35 +85,35 @@
 
 // Reliability is how many of 100 requests were answered at all; 100 if there
 // were none.
-func (a Attained) Reliability() float64 {
+func (a Attainment) Reliability() float64 {
 	if a.Seen == 0 {
 		return 100
 	}
 	return 100 * float64(a.Answered) / float64(a.Seen)
 }
 
-// Holds reports whether the class meets its target.
-func (a Attained) Holds() bool { return a.Percent() >= a.Class.Target().Percent() }
+// MeetsTarget reports whether the class meets its target.
+func (a Attainment) MeetsTarget() bool { return a.Percent() >= a.Class.Target().Percent() }
 
-func (b *Board) init() {
+func (b *Recorder) init() {
 	b.once.Do(func() {
 		if b.Meters == nil {
 			b.Meters = metrics.NewSet()
 		}
 		b.start = time.Now()
-		b.classes = map[spec.ClassName]*row{}
+		b.classes = map[spec.ClassName]*classStats{}
 	})
 }
 
 // Served takes the end of a request. A request that failed or was refused met
 // no target.
-func (b *Board) Served(class spec.Class, first, gap, whole time.Duration, ok bool) {
+func (b *Recorder) Served(class spec.Class, first, gap, whole time.Duration, ok bool) {
 	b.init()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	r := b.row(class)
-	r.turn(b.window())
-	c := &r.counts[r.at%windows]
+	r := b.statsFor(class)
+	r.advance(b.currentWindow())
+	c := &r.counts[r.window%windows]
 	c.seen++
 	r.seen.Inc()
 	if ok {
@@ -138,26 +138,26 @@
 func record(h *hdrhistogram.WindowedHistogram, d time.Duration) {
 	if d > 0 {
 		// Times above the longest are kept as the longest.
-		_ = h.Current.RecordValue(int64(min(d, longest) / unit))
+		_ = h.Current.RecordValue(int64(min(d, maxTime) / resolution))
 	}
 }
 
 // All is every class in order of name.
-func (b *Board) All() []Attained {
+func (b *Recorder) All() []Attainment {
 	b.init()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	out := make([]Attained, 0, len(b.classes))
+	out := make([]Attainment, 0, len(b.classes))
 	for _, r := range b.classes {
-		r.turn(b.window())
+		r.advance(b.currentWindow())
 		out = append(out, r.attained())
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Class.Name() < out[j].Class.Name() })
 	return out
 }
 
-// Keep forgets the classes that are not in force any more.
-func (b *Board) Keep(classes []spec.Class) {
+// Retain forgets the classes that are not in force any more.
+func (b *Recorder) Retain(classes []spec.Class) {
 	b.init()
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -172,17 +172,17 @@
 	}
 }
 
-func (b *Board) window() int64 { return int64(time.Since(b.start) / windowTime) }
+func (b *Recorder) currentWindow() int64 { return int64(time.Since(b.start) / windowLength) }
 
-func (b *Board) row(class spec.Class) *row {
+func (b *Recorder) statsFor(class spec.Class) *classStats {
 	r := b.classes[class.Name()]
 	if r != nil {
 		r.class = class
 		return r
 	}
-	r = &row{class: class, at: b.window()}
+	r = &classStats{class: class, window: b.currentWindow()}
 	for _, h := range []**hdrhistogram.WindowedHistogram{&r.first, &r.gap, &r.whole} {
-		*h = hdrhistogram.NewWindowed(windows, 1, int64(longest/unit), digits)
+		*h = hdrhistogram.NewWindowed(windows, 1, int64(maxTime/resolution), digits)
 	}
 	r.seen = b.Meters.GetOrCreateCounter(fmt.Sprintf(`fulmarwick_target_seen_total{class=%q}`, class.Name()))
 	r.met = b.Meters.GetOrCreateCounter(fmt.Sprintf(`fulmarwick_target_met_total{class=%q}`, class.Name()))
@@ -190,23 +190,23 @@
 	return r
 }
 
-// turn moves on to window at; windows that nobody used are empty.
-func (r *row) turn(at int64) {
-	for steps := 0; r.at < at && steps < windows; steps++ {
-		r.at++
-		r.counts[r.at%windows] = counts{}
+// advance moves on to window at; windows that nobody used are empty.
+func (r *classStats) advance(at int64) {
+	for steps := 0; r.window < at && steps < windows; steps++ {
+		r.window++
+		r.counts[r.window%windows] = counts{}
 		r.first.Rotate()
 		r.gap.Rotate()
 		r.whole.Rotate()
 	}
-	if r.at < at {
+	if r.window < at {
 		// All windows were emptied; the rest would empty them again.
-		r.at = at
+		r.window = at
 	}
 }
 
-func (r *row) attained() Attained {
-	a := Attained{Class: r.class, First: times(r.first), Gap: times(r.gap), Whole: times(r.whole)}
+func (r *classStats) attained() Attainment {
+	a := Attainment{Class: r.class, First: times(r.first), Gap: times(r.gap), Whole: times(r.whole)}
 	for _, c := range r.counts {
 		a.Seen += c.seen
 		a.Met += c.met
@@ -217,6 +217,6 @@
 
 func times(h *hdrhistogram.WindowedHistogram) Times {
 	all := h.Merge()
-	at := func(q float64) time.Duration { return time.Duration(all.ValueAtQuantile(q)) * unit }
+	at := func(q float64) time.Duration { return time.Duration(all.ValueAtQuantile(q)) * resolution }
 	return Times{P50: at(50), P95: at(95), P99: at(99)}
 }
--- a/internal/app/meters/meters_test.go
+++ b/internal/app/meters/meters_test.go
@@ -26,10 +26,10 @@
 		{"failed", 0, 0, false, 0},
 	}
 	for _, tt := range tests {
-		b := &meters.Board{}
+		b := &meters.Recorder{}
 		b.Served(class(95), tt.first, tt.gap, time.Hour, tt.ok)
 		got := b.All()
-		if len(got) != 1 || got[0].Seen != 1 || got[0].Met != tt.met || got[0].Holds() != (tt.met == 1) {
+		if len(got) != 1 || got[0].Seen != 1 || got[0].Met != tt.met || got[0].MeetsTarget() != (tt.met == 1) {
 			t.Errorf("%s: got %+v, want %d met", tt.name, got, tt.met)
 		}
 		if answered := got[0].Reliability() == 100; answered != tt.ok {
@@ -39,7 +39,7 @@
 }
 
 func TestPercentiles(t *testing.T) {
-	b := &meters.Board{}
+	b := &meters.Recorder{}
 	for i := 1; i <= 100; i++ {
 		b.Served(class(95), time.Duration(i)*10*time.Millisecond, 0, 2*time.Hour, true)
 	}
@@ -49,7 +49,7 @@
 			t.Errorf("got %s, want %s within 1%%", p.got, p.want)
 		}
 	}
-	if got.Percent() != 100 || !got.Holds() {
+	if got.Percent() != 100 || !got.MeetsTarget() {
 		t.Errorf("got %v%%, want 100", got.Percent())
 	}
 }
@@ -58,22 +58,22 @@
 // class was silent meanwhile for much longer.
 func TestOldWindowsAreForgotten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := &meters.Board{}
+		b := &meters.Recorder{}
 		b.Served(class(95), 2*time.Second, 0, 0, true)
 		time.Sleep(3 * time.Minute)
 		b.Served(class(95), time.Second, 0, 0, true)
-		if got := b.All()[0]; got.Seen != 2 || got.Met != 1 || got.Holds() {
+		if got := b.All()[0]; got.Seen != 2 || got.Met != 1 || got.MeetsTarget() {
 			t.Errorf("got %d met of %d, want 1 of 2", got.Met, got.Seen)
 		}
 		time.Sleep(2 * time.Minute)
-		if got := b.All()[0]; got.Seen != 1 || got.Met != 1 || !got.Holds() {
+		if got := b.All()[0]; got.Seen != 1 || got.Met != 1 || !got.MeetsTarget() {
 			t.Errorf("got %d met of %d, want 1 of 1", got.Met, got.Seen)
 		}
 		time.Sleep(1000 * time.Hour)
 		if got := b.All()[0]; got.Seen != 0 || got.First.P99 != 0 {
 			t.Errorf("got %d seen and p99 %s, want none", got.Seen, got.First.P99)
 		}
-		b.Keep(nil)
+		b.Retain(nil)
 		if got := b.All(); len(got) != 0 {
 			t.Errorf("got %d classes, want none", len(got))
 		}
@@ -81,7 +81,7 @@
 }
 
 func BenchmarkServed(b *testing.B) {
-	board := &meters.Board{}
+	board := &meters.Recorder{}
 	c := class(95)
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/app/setup/load.go
+++ b/internal/app/setup/load.go
@@ -32,7 +32,7 @@
 		bad.add(Problem{file: path, text: err.Error()})
 		return File{}, bad.orNil()
 	}
-	p := &parser{name: path, dir: filepath.Dir(path), files: files}
+	p := &parser{name: path, dir: filepath.Dir(path), checkFiles: files}
 	return p.parse(data)
 }
 
@@ -65,12 +65,12 @@
 
 // parser holds one file while it is read.
 type parser struct {
-	name  string
-	dir   string
-	files bool
-	out   File
-	bad   BadError
-	lines map[entry]int
+	name       string
+	dir        string
+	checkFiles bool
+	out        File
+	bad        BadError
+	lines      map[keyPos]int
 }
 
 func (p *parser) parse(data []byte) (File, error) {
@@ -84,30 +84,30 @@
 		p.bad.add(Problem{file: p.name, text: err.Error()})
 		return File{}, p.bad.orNil()
 	}
-	p.lines = map[entry]int{}
-	p.unknown(at)
+	p.lines = map[keyPos]int{}
+	p.checkUnknown(at)
 	for _, e := range at.entries {
 		p.set(e, values.Section(e.section).Key(e.key).Value())
 	}
-	p.missing(at)
-	p.together()
+	p.checkMissing(at)
+	p.checkTogether()
 	if err := p.bad.orNil(); err != nil {
 		return File{}, err
 	}
 	return p.out, nil
 }
 
-// unknown refuses the sections that no setting has.
-func (p *parser) unknown(at layout) {
+// checkUnknown refuses the sections that no setting has.
+func (p *parser) checkUnknown(at layout) {
 	for name, line := range at.sections {
-		if find(name) == nil {
+		if findSection(name) == nil {
 			p.bad.add(Problem{file: p.name, line: line, section: name, text: "no such section"})
 		}
 	}
 }
 
-func (p *parser) set(e entry, value string) {
-	section := find(e.section)
+func (p *parser) set(e keyPos, value string) {
+	section := findSection(e.section)
 	if section == nil {
 		return
 	}
@@ -127,26 +127,26 @@
 	}
 }
 
-// missing refuses a file without the keys that have no default. A section
+// checkMissing refuses a file without the keys that have no default. A section
 // that may be left out asks for its keys only where it stands.
-func (p *parser) missing(at layout) {
+func (p *parser) checkMissing(at layout) {
 	for _, s := range sections {
-		if s.spare && at.sections[s.name] == 0 {
+		if s.optional && at.sections[s.name] == 0 {
 			continue
 		}
 		for _, k := range s.keys {
-			e := entry{section: s.name, key: k.name}
-			if k.must && p.lines[e] == 0 {
+			e := keyPos{section: s.name, key: k.name}
+			if k.required && p.lines[e] == 0 {
 				p.bad.add(Problem{file: p.name, line: at.sections[s.name], section: s.name, key: k.name, text: "missing"})
 			}
 		}
 	}
 }
 
-// fault adds a problem that concerns the key of a section, if need be one that
+// addProblem adds a problem that concerns the key of a section, if need be one that
 // is not in the file.
-func (p *parser) fault(section, key, text string) {
-	line := p.lines[entry{section: section, key: key}]
+func (p *parser) addProblem(section, key, text string) {
+	line := p.lines[keyPos{section: section, key: key}]
 	p.bad.add(Problem{file: p.name, line: line, section: section, key: key, text: text})
 }
 
--- a/internal/app/setup/scan.go
+++ b/internal/app/setup/scan.go
@@ -6,9 +6,9 @@
 	"strings"
 )
 
-// entry is the position of one key. The INI library gives the values; it
+// keyPos is the position of one key. The INI library gives the values; it
 // hides where they stand, and keeps the last of two equal keys.
-type entry struct {
+type keyPos struct {
 	section string
 	key     string
 	line    int
@@ -17,7 +17,7 @@
 // layout is where the sections and keys of a file stand.
 type layout struct {
 	sections map[string]int
-	entries  []entry
+	entries  []keyPos
 }
 
 // scan finds the positions in data and reports what the INI library would
@@ -25,7 +25,7 @@
 // keys outside sections, values over several lines.
 func scan(file string, data []byte, bad *BadError) layout {
 	out := layout{sections: map[string]int{}}
-	seen := map[entry]int{}
+	seen := map[keyPos]int{}
 	section := ""
 	lines := bufio.NewScanner(bytes.NewReader(bytes.TrimPrefix(data, []byte("\xef\xbb\xbf"))))
 	lines.Buffer(nil, maxFile)
@@ -36,7 +36,7 @@
 		}
 		at := Problem{file: file, line: n, section: section}
 		if text[0] == '[' {
-			section = out.open(text, at, bad)
+			section = out.openSection(text, at, bad)
 			continue
 		}
 		e, reason := readEntry(section, text)
@@ -58,8 +58,8 @@
 	return out
 }
 
-// open takes the header of a section and returns its name.
-func (l *layout) open(text string, at Problem, bad *BadError) string {
+// openSection takes the header of a section and returns its name.
+func (l *layout) openSection(text string, at Problem, bad *BadError) string {
 	name, ok := strings.CutSuffix(text[1:], "]")
 	name = strings.TrimSpace(name)
 	at.section = name
@@ -77,18 +77,18 @@
 	return name
 }
 
-func readEntry(section, text string) (entry, string) {
+func readEntry(section, text string) (keyPos, string) {
 	key, value, ok := strings.Cut(text, "=")
 	key, value = strings.TrimSpace(key), strings.TrimSpace(value)
 	switch {
 	case !ok || key == "":
-		return entry{}, "the line is neither a [section], a key = value nor a comment"
+		return keyPos{}, "the line is neither a [section], a key = value nor a comment"
 	case section == "":
-		return entry{}, "the key " + key + " stands before any section"
+		return keyPos{}, "the key " + key + " stands before any section"
 	case strings.HasPrefix(value, `"""`) || strings.HasPrefix(value, "`"):
-		return entry{}, "values over several lines are not read"
+		return keyPos{}, "values over several lines are not read"
 	case strings.ContainsAny(key, "\"`"):
-		return entry{}, "the name of a key has no quotes"
+		return keyPos{}, "the name of a key has no quotes"
 	}
-	return entry{section: section, key: key}, ""
+	return keyPos{section: section, key: key}, ""
 }
--- a/internal/app/setup/schema.go
+++ b/internal/app/setup/schema.go
@@ -7,9 +7,9 @@
 
 // key is one key of a section.
 type key struct {
-	name string
-	must bool
-	set  setter
+	name     string
+	required bool
+	set      setter
 }
 
 // section is one section of the file. A section with any takes keys of the
@@ -17,10 +17,10 @@
 type section struct {
 	name string
 	keys []key
-	// spare marks a section that may be left out though it has a key that
+	// optional marks a section that may be left out though it has a key that
 	// must be given.
-	spare bool
-	any   func(key string) setter
+	optional bool
+	anyKey   func(key string) setter
 }
 
 func (s *section) setter(name string) setter {
@@ -29,13 +29,13 @@
 			return k.set
 		}
 	}
-	if s.any != nil {
-		return s.any(name)
+	if s.anyKey != nil {
+		return s.anyKey(name)
 	}
 	return nil
 }
 
-func find(name string) *section {
+func findSection(name string) *section {
 	for i := range sections {
 		if sections[i].name == name {
 			return &sections[i]
@@ -67,7 +67,7 @@
 		{"name", true, name(func(f *File) *string { return &f.Instance.Name })},
 		{"datacentre", true, name(func(f *File) *string { return &f.Instance.DataCentre })},
 		{"region", true, name(func(f *File) *string { return &f.Instance.Region })},
-		{"span", false, reach},
+		{"span", false, spanChoice},
 	}},
 	{name: "listen", keys: []key{
 		{"callers", true, address(func(f *File) *string { return &f.Listen.Callers })},
@@ -77,16 +77,16 @@
 		{"metrics", false, address(func(f *File) *string { return &f.Listen.Metrics })},
 		{"mesh", false, address(func(f *File) *string { return &f.Listen.Mesh })},
 	}},
-	{name: "peers", any: peer},
+	{name: "peers", anyKey: peerKey},
 	{name: "platform", keys: []key{
-		{"table", true, link(func(f *File) *string { return &f.Platform.Table })},
-		{"objects", false, link(func(f *File) *string { return &f.Platform.Objects })},
-		{"list", false, link(func(f *File) *string { return &f.Platform.List })},
-		{"watch", false, span(func(f *File) *time.Duration { return &f.Platform.Watch }, minWatch, maxWatch)},
+		{"table", true, baseURL(func(f *File) *string { return &f.Platform.Table })},
+		{"objects", false, baseURL(func(f *File) *string { return &f.Platform.Objects })},
+		{"list", false, baseURL(func(f *File) *string { return &f.Platform.List })},
+		{"watch", false, duration(func(f *File) *time.Duration { return &f.Platform.Watch }, minWatch, maxWatch)},
 	}},
-	pair("tls callers", func(f *File) *Pair { return &f.TLS.Callers }),
-	pair("tls peers", func(f *File) *Pair { return &f.TLS.Peers }),
-	pair("tls operators", func(f *File) *Pair { return &f.TLS.Operators }),
+	tlsSection("tls callers", func(f *File) *Pair { return &f.TLS.Callers }),
+	tlsSection("tls peers", func(f *File) *Pair { return &f.TLS.Peers }),
+	tlsSection("tls operators", func(f *File) *Pair { return &f.TLS.Operators }),
 	{name: "limits", keys: []key{
 		{"body", false, size(func(f *File) *int64 { return &f.Limits.Body }, minBody, maxBody)},
 		{"header", false, size(func(f *File) *int64 { return &f.Limits.Header }, minHeader, maxHeader)},
@@ -99,32 +99,32 @@
 		{"memory", false, size(func(f *File) *int64 { return &f.Limits.Memory }, minMemory, maxMemory)},
 	}},
 	{name: "retry", keys: []key{
-		{"ratio", false, part(func(f *File) *float64 { return &f.Retry.Ratio })},
+		{"ratio", false, fraction(func(f *File) *float64 { return &f.Retry.Ratio })},
 		{"allowance", false, amount(func(f *File) *float64 { return &f.Retry.Allowance })},
-		{"window", false, span(func(f *File) *time.Duration { return &f.Retry.Window }, time.Second, maxTime)},
+		{"window", false, duration(func(f *File) *time.Duration { return &f.Retry.Window }, time.Second, maxTime)},
 	}},
 	{name: "times", keys: []key{
-		{"header", false, span(func(f *File) *time.Duration { return &f.Times.Header }, minTime, maxTime)},
-		{"body", false, span(func(f *File) *time.Duration { return &f.Times.Body }, minTime, maxTime)},
-		{"write", false, span(func(f *File) *time.Duration { return &f.Times.Write }, minTime, maxTime)},
-		{"idle", false, span(func(f *File) *time.Duration { return &f.Times.Idle }, minTime, maxTime)},
-		{"comment", false, span(func(f *File) *time.Duration { return &f.Times.Comment }, minTime, maxTime)},
-		{"grace", false, span(func(f *File) *time.Duration { return &f.Times.Grace }, 0, maxTime)},
+		{"header", false, duration(func(f *File) *time.Duration { return &f.Times.Header }, minTime, maxTime)},
+		{"body", false, duration(func(f *File) *time.Duration { return &f.Times.Body }, minTime, maxTime)},
+		{"write", false, duration(func(f *File) *time.Duration { return &f.Times.Write }, minTime, maxTime)},
+		{"idle", false, duration(func(f *File) *time.Duration { return &f.Times.Idle }, minTime, maxTime)},
+		{"comment", false, duration(func(f *File) *time.Duration { return &f.Times.Comment }, minTime, maxTime)},
+		{"grace", false, duration(func(f *File) *time.Duration { return &f.Times.Grace }, 0, maxTime)},
 	}},
 	{name: "log", keys: []key{
 		{"level", false, choice(func(f *File) *string { return &f.Log.Level }, "debug", "info", "warn", "error")},
 		{"format", false, choice(func(f *File) *string { return &f.Log.Format }, "json", "console")},
 	}},
 	{name: "trace", keys: []key{
-		{"url", false, link(func(f *File) *string { return &f.Trace.URL })},
-		{"part", false, part(func(f *File) *float64 { return &f.Trace.Part })},
+		{"url", false, baseURL(func(f *File) *string { return &f.Trace.URL })},
+		{"part", false, fraction(func(f *File) *float64 { return &f.Trace.Part })},
 	}},
-	{name: "goal", keys: []key{{"weigh", false, goal}}},
-	{name: "fencing", any: fencing},
+	{name: "goal", keys: []key{{"weigh", false, goalChoice}}},
+	{name: "fencing", anyKey: fencingKey},
 }
 
-func pair(title string, at func(*File) *Pair) section {
-	return section{name: title, spare: true, keys: []key{
+func tlsSection(title string, at func(*File) *Pair) section {
+	return section{name: title, optional: true, keys: []key{
 		{"cert", true, path(func(f *File) *string { return &at(f).Cert })},
 		{"key", true, path(func(f *File) *string { return &at(f).Key })},
 		{"ca", false, path(func(f *File) *string { return &at(f).CA })},
--- a/internal/app/setup/setup_test.go
+++ b/internal/app/setup/setup_test.go
@@ -17,11 +17,11 @@
 	instance = "[instance]\nname = klang-1\ndatacentre = klang\nregion = my-west\n"
 	listen   = "[listen]\ncallers = 127.0.0.1:8080\n"
 	platform = "[platform]\ntable = http://127.0.0.1:7000\n"
-	least    = instance + listen + platform
+	minimal  = instance + listen + platform
 )
 
 func TestLeastSettingsTakeDefaults(t *testing.T) {
-	got, err := setup.Parse("least.ini", []byte(least))
+	got, err := setup.Parse("least.ini", []byte(minimal))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,7 +41,7 @@
 }
 
 func TestValuesAreTaken(t *testing.T) {
-	text := least + "[limits]\nbody = 2MiB\ntokens = 7\n[times]\ngrace = 90s\n[goal]\nweigh = recovery\n" +
+	text := minimal + "[limits]\nbody = 2MiB\ntokens = 7\n[times]\ngrace = 90s\n[goal]\nweigh = recovery\n" +
 		"[fencing]\nh200 = refuse\nt4 = ignore\n[trace]\nurl = http://127.0.0.1:4318/\npart = 0.5\n"
 	got, err := setup.Parse("full.ini", []byte(text))
 	if err != nil {
@@ -61,37 +61,37 @@
 // Each refusal names file, line or section, and the reason.
 func TestRefusals(t *testing.T) {
 	tests := []struct{ name, text, want string }{
-		{"unknown section", least + "[extra]\na = 1\n", "x.ini:9: [extra] no such section"},
-		{"unknown key", least + "[limits]\nbodi = 1\n", "x.ini:10: [limits] bodi: no such key"},
-		{"doubled key", least + "[log]\nlevel = info\nlevel = warn\n", "x.ini:11: [log] level: given twice, first on line 10"},
-		{"doubled section", least + "[log]\n[log]\n", "x.ini:10: [log] section given twice, first on line 9"},
-		{"doubled peer", least + "[peers]\na = 127.0.0.1:1\na = 127.0.0.1:2\n", "x.ini:11: [peers] a: given twice"},
-		{"doubled address", least + "[peers]\na = 127.0.0.1:1\nb = 127.0.0.1:1\n", "x.ini:11: [peers] b: 127.0.0.1:1 is the address of a already"},
-		{"number", least + "[limits]\ntokens = many\n", `x.ini:10: [limits] tokens: "many" is not a whole number`},
-		{"range", least + "[limits]\ntokens = 0\n", "x.ini:10: [limits] tokens: 0 is out of range, want 1 to 1048576"},
-		{"size range", least + "[limits]\nbody = 1GiB\n", `"1GiB" is not a size`},
-		{"size overflow", least + "[limits]\nbody = 9000000000000000MiB\n", "is not a size"},
-		{"time", least + "[times]\nbody = 5\n", `[times] body: "5" is not a time`},
-		{"time range", least + "[times]\nbody = -5s\n", "-5s is out of range, want 100ms to 1h0m0s"},
-		{"part", least + "[trace]\npart = NaN\n", `"NaN" is not a number from 0 to 1`},
-		{"choice", least + "[log]\nlevel = loud\n", `"loud" is none of debug, info, warn, error`},
-		{"goal", least + "[goal]\nweigh = both\n", `"both" is none of throughput, recovery`},
-		{"fencing", least + "[fencing]\nt4 = yes\n", `[fencing] t4: "yes" is none of refuse, ignore`},
-		{"host name", strings.Replace(least, "127.0.0.1:8080", "localhost:8080", 1), `"localhost:8080" is not an IP number and port`},
-		{"url", strings.Replace(least, "http://", "ftp://", 1), "is not a URL that begins with http:// or https://"},
-		{"no line form", least + "what\n", "x.ini:9: [platform] the line is neither"},
-		{"no section", "a = 1\n" + least, "x.ini:1: the key a stands before any section"},
-		{"several lines", least + "[log]\nlevel = \"\"\"\ninfo\"\"\"\n", "values over several lines"},
-		{"name", strings.Replace(least, "klang-1", "Klang 1", 1), `"Klang 1" is not a name`},
+		{"unknown section", minimal + "[extra]\na = 1\n", "x.ini:9: [extra] no such section"},
+		{"unknown key", minimal + "[limits]\nbodi = 1\n", "x.ini:10: [limits] bodi: no such key"},
+		{"doubled key", minimal + "[log]\nlevel = info\nlevel = warn\n", "x.ini:11: [log] level: given twice, first on line 10"},
+		{"doubled section", minimal + "[log]\n[log]\n", "x.ini:10: [log] section given twice, first on line 9"},
+		{"doubled peer", minimal + "[peers]\na = 127.0.0.1:1\na = 127.0.0.1:2\n", "x.ini:11: [peers] a: given twice"},
+		{"doubled address", minimal + "[peers]\na = 127.0.0.1:1\nb = 127.0.0.1:1\n", "x.ini:11: [peers] b: 127.0.0.1:1 is the address of a already"},
+		{"number", minimal + "[limits]\ntokens = many\n", `x.ini:10: [limits] tokens: "many" is not a whole number`},
+		{"range", minimal + "[limits]\ntokens = 0\n", "x.ini:10: [limits] tokens: 0 is out of range, want 1 to 1048576"},
+		{"size range", minimal + "[limits]\nbody = 1GiB\n", `"1GiB" is not a size`},
+		{"size overflow", minimal + "[limits]\nbody = 9000000000000000MiB\n", "is not a size"},
+		{"time", minimal + "[times]\nbody = 5\n", `[times] body: "5" is not a time`},
+		{"time range", minimal + "[times]\nbody = -5s\n", "-5s is out of range, want 100ms to 1h0m0s"},
+		{"part", minimal + "[trace]\npart = NaN\n", `"NaN" is not a number from 0 to 1`},
+		{"choice", minimal + "[log]\nlevel = loud\n", `"loud" is none of debug, info, warn, error`},
+		{"goal", minimal + "[goal]\nweigh = both\n", `"both" is none of throughput, recovery`},
+		{"fencing", minimal + "[fencing]\nt4 = yes\n", `[fencing] t4: "yes" is none of refuse, ignore`},
+		{"host name", strings.Replace(minimal, "127.0.0.1:8080", "localhost:8080", 1), `"localhost:8080" is not an IP number and port`},
+		{"url", strings.Replace(minimal, "http://", "ftp://", 1), "is not a URL that begins with http:// or https://"},
+		{"no line form", minimal + "what\n", "x.ini:9: [platform] the line is neither"},
+		{"no section", "a = 1\n" + minimal, "x.ini:1: the key a stands before any section"},
+		{"several lines", minimal + "[log]\nlevel = \"\"\"\ninfo\"\"\"\n", "values over several lines"},
+		{"name", strings.Replace(minimal, "klang-1", "Klang 1", 1), `"Klang 1" is not a name`},
 		{"missing key", "[instance]\nname = a\nregion = b\n" + listen + platform, "x.ini:1: [instance] datacentre: missing"},
 		{"missing section", instance + listen, "x.ini: [platform] table: missing"},
-		{"tls without key", least + "[tls callers]\ncert = a\n", "x.ini:9: [tls callers] key: missing"},
-		{"same address", strings.Replace(least, "[platform]", "peers = 127.0.0.1:8080\n[platform]", 1), "127.0.0.1:8080 is the address for callers already"},
-		{"operators exposed", strings.Replace(least, "[platform]", "operators = 10.0.0.1:7070\n[platform]", 1), "needs [tls operators] with ca"},
-		{"peers exposed", strings.Replace(least, "[platform]", "peers = 10.0.0.1:7070\n[platform]", 1), "needs [tls peers] with ca"},
-		{"peers without listener", least + "[peers]\na = 127.0.0.1:1\n", "[listen] peers: missing, though [peers] names others"},
-		{"self", least + "[peers]\nklang-1 = 127.0.0.1:1\n", "x.ini:10: [peers] klang-1: is this instance itself"},
-		{"team above streams", least + "[limits]\nstreams = 10\nteam = 11\nconnection = 5\n", "team: 11 is above streams, which is 10"},
+		{"tls without key", minimal + "[tls callers]\ncert = a\n", "x.ini:9: [tls callers] key: missing"},
+		{"same address", strings.Replace(minimal, "[platform]", "peers = 127.0.0.1:8080\n[platform]", 1), "127.0.0.1:8080 is the address for callers already"},
+		{"operators exposed", strings.Replace(minimal, "[platform]", "operators = 10.0.0.1:7070\n[platform]", 1), "needs [tls operators] with ca"},
+		{"peers exposed", strings.Replace(minimal, "[platform]", "peers = 10.0.0.1:7070\n[platform]", 1), "needs [tls peers] with ca"},
+		{"peers without listener", minimal + "[peers]\na = 127.0.0.1:1\n", "[listen] peers: missing, though [peers] names others"},
+		{"self", minimal + "[peers]\nklang-1 = 127.0.0.1:1\n", "x.ini:10: [peers] klang-1: is this instance itself"},
+		{"team above streams", minimal + "[limits]\nstreams = 10\nteam = 11\nconnection = 5\n", "team: 11 is above streams, which is 10"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -134,7 +134,7 @@
 func TestMissingFilesAreRefused(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "a.ini")
-	write(t, path, least+"[tls callers]\ncert = no.crt\nkey = no.key\n")
+	write(t, path, minimal+"[tls callers]\ncert = no.crt\nkey = no.key\n")
 	_, err := setup.Load(path)
 	for _, want := range []string{":10: [tls callers] cert: cannot be read", ":11: [tls callers] key: cannot be read"} {
 		if err == nil || !strings.Contains(err.Error(), want) {
@@ -154,7 +154,7 @@
 	write(t, filepath.Join(dir, "a.crt"), "no PEM")
 	write(t, filepath.Join(dir, "a.key"), "no PEM")
 	path := filepath.Join(dir, "a.ini")
-	write(t, path, least+"[tls callers]\ncert = a.crt\nkey = a.key\nca = a.crt\n")
+	write(t, path, minimal+"[tls callers]\ncert = a.crt\nkey = a.key\nca = a.crt\n")
 	_, err := setup.Load(path)
 	for _, want := range []string{"certificate and key do not load", "ca: holds no certificate"} {
 		if err == nil || !strings.Contains(err.Error(), want) {
@@ -201,11 +201,11 @@
 			}
 			loaded[name] = f
 		}
-		agree(t, loaded)
+		checkPeersAgree(t, loaded)
 	}
 }
 
-func agree(t *testing.T, loaded map[string]setup.File) {
+func checkPeersAgree(t *testing.T, loaded map[string]setup.File) {
 	t.Helper()
 	for name, f := range loaded {
 		if f.Instance.Name != name || len(f.Peers) != len(loaded)-1 {
@@ -220,7 +220,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(least))
+	f.Add([]byte(minimal))
 	f.Add([]byte("[limits]\nbody = 1MiB\n[peers]\na = `x\n"))
 	f.Add([]byte("\xef\xbb\xbf[a]\n\"q\"=1\n-=2\n[]\n[x\n"))
 	f.Fuzz(func(t *testing.T, data []byte) {
@@ -272,7 +272,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			f, err := setup.Parse("x.ini", []byte(least+test.text))
+			f, err := setup.Parse("x.ini", []byte(minimal+test.text))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -291,7 +291,7 @@
 	}
 	f.Fuzz(func(t *testing.T, value string) {
 		for _, key := range []string{"[retry]\nallowance = ", "[retry]\nratio = ", "[retry]\nwindow = ", "[limits]\nmemory = "} {
-			s, err := setup.Parse("x.ini", []byte(least+key+value+"\n"))
+			s, err := setup.Parse("x.ini", []byte(minimal+key+value+"\n"))
 			if err != nil {
 				continue
 			}
--- a/internal/app/setup/value.go
+++ b/internal/app/setup/value.go
@@ -13,14 +13,14 @@
 	"time"
 )
 
-// names are of instances, data centres, regions and engine kinds.
-var names = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
+// namePattern are of instances, data centres, regions and engine kinds.
+var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
 
 const badName = "%q is not a name: up to 63 of a-z, 0-9, '.', '_' and '-', first a letter or digit"
 
 func name(at func(*File) *string) setter {
 	return func(p *parser, value string) string {
-		if !names.MatchString(value) {
+		if !namePattern.MatchString(value) {
 			return fmt.Sprintf(badName, value)
 		}
 		*at(&p.out) = value
@@ -45,7 +45,7 @@
 	}
 }
 
-func link(at func(*File) *string) setter {
+func baseURL(at func(*File) *string) setter {
 	return func(p *parser, value string) string {
 		u, err := url.Parse(value)
 		if err != nil || u.Host == "" || (u.Scheme != "http" && u.Scheme != "https") {
@@ -59,7 +59,7 @@
 	}
 }
 
-func span(at func(*File) *time.Duration, low, high time.Duration) setter {
+func duration(at func(*File) *time.Duration, low, high time.Duration) setter {
 	return func(p *parser, value string) string {
 		d, err := time.ParseDuration(value)
 		if err != nil {
@@ -142,7 +142,7 @@
 	return 0, false
 }
 
-func part(at func(*File) *float64) setter {
+func fraction(at func(*File) *float64) setter {
 	return func(p *parser, value string) string {
 		x, err := strconv.ParseFloat(value, 64)
 		if err != nil || !(x >= 0 && x <= 1) {
@@ -165,7 +165,7 @@
 	}
 }
 
-func reach(p *parser, value string) string {
+func spanChoice(p *parser, value string) string {
 	for s := SpanCentre; s <= SpanRegion; s++ {
 		if s.String() == value {
 			p.out.Instance.Span = s
@@ -175,7 +175,7 @@
 	return fmt.Sprintf("%q is none of datacentre, region", value)
 }
 
-func goal(p *parser, value string) string {
+func goalChoice(p *parser, value string) string {
 	for g := GoalThroughput; g <= GoalRecovery; g++ {
 		if g.String() == value {
 			p.out.Goal = g
@@ -195,7 +195,7 @@
 			value = filepath.Join(p.dir, value)
 		}
 		*at(&p.out) = value
-		if !p.files {
+		if !p.checkFiles {
 			return ""
 		}
 		f, err := os.Open(value)
@@ -207,9 +207,9 @@
 	}
 }
 
-func peer(instance string) setter {
+func peerKey(instance string) setter {
 	return func(p *parser, value string) string {
-		if !names.MatchString(instance) {
+		if !namePattern.MatchString(instance) {
 			return fmt.Sprintf(badName, instance)
 		}
 		if reason := checkAddress(value); reason != "" {
@@ -225,9 +225,9 @@
 	}
 }
 
-func fencing(kind string) setter {
+func fencingKey(kind string) setter {
 	return func(p *parser, value string) string {
-		if !names.MatchString(kind) {
+		if !namePattern.MatchString(kind) {
 			return fmt.Sprintf(badName, kind)
 		}
 		if value != "refuse" && value != "ignore" {
--- a/internal/app/spans/spans.go
+++ b/internal/app/spans/spans.go
@@ -18,13 +18,13 @@
 )
 
 const (
-	// path is where collectors take spans.
-	path = "/v1/traces"
-	// queue bounds the spans that wait for a slow collector; more are dropped,
+	// tracesPath is where collectors take spans.
+	tracesPath = "/v1/traces"
+	// maxQueue bounds the spans that wait for a slow collector; more are dropped,
 	// since no request may wait for its spans.
-	queue = 4096
-	// closeTime bounds the sending of the last spans at the end.
-	closeTime = 5 * time.Second
+	maxQueue = 4096
+	// closeTimeout bounds the sending of the last spans at the end.
+	closeTimeout = 5 * time.Second
 )
 
 // Sender sends spans. Set the exported fields before Open.
@@ -46,12 +46,12 @@
 	if s.URL == "" {
 		return nil
 	}
-	exporter, err := otlptracehttp.New(ctx, otlptracehttp.WithEndpointURL(s.URL+path))
+	exporter, err := otlptracehttp.New(ctx, otlptracehttp.WithEndpointURL(s.URL+tracesPath))
 	if err != nil {
 		return errors.Wrap(err, "spans: open")
 	}
 	s.provider = sdk.NewTracerProvider(
-		sdk.WithBatcher(exporter, sdk.WithMaxQueueSize(queue)),
+		sdk.WithBatcher(exporter, sdk.WithMaxQueueSize(maxQueue)),
 		sdk.WithSampler(sdk.ParentBased(sdk.TraceIDRatioBased(s.Part))),
 		sdk.WithResource(resource.NewSchemaless(
 			attribute.String("service.name", "fulmarwick"),
@@ -75,7 +75,7 @@
 	if s.provider == nil {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), closeTime)
+	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
 	if err := s.provider.Shutdown(ctx); err != nil {
 		return errors.Wrap(err, "spans: close")
