--- a/internal/app/daemon/announce.go
+++ b/internal/app/daemon/announce.go
@@ -13,18 +13,20 @@
 )
 
 const (
-	// versionInterval is the time between two tellings of the version in force; an
-	// item counts for headLife.
+	// versionInterval is the time between two announcements of the active
+	// configuration version.
 	versionInterval = 20 * time.Second
-	versionTTL      = time.Minute
-	// suspectTTL is how long a fingerprint counts at the others.
+	// versionTTL is how long an announced version stays valid.
+	versionTTL = time.Minute
+	// suspectTTL is how long the fingerprint of a suspect request stays valid
+	// at the peers.
 	suspectTTL  = 10 * time.Minute
 	capacityTTL = 10 * time.Second
 	loadTTL     = 10 * time.Second
 )
 
-// handleRouteCommand takes the commands of the routing logic that no request waits for. It
-// runs between ticks and must not block.
+// handleRouteCommand executes the commands of the routing logic that no request
+// waits for. It runs between ticks and must not block.
 func (d *Daemon) handleRouteCommand(c domain.Command) {
 	if c, ok := c.(domain.LoadLayers); ok {
 		d.parts.duties.queuePlan(c)
@@ -38,7 +40,8 @@
 	}
 }
 
-// itemFor is what the others should know of a command.
+// itemFor returns the news item that announces a command to the peers. It
+// returns false if the command is not announced.
 func (d *Daemon) itemFor(c domain.Command) (news.Item, bool) {
 	switch c := c.(type) {
 	case domain.LocalLoad:
@@ -60,13 +63,13 @@
 func (d *Daemon) newItem(kind news.Kind, key string, scope news.Scope, life time.Duration, body any) (news.Item, bool) {
 	item, err := news.Make(kind, key, scope, life.Milliseconds(), body)
 	if err != nil {
-		d.Log.Warn("daemon: item lost", zap.Stringer("kind", kind), zap.Error(err))
+		d.Log.Warn("daemon: encode news item failed, item dropped", zap.Stringer("kind", kind), zap.Error(err))
 		return news.Item{}, false
 	}
 	return item, true
 }
 
-// handleItem takes an item of another instance.
+// handleItem applies an item received from a peer.
 func (f *fleet) handleItem(item news.Item) {
 	switch item.Kind {
 	case news.KindHead:
@@ -92,8 +95,8 @@
 	}
 }
 
-// announceVersions tells the others the version in force, now and then and at once
-// after each change.
+// announceVersions announces the active configuration version to the peers,
+// periodically and immediately after each change.
 func (f *fleet) announceVersions(ctx context.Context) error {
 	ticker := time.NewTicker(versionInterval)
 	defer ticker.Stop()
@@ -109,11 +112,11 @@
 }
 
 func (f *fleet) announceVersion() {
-	now := f.parts.active.Snapshot()
-	if now == nil {
+	current := f.parts.active.Snapshot()
+	if current == nil {
 		return
 	}
-	if item, ok := f.newItem(news.KindHead, "head", news.ScopeFleet, versionTTL, news.Head{Version: now.Version()}); ok {
+	if item, ok := f.newItem(news.KindHead, "head", news.ScopeFleet, versionTTL, news.Head{Version: current.Version()}); ok {
 		f.hub.Say(item)
 	}
 }
--- a/internal/app/daemon/build.go
+++ b/internal/app/daemon/build.go
@@ -29,9 +29,9 @@
 	"go.uber.org/zap"
 )
 
-// parts are what an instance consists of.
+// parts holds the components of an instance.
 type parts struct {
-	// owner names this incarnation of the instance in leases and records.
+	// owner identifies this incarnation of the instance in leases and records.
 	owner      string
 	drainer    *halt.Drainer
 	metrics    *metrics.Set
@@ -40,7 +40,7 @@
 	active     *config.Active
 	follower   *config.Follower
 	applier    *config.Applier
-	// versionChanged wakes whoever tells others of a new version.
+	// versionChanged wakes announceVersions after a new version took effect.
 	versionChanged chan struct{}
 	budget         *store.Budget
 	breaker        *store.Breaker
@@ -60,7 +60,8 @@
 	duties         *duties
 }
 
-// build makes the parts, once.
+// build creates the components once. Later calls return the result of the first
+// call.
 func (d *Daemon) build() error {
 	d.once.Do(func() { d.buildErr = d.buildParts() })
 	return d.buildErr
@@ -117,8 +118,9 @@
 	return place.Throughput
 }
 
-// buildState makes what uses the platform's table. Every use passes the
-// breaker and the budget; records come first.
+// buildState creates the components that use the platform's table. Every access
+// passes the circuit breaker and the budget, which gives records the highest
+// priority.
 func (d *Daemon) buildState() *plain.Sender {
 	p := &d.parts
 	client := &store.Client{BaseURL: d.Settings.Platform.Table, HTTP: store.NewHTTPClient()}
@@ -126,18 +128,18 @@
 	p.breaker = &store.Breaker{Table: client, Rand: rand.New(rand.NewPCG(seed, 0)), Meters: p.metrics}
 	p.budget = &store.Budget{Meters: p.metrics}
 	p.table = p.budget.Limit(store.RankLease, p.breaker)
-	rest := p.budget.Limit(store.RankOther, p.breaker)
+	otherTable := p.budget.Limit(store.RankOther, p.breaker)
 	p.active = &config.Active{}
 	p.versionChanged = make(chan struct{}, 1)
 	p.follower = &config.Follower{
-		Table: rest, Active: p.active, OnChange: d.onConfigChange, Jitter: jitter, Meters: p.metrics,
-		OnError: func(err error) { d.Log.Warn("config: not followed", zap.Error(err)) },
+		Table: otherTable, Active: p.active, OnChange: d.onConfigChange, Jitter: jitter, Meters: p.metrics,
+		OnError: func(err error) { d.Log.Warn("config: update failed", zap.Error(err)) },
 	}
-	p.applier = &config.Applier{Table: rest, StartFrom: p.follower}
+	p.applier = &config.Applier{Table: otherTable, StartFrom: p.follower}
 	sender := &plain.Sender{HTTP: plain.NewHTTP(), Repeats: d.retryable, Meters: p.metrics}
 	p.ledger = &ledger.Ledger{
 		Table:       &store.Batcher{Table: p.budget.Limit(store.RankRecord, p.breaker), Meters: p.metrics},
-		LookupTable: rest,
+		LookupTable: otherTable,
 		Sender:      sender, Querier: sender, SupportsOutcomes: d.supportsOutcomes, Repeatable: d.retryable,
 		ServiceOf: d.serviceOf, Owner: p.owner, HasExited: d.ownerExited, Jitter: jitter, Meters: p.metrics,
 	}
@@ -179,7 +181,7 @@
 	}
 }
 
-// onConfigChange acts on a configuration that came in force.
+// onConfigChange applies a configuration that became active.
 func (d *Daemon) onConfigChange(s *config.Snapshot) {
 	p := &d.parts
 	p.attainment.Retain(s.Classes())
@@ -191,26 +193,29 @@
 	}
 }
 
-// retryable says whether calls of a class may run more than once.
+// retryable reports whether calls of a class may run more than once.
 func (d *Daemon) retryable(name spec.ClassName) bool {
 	class, ok := d.parts.active.Class(name)
 	return ok && class.Retryable()
 }
 
-// serviceOf names the service of a class, so that a look-up can ask it.
+// serviceOf returns the service of a class, so that an outcome lookup can query
+// it.
 func (d *Daemon) serviceOf(name spec.ClassName) spec.ServiceName {
 	class, _ := d.parts.active.Class(name)
 	return class.Service()
 }
 
-// supportsOutcomes says whether a service can tell the outcome of a call.
+// supportsOutcomes reports whether a service can be queried for the outcome of
+// a call.
 func (d *Daemon) supportsOutcomes(service spec.ServiceName) bool {
-	now := d.parts.active.Snapshot()
-	return now != nil && now.SupportsOutcomes(service)
+	current := d.parts.active.Snapshot()
+	return current != nil && current.SupportsOutcomes(service)
 }
 
-// ownerExited reports evidence that another incarnation will not go on with its
-// records. A former self ended, since instances have names of their own.
+// ownerExited reports whether another incarnation has certainly ended and will
+// not complete its records. Instance names are unique, so an earlier
+// incarnation with the name of this instance has ended.
 func (d *Daemon) ownerExited(owner string) bool {
 	name, _, _ := strings.Cut(owner, "/")
 	if name == d.Settings.Instance.Name {
@@ -219,11 +224,12 @@
 	return d.parts.fleet != nil && d.parts.fleet.peerExited(spec.InstanceID(name))
 }
 
-// jitter is a factor around 1 for waits, so that instances do not keep step.
+// jitter returns a random factor between 0.75 and 1.25 for wait times, so that
+// instances do not act in lockstep.
 func jitter() float64 { return 0.75 + rand.Float64()/2 }
 
-// localSpan is the data centres that share the detail of engines with this one:
-// itself, or all of the region.
+// localSpan returns the span of this instance: its data centre, or its region
+// if instances share engine details across the region.
 func (d *Daemon) localSpan() string { return d.spanOf(d.Settings.Instance.DataCentre) }
 
 func (d *Daemon) spanOf(centre string) string {
@@ -233,7 +239,8 @@
 	return centre
 }
 
-// plannedCentre is the data centre whose engines are planned here; "" is all.
+// plannedCentre returns the data centre whose engines this instance plans; ""
+// stands for all data centres.
 func (d *Daemon) plannedCentre() spec.DataCentre {
 	if d.Settings.Instance.Span == setup.SpanRegion {
 		return ""
--- a/internal/app/daemon/config_test.go
+++ b/internal/app/daemon/config_test.go
@@ -23,7 +23,7 @@
 	slow  = "[class answer]\nkind = model\nmodel = levy-13b\nfirst = 9s\n"
 )
 
-// waitVersion asks until the instance has version in force.
+// waitVersion polls until the instance has activated version.
 func waitVersion(t *testing.T, c *admin.Client, version uint64) admin.Shown {
 	t.Helper()
 	for {
@@ -37,9 +37,10 @@
 	}
 }
 
-// Two operators look at the same version and change the same class. The first
-// is accepted and in force; the second sees whose change came first, and
-// nothing of theirs takes effect. The history tells both how it went.
+// Two operators change the same class, starting from the same version. The
+// first change is accepted and becomes active. The second is rejected as a
+// conflict: its author learns whose change came first, and no part of the
+// rejected change takes effect. The history lists the accepted changes.
 func TestOperatorsRace(t *testing.T) {
 	_, _, operators := startBoth(t)
 	c := &admin.Client{Base: operators, HTTP: http.DefaultClient}
@@ -59,7 +60,7 @@
 		t.Errorf("got winners %+v, want siti's change of class answer", w)
 	}
 	if shown := waitVersion(t, c, second.Version); !strings.Contains(shown.Document, "first = 9s") || !strings.Contains(shown.Document, "[class draft]") {
-		t.Errorf("got %q in force, want siti's target and the other class", shown.Document)
+		t.Errorf("got document %q, want siti's target and the other class", shown.Document)
 	}
 	history, err := c.History(t.Context(), 10)
 	if err != nil || len(history) != 3 || history[0].By != "siti" || history[1].Text != "class answer, class draft" {
@@ -67,7 +68,8 @@
 	}
 }
 
-// The operator sees every problem of a document at once, and nothing changes.
+// A bad document is rejected as a whole: the operator receives all its problems
+// at once, and nothing changes.
 func TestBadDocumentIsRefusedWhole(t *testing.T) {
 	_, _, operators := startBoth(t)
 	c := &admin.Client{Base: operators, HTTP: http.DefaultClient}
@@ -81,8 +83,8 @@
 	}
 }
 
-// The platform's table is down. The operator is told that nothing changed; the
-// instance still shows what is in force.
+// The platform's table is down. Apply reports that nothing changed, and the
+// instance still shows the active configuration.
 func TestApplyWhileTheTableIsDown(t *testing.T) {
 	site, _, operators := startBoth(t)
 	c := &admin.Client{Base: operators, HTTP: http.DefaultClient}
@@ -92,15 +94,15 @@
 		t.Errorf("got %v, want ErrDown", err)
 	}
 	if shown, err := c.Show(t.Context()); err != nil || shown.Version != 1 {
-		t.Errorf("got version %d, %v, want what is in force", shown.Version, err)
+		t.Errorf("got version %d, %v, want the active version 1", shown.Version, err)
 	}
 	if _, err := c.History(t.Context(), 1); !errors.Is(err, admin.ErrDown) {
 		t.Errorf("got %v from the history, want ErrDown", err)
 	}
 }
 
-// An instance without a configuration is not ready, and its callers are told
-// to come back; once an operator applies one it serves.
+// An instance without a configuration is not ready and answers callers with 503
+// not-ready. After an operator applies a configuration it serves.
 func TestFirstConfigurationMakesReady(t *testing.T) {
 	platform := httptest.NewServer((&infra.Server{Table: &infra.Table{}}).Handler())
 	defer platform.Close()
@@ -119,7 +121,7 @@
 	}
 	waitVersion(t, c, applied.Version)
 	if got := status(t, base+"/readyz"); got != http.StatusOK {
-		t.Errorf("got %d from /readyz with one, want 200", got)
+		t.Errorf("got %d from /readyz with a configuration, want 200", got)
 	}
 }
 
--- a/internal/app/daemon/daemon.go
+++ b/internal/app/daemon/daemon.go
@@ -1,4 +1,4 @@
-// Package daemon puts one instance together and runs it.
+// Package daemon assembles the components of an instance and runs them.
 //
 // It imports every layer below. The commands serve and trial run it.
 package daemon
@@ -21,10 +21,11 @@
 type Daemon struct {
 	Settings setup.File
 	Log      *zap.Logger
-	// Build is the version of the program, for the status.
+	// Build is the program version that the status reports.
 	Build string
-	// Listener serves callers, Operators operators and Peers other instances;
-	// nil listens where the settings say.
+	// Listener accepts connections of callers, Operators those of operators and
+	// Peers those of other instances. If one is nil, Run opens a listener at
+	// the address in the settings.
 	Listener  net.Listener
 	Operators net.Listener
 	Peers     net.Listener
@@ -34,22 +35,22 @@
 	parts    parts
 }
 
-// Stop begins the graceful stop; Run returns once the last request ended.
+// Stop begins a graceful stop. Run returns after the last request has ended.
 func (d *Daemon) Stop() {
 	if d.build() == nil {
 		d.parts.drainer.Begin()
 	}
 }
 
-// CloseListeners closes the listeners without waiting for the balancer to turn away.
-// Requests in progress go on.
+// CloseListeners closes the listeners without waiting until the load balancer
+// stops sending requests. Requests in progress continue.
 func (d *Daemon) CloseListeners() {
 	if d.build() == nil {
 		d.parts.drainer.CloseListeners()
 	}
 }
 
-// Run serves until it is told to stop or ctx ends, then finishes every request
+// Run serves until Stop is called or ctx is done, then completes every request
 // in progress.
 func (d *Daemon) Run(ctx context.Context) error {
 	if err := d.build(); err != nil {
@@ -67,15 +68,16 @@
 	}
 	ends.log(d.Log, d.Settings.Instance.Name)
 	err = d.run(ctx, ends)
-	if closed := p.spans.Close(); closed != nil {
-		d.Log.Warn("daemon: last spans lost", zap.Error(closed))
+	if closeErr := p.spans.Close(); closeErr != nil {
+		d.Log.Warn("daemon: sending the last spans failed", zap.Error(closeErr))
 	}
 	return err
 }
 
-// ready reports whether the balancer should send callers here: not before the
-// configuration is as new as any heard of, nor before what the other instances
-// know is known here.
+// ready reports whether the load balancer should send callers to this instance.
+// It is false until the configuration is at least as new as any version
+// reported by others, and until the state of the other instances has been
+// received.
 func (d *Daemon) ready() bool {
 	p := &d.parts
 	if p.drainer.Stopping() || !p.follower.Ready() {
@@ -84,7 +86,7 @@
 	return p.fleet == nil || p.fleet.isReady()
 }
 
-// run keeps the parts alive until the last request ended.
+// run runs the components until the last request has ended.
 func (d *Daemon) run(ctx context.Context, ends *endpoints) error {
 	p := &d.parts
 	inner, stop := context.WithCancel(context.WithoutCancel(ctx))
@@ -105,7 +107,7 @@
 	return g.Wait()
 }
 
-// runners are the parts that run beside the servers.
+// runners returns the background tasks that run beside the servers.
 func (d *Daemon) runners() []func(context.Context) error {
 	p := &d.parts
 	out := []func(context.Context) error{p.loop.Run, p.watcher.Run, p.sender.Run, func(ctx context.Context) error {
@@ -120,16 +122,16 @@
 	return append(out, p.fleet.hub.Run, p.fleet.followWatches, p.fleet.announceVersions, p.fleet.announceStop)
 }
 
-// finish waits for the end of the graceful stop: the last request of a caller,
-// the last record, the last request of another instance, the release of the
-// leases, and the farewell to the others, in this order.
+// finish completes the graceful stop. It waits for, in this order: the last
+// request of a caller, the last record, the last forwarded request of another
+// instance, the release of the leases, and the leave message to the peers.
 func (d *Daemon) finish(ctx context.Context, ends *endpoints) error {
 	p := &d.parts
 	if err := p.drainer.Run(ctx, ends.callers.server); err != nil {
 		return errors.Wrap(err, "daemon: stop")
 	}
 	if err := p.ledger.Wait(ctx); err != nil {
-		return errors.Wrap(err, "daemon: records")
+		return errors.Wrap(err, "daemon: wait for records")
 	}
 	if p.fleet == nil {
 		p.duties.stop()
@@ -139,8 +141,8 @@
 	return nil
 }
 
-// serve serves one endpoint. One that fails ends the instance, since an
-// instance that looks alive but answers nobody would never be replaced.
+// serve serves one endpoint. If an endpoint fails, the instance ends: an
+// instance that looks alive but answers no requests would never be replaced.
 func (d *Daemon) serve(e endpoint) error {
 	serve := e.server.Serve
 	if e.server.TLSConfig != nil {
--- a/internal/app/daemon/daemon_test.go
+++ b/internal/app/daemon/daemon_test.go
@@ -31,13 +31,14 @@
 	return config.NewSnapshot(1, classes, []spec.Team{spec.NewTeam(config.HashKey(key), "t", 1)})
 }
 
-// start runs an instance before stand-ins and returns its base URL.
+// start runs an instance with a fake platform and fake engines, and returns its
+// base URL.
 func start(t *testing.T) (*trial.Site, string) {
 	site, base, _ := startBoth(t)
 	return site, base
 }
 
-// startBoth returns the operators' base URL too.
+// startBoth is like start and also returns the operators' base URL.
 func startBoth(t *testing.T) (*trial.Site, string, string) {
 	t.Helper()
 	site := &trial.Site{}
@@ -49,8 +50,8 @@
 	return site, "http://" + base, "http://" + operators
 }
 
-// run runs an instance before a platform until the test ends and returns the
-// addresses of callers and operators.
+// run runs an instance against a platform until the test ends and returns the
+// addresses for callers and operators.
 func run(t *testing.T, platform string, secure setup.TLS) (callers, operators string) {
 	t.Helper()
 	var at [2]net.Listener
@@ -72,7 +73,8 @@
 	done := make(chan error, 1)
 	go func() {
 		err := d.Run(ctx)
-		// Whoever waits for an instance that ended early learns it at once.
+		// Requests to an instance that ended early fail at once instead of
+		// waiting.
 		_ = at[0].Close()
 		done <- err
 	}()
@@ -107,7 +109,8 @@
 	return resp.StatusCode, string(data)
 }
 
-// answer asks until the instance has seen the engines.
+// answer repeats a request until the instance has received reports of the
+// engines, and returns the answer.
 func answer(t *testing.T, base, body string) string {
 	t.Helper()
 	for {
@@ -122,8 +125,8 @@
 	}
 }
 
-// The caller sees the answer that one machine with all layers would give,
-// although no engine of the site holds the whole model.
+// The answer must equal that of a single machine with all layers, although no
+// engine of the site holds the whole model.
 func TestAnswerEqualsOneMachine(t *testing.T) {
 	_, base := start(t)
 	text := answer(t, base, `{"model":"levy-13b","max_tokens":50,"messages":[{"role":"user","content":"Explain my levy notice"}]}`)
@@ -141,8 +144,8 @@
 	}
 }
 
-// The caller sends a payment twice and sees the same answer; the service
-// recorded it once.
+// A caller sends a payment twice with the same key and must receive the same
+// answer. The service must have run it only once.
 func TestPaymentSentTwiceRunsOnce(t *testing.T) {
 	site, base := start(t)
 	answer(t, base, `{"model":"levy-13b","max_tokens":1,"messages":[{"role":"user","content":"x"}]}`)
@@ -156,8 +159,8 @@
 	}
 }
 
-// An operator sees in one instance's status and metrics the classes against
-// their targets and every engine, once a request was served.
+// After a served request, the status and the metrics of an instance must
+// contain the classes with their targets and every engine.
 func TestOperatorsSeeTargetsAndEngines(t *testing.T) {
 	_, base, operators := startBoth(t)
 	answer(t, base, `{"model":"levy-13b","max_tokens":3,"messages":[{"role":"user","content":"x"}]}`)
--- a/internal/app/daemon/duties.go
+++ b/internal/app/daemon/duties.go
@@ -22,14 +22,15 @@
 const (
 	dutyPlace = "place/"
 	dutyTrim  = "trim"
-	// dutyInterval is the time between two looks of a duty at its lease and work.
+	// dutyInterval is the time between two rounds in which a duty checks its
+	// lease and does its work.
 	dutyInterval = 500 * time.Millisecond
-	// trimEvery and trimRows bound what trimming costs the table.
+	// trimEvery and trimRows bound the load that trimming puts on the table.
 	trimEvery = 10 * time.Second
 	trimRows  = 200
 )
 
-// duties runs the duties that fall to this instance, each under its lease.
+// duties runs the duties assigned to this instance, each under its own lease.
 type duties struct {
 	*Daemon
 	orders *order.Reconciler
@@ -57,135 +58,137 @@
 	return &lease.Lease{Table: d.parts.table, Duty: name, Owner: d.parts.owner, Jitter: jitter, Meters: d.parts.metrics}
 }
 
-// specs are the duties there are, for the fleet logic to spread.
-func (u *duties) specs() []node.DutySpec {
+// specs returns all duties, which the fleet logic assigns to instances.
+func (d *duties) specs() []node.DutySpec {
 	return []node.DutySpec{
-		{Name: dutyPlace + u.localSpan(), Scope: news.ScopeCentre},
+		{Name: dutyPlace + d.localSpan(), Scope: news.ScopeCentre},
 		{Name: dutyTrim, Scope: news.ScopeFleet},
 	}
 }
 
-// takeAll takes every duty: an instance that stands alone holds them all.
-func (u *duties) takeAll() {
-	for _, s := range u.specs() {
-		u.set(s.Name, true)
+// takeAll starts every duty, for an instance without peers.
+func (d *duties) takeAll() {
+	for _, s := range d.specs() {
+		d.set(s.Name, true)
 	}
 }
 
-// set begins or ends a duty here. It does not wait.
-func (u *duties) set(name string, mine bool) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	cancel := u.running[name]
+// set starts or stops a duty on this instance. It does not wait.
+func (d *duties) set(name string, assigned bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	cancel := d.running[name]
 	switch {
-	case !mine && cancel != nil:
+	case !assigned && cancel != nil:
 		cancel()
-		delete(u.running, name)
-	case mine && cancel == nil && !u.stopped:
+		delete(d.running, name)
+	case assigned && cancel == nil && !d.stopped:
 		ctx, cancel := context.WithCancel(context.Background())
-		u.running[name] = cancel
-		u.group.Add(1)
+		d.running[name] = cancel
+		d.group.Add(1)
 		go func() {
-			defer u.group.Done()
-			u.run(ctx, name)
+			defer d.group.Done()
+			d.run(ctx, name)
 		}()
 	}
 }
 
-// stop ends all duties and waits until their leases are released.
-func (u *duties) stop() {
-	u.mu.Lock()
-	u.stopped = true
-	for name, cancel := range u.running {
+// stop stops all duties and waits until their leases are released.
+func (d *duties) stop() {
+	d.mu.Lock()
+	d.stopped = true
+	for name, cancel := range d.running {
 		cancel()
-		delete(u.running, name)
+		delete(d.running, name)
 	}
-	u.mu.Unlock()
-	u.group.Wait()
+	d.mu.Unlock()
+	d.group.Wait()
 }
 
-func (u *duties) run(ctx context.Context, name string) {
+func (d *duties) run(ctx context.Context, name string) {
 	if strings.HasPrefix(name, dutyPlace) {
-		u.runPlacement(ctx)
+		d.runPlacement(ctx)
 		return
 	}
-	u.runTrim(ctx)
+	d.runTrim(ctx)
 }
 
-// runPlacement plans the placement of the data centre while the lease is held.
-func (u *duties) runPlacement(ctx context.Context) {
+// runPlacement plans the placement of the data centre while it holds the lease.
+func (d *duties) runPlacement(ctx context.Context) {
 	var group sync.WaitGroup
 	defer group.Wait()
-	group.Go(func() { u.lease.Run(ctx) })
+	group.Go(func() { d.lease.Run(ctx) })
 	adopted := uint64(0)
-	u.every(ctx, dutyInterval, func() {
-		held := u.lease.Held()
+	d.every(ctx, dutyInterval, func() {
+		held := d.lease.Held()
 		if !held {
 			adopted = 0
 		}
-		u.parts.loop.Post(domain.Duties{PlansPlacement: held && adopted != 0})
+		d.parts.loop.Post(domain.Duties{PlansPlacement: held && adopted != 0})
 		if held {
-			adopted = u.orderRound(ctx, adopted)
+			adopted = d.orderRound(ctx, adopted)
 		}
 	})
-	u.parts.loop.Post(domain.Duties{})
+	d.parts.loop.Post(domain.Duties{})
 }
 
-// orderRound takes over what former holders wished, then sends what is due.
-func (u *duties) orderRound(ctx context.Context, adopted uint64) uint64 {
-	if fence := u.lease.Fence(); fence != adopted {
-		if err := u.orders.Adopt(ctx); err != nil {
-			u.Log.Warn("duties: desired state not taken over", zap.Error(err))
+// orderRound adopts the desired state of earlier lease holders, then sends the
+// load orders that are due. It returns the fencing token under which the state
+// was adopted, or 0 if adoption failed.
+func (d *duties) orderRound(ctx context.Context, adopted uint64) uint64 {
+	if fence := d.lease.Fence(); fence != adopted {
+		if err := d.orders.Adopt(ctx); err != nil {
+			d.Log.Warn("duties: adopt desired state failed", zap.Error(err))
 			return 0
 		}
-		u.Log.Info("duties: placing engines", zap.Uint64("fence", fence))
+		d.Log.Info("duties: placing engines", zap.Uint64("fence", fence))
 		adopted = fence
 	}
-	for _, p := range u.takePending() {
-		if err := u.orders.SetDesired(ctx, p.Engine, holdFrames(p.Ranges), ""); err != nil {
-			u.Log.Warn("duties: wish not written", zap.String("engine", string(p.Engine)), zap.Error(err))
+	for _, p := range d.takePending() {
+		if err := d.orders.SetDesired(ctx, p.Engine, holdFrames(p.Ranges), ""); err != nil {
+			d.Log.Warn("duties: write desired state failed", zap.String("engine", string(p.Engine)), zap.Error(err))
 		}
 	}
-	if _, err := u.orders.Reconcile(ctx); err != nil {
-		u.Log.Warn("duties: orders not sent", zap.Error(err))
+	if _, err := d.orders.Reconcile(ctx); err != nil {
+		d.Log.Warn("duties: send load orders failed", zap.Error(err))
 	}
 	return adopted
 }
 
-// queuePlan queues a wish of the planner.
-func (u *duties) queuePlan(p domain.LoadLayers) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	u.pending = append(u.pending, p)
+// queuePlan queues a placement that the planner requested.
+func (d *duties) queuePlan(p domain.LoadLayers) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.pending = append(d.pending, p)
 }
 
-func (u *duties) takePending() []domain.LoadLayers {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	out := u.pending
-	u.pending = nil
+func (d *duties) takePending() []domain.LoadLayers {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	out := d.pending
+	d.pending = nil
 	return out
 }
 
-// runTrim removes old records while the lease is held.
-func (u *duties) runTrim(ctx context.Context) {
-	l := u.newLease(dutyTrim)
-	trimmer := &ledger.Trimmer{Table: u.parts.budget.Limit(store.RankOther, u.parts.breaker)}
+// runTrim removes old records while it holds the lease.
+func (d *duties) runTrim(ctx context.Context) {
+	l := d.newLease(dutyTrim)
+	trimmer := &ledger.Trimmer{Table: d.parts.budget.Limit(store.RankOther, d.parts.breaker)}
 	var group sync.WaitGroup
 	defer group.Wait()
 	group.Go(func() { l.Run(ctx) })
-	u.every(ctx, trimEvery, func() {
+	d.every(ctx, trimEvery, func() {
 		if !l.Held() {
 			return
 		}
 		if _, err := trimmer.Trim(ctx, trimRows); err != nil {
-			u.Log.Warn("duties: old records not trimmed", zap.Error(err))
+			d.Log.Warn("duties: trim old records failed", zap.Error(err))
 		}
 	})
 }
 
-func (u *duties) every(ctx context.Context, d time.Duration, work func()) {
-	ticker := time.NewTicker(d)
+func (d *duties) every(ctx context.Context, interval time.Duration, work func()) {
+	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
 		work()
@@ -197,7 +200,8 @@
 	}
 }
 
-// fenced says whether an engine refuses old fencing numbers, by its kind.
+// fenced reports whether an engine rejects outdated fencing tokens. The
+// settings list this by engine kind.
 func (d *Daemon) fenced(id spec.UpstreamID) bool {
 	return d.Settings.Fenced[d.parts.interceptor.kind(id)]
 }
--- a/internal/app/daemon/endpoints.go
+++ b/internal/app/daemon/endpoints.go
@@ -19,19 +19,19 @@
 
 const (
 	headerTimeout = 10 * time.Second
-	// closeTimeout bounds the wait for an operator's last question.
+	// closeTimeout bounds the wait for the last request of an operator.
 	closeTimeout = 2 * time.Second
 )
 
-// endpoint is one endpoint: a server and where it listens.
+// endpoint is an HTTP server and its listener.
 type endpoint struct {
 	name     string
 	server   *http.Server
 	listener net.Listener
 }
 
-// endpoints are the endpoints of an instance. Those without a server are not
-// served.
+// endpoints holds the endpoints of an instance. An endpoint without a server is
+// not served.
 type endpoints struct {
 	callers   endpoint
 	operators endpoint
@@ -54,8 +54,8 @@
 	}
 }
 
-// close ends the endpoints of operators and peers, which answer until all else
-// has ended.
+// close shuts down the endpoints. Those of operators and peers answer until
+// everything else has ended.
 func (e *endpoints) close() {
 	for _, one := range e.all() {
 		ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
@@ -69,11 +69,11 @@
 func (d *Daemon) listen(ctx context.Context) (*endpoints, error) {
 	s := d.Settings
 	var e endpoints
-	secure, err := d.tlsConfig(s.TLS.Callers)
+	tlsConf, err := d.tlsConfig(s.TLS.Callers)
 	if err != nil {
 		return nil, err
 	}
-	server := d.parts.callers.HTTP(d.handler(), secure)
+	server := d.parts.callers.HTTP(d.handler(), tlsConf)
 	if e.callers, err = open(ctx, "callers", server, d.Listener, s.Listen.Callers); err != nil {
 		return nil, err
 	}
@@ -92,21 +92,22 @@
 	return &e, nil
 }
 
-// open makes an endpoint for others than callers.
+// open creates an endpoint for operators or peers.
 func (d *Daemon) open(ctx context.Context, name string, h http.Handler, pair setup.Pair, l net.Listener, address string) (endpoint, error) {
-	secure, err := d.tlsConfig(pair)
+	tlsConf, err := d.tlsConfig(pair)
 	if err != nil {
 		return endpoint{}, err
 	}
-	server := &http.Server{Handler: h, TLSConfig: secure, ReadHeaderTimeout: headerTimeout}
-	// Failed handshakes are what others did, and may be many.
+	server := &http.Server{Handler: h, TLSConfig: tlsConf, ReadHeaderTimeout: headerTimeout}
+	// Failed handshakes are caused by clients and may be frequent, so they are
+	// logged at debug level only.
 	if log, err := zap.NewStdLogAt(d.Log.Named(name), zapcore.DebugLevel); err == nil {
 		server.ErrorLog = log
 	}
 	return open(ctx, name, server, l, address)
 }
 
-// open listens at address unless there is a listener.
+// open listens at address, unless l is already a listener.
 func open(ctx context.Context, name string, server *http.Server, l net.Listener, address string) (endpoint, error) {
 	if l == nil {
 		opened, err := new(net.ListenConfig).Listen(ctx, "tcp", address)
@@ -118,7 +119,8 @@
 	return endpoint{name: name, server: server, listener: l}, nil
 }
 
-// tlsConfig returns the TLS settings of an endpoint, or nil without.
+// tlsConfig returns the TLS configuration of an endpoint, or nil if the
+// endpoint does not use TLS.
 func (d *Daemon) tlsConfig(p setup.Pair) (*tls.Config, error) {
 	if !p.Set() {
 		return nil, nil
@@ -130,14 +132,15 @@
 	return source.Server(), nil
 }
 
-// certSource opens the certificates of an endpoint.
+// certSource loads the certificates of an endpoint.
 func (d *Daemon) certSource(p setup.Pair) (*certs.Source, error) {
 	s := &certs.Source{Cert: p.Cert, Key: p.Key, CA: p.CA, Log: d.Log}
 	return s, s.Open()
 }
 
-// handler serves callers. Health checks do not count as requests: the balancer
-// goes on asking an instance that stops.
+// handler returns the handler for callers. Health checks do not count as
+// requests, because the load balancer continues to send them while an instance
+// stops.
 func (d *Daemon) handler() http.Handler {
 	r := mux.NewRouter().UseEncodedPath()
 	admin.Health(r, d.ready)
--- a/internal/app/daemon/fleet.go
+++ b/internal/app/daemon/fleet.go
@@ -16,18 +16,21 @@
 )
 
 const (
-	// maxSnapshots is how many peers are asked for a configuration at most.
+	// maxSnapshots is the maximum number of peers whose configuration is
+	// fetched.
 	maxSnapshots = 3
-	// exitedAfter is how long an instance must be out of the members before it
-	// counts as ended for the records that it left at running.
+	// exitedAfter is how long an instance must be missing from the members
+	// before it counts as ended, for the records that it left in state running.
 	exitedAfter = 10 * time.Second
-	// leaveTimeout bounds the wait for the others to hear of the end.
+	// leaveTimeout bounds the wait until the peers have received the leave
+	// message.
 	leaveTimeout = 2 * time.Second
-	// jobsInterval is the time between two looks at forwarded requests at a stop.
+	// jobsInterval is the time between two checks for forwarded requests during
+	// a stop.
 	jobsInterval = 20 * time.Millisecond
 )
 
-// fleet is this instance's part among the others.
+// fleet connects this instance to its peers.
 type fleet struct {
 	*Daemon
 	hub    *peer.Hub
@@ -44,7 +47,8 @@
 	watches   chan node.Watch
 }
 
-// newFleet builds the part; nil for an instance that stands alone.
+// newFleet creates the connection to the peers. It returns nil for an instance
+// without peers.
 func (d *Daemon) newFleet() (*fleet, error) {
 	if d.Peers == nil && d.Settings.Listen.Peers == "" {
 		return nil, nil
@@ -72,15 +76,17 @@
 	return f, nil
 }
 
-// Snapshot is the configuration in force, for an instance that joins.
+// Snapshot returns the encoded active configuration, for an instance that
+// joins.
 func (f *fleet) Snapshot() []byte {
-	if now := f.parts.active.Snapshot(); now != nil {
-		return now.Encode()
+	if current := f.parts.active.Snapshot(); current != nil {
+		return current.Encode()
 	}
 	return nil
 }
 
-// Snapshots asks a few peers for theirs.
+// Snapshots fetches the configurations of a few peers. It skips peers that fail
+// to answer.
 func (f *fleet) Snapshots(ctx context.Context) ([][]byte, error) {
 	var out [][]byte
 	for _, p := range f.peers() {
@@ -96,8 +102,8 @@
 	return out, nil
 }
 
-// handleCommand takes a command of the fleet logic. It runs on the hub's goroutine and
-// must not block.
+// handleCommand executes a command of the fleet logic. It runs on the hub's
+// goroutine and must not block.
 func (f *fleet) handleCommand(c node.Command) {
 	loop := f.parts.loop
 	switch c := c.(type) {
@@ -125,8 +131,9 @@
 	}
 }
 
-// queueWatch hands the newest assignment to the goroutine that follows it; the
-// watcher may be busy with its table and the hub must not wait.
+// queueWatch passes the newest assignment to the goroutine of followWatches and
+// replaces one that is still queued. The hub must not wait for the watcher,
+// which may be busy updating its table.
 func (f *fleet) queueWatch(c node.Watch) {
 	select {
 	case <-f.watches:
@@ -159,8 +166,8 @@
 	return "http://"
 }
 
-// announceStop tells the fleet logic of the stop as soon as it begins, so that
-// duties and watches pass on while requests end.
+// announceStop notifies the fleet logic as soon as the stop begins, so that
+// duties and watches move to other instances while requests end.
 func (f *fleet) announceStop(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
@@ -170,7 +177,8 @@
 	return nil
 }
 
-// leave tells the others of the end, once nothing is in progress here.
+// leave sends the leave message to the peers after all forwarded requests and
+// duties here have ended.
 func (f *fleet) leave(ctx context.Context) {
 	for f.hub.Jobs() > 0 && ctx.Err() == nil {
 		time.Sleep(jobsInterval)
@@ -185,5 +193,5 @@
 	}
 }
 
-// handler serves other instances.
+// handler returns the handler for requests of other instances.
 func (f *fleet) handler() http.Handler { return f.hub.Handler() }
--- a/internal/app/daemon/fleet_test.go
+++ b/internal/app/daemon/fleet_test.go
@@ -20,17 +20,20 @@
 )
 
 const (
-	// chatClients and payers are callers at once.
+	// chatClients is the number of concurrent callers of model requests.
 	chatClients = 16
-	payClients  = 4
-	// faultSpacing is how many answers come between two faults.
+	// payClients is the number of concurrent callers of payments.
+	payClients = 4
+	// faultSpacing is the number of answers between two faults.
 	faultSpacing = 40
-	// testTimeout bounds the whole test; it fails then, and never earlier by time.
+	// testTimeout bounds the whole test. It is the only time limit after which
+	// the test fails.
 	testTimeout  = 5 * time.Minute
 	pollInterval = 10 * time.Millisecond
 )
 
-// cluster are instances as processes, before stand-ins in this one.
+// cluster runs instances as processes, with a fake platform and fake engines in
+// the test process.
 type cluster struct {
 	t        testing.TB
 	ctx      context.Context
@@ -39,7 +42,7 @@
 	live     map[string]*process
 	bases    map[string]string
 	started  int
-	// watch is the time between two readings of the list.
+	// watch is the interval at which instances read the list.
 	watch time.Duration
 }
 
@@ -48,7 +51,7 @@
 	return newClusterAt(t, n, &trial.Site{Layer: 20 * time.Microsecond})
 }
 
-// newClusterAt puts n instances before a site that is not started yet.
+// newClusterAt starts n instances with a site that is not started yet.
 func newClusterAt(t testing.TB, n int, site *trial.Site) *cluster {
 	t.Helper()
 	return newClusterWatch(t, n, site, 100*time.Millisecond)
@@ -76,7 +79,7 @@
 	return e
 }
 
-// start launches one more instance in a data centre and lists it.
+// start launches one more instance in a data centre and adds it to the list.
 func (e *cluster) start(centre string) string {
 	e.t.Helper()
 	return e.startWith(centre, "datacentre")
@@ -119,7 +122,7 @@
 	})
 }
 
-// ready waits until the instance says that callers may come.
+// ready waits until the instance reports that it is ready for callers.
 func (e *cluster) ready(name string) {
 	e.t.Helper()
 	for {
@@ -139,7 +142,7 @@
 	}
 }
 
-// balance has the balancer send callers to the instances listed now.
+// balance makes the load balancer send callers to the live instances.
 func (e *cluster) balance() {
 	var bases []string
 	for name := range e.live {
@@ -162,7 +165,7 @@
 	}
 }
 
-// work is steady work of many callers, and what came of it.
+// work runs many callers with steady load and collects the results.
 type work struct {
 	e        *cluster
 	stop     chan struct{}
@@ -214,7 +217,7 @@
 		case a.Text != layer.Text(tokens):
 			w.faults = append(w.faults, fmt.Sprintf("wrong: %s: got %q, want %q", text, a.Text, layer.Text(tokens)))
 		case a.Tokens != len(tokens):
-			w.faults = append(w.faults, fmt.Sprintf("doubled: %s: got %d tokens, want %d", text, a.Tokens, len(tokens)))
+			w.faults = append(w.faults, fmt.Sprintf("duplicated: %s: got %d tokens, want %d", text, a.Tokens, len(tokens)))
 		}
 		w.mu.Unlock()
 	}
@@ -234,7 +237,7 @@
 	}
 }
 
-// waitAnswers waits until n more answers came.
+// waitAnswers waits until n more answers have been received.
 func (w *work) waitAnswers(n int) {
 	want := w.count() + n
 	for w.count() < want && w.e.ctx.Err() == nil {
@@ -248,7 +251,7 @@
 	return w.answers
 }
 
-// finish stops the callers and checks what came.
+// finish stops the callers and checks their results.
 func (w *work) finish(t *testing.T) {
 	t.Helper()
 	close(w.stop)
@@ -264,19 +267,20 @@
 			t.Errorf("got %d runs of %s, want at most 1", runs, key)
 		}
 		if state == "done" && runs != 1 {
-			t.Errorf("got %d runs of %s which was told done, want 1", runs, key)
+			t.Errorf("got %d runs of %s which was reported done, want 1", runs, key)
 		}
 		if state == "notrun" && runs != 0 {
-			t.Errorf("got %d runs of %s which was told notrun, want 0", runs, key)
+			t.Errorf("got %d runs of %s which was reported notrun, want 0", runs, key)
 		}
 	}
-	t.Logf("%d answers whole, %d streams resumed, payments %v", w.answers, w.cuts, states)
+	t.Logf("%d complete answers, %d streams resumed, payments %v", w.answers, w.cuts, states)
 }
 
-// Clerks ask and pay all the time while instances are killed, stopped, frozen
-// and replaced and the platform is out. Every answer must come whole, with no
-// token twice, and no payment may run twice: a cut stream is resumed at another
-// instance by its resume token, and payments are fenced by their record.
+// Callers send requests and payments all the time while instances are killed,
+// stopped, frozen and replaced and the platform has an outage. Every answer
+// must be complete, with no token twice, and no payment may run twice. A cut
+// stream is resumed at another instance by its resume token, and payments are
+// fenced by their record.
 func TestFourInstancesUnderFaultsLoseNothing(t *testing.T) {
 	e := newCluster(t, 4)
 	w := e.work()
@@ -313,8 +317,9 @@
 	w.finish(t)
 }
 
-// A stopped instance ends with code 0 only after its streams ended; callers
-// see no cut, although new ones come until the balancer knows.
+// A stopped instance must exit with code 0 only after its streams have ended.
+// No stream may be cut, although new requests arrive until the load balancer
+// knows of the stop.
 func TestStopOfAnInstanceCutsNothing(t *testing.T) {
 	e := newCluster(t, 2)
 	w := e.work()
@@ -332,10 +337,10 @@
 	}
 }
 
-// A data centre without engines of the model gets its callers' answers from
-// another one over one hop. The instance that runs them is killed midway. No
-// caller sees a cut: their instance goes on with another one, checks each
-// token's index, and passes over what callers have.
+// A data centre without engines of the model forwards requests to another one
+// over one hop. The instance that runs them is killed midway. No stream may be
+// cut: the forwarding instance continues with another instance, checks the
+// index of each token, and skips tokens that callers already have.
 func TestForwardedAnswersAreWholeThoughTheirInstanceDies(t *testing.T) {
 	e := newCluster(t, 2)
 	far := e.start("penang")
@@ -352,16 +357,17 @@
 	}
 }
 
-// All instances are replaced one after another under steady work, as in a
-// rolling upgrade: a new one joins and is ready, then an old one stops. Callers
-// see no cut and no refusal that lasts, and each old one ends with code 0.
+// All instances are replaced one after another under steady load, as in a
+// rolling upgrade: a new instance joins and becomes ready, then an old one
+// stops. No stream may be cut, no refusal may last, and each old instance must
+// exit with code 0.
 func TestRollingRestartCutsNothing(t *testing.T) {
 	e := newCluster(t, 4)
 	w := e.work()
 	w.waitAnswers(faultSpacing / 2)
 	for i := range 4 {
-		fresh := e.start(trial.Centre)
-		e.ready(fresh)
+		joined := e.start(trial.Centre)
+		e.ready(joined)
 		old := fmt.Sprintf("%s-%d", trial.Centre, i+1)
 		e.list(old, trial.Centre, frame.StateLeaving)
 		if code := e.remove(old).stop(); code != 0 {
@@ -376,9 +382,9 @@
 	}
 }
 
-// Three small data centres close to each other hold the model only together.
-// An instance in one without engines runs chains over those of the others by
-// itself, and loses nothing when the instance beside the engines dies.
+// Three small data centres close to each other hold the model only together. An
+// instance in one without engines must run chains over the engines of the
+// others by itself, and lose nothing when the instance near the engines dies.
 func TestChainsRunOverARegion(t *testing.T) {
 	e := newCluster(t, 0)
 	beside := e.startWith(trial.Centre, "region")
@@ -391,9 +397,10 @@
 	w.finish(t)
 }
 
-// A day's deaths in less than a minute: nineteen instances fail one after
-// another and each is replaced, while clerks ask and pay. Every answer comes
-// whole and no payment runs twice, whatever died while it was under way.
+// Nineteen instances, as many as fail in a day, are killed one after another in
+// less than a minute. Each is replaced while callers send requests and
+// payments. Every answer must be complete and no payment may run twice,
+// whichever instance died while it was in progress.
 func TestNineteenDeathsLoseNothing(t *testing.T) {
 	e := newCluster(t, 4)
 	w := e.work()
@@ -401,8 +408,8 @@
 		w.waitAnswers(5)
 		e.remove(fmt.Sprintf("%s-%d", trial.Centre, i+1)).kill()
 		e.site.Unlist(fmt.Sprintf("%s-%d", trial.Centre, i+1))
-		fresh := e.start(trial.Centre)
-		e.ready(fresh)
+		joined := e.start(trial.Centre)
+		e.ready(joined)
 		e.balance()
 	}
 	w.waitAnswers(faultSpacing)
--- a/internal/app/daemon/forward.go
+++ b/internal/app/daemon/forward.go
@@ -16,47 +16,48 @@
 	"go.uber.org/zap"
 )
 
-// maxForwards is how many instances are tried for one request. The last try
-// stays here.
+// maxForwards is the maximum number of instances that one request is forwarded
+// to. After that the request runs locally.
 const maxForwards = 3
 
-// modelRunner runs model requests here, or at another data centre if the routing
-// logic says so.
+// modelRunner runs model requests on this instance, or forwards them to another
+// data centre if the routing logic decides so.
 type modelRunner struct {
 	*Daemon
 }
 
-// Run brings the whole answer to sink. A request whose other instance is lost
-// is decided on anew, from the next token: staying here would lose the answer
-// where the own data centre has no engines of the model.
+// Run sends the whole answer to sink. If the instance that a request was
+// forwarded to is lost, the request is routed again and continues at the next
+// token. Running it locally instead would lose the answer if the local data
+// centre has no engines of the model.
 func (m *modelRunner) Run(ctx context.Context, job chain.Job, sink chain.Sink) (chain.Result, error) {
 	if m.parts.fleet == nil {
 		return m.parts.runner.Run(ctx, job, sink)
 	}
-	given := &delivered{hash: xxhash.New(), sink: sink}
+	answer := &delivered{hash: xxhash.New(), sink: sink}
 	for try := range maxForwards {
-		result, err := m.parts.runner.Run(ctx, job, given.nextSink())
+		result, err := m.parts.runner.Run(ctx, job, answer.nextSink())
 		var forward *chain.ForwardError
 		if !errors.As(err, &forward) {
 			return result, err
 		}
 		to := m.parts.fleet.forwardTarget(forward.To, try)
-		result, err = m.forward(ctx, to, job, given.nextSink())
+		result, err = m.forward(ctx, to, job, answer.nextSink())
 		if !errors.Is(err, peer.ErrRefused) && !errors.Is(err, peer.ErrBroken) {
 			return result, err
 		}
-		// An instance that died counts as live for seconds yet. Without this
-		// all tries would go to it, and the answer be cut; one that lives
-		// tells its room again.
+		// An instance that died counts as live for a few more seconds. Without
+		// removing it here, all attempts would go to it and the answer would be
+		// cut off. An instance that is still alive reports its capacity again.
 		m.parts.loop.Post(domain.PeerRemoved{Peer: to})
-		m.Log.Info("forward: request comes back", zap.String("request", string(job.Arrived.Request)), zap.Error(err))
-		job.Arrived.ReceivedTokens = max(job.Arrived.ReceivedTokens, given.count)
+		m.Log.Info("forward: remote instance failed, request routed again", zap.String("request", string(job.Arrived.Request)), zap.Error(err))
+		job.Arrived.ReceivedTokens = max(job.Arrived.ReceivedTokens, answer.count)
 	}
 	job.Arrived.Hops = 1
-	return m.parts.runner.Run(ctx, job, given.nextSink())
+	return m.parts.runner.Run(ctx, job, answer.nextSink())
 }
 
-// forward has another instance run the request.
+// forward runs the request on another instance.
 func (m *modelRunner) forward(ctx context.Context, to spec.InstanceID, job chain.Job, sink chain.Sink) (chain.Result, error) {
 	end, err := m.parts.fleet.hub.Forward(ctx, to, peerJob(job), func(t peer.Token) error {
 		return sink(chain.Token{Index: t.Index, Text: t.Text})
@@ -68,27 +69,29 @@
 	return chain.Result{Tokens: end.Count, Stop: end.Stop}, err
 }
 
-// delivered is what the caller has of an answer that may be made more than once.
+// delivered tracks the part of an answer that the caller has received. The
+// answer may be generated more than once.
 type delivered struct {
 	hash  *xxhash.Digest
 	count int
 	sink  chain.Sink
 }
 
-// nextSink is the sink of one more making of the answer, from its first token. It
-// passes over what the caller has, and refuses an answer that differs from it:
-// halves of different answers must not be joined.
-func (g *delivered) nextSink() chain.Sink {
-	had, want := g.count, g.hash.Sum64()
-	sum := xxhash.New()
+// nextSink returns the sink for another run that generates the answer from its
+// first token. The sink skips tokens that the caller already has and rejects an
+// answer that differs from them, because parts of different answers must not be
+// joined.
+func (d *delivered) nextSink() chain.Sink {
+	count, want := d.count, d.hash.Sum64()
+	hash := xxhash.New()
 	return func(t chain.Token) error {
-		if t.Index >= had {
-			_, _ = g.hash.WriteString(t.Text)
-			g.count++
-			return g.sink(t)
+		if t.Index >= count {
+			_, _ = d.hash.WriteString(t.Text)
+			d.count++
+			return d.sink(t)
 		}
-		_, _ = sum.WriteString(t.Text)
-		if t.Index == had-1 && sum.Sum64() != want {
+		_, _ = hash.WriteString(t.Text)
+		if t.Index == count-1 && hash.Sum64() != want {
 			return &entry.FaultError{
 				Status: http.StatusBadGateway, Code: "answer-differs",
 				Text: "The answer made anew differs from the part already sent; ask again.", Ran: entry.RanYes,
@@ -106,7 +109,8 @@
 	}
 }
 
-// refusalOf turns the other instance's refusal into what this one would give.
+// refusalOf converts a refusal by another instance into the error that this
+// instance would return.
 func refusalOf(f peer.Fault) error {
 	for r := domain.ReasonOverload; r <= domain.ReasonNotReady; r++ {
 		if r.String() == f.Code {
@@ -115,15 +119,16 @@
 			}
 		}
 	}
-	return errors.Errorf("forward: the other instance failed: %s %s", f.Code, f.Text)
+	return errors.Errorf("forward: remote instance failed: %s %s", f.Code, f.Text)
 }
 
-// forwardServer runs requests that other instances forward.
+// forwardServer runs requests forwarded by other instances.
 type forwardServer struct {
 	*Daemon
 }
 
-// ServeForwarded brings the answer to the other instance.
+// ServeForwarded runs a forwarded request and sends its answer to the other
+// instance through sink.
 func (s *forwardServer) ServeForwarded(ctx context.Context, _ spec.InstanceID, job peer.Job, sink func(peer.Token) error) (peer.End, error) {
 	arrived := domain.RequestArrived{
 		Request: job.Request, Team: job.Team, Class: job.Class, Model: job.Model, PromptTokens: job.Prompt,
--- a/internal/app/daemon/gauges.go
+++ b/internal/app/daemon/gauges.go
@@ -15,14 +15,14 @@
 // gaugeTimeout bounds how long a scrape waits for the routing logic.
 const gaugeTimeout = time.Second
 
-// gauges writes what stands in the status as metrics, at each scrape. What has
-// gone since leaves no stale line behind.
+// gauges writes the values of the status as metrics at each scrape. An engine
+// or class that no longer exists leaves no stale metric behind.
 func (d *Daemon) gauges(w io.Writer) {
 	ctx, cancel := context.WithTimeout(context.Background(), gaugeTimeout)
 	defer cancel()
 	s, err := d.Status(ctx)
 	if err != nil {
-		d.Log.Warn("daemon: no gauges, the routing logic does not answer", zap.Error(err))
+		d.Log.Warn("daemon: gauges skipped, routing logic did not respond", zap.Error(err))
 		return
 	}
 	gauge(w, "ready", "", boolValue(s.Ready))
--- a/internal/app/daemon/idle_test.go
+++ b/internal/app/daemon/idle_test.go
@@ -12,14 +12,15 @@
 )
 
 const (
-	// idleFor is how long instances are watched.
+	// idleTime is how long the instances are observed.
 	idleFor = 10 * time.Second
-	// tickRate is how many clock ticks a second /proc counts in.
+	// tickRate is the number of clock ticks per second in /proc.
 	tickRate = 100
 )
 
-// BenchmarkIdle gives the processor time and the memory of one of four
-// instances before thirty engines while no caller asks: what control takes.
+// BenchmarkIdle measures the processor time and memory that one of four
+// instances with thirty engines uses without requests: the cost of the control
+// plane.
 func BenchmarkIdle(b *testing.B) {
 	e := newClusterWatch(b, 4, &trial.Site{Layer: 20 * time.Microsecond, Copies: 5}, time.Second)
 	for range b.N {
@@ -39,7 +40,7 @@
 	}
 }
 
-// ticks is the processor time of a process in clock ticks.
+// ticks returns the processor time used by a process, in clock ticks.
 func ticks(b *testing.B, p *process) int {
 	b.Helper()
 	fields := strings.Fields(procFile(b, p, "stat"))
@@ -54,7 +55,7 @@
 	return sum
 }
 
-// residentKB is the memory of a process that is not swapped.
+// residentKB returns the resident memory of a process in KB.
 func residentKB(b *testing.B, p *process) int {
 	b.Helper()
 	_, rest, _ := strings.Cut(procFile(b, p, "status"), "VmRSS:")
--- a/internal/app/daemon/interceptor.go
+++ b/internal/app/daemon/interceptor.go
@@ -11,49 +11,49 @@
 	"fulmarwick/internal/wire/engine"
 )
 
-// interceptor passes events on to the routing logic and shows engines' reports to the
-// orders, which trust nothing else.
+// interceptor forwards events to the routing logic. It also passes engine
+// reports to the order reconciler, which relies on reports only.
 type interceptor struct {
 	*Daemon
 	mu    sync.Mutex
 	kinds map[spec.UpstreamID]string
 }
 
-// Post passes an event on.
-func (t *interceptor) Post(ev domain.Event) {
+// Post forwards an event to the routing logic.
+func (i *interceptor) Post(ev domain.Event) {
 	switch ev := ev.(type) {
 	case domain.EngineReport:
-		t.recordReport(ev.Engine)
+		i.recordReport(ev.Engine)
 	case domain.EngineDead:
-		t.parts.duties.orders.RemoveReport(ev.Engine)
-		t.parts.pool.Break(ev.Engine)
+		i.parts.duties.orders.RemoveReport(ev.Engine)
+		i.parts.pool.Break(ev.Engine)
 	case domain.EngineRemoved:
-		t.parts.duties.orders.RemoveReport(ev.Engine)
-		t.parts.pool.Forget(ev.Engine)
-		t.mu.Lock()
-		delete(t.kinds, ev.Engine)
-		t.mu.Unlock()
+		i.parts.duties.orders.RemoveReport(ev.Engine)
+		i.parts.pool.Forget(ev.Engine)
+		i.mu.Lock()
+		delete(i.kinds, ev.Engine)
+		i.mu.Unlock()
 	}
-	t.parts.loop.Post(ev)
+	i.parts.loop.Post(ev)
 }
 
-func (t *interceptor) recordReport(e domain.Engine) {
-	t.mu.Lock()
-	if t.kinds == nil {
-		t.kinds = map[spec.UpstreamID]string{}
+func (i *interceptor) recordReport(e domain.Engine) {
+	i.mu.Lock()
+	if i.kinds == nil {
+		i.kinds = map[spec.UpstreamID]string{}
 	}
-	t.kinds[e.ID] = e.Kind
-	t.mu.Unlock()
-	t.parts.duties.orders.ApplyReport(e.ID, frame.Engine{Seq: e.Seq, Holds: holdFrames(e.Loaded)})
+	i.kinds[e.ID] = e.Kind
+	i.mu.Unlock()
+	i.parts.duties.orders.ApplyReport(e.ID, frame.Engine{Seq: e.Seq, Holds: holdFrames(e.Loaded)})
 }
 
-func (t *interceptor) kind(id spec.UpstreamID) string {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.kinds[id]
+func (i *interceptor) kind(id spec.UpstreamID) string {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	return i.kinds[id]
 }
 
-// controls knows where engines are and sends them orders.
+// controls stores the base URLs of engines and sends them load orders.
 type controls struct {
 	pool *engine.Pool
 	http *http.Client
@@ -62,7 +62,7 @@
 	baseURLs map[spec.UpstreamID]string
 }
 
-// Locate learns where an engine is.
+// Locate sets the base URL of an engine.
 func (c *controls) Locate(id spec.UpstreamID, base string) {
 	c.mu.Lock()
 	if c.baseURLs == nil {
@@ -73,7 +73,7 @@
 	c.pool.Locate(id, base)
 }
 
-// SendOrder sends an order to an engine.
+// SendOrder sends a load order to an engine.
 func (c *controls) SendOrder(ctx context.Context, id spec.UpstreamID, o frame.Order) error {
 	c.mu.Lock()
 	base := c.baseURLs[id]
--- a/internal/app/daemon/members.go
+++ b/internal/app/daemon/members.go
@@ -19,7 +19,7 @@
 	return slices.Clone(f.members)
 }
 
-// inLocalSpan are the peers that share the detail of engines.
+// inLocalSpan returns the peers that share engine details with this instance.
 func (f *fleet) inLocalSpan(peers []node.Peer) []spec.InstanceID {
 	var out []spec.InstanceID
 	for _, p := range peers {
@@ -45,9 +45,10 @@
 	f.parts.loop.Post(domain.PeersChanged{Peers: f.inLocalSpan(peers)})
 }
 
-// peerExited reports whether an instance is out of the members for so long that it
-// will not bring its records to their end. If it only pauses, its caller may
-// be told unsure before the end, which is true at that time.
+// peerExited reports whether an instance has been missing from the members for
+// so long that it will not complete its records. If it is only paused, its
+// caller may receive the outcome unsure before the call completes, which is
+// correct at that time.
 func (f *fleet) peerExited(id spec.InstanceID) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -64,15 +65,18 @@
 	return time.Since(since) > exitedAfter
 }
 
-// maxReporters is up to how many instances each tells the room of its own part.
-const maxReporters = 16
+// maxSmallFleet is the largest number of instances at which each reports the
+// capacity of its own share. In larger fleets one instance in each data centre
+// reports for all.
+const maxSmallFleet = 16
 
-// forwardTarget is whom a request goes to that is forwarded to an instance: that one,
-// or at the first try in a large fleet any of its data centre. There one
-// instance tells the room for all, and would get all that others forward.
+// forwardTarget returns the instance that receives a request forwarded to an
+// instance. In a large fleet the first attempt goes to a random instance of the
+// same data centre: there one instance reports the capacity for all and would
+// otherwise receive every forwarded request.
 func (f *fleet) forwardTarget(to spec.InstanceID, try int) spec.InstanceID {
 	peers := f.peers()
-	if try > 0 || len(peers) < maxReporters {
+	if try > 0 || len(peers) < maxSmallFleet {
 		return to
 	}
 	at := slices.IndexFunc(peers, func(p node.Peer) bool { return p.ID == to })
@@ -87,7 +91,7 @@
 	return peers[rand.IntN(len(peers))].ID
 }
 
-// handleList tells the fleet logic who should be there.
+// handleList passes the expected instances and engines to the fleet logic.
 func (f *fleet) handleList(list []store.ListedBody) {
 	var ev node.DiscoveryList
 	for _, p := range f.Settings.Peers {
@@ -109,8 +113,8 @@
 	f.hub.Post(ev)
 }
 
-// addPeer adds an instance of the platform's list, which knows more than the
-// settings.
+// addPeer adds an instance from the platform's list. The list replaces an entry
+// from the settings, because it has more details.
 func (f *fleet) addPeer(peers []node.Peer, l store.ListedBody) []node.Peer {
 	p := node.Peer{ID: spec.InstanceID(l.ID), DataCentre: spec.DataCentre(f.spanOf(l.DataCentre)), URL: l.URL}
 	p.Passive = l.State == frame.StateLeaving
@@ -123,8 +127,8 @@
 	return append(peers, p)
 }
 
-// instances are the others, for operators. Only the highest version heard of
-// is known, not that of each.
+// instances returns the other instances, for operators. Their versions are not
+// listed: only the highest version reported by any instance is known.
 func (f *fleet) instances() []admin.Instance {
 	out := []admin.Instance{}
 	for _, p := range f.peers() {
--- a/internal/app/daemon/outage_test.go
+++ b/internal/app/daemon/outage_test.go
@@ -11,25 +11,25 @@
 	"fulmarwick/internal/fakes/trial"
 )
 
-// The platform goes out while clerks work, and a new instance starts in the
-// outage. It takes the configuration from the others and serves model work;
-// payments are refused as not run, which is true, until the platform is back.
+// A new instance starts during an outage of the platform. It must take the
+// configuration from its peers and serve model requests. It must refuse
+// payments as not run, which is correct, until the platform is back.
 func TestInstanceStartsWhileThePlatformIsOut(t *testing.T) {
 	e := newCluster(t, 2)
 	e.site.Table().Fault(infra.Faults{Down: true})
-	fresh := e.start(trial.Centre)
-	e.ready(fresh)
-	e.balancer.Set([]string{e.bases[fresh]})
+	joined := e.start(trial.Centre)
+	e.ready(joined)
+	e.balancer.Set([]string{e.bases[joined]})
 	a, err := (&work{e: e}).caller().Ask(e.ctx, trial.Model, "explain", 10)
 	if err != nil || a.Tokens != 10 {
 		t.Errorf("got %d tokens and %v in the outage, want 10", a.Tokens, err)
 	}
-	status, text := post(t, e.bases[fresh]+"/v1/calls/payment", "k1", `{"amount":1}`)
+	status, text := post(t, e.bases[joined]+"/v1/calls/payment", "k1", `{"amount":1}`)
 	if status != http.StatusServiceUnavailable || errorCode(text) != "store-down" {
 		t.Errorf("got %d %s for a payment in the outage, want 503 store-down", status, text)
 	}
 	if got := e.site.Desk().Runs("k1"); got != 0 {
-		t.Errorf("got %d runs of a payment told as not sent, want 0", got)
+		t.Errorf("got %d runs of a payment reported as not run, want 0", got)
 	}
 	e.site.Table().Fault(infra.Faults{})
 	o, err := (&work{e: e}).caller().Call(e.ctx, "payment", "k1", `{"amount":1}`)
@@ -38,9 +38,9 @@
 	}
 }
 
-// The service records payments and its answers are lost. The caller is told
-// unsure, never not run; the outcome look-up then settles each from the
-// service itself, at any instance, and a repeat of the key pays nothing more.
+// The service runs payments, but its answers are lost. The caller must receive
+// unsure and never not run. The outcome lookup then settles each payment from
+// the service itself, at any instance, and a repeated key does not pay again.
 func TestLostAnswersOfPaymentsAreSettledByLookUp(t *testing.T) {
 	e := newCluster(t, 2)
 	e.site.Desk().Cut(3)
@@ -60,7 +60,7 @@
 	}
 }
 
-// settled asks the other instance whether the payment is known as done.
+// settled reports whether the other instance knows the payment as done.
 func settled(t *testing.T, e *cluster, key string) bool {
 	t.Helper()
 	req, err := http.NewRequestWithContext(e.ctx, http.MethodGet, e.bases["klang-2"]+"/v1/calls/payment/"+key, http.NoBody)
@@ -78,10 +78,10 @@
 	return body.State == "done"
 }
 
-// A payment runs, and the instance that sent it dies before its caller hears.
-// The caller sends it again to another instance while the platform is out. That
-// one sends nothing, but must not say that the payment did not run: its caller
-// would pay again under a new key.
+// A payment runs, and the instance that sent it dies. The caller repeats the
+// payment at another instance during an outage of the platform. That instance
+// sends nothing, but it must not report that the payment did not run: the
+// caller would pay again under a new key.
 func TestRepeatInAnOutageIsNotToldAsNotRun(t *testing.T) {
 	e := newCluster(t, 2)
 	post(t, e.bases["klang-1"]+"/v1/calls/payment", "k1", `{"amount":1}`)
--- a/internal/app/daemon/peertls_test.go
+++ b/internal/app/daemon/peertls_test.go
@@ -20,7 +20,8 @@
 	"go.uber.org/zap"
 )
 
-// runPeerTLS runs an instance whose peers' endpoint uses the certificate in files.
+// runPeerTLS runs an instance whose endpoint for peers uses the certificate in
+// files.
 func runPeerTLS(t *testing.T, site *trial.Site, name string, files trust.Files) (callers, peers string) {
 	t.Helper()
 	var at [3]net.Listener
@@ -52,9 +53,10 @@
 	return "http://" + at[1].Addr().String(), at[2].Addr().String()
 }
 
-// Two instances find each other by mutual TLS from their settings. A stranger
-// who trusts their authority but shows no certificate of it reaches no
-// handler: the handshake fails, so nothing can be said in another's name.
+// Two instances connect by mutual TLS as configured in their settings. A client
+// that trusts their certificate authority but has no certificate signed by it
+// must fail in the TLS handshake and reach no handler. Otherwise it could send
+// messages in the name of another instance.
 func TestInstancesTrustOnlyTheirAuthority(t *testing.T) {
 	site := &trial.Site{}
 	if err := site.Start(t.Context()); err != nil {
@@ -85,15 +87,15 @@
 	if err != nil || !pool.AppendCertsFromPEM(pem) {
 		t.Fatalf("got no authority from %s: %v", authority, err)
 	}
-	stranger := &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS12}}}
-	resp, err := stranger.Get("https://" + peers[0] + "/v1/peer")
+	noCert := &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS12}}}
+	resp, err := noCert.Get("https://" + peers[0] + "/v1/peer")
 	if err == nil {
 		_ = resp.Body.Close()
 		t.Errorf("got status %d without a certificate, want a failed handshake", resp.StatusCode)
 	}
 }
 
-// peerCount is how many other instances the instance at base knows.
+// peerCount returns how many other instances the instance at base knows.
 func peerCount(t *testing.T, base string) int {
 	t.Helper()
 	c := &admin.Client{Base: base, HTTP: http.DefaultClient}
--- a/internal/app/daemon/poison_test.go
+++ b/internal/app/daemon/poison_test.go
@@ -10,10 +10,10 @@
 	"fulmarwick/internal/fakes/trial"
 )
 
-// One request crashes each engine that runs it, and its caller sends it to one
-// instance after the other. It costs two engines at most over the whole fleet:
-// the second death names it, and every instance refuses it from then on. All
-// that ran beside it on those engines finish whole.
+// A request crashes every engine that runs it, and its caller sends it to each
+// instance in turn. It may cost at most two engines in the whole fleet: the
+// second crash identifies it, and every instance refuses it from then on. All
+// requests that ran beside it on those engines must complete.
 func TestPoisonCostsTwoEnginesOverTheFleet(t *testing.T) {
 	e := newClusterAt(t, 4, &trial.Site{Layer: 20 * time.Microsecond, Copies: 5, Poison: "venom"})
 	w := e.work()
@@ -23,7 +23,7 @@
 	for i := range 12 {
 		status, text := post(t, e.bases[fmt.Sprintf("klang-%d", 1+i%4)]+"/v1/chat/completions", "", body)
 		if status == http.StatusOK {
-			t.Errorf("got an answer to a request that kills its engines: %s", text)
+			t.Errorf("got an answer to a request that crashes its engines: %s", text)
 		}
 		codes[errorCode(text)]++
 	}
@@ -44,7 +44,7 @@
 	t.Logf("%d engines lost, refusals %v", dead, codes)
 }
 
-// errorCode is the stable code of an error body.
+// errorCode returns the stable code in an error body.
 func errorCode(text string) string {
 	_, rest, _ := strings.Cut(text, `"code":"`)
 	out, _, _ := strings.Cut(rest, `"`)
--- a/internal/app/daemon/process_test.go
+++ b/internal/app/daemon/process_test.go
@@ -15,8 +15,8 @@
 	"fulmarwick/internal/app/cmds"
 )
 
-// argsVariable makes the test binary act as the program itself, so that
-// instances run as processes of their own that can be killed and frozen.
+// argsVariable makes the test binary run as the program itself, so that
+// instances run as separate processes that can be killed and frozen.
 const argsVariable = "FULMARWICK_TEST_ARGS"
 
 func TestMain(m *testing.M) {
@@ -26,7 +26,7 @@
 	os.Exit(m.Run())
 }
 
-// process is an instance that runs as a process.
+// process is an instance that runs as a separate process.
 type process struct {
 	name   string
 	cmd    *exec.Cmd
@@ -38,7 +38,7 @@
 	last   []string
 }
 
-// logLine is a line of the structured log, as far as tests read it.
+// logLine holds the fields of a structured log line that the tests read.
 type logLine struct {
 	Msg     string `json:"msg"`
 	Address string `json:"address"`
@@ -122,7 +122,7 @@
 	}
 }
 
-// kill ends the process as a crash would.
+// kill ends the process like a crash.
 func (p *process) kill() {
 	_ = p.cmd.Process.Signal(syscall.SIGKILL)
 	<-p.exited
@@ -135,7 +135,7 @@
 	return p.cmd.ProcessState.ExitCode()
 }
 
-// freeze pauses the process; thaw lets it go on.
+// freeze pauses the process. thaw resumes it.
 func (p *process) freeze() { _ = p.cmd.Process.Signal(syscall.SIGSTOP) }
 
 func (p *process) thaw() { _ = p.cmd.Process.Signal(syscall.SIGCONT) }
--- a/internal/app/daemon/recovery_test.go
+++ b/internal/app/daemon/recovery_test.go
@@ -14,13 +14,16 @@
 )
 
 const (
-	// longAnswer is in tokens and takes about two seconds alone.
+	// longAnswer is the length of an answer in tokens. Such an answer takes
+	// about two seconds without other load.
 	longAnswer = 600
-	// streamCount is how many streams are under way when something dies.
+	// streamCount is the number of streams in progress when an instance or
+	// engine fails.
 	streamCount = 24
 )
 
-// streams starts long answers and returns what waits for all of them.
+// streams starts long answers and returns a function that waits for all of
+// them.
 func (e *cluster) streams(b *testing.B) func() []caller.Answer {
 	var group sync.WaitGroup
 	out := make([]caller.Answer, streamCount)
@@ -33,7 +36,7 @@
 				b.Errorf("got %v, want a whole answer", err)
 			}
 			if want := layer.Text(layer.Whole("user: "+text+"\n", trial.Depth, longAnswer)); a.Text != want {
-				b.Errorf("got another answer than one machine gives")
+				b.Errorf("got an answer that differs from that of one machine")
 			}
 			out[i] = a
 		})
@@ -44,13 +47,14 @@
 	}
 }
 
-// BenchmarkRecovery kills one instance of four, or one engine, under long
-// streams and gives the longest pause between two tokens that callers saw, with
-// that of a run without a death beside it.
+// BenchmarkRecovery kills one instance of four, or one or two engines, or
+// freezes an engine, while long streams are in progress. It measures the
+// longest pause between two tokens that callers received. The run without a
+// failure is the baseline.
 func BenchmarkRecovery(b *testing.B) {
-	deaths := []struct {
+	failures := []struct {
 		name string
-		die  func(e *cluster)
+		fail func(e *cluster)
 	}{
 		{"none", func(*cluster) {}},
 		{"instance", func(e *cluster) { e.remove("klang-1").kill() }},
@@ -66,28 +70,30 @@
 			e.t.Cleanup(engine.Thaw)
 		}},
 	}
-	for _, d := range deaths {
+	for _, d := range failures {
 		b.Run(d.name, func(b *testing.B) {
 			for range b.N {
-				runRecovery(b, d.die)
+				runRecovery(b, d.fail)
 			}
 		})
 	}
 }
 
-// busiest are the engines by how many requests they hold state of.
+// busiest returns the engines sorted by the number of requests whose state they
+// hold, largest first.
 func (e *cluster) busiest() []*stage.Engine {
 	out := slices.Clone(e.site.Engines())
 	slices.SortStableFunc(out, func(a, b *stage.Engine) int { return b.Sessions() - a.Sessions() })
 	return out
 }
 
-func runRecovery(b *testing.B, die func(*cluster)) {
-	// Five of each make the thirty engines of the association.
+func runRecovery(b *testing.B, fail func(*cluster)) {
+	// Five copies of each engine give the thirty engines of the association
+	// deployment.
 	e := newClusterAt(b, 4, &trial.Site{Layer: 20 * time.Microsecond, Copies: 5})
 	wait := e.streams(b)
 	time.Sleep(500 * time.Millisecond)
-	die(e)
+	fail(e)
 	answers := wait()
 	var gaps []time.Duration
 	cuts := 0
--- a/internal/app/daemon/settings.go
+++ b/internal/app/daemon/settings.go
@@ -16,11 +16,12 @@
 	*Daemon
 }
 
-// Show is what is in force here and, as last heard, on the others.
+// Show returns the active configuration of this instance, and the other
+// instances as last reported.
 func (s *configAdmin) Show(context.Context) (admin.Shown, error) {
 	out := admin.Shown{Instance: s.Settings.Instance.Name, Instances: []admin.Instance{}}
-	if now := s.parts.active.Snapshot(); now != nil {
-		out.Version, out.Document = now.Version(), now.Text()
+	if current := s.parts.active.Snapshot(); current != nil {
+		out.Version, out.Document = current.Version(), current.Text()
 	}
 	if s.parts.fleet != nil {
 		out.Instances = s.parts.fleet.instances()
@@ -28,7 +29,7 @@
 	return out, nil
 }
 
-// History is the newest changes.
+// History returns the newest changes.
 func (s *configAdmin) History(ctx context.Context, limit int) ([]admin.Change, error) {
 	entries, err := s.parts.applier.History(ctx, limit)
 	if err != nil {
@@ -43,7 +44,7 @@
 	return out, nil
 }
 
-// Apply puts a change in force.
+// Apply validates a change and activates it.
 func (s *configAdmin) Apply(ctx context.Context, d admin.Draft) (admin.Applied, error) {
 	change := config.Change{Author: d.By, BaseVersion: d.Base}
 	for _, doc := range d.Documents {
@@ -57,11 +58,12 @@
 	return admin.Applied{Version: version}, nil
 }
 
-// adminError turns an error of the configuration into what operators see.
+// adminError converts an error of package config into the error that operators
+// receive.
 func adminError(err error) error {
 	var invalid *config.InvalidError
 	var conflict *config.ConflictError
-	var unsure *config.OutcomeUnknownError
+	var unknown *config.OutcomeUnknownError
 	switch {
 	case errors.As(err, &invalid):
 		out := &admin.RefusedError{}
@@ -75,8 +77,8 @@
 			out.Winners = append(out.Winners, admin.Change{Version: w.Version, By: w.Author, At: formatTime(w.At), Text: w.Section})
 		}
 		return out
-	case errors.As(err, &unsure):
-		return &admin.UnsureError{ID: unsure.ChangeID}
+	case errors.As(err, &unknown):
+		return &admin.UnsureError{ID: unknown.ChangeID}
 	case errors.Is(err, config.ErrStoreUnavailable):
 		return errors.Wrap(admin.ErrDown, err.Error())
 	}
--- a/internal/app/daemon/spread_test.go
+++ b/internal/app/daemon/spread_test.go
@@ -10,7 +10,7 @@
 	"fulmarwick/internal/wire/admin"
 )
 
-// operators are clients of the operators' endpoints of all instances.
+// operators returns a client for the operators' endpoint of each instance.
 func (e *cluster) operators() map[string]*admin.Client {
 	out := map[string]*admin.Client{}
 	for name, p := range e.live {
@@ -27,8 +27,8 @@
 	return admin.Draft{By: "siti", Documents: []admin.Document{{Name: "answer.ini", Text: text}}}
 }
 
-// waitVersion waits until every instance has the version in force, and fails if
-// one ever goes back.
+// waitVersion waits until the version is active on every instance. It fails if
+// the version of an instance ever decreases.
 func (e *cluster) waitVersion(version uint64) {
 	e.t.Helper()
 	for name, c := range e.operators() {
@@ -48,8 +48,9 @@
 	}
 }
 
-// An operator changes a target at one instance. It comes in force on all four,
-// and a new instance that replaces one of them has it too, never an older one.
+// An operator changes a target at one instance. The change must become active
+// on all four. A new instance that replaces one of them must have it as well,
+// and never an older version.
 func TestChangeIsInForceEverywhereAndStays(t *testing.T) {
 	e := newCluster(t, 4)
 	for i := range 3 {
@@ -59,17 +60,17 @@
 		}
 		e.waitVersion(applied.Version)
 		e.remove(fmt.Sprintf("klang-%d", []int{1, 3, 4}[i])).kill()
-		fresh := e.start(trial.Centre)
-		e.ready(fresh)
-		s, err := e.operators()[fresh].Status(e.ctx)
+		joined := e.start(trial.Centre)
+		e.ready(joined)
+		s, err := e.operators()[joined].Status(e.ctx)
 		if err != nil || s.Version < applied.Version {
 			t.Errorf("got version %d and %v at a new instance that is ready, want %d", s.Version, err, applied.Version)
 		}
 	}
 }
 
-// BenchmarkInForce gives the time from an accepted change to its being in
-// force on four instances that are processes.
+// BenchmarkInForce measures the time until an accepted change is active on four
+// instances that run as processes.
 func BenchmarkInForce(b *testing.B) {
 	e := newCluster(b, 4)
 	worst := time.Duration(0)
--- a/internal/app/daemon/status.go
+++ b/internal/app/daemon/status.go
@@ -11,7 +11,7 @@
 	"fulmarwick/internal/wire/admin"
 )
 
-// Status is how the instance sees itself and its engines.
+// Status returns the status of the instance and of the engines it knows.
 func (d *Daemon) Status(ctx context.Context) (admin.Status, error) {
 	p := &d.parts
 	out := admin.Status{
@@ -20,8 +20,8 @@
 		Ready: d.ready(), Stopping: p.drainer.Stopping(), Running: p.drainer.Running(),
 		Classes: d.classes(), Engines: []admin.Engine{}, Leaving: []string{}, Instances: []admin.Instance{},
 	}
-	if now := p.active.Snapshot(); now != nil {
-		out.Version = now.Version()
+	if current := p.active.Snapshot(); current != nil {
+		out.Version = current.Version()
 	}
 	if p.fleet != nil {
 		out.Instances = p.fleet.instances()
@@ -41,27 +41,28 @@
 	return out, err
 }
 
-// classes are the classes in force, also those that nobody has asked for.
+// classes returns the active classes, including those that have received no
+// requests.
 func (d *Daemon) classes() []admin.Class {
 	out := []admin.Class{}
-	now := d.parts.active.Snapshot()
-	if now == nil {
+	current := d.parts.active.Snapshot()
+	if current == nil {
 		return out
 	}
-	d.parts.attainment.Retain(now.Classes())
-	seen := map[string]meters.Attainment{}
+	d.parts.attainment.Retain(current.Classes())
+	attained := map[string]meters.Attainment{}
 	for _, a := range d.parts.attainment.All() {
-		seen[string(a.Class.Name())] = a
+		attained[string(a.Class.Name())] = a
 	}
-	for _, c := range now.Classes() {
-		a := seen[string(c.Name())]
+	for _, c := range current.Classes() {
+		a := attained[string(c.Name())]
 		a.Class = c
 		t := c.Target()
-		reliable := now.ClassReliability(c.Name())
+		reliability := current.ClassReliability(c.Name())
 		out = append(out, admin.Class{
 			Name: string(c.Name()), Kind: c.Kind().String(), Percent: t.Percent(),
-			Attained: a.Percent(), Requests: a.Seen, Reliability: reliable, Answered: a.Reliability(),
-			Holds: a.MeetsTarget() && a.Reliability() >= reliable,
+			Attained: a.Percent(), Requests: a.Seen, Reliability: reliability, Answered: a.Reliability(),
+			Holds: a.MeetsTarget() && a.Reliability() >= reliability,
 			First: timesStatus(t.FirstEvent(), a.First), Gap: timesStatus(t.Gap(), a.Gap), Whole: timesStatus(t.TotalTime(), a.Whole),
 		})
 	}
@@ -89,7 +90,8 @@
 	return out
 }
 
-// placement is nil before the planner's first review.
+// placement converts the planner's status. It returns nil before the planner's
+// first review.
 func placement(s place.Status) *admin.Placement {
 	if s.Bound <= 0 {
 		return nil
--- a/internal/app/daemon/stop_test.go
+++ b/internal/app/daemon/stop_test.go
@@ -22,8 +22,8 @@
 	"go.uber.org/zap"
 )
 
-// gated answers model requests and calls in part, and ends them when its gate
-// opens.
+// gated starts to answer model requests and calls, and completes them when its
+// gate opens.
 type gated struct{ gate chan struct{} }
 
 func (g *gated) Run(ctx context.Context, _ chain.Job, sink chain.Sink) (chain.Result, error) {
@@ -47,7 +47,8 @@
 	return ledger.Outcome{}, nil
 }
 
-// newStopping is an instance's callers' side with all limits on time in force.
+// newStopping returns the server for callers of an instance, with all default
+// time limits active, and its drainer.
 func newStopping(g *gated) (*entry.Server, *halt.Drainer) {
 	book := &config.Active{}
 	book.SetIfNewer(snapshot())
@@ -61,7 +62,7 @@
 	}, &halt.Drainer{Grace: s.Times.Grace, Log: zap.NewNop()}
 }
 
-// send posts to the instance and gives the whole answer to got.
+// send posts to the instance and stores the whole answer in got.
 func send(client *http.Client, path, body string, got *sync.Map) {
 	req, _ := http.NewRequest(http.MethodPost, "http://in"+path, strings.NewReader(body))
 	req.Header.Set("Authorization", "Bearer "+key)
@@ -80,10 +81,10 @@
 }
 
 // The platform replaces an instance while a stream and a payment are in
-// progress, over HTTP/1.1 and HTTP/2, and asks twice. Both take three hours, longer
-// than any time that settings may have. Their callers see the whole stream with
-// [DONE] and the payment's own answer; only then the instance ends, without an
-// error.
+// progress, over HTTP/1.1 and HTTP/2, and asks it twice to stop. Both requests
+// take three hours, longer than any time limit in the settings. The callers
+// must receive the whole stream with [DONE] and the answer of the payment. Only
+// then may the instance end, without an error.
 func TestStopCutsNeitherStreamNorCall(t *testing.T) {
 	for _, http2 := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
@@ -111,12 +112,12 @@
 			time.Sleep(2 * time.Hour)
 			synctest.Wait()
 			if h.Running() != 2 || len(ended) != 0 {
-				t.Fatalf("got %d running after hours, want 2 and no end", h.Running())
+				t.Fatalf("got %d running after hours, want 2 and Run not returned", h.Running())
 			}
 			close(g.gate)
 			all.Wait()
 			if stream, _ := got.Load("/v1/chat/completions"); !strings.Contains(stream.(string), `"first "`) || !strings.HasSuffix(stream.(string), "data: [DONE]\n\n") {
-				t.Errorf("got stream %q, want it whole", stream)
+				t.Errorf("got stream %q, want the whole stream", stream)
 			}
 			if call, _ := got.Load("/v1/calls/payment"); !strings.Contains(call.(string), "key-reused") {
 				t.Errorf("got %q, want the call's own answer", call)
--- a/internal/app/daemon/tls_test.go
+++ b/internal/app/daemon/tls_test.go
@@ -14,9 +14,9 @@
 	"go.uber.org/zap"
 )
 
-// Callers reach the instance by TLS, and HTTP/2, without a certificate of
-// their own. The operators' endpoint turns away whoever shows none: it can
-// stop the instance.
+// Callers reach the instance over TLS and HTTP/2 without a client certificate.
+// The operators' endpoint must reject clients without a certificate, because it
+// can stop the instance.
 func TestEndpointsUseTheCertificatesOfTheSettings(t *testing.T) {
 	ca, err := trust.New()
 	if err != nil {
@@ -42,8 +42,8 @@
 	anonymous.Certificates = nil
 	transport := &http.Transport{TLSClientConfig: anonymous, ForceAttemptHTTP2: true}
 	defer transport.CloseIdleConnections()
-	stranger := &http.Client{Transport: transport}
-	resp, err := stranger.Get(callers + "/healthz")
+	noCert := &http.Client{Transport: transport}
+	resp, err := noCert.Get(callers + "/healthz")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,7 +51,7 @@
 	if resp.StatusCode != http.StatusOK || resp.ProtoMajor != 2 {
 		t.Errorf("got %d by %s, want 200 by HTTP/2", resp.StatusCode, resp.Proto)
 	}
-	if resp, err := stranger.Get(operators + "/v1/status"); err == nil {
+	if resp, err := noCert.Get(operators + "/v1/status"); err == nil {
 		_ = resp.Body.Close()
 		t.Errorf("got %d from the operators' endpoint without a certificate, want the connection refused", resp.StatusCode)
 	}
