--- a/internal/app/setup/check.go
+++ b/internal/app/setup/check.go
@@ -8,7 +8,7 @@
 	"os"
 )
 
-// checkTogether checks what single values cannot show.
+// checkTogether checks settings that depend on each other.
 func (p *parser) checkTogether() {
 	p.deriveValues()
 	p.checkListeners()
@@ -19,7 +19,7 @@
 	p.checkCerts("tls operators", p.out.TLS.Operators)
 }
 
-// deriveValues sets what follows from other settings.
+// deriveValues sets values that default to other settings.
 func (p *parser) deriveValues() {
 	if p.out.Platform.Objects == "" {
 		p.out.Platform.Objects = p.out.Platform.Table
@@ -29,13 +29,14 @@
 	}
 }
 
-// checkListeners refuses two endpoints at one address, and the two endpoints that
-// can steer the fleet where others than this machine reach them unchecked.
+// checkListeners rejects two endpoints with the same address. It also rejects
+// the operators' and peers' endpoints, which can control the fleet, on an
+// address outside loopback without client certificates.
 func (p *parser) checkListeners() {
 	l := p.out.Listen
-	ends := []struct{ key, at string }{{"callers", l.Callers}, {"peers", l.Peers}, {"operators", l.Operators}}
-	for i, a := range ends {
-		for _, b := range ends[:i] {
+	endpoints := []struct{ key, at string }{{"callers", l.Callers}, {"peers", l.Peers}, {"operators", l.Operators}}
+	for i, a := range endpoints {
+		for _, b := range endpoints[:i] {
 			if a.at != "" && a.at == b.at && !anyPort(a.at) {
 				p.addProblem("listen", a.key, fmt.Sprintf("%s is the address for %s already", a.at, b.key))
 			}
@@ -49,7 +50,8 @@
 	}
 }
 
-// anyPort reports whether the system picks the port, a new one each time.
+// anyPort reports whether the operating system picks a free port, which differs
+// each time.
 func anyPort(address string) bool {
 	a, err := netip.ParseAddrPort(address)
 	return err == nil && a.Port() == 0
@@ -81,8 +83,8 @@
 	}
 }
 
-// checkCerts loads the files of an endpoint, so that a bad one is told at the
-// check and not at the first connection.
+// checkCerts loads the certificate files of an endpoint, so that a bad file is
+// reported at the check and not at the first connection.
 func (p *parser) checkCerts(section string, pair Pair) {
 	if !p.checkFiles || !pair.Set() || !exists(pair.Cert) || !exists(pair.Key) {
 		return
--- a/internal/app/setup/export_test.go
+++ b/internal/app/setup/export_test.go
@@ -1,7 +1,7 @@
 package setup
 
-// Keys lists the sections and keys that a file may have, for the test of the
-// operators' page.
+// Keys returns all sections and their keys, for the test of the documentation
+// for operators.
 func Keys() map[string][]string {
 	out := map[string][]string{}
 	for _, s := range sections {
--- a/internal/app/setup/load.go
+++ b/internal/app/setup/load.go
@@ -10,17 +10,17 @@
 	"gopkg.in/ini.v1"
 )
 
-// maxFile is the most bytes of a settings file.
+// maxFile is the maximum size of a settings file in bytes.
 const maxFile = 1 << 20
 
-// Load reads and checks the settings at path. Paths in the file are relative
-// to its directory. The error matches ErrBad and lists every problem at once.
+// Load reads and checks the settings file at path. Paths in the file are
+// relative to its directory. The error matches ErrBad and lists every problem.
 func Load(path string) (File, error) {
 	return load(path, true)
 }
 
-// LoadElsewhere is Load for a file that is meant for another machine: the
-// files that it names need not exist here.
+// LoadElsewhere is like Load for a settings file of another machine: the files
+// that it names need not exist on this machine.
 func LoadElsewhere(path string) (File, error) {
 	return load(path, false)
 }
@@ -36,8 +36,8 @@
 	return p.parse(data)
 }
 
-// Parse checks settings held in memory; name stands for the file's name in
-// problems. Files that the settings name are not looked at.
+// Parse checks settings held in memory. Problems use name as the file name.
+// Parse does not open the files that the settings name.
 func Parse(name string, data []byte) (File, error) {
 	p := &parser{name: name}
 	return p.parse(data)
@@ -63,7 +63,7 @@
 	return data, nil
 }
 
-// parser holds one file while it is read.
+// parser holds the state of parsing one file.
 type parser struct {
 	name       string
 	dir        string
@@ -97,7 +97,7 @@
 	return p.out, nil
 }
 
-// checkUnknown refuses the sections that no setting has.
+// checkUnknown reports unknown sections.
 func (p *parser) checkUnknown(at layout) {
 	for name, line := range at.sections {
 		if findSection(name) == nil {
@@ -127,8 +127,8 @@
 	}
 }
 
-// checkMissing refuses a file without the keys that have no default. A section
-// that may be left out asks for its keys only where it stands.
+// checkMissing reports required keys that are missing. The required keys of an
+// optional section are checked only if the section is present.
 func (p *parser) checkMissing(at layout) {
 	for _, s := range sections {
 		if s.optional && at.sections[s.name] == 0 {
@@ -143,8 +143,7 @@
 	}
 }
 
-// addProblem adds a problem that concerns the key of a section, if need be one that
-// is not in the file.
+// addProblem adds a problem of a key, which need not be present in the file.
 func (p *parser) addProblem(section, key, text string) {
 	line := p.lines[keyPos{section: section, key: key}]
 	p.bad.add(Problem{file: p.name, line: line, section: section, key: key, text: text})
--- a/internal/app/setup/problem.go
+++ b/internal/app/setup/problem.go
@@ -8,11 +8,11 @@
 	"github.com/go-faster/errors"
 )
 
-// ErrBad means that settings were refused. Errors of Load match it; they are
-// of type *BadError and list every reason.
+// ErrBad is matched by the errors of Load and Parse. These errors are of type
+// *BadError and list every problem.
 var ErrBad = errors.New("setup: bad settings")
 
-// Problem is one reason to refuse settings.
+// Problem is one reason why settings are rejected.
 type Problem struct {
 	file    string
 	line    int
@@ -21,11 +21,12 @@
 	text    string
 }
 
-// Line is the line of the problem from 1; zero if no one line is at fault.
+// Line returns the line number of the problem, starting at 1. It is zero if the
+// problem does not belong to a single line.
 func (p Problem) Line() int { return p.line }
 
-// String writes "file:line: [section] key: reason", without what is not
-// known.
+// String returns "file:line: [section] key: reason", without the parts that are
+// not known.
 func (p Problem) String() string {
 	var b strings.Builder
 	b.WriteString(p.file)
@@ -43,15 +44,16 @@
 	return b.String()
 }
 
-// BadError is all that is wrong with a settings file.
+// BadError lists all problems of a settings file.
 type BadError struct {
 	problems []Problem
 }
 
-// Problems are in order of line; those of no line come last.
+// Problems returns the problems sorted by line. Problems without a line come
+// last.
 func (e *BadError) Problems() []Problem { return e.problems }
 
-// Error has a line per problem.
+// Error returns one line per problem.
 func (e *BadError) Error() string {
 	lines := make([]string, 0, len(e.problems))
 	for _, p := range e.problems {
@@ -65,7 +67,7 @@
 
 func (e *BadError) add(p Problem) { e.problems = append(e.problems, p) }
 
-// orNil returns e if it has a problem.
+// orNil returns e with its problems sorted, or nil if it has none.
 func (e *BadError) orNil() error {
 	if len(e.problems) == 0 {
 		return nil
--- a/internal/app/setup/scan.go
+++ b/internal/app/setup/scan.go
@@ -6,23 +6,23 @@
 	"strings"
 )
 
-// keyPos is the position of one key. The INI library gives the values; it
-// hides where they stand, and keeps the last of two equal keys.
+// keyPos is the position of one key. The INI library returns the values, but
+// not their positions, and keeps only the last of two equal keys.
 type keyPos struct {
 	section string
 	key     string
 	line    int
 }
 
-// layout is where the sections and keys of a file stand.
+// layout holds the positions of the sections and keys of a file.
 type layout struct {
 	sections map[string]int
 	entries  []keyPos
 }
 
 // scan finds the positions in data and reports what the INI library would
-// pass over in silence: doubled sections and keys, lines that are neither,
-// keys outside sections, values over several lines.
+// silently accept: duplicate sections and keys, lines that are neither, keys
+// outside sections, and values over several lines.
 func scan(file string, data []byte, bad *BadError) layout {
 	out := layout{sections: map[string]int{}}
 	seen := map[keyPos]int{}
@@ -58,7 +58,8 @@
 	return out
 }
 
-// openSection takes the header of a section and returns its name.
+// openSection parses the header of a section, records its line and returns its
+// name.
 func (l *layout) openSection(text string, at Problem, bad *BadError) string {
 	name, ok := strings.CutSuffix(text[1:], "]")
 	name = strings.TrimSpace(name)
--- a/internal/app/setup/schema.go
+++ b/internal/app/setup/schema.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// setter takes a value into the settings or returns why it is refused.
+// setter stores a value in the settings. It returns the reason if the value is
+// rejected, otherwise "".
 type setter func(p *parser, value string) string
 
-// key is one key of a section.
+// key describes one key of a section.
 type key struct {
 	name     string
 	required bool
 	set      setter
 }
 
-// section is one section of the file. A section with any takes keys of the
-// operator's own naming.
+// section describes one section of the file. A section with anyKey accepts keys
+// with names chosen by the operator.
 type section struct {
 	name string
 	keys []key
-	// optional marks a section that may be left out though it has a key that
-	// must be given.
+	// optional marks a section that may be omitted although it has a required
+	// key.
 	optional bool
 	anyKey   func(key string) setter
 }
@@ -44,7 +45,7 @@
 	return nil
 }
 
-// Bounds of settings.
+// Limits of the values of settings.
 const (
 	minBody   = 1 << 10
 	maxBody   = 256 << 20
@@ -61,7 +62,7 @@
 	maxTime   = time.Hour
 )
 
-// sections is every section and key that a settings file may have.
+// sections lists every section and key that a settings file may contain.
 var sections = []section{
 	{name: "instance", keys: []key{
 		{"name", true, name(func(f *File) *string { return &f.Instance.Name })},
--- a/internal/app/setup/setup_test.go
+++ b/internal/app/setup/setup_test.go
@@ -29,7 +29,7 @@
 		t.Errorf("got limits %+v, want %+v", got.Limits, want)
 	}
 	if got.Platform.List != "http://127.0.0.1:7000" {
-		t.Errorf("got list %q, want that of the table", got.Platform.List)
+		t.Errorf("got list %q, want the URL of the table", got.Platform.List)
 	}
 }
 
@@ -58,7 +58,7 @@
 	}
 }
 
-// Each refusal names file, line or section, and the reason.
+// Each rejection must name the file, the line or section, and the reason.
 func TestRefusals(t *testing.T) {
 	tests := []struct{ name, text, want string }{
 		{"unknown section", minimal + "[extra]\na = 1\n", "x.ini:9: [extra] no such section"},
@@ -106,7 +106,7 @@
 	}
 }
 
-// The operator sees every problem of a file in one run, in order of line.
+// One run must report every problem of a file, sorted by line.
 func TestAllProblemsAtOnce(t *testing.T) {
 	text := "stray\n[instance]\nname = A B\nname = b\n[limits]\ntokens = -1\nfoo = 1\n[nothing]\n"
 	_, err := setup.Parse("x.ini", []byte(text))
@@ -118,7 +118,8 @@
 	for _, p := range bad.Problems() {
 		lines = append(lines, p.Line())
 	}
-	// Missing: datacentre and region (line of their section), callers, table.
+	// Missing keys: datacentre and region, reported at the line of their
+	// section, then callers and table.
 	want := []int{1, 2, 2, 3, 4, 6, 7, 8, 0, 0}
 	if len(lines) != len(want) {
 		t.Fatalf("got %d problems (%v), want %d", len(lines), err, len(want))
@@ -173,8 +174,8 @@
 	}
 }
 
-// The examples of both deployments load as they stand once their certificates
-// exist, and agree about each other.
+// The example files of both deployments must load unchanged once their
+// certificates exist, and their addresses must agree with each other.
 func TestExamplesLoad(t *testing.T) {
 	for deployment, want := range map[string][]string{
 		"association": {"johor-1", "klang-1", "klang-2", "penang-1"},
@@ -234,7 +235,7 @@
 	})
 }
 
-// The operators' page names every section and key.
+// The documentation for operators must name every section and key.
 func TestSettingsPageIsWhole(t *testing.T) {
 	data, err := os.ReadFile("../../../docs/operate/settings.md")
 	if err != nil {
@@ -244,20 +245,20 @@
 	for section, keys := range setup.Keys() {
 		_, rest, ok := strings.Cut(page, "| `["+section+"]` |")
 		if !ok {
-			t.Errorf("got no section [%s] in the page, want it", section)
+			t.Errorf("got no section [%s] in the documentation, want it", section)
 			continue
 		}
 		rows, _, _ := strings.Cut(rest, "\n| `[")
 		for _, key := range keys {
 			if !strings.Contains(rows, "`"+key+"`") {
-				t.Errorf("got no key %s under [%s] in the page, want it", key, section)
+				t.Errorf("got no key %s under [%s] in the documentation, want it", key, section)
 			}
 		}
 	}
 }
 
-// Guards against an instance that does not start because the platform gives a bound
-// or a size as a fraction.
+// The platform may give a limit or a size as a fraction. This must not keep an
+// instance from starting.
 func TestFractionsAreTaken(t *testing.T) {
 	tests := []struct {
 		name, text string
@@ -283,8 +284,8 @@
 	}
 }
 
-// FuzzSettings guards against settings that stop the program instead of being
-// refused, and against values out of their range that are taken.
+// FuzzSettings guards against settings that crash the program instead of being
+// rejected, and against accepted values outside their range.
 func FuzzSettings(f *testing.F) {
 	for _, value := range []string{"", "0", "-1", "1e300", "NaN", "inf", "0x1p-2", "40.7", "10s", "417.5MiB", "9e18MiB"} {
 		f.Add(value)
@@ -296,7 +297,7 @@
 				continue
 			}
 			if s.Retry.Allowance < 0 || s.Retry.Ratio < 0 || s.Retry.Ratio > 1 || s.Retry.Window <= 0 || s.Limits.Memory < 0 {
-				t.Errorf("got %+v and %d bytes of memory from %q, want it refused", s.Retry, s.Limits.Memory, key+value)
+				t.Errorf("got %+v and %d bytes of memory from %q, want it rejected", s.Retry, s.Limits.Memory, key+value)
 			}
 		}
 	})
--- a/internal/app/setup/value.go
+++ b/internal/app/setup/value.go
@@ -13,7 +13,8 @@
 	"time"
 )
 
-// namePattern are of instances, data centres, regions and engine kinds.
+// namePattern matches the names of instances, data centres, regions and engine
+// kinds.
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
 
 const badName = "%q is not a name: up to 63 of a-z, 0-9, '.', '_' and '-', first a letter or digit"
@@ -73,7 +74,7 @@
 	}
 }
 
-// count is a whole number from 1 to maxCount.
+// count returns a setter for a whole number from 1 to maxCount.
 func count(at func(*File) *int) setter {
 	return func(p *parser, value string) string {
 		n, err := strconv.Atoi(value)
@@ -88,7 +89,8 @@
 	}
 }
 
-// amount is a number from 0 to maxCount, which may be a fraction.
+// amount returns a setter for a number from 0 to maxCount, which may be a
+// fraction.
 func amount(at func(*File) *float64) setter {
 	return func(p *parser, value string) string {
 		x, err := strconv.ParseFloat(value, 64)
@@ -103,7 +105,8 @@
 	}
 }
 
-// units of sizes, the longer suffixes first.
+// units lists the units of sizes. Longer suffixes come first, so that the empty
+// suffix matches last.
 var units = []struct {
 	suffix string
 	bytes  int64
@@ -185,7 +188,8 @@
 	return fmt.Sprintf("%q is none of throughput, recovery", value)
 }
 
-// path is a file that must be readable, from the directory of the settings.
+// path returns a setter for the path of a file that must be readable. A
+// relative path starts at the directory of the settings file.
 func path(at func(*File) *string) setter {
 	return func(p *parser, value string) string {
 		if value == "" {
