--- a/internal/app/lines/lines.go
+++ b/internal/app/lines/lines.go
@@ -1,13 +1,14 @@
-// Package lines writes the log of a process: one JSON object a line, bounded in
-// volume, and never in the way of a request.
+// Package lines writes the log of a process: one JSON object per line, with
+// bounded volume, and without delaying requests.
 //
-// It imports the log library. The command edge makes one Writer and logs
+// It imports the log library. The command edge creates one Writer and logs
 // through its Core.
 //
-// Each kind of line, told by its message, has a budget per second; what is over
-// it is counted and told once the second is over. Lines go through a buffer of
-// fixed size to a goroutine that writes them. A reader that stops loses lines,
-// which are counted too, and costs no time.
+// Each kind of line, identified by its message, has a budget per second. Lines
+// over the budget are counted, and the counts are logged in the next second.
+// Lines go through a buffer of fixed size to a goroutine that writes them. If
+// the reader of the log stops, lines are lost and counted, but no caller is
+// delayed.
 package lines
 
 import (
@@ -21,23 +22,24 @@
 )
 
 const (
-	// queueSize is how many lines wait for the writer: about a second of a busy
-	// instance, 300 KB.
+	// queueSize is the maximum number of lines that wait for the writer: about
+	// one second of a busy instance, 300 KB.
 	queueSize = 1024
-	// lineBudget is how many lines of a kind are written in a second. An instance
-	// of today serves 25 requests a second.
+	// lineBudget is the maximum number of lines of one kind per second. An
+	// instance currently serves 25 requests per second.
 	lineBudget = 60
-	// warnBudget is the same for lines of warnings and errors, which tell of what
-	// failed.
+	// warnBudget is lineBudget for warnings and errors. It is higher because
+	// they report failures.
 	warnBudget = 240
 )
 
-// Writer writes lines. Set the exported fields before Core.
+// Writer writes log lines within budgets. Set the exported fields before
+// calling Core.
 type Writer struct {
-	// Out takes the lines; it may block.
+	// Out receives the lines. Its Write may block.
 	Out   io.Writer
 	Level zapcore.Level
-	// Now is the clock of the budgets; nil is time.Now.
+	// Now returns the time for the budgets. If nil, time.Now is used.
 	Now func() time.Time
 
 	once  sync.Once
@@ -52,7 +54,7 @@
 	lost       int
 }
 
-// Core returns the core of a logger.
+// Core returns a zapcore.Core that writes to w.
 func (w *Writer) Core() zapcore.Core {
 	w.once.Do(func() {
 		w.queue = make(chan []byte, queueSize)
@@ -66,7 +68,7 @@
 	return &core{writer: w, encoder: zapcore.NewJSONEncoder(config)}
 }
 
-// Close writes what waits, as long as Out takes it within a moment.
+// Close writes the queued lines. It gives up after closeTimeout if Out blocks.
 func (w *Writer) Close() {
 	w.mu.Lock()
 	if w.closed {
@@ -90,7 +92,7 @@
 func (w *Writer) run() {
 	defer close(w.done)
 	for line := range w.queue {
-		// A log that cannot be written has nowhere to tell it.
+		// A failed write cannot be reported, because the log itself failed.
 		_, _ = w.Out.Write(line)
 	}
 }
@@ -102,29 +104,29 @@
 	return w.Now()
 }
 
-// admit reports whether a line is within its budget, and returns what was left
-// out in the second before.
-func (w *Writer) admit(e zapcore.Entry) (ok bool, left map[string]int, lost int) {
+// admit reports whether a line is within its budget. At the first line of a new
+// second it also returns the counts of the lines dropped until then.
+func (w *Writer) admit(e zapcore.Entry) (ok bool, dropped map[string]int, lost int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if second := w.now().Unix(); second != w.second {
 		w.second = second
-		left, lost = w.overBudget, w.lost
+		dropped, lost = w.overBudget, w.lost
 		w.written, w.overBudget, w.lost = map[string]int{}, map[string]int{}, 0
 	}
-	most := lineBudget
+	limit := lineBudget
 	if e.Level >= zapcore.WarnLevel {
-		most = warnBudget
+		limit = warnBudget
 	}
-	if w.written[e.Message] >= most {
+	if w.written[e.Message] >= limit {
 		w.overBudget[e.Message]++
-		return false, left, lost
+		return false, dropped, lost
 	}
 	w.written[e.Message]++
-	return true, left, lost
+	return true, dropped, lost
 }
 
-// enqueue queues a line; without room it is lost and counted.
+// enqueue queues a line. If the queue is full, the line is dropped and counted.
 func (w *Writer) enqueue(line []byte) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -138,13 +140,13 @@
 	}
 }
 
-// core is a zapcore.Core on a Writer.
+// core implements zapcore.Core on a Writer.
 type core struct {
 	writer  *Writer
 	encoder zapcore.Encoder
 }
 
-// Enabled reports whether lines of a level are written.
+// Enabled reports whether lines of level l are written.
 func (c *core) Enabled(l zapcore.Level) bool { return l >= c.writer.Level }
 
 // With returns a core that adds fields to each line.
@@ -156,7 +158,7 @@
 	return clone
 }
 
-// Check adds the core to those that write a line.
+// Check adds the core to ce if the level of the entry is enabled.
 func (c *core) Check(e zapcore.Entry, ce *zapcore.CheckedEntry) *zapcore.CheckedEntry {
 	if c.Enabled(e.Level) {
 		return ce.AddCore(e, c)
@@ -164,11 +166,11 @@
 	return ce
 }
 
-// Write queues a line within its budget.
+// Write queues a line if it is within its budget.
 func (c *core) Write(e zapcore.Entry, fields []zapcore.Field) error {
-	ok, left, lost := c.writer.admit(e)
-	if len(left) > 0 || lost > 0 {
-		c.logDropped(e, left, lost)
+	ok, dropped, lost := c.writer.admit(e)
+	if len(dropped) > 0 || lost > 0 {
+		c.logDropped(e, dropped, lost)
 	}
 	if !ok {
 		return nil
@@ -176,20 +178,22 @@
 	return c.encode(e, errorsAsText(fields))
 }
 
-// logDropped tells what was not written in the second before.
-func (c *core) logDropped(e zapcore.Entry, left map[string]int, lost int) {
-	kinds := make([]string, 0, len(left))
-	for kind := range left {
+// logDropped logs the counts of dropped lines: those over budget by kind, and
+// those lost to a full queue.
+func (c *core) logDropped(e zapcore.Entry, dropped map[string]int, lost int) {
+	kinds := make([]string, 0, len(dropped))
+	for kind := range dropped {
 		kinds = append(kinds, kind)
 	}
 	sort.Strings(kinds)
 	fields := []zapcore.Field{zap.Int("lost", lost)}
 	for _, kind := range kinds {
-		fields = append(fields, zap.Int(kind, left[kind]))
+		fields = append(fields, zap.Int(kind, dropped[kind]))
 	}
-	told := zapcore.Entry{Level: zapcore.WarnLevel, Time: e.Time, Message: "lines: left out"}
-	// An error means a field that cannot be encoded; counts can.
-	_ = c.encode(told, fields)
+	summary := zapcore.Entry{Level: zapcore.WarnLevel, Time: e.Time, Message: "lines: left out"}
+	// Encoding fails only for fields that cannot be encoded; integer counts
+	// always can.
+	_ = c.encode(summary, fields)
 }
 
 func (c *core) encode(e zapcore.Entry, fields []zapcore.Field) error {
@@ -203,11 +207,11 @@
 	return nil
 }
 
-// Sync does nothing: lines are written as they come.
+// Sync does nothing, because lines are written without delay.
 func (c *core) Sync() error { return nil }
 
-// errorsAsText writes errors as their texts: the stacks that the errors library adds
-// would make most of the log's volume.
+// errorsAsText replaces error fields with their messages. The stack traces that
+// the errors library adds would make up most of the log volume.
 func errorsAsText(fields []zapcore.Field) []zapcore.Field {
 	out := append([]zapcore.Field(nil), fields...)
 	for i, f := range out {
--- a/internal/app/lines/lines_test.go
+++ b/internal/app/lines/lines_test.go
@@ -16,7 +16,7 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// clock is a time that the test moves.
+// clock is a clock that the test advances.
 type clock struct {
 	mu sync.Mutex
 	at time.Time
@@ -36,8 +36,9 @@
 
 func count(out, message string) int { return strings.Count(out, `"msg":"`+message+`"`) }
 
-// A kind of line floods the log. It is cut at its budget, failures are kept
-// beyond that, and what was left out is told in the next second.
+// One kind of line floods the log. It must be cut off at its budget, and the
+// number of dropped lines must be logged in the next second. Warnings and
+// errors have a higher budget and are kept.
 func TestFloodIsCutAndCounted(t *testing.T) {
 	var out bytes.Buffer
 	c := &clock{at: time.Unix(100, 0)}
@@ -53,13 +54,13 @@
 	w.Close()
 	got := out.String()
 	if n := count(got, "served"); n != 61 {
-		t.Errorf("got %d lines of one kind, want 60 and one in the next second", n)
+		t.Errorf("got %d lines of one kind, want 60 and one more in the next second", n)
 	}
 	if n := count(got, "failed"); n != 200 || count(got, "hidden") != 0 {
 		t.Errorf("got %d failures, want all 200 and no line below the level", n)
 	}
 	if !strings.Contains(got, `"msg":"lines: left out","lost":0,"served":140`) {
-		t.Errorf("got %s, want the count of what was left out", got[max(0, len(got)-300):])
+		t.Errorf("got %s, want the count of dropped lines", got[max(0, len(got)-300):])
 	}
 	for line := range strings.Lines(got) {
 		var v map[string]any
@@ -67,12 +68,12 @@
 			t.Fatalf("got %q: %v, want JSON", line, err)
 		}
 		if v["msg"] == "failed" && v["error"] != "outer: cause" {
-			t.Errorf("got %v, want the error's text alone", v)
+			t.Errorf("got %v, want only the error's message", v)
 		}
 	}
 }
 
-// blockedWriter is a reader that takes nothing until it is freed.
+// blockedWriter blocks every write until free is closed.
 type blockedWriter struct {
 	free  chan struct{}
 	taken int
@@ -84,8 +85,8 @@
 	return len(p), nil
 }
 
-// The reader of the log stops. Callers of the log go on without waiting; the
-// lines beyond the buffer are lost and counted.
+// The reader of the log stops. Calls to the log must return without waiting.
+// Lines beyond the buffer are lost and counted.
 func TestStoppedReaderCostsNoTime(t *testing.T) {
 	out := &blockedWriter{free: make(chan struct{})}
 	c := &clock{at: time.Unix(100, 0)}
@@ -100,11 +101,11 @@
 	close(out.free)
 	w.Close()
 	if out.taken < 1000 || out.taken > 1100 {
-		t.Errorf("got %d lines, want those of the buffer", out.taken)
+		t.Errorf("got %d lines, want only those of the buffer", out.taken)
 	}
 }
 
-// BenchmarkLine is what a line of a served request takes of the processor.
+// BenchmarkLine measures the processor time of one log line of a request.
 func BenchmarkLine(b *testing.B) {
 	w := &lines.Writer{Out: io.Discard, Level: zapcore.InfoLevel}
 	log := zap.New(w.Core())
