--- a/internal/app/meters/meters.go
+++ b/internal/app/meters/meters.go
@@ -1,10 +1,12 @@
-// Package meters keeps, per class, how well its target was met of late.
+// Package meters records, for each class, how well recent requests met the
+// class's target.
 //
 // It imports base/spec, the histogram library and the metrics library. Package
-// entry tells it how requests ended; the status of the instance reads it.
+// entry reports the end of each request to it, and the status of the instance
+// reads it.
 //
-// What it keeps per class does not depend on how many requests there are: the
-// counts and three histograms of each of a few past minutes.
+// The memory per class does not depend on the number of requests: each class
+// has the counts and three histograms of each of a few recent minutes.
 package meters
 
 import (
@@ -20,18 +22,23 @@
 )
 
 const (
-	// windows of windowTime each are what "of late" means.
-	windows      = 5
+	// windows is the number of recent windows that are kept.
+	windows = 5
+	// windowLength is the length of a window.
 	windowLength = time.Minute
-	// resolution is the finest time kept; longest the longest told apart.
+	// resolution is the smallest difference in time that is recorded.
 	resolution = 100 * time.Microsecond
-	maxTime    = time.Hour
-	digits     = 2
+	// maxTime is the longest time that is recorded exactly.
+	maxTime = time.Hour
+	// digits is the number of significant digits of the histograms.
+	digits = 2
 )
 
-// Recorder is the record of all classes. Set the exported fields before use.
+// Recorder records the target attainment of all classes. Set the exported
+// fields before use.
 type Recorder struct {
-	// Meters takes the metrics; nil makes a private set.
+	// Meters is the set that receives the metrics. If nil, a private set is
+	// created.
 	Meters *metrics.Set
 
 	once    sync.Once
@@ -40,10 +47,10 @@
 	classes map[spec.ClassName]*classStats
 }
 
-// classStats is one class.
+// classStats holds the recent requests of one class.
 type classStats struct {
 	class spec.Class
-	// window numbers the newest window since the start.
+	// window is the number of the newest window since the start.
 	window int64
 	counts [windows]counts
 	first  *hdrhistogram.WindowedHistogram
@@ -55,27 +62,29 @@
 
 type counts struct{ seen, met, answered int64 }
 
-// Times are percentiles of one kind of time.
+// Times holds percentiles of one kind of time.
 type Times struct {
 	P50 time.Duration
 	P95 time.Duration
 	P99 time.Duration
 }
 
-// Attainment is how a class was served of late.
+// Attainment summarizes how the recent requests of a class were served.
 type Attainment struct {
 	Class spec.Class
-	// Seen is how many requests ended, Met how many of them met the target.
+	// Seen is the number of requests that ended. Met is the number of them that
+	// met the target.
 	Seen int64
 	Met  int64
-	// Answered is how many were answered at all, in time or late.
+	// Answered is the number of requests that were answered, in time or late.
 	Answered int64
 	First    Times
 	Gap      Times
 	Whole    Times
 }
 
-// Percent is how many of 100 requests met the target; 100 if there were none.
+// Percent returns the percentage of requests that met the target. It is 100 if
+// there were no requests.
 func (a Attainment) Percent() float64 {
 	if a.Seen == 0 {
 		return 100
@@ -83,8 +92,8 @@
 	return 100 * float64(a.Met) / float64(a.Seen)
 }
 
-// Reliability is how many of 100 requests were answered at all; 100 if there
-// were none.
+// Reliability returns the percentage of requests that were answered, in time or
+// late. It is 100 if there were no requests.
 func (a Attainment) Reliability() float64 {
 	if a.Seen == 0 {
 		return 100
@@ -95,40 +104,40 @@
 // MeetsTarget reports whether the class meets its target.
 func (a Attainment) MeetsTarget() bool { return a.Percent() >= a.Class.Target().Percent() }
 
-func (b *Recorder) init() {
-	b.once.Do(func() {
-		if b.Meters == nil {
-			b.Meters = metrics.NewSet()
+func (r *Recorder) init() {
+	r.once.Do(func() {
+		if r.Meters == nil {
+			r.Meters = metrics.NewSet()
 		}
-		b.start = time.Now()
-		b.classes = map[spec.ClassName]*classStats{}
+		r.start = time.Now()
+		r.classes = map[spec.ClassName]*classStats{}
 	})
 }
 
-// Served takes the end of a request. A request that failed or was refused met
-// no target.
-func (b *Recorder) Served(class spec.Class, first, gap, whole time.Duration, ok bool) {
-	b.init()
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	r := b.statsFor(class)
-	r.advance(b.currentWindow())
-	c := &r.counts[r.window%windows]
+// Served records the end of a request. A request that failed or was refused
+// does not count as meeting the target.
+func (r *Recorder) Served(class spec.Class, first, gap, whole time.Duration, ok bool) {
+	r.init()
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	s := r.statsFor(class)
+	s.advance(r.currentWindow())
+	c := &s.counts[s.window%windows]
 	c.seen++
-	r.seen.Inc()
+	s.seen.Inc()
 	if ok {
 		c.answered++
 	}
 	if ok && meets(class.Target(), first, gap, whole) {
 		c.met++
-		r.met.Inc()
+		s.met.Inc()
 	}
-	record(r.first, first)
-	record(r.gap, gap)
-	record(r.whole, whole)
+	record(s.first, first)
+	record(s.gap, gap)
+	record(s.whole, whole)
 }
 
-// meets reports whether the times are within each limit of the target.
+// meets reports whether the times are within every limit of the target.
 func meets(t spec.Target, first, gap, whole time.Duration) bool {
 	return within(first, t.FirstEvent()) && within(gap, t.Gap()) && within(whole, t.TotalTime())
 }
@@ -137,77 +146,79 @@
 
 func record(h *hdrhistogram.WindowedHistogram, d time.Duration) {
 	if d > 0 {
-		// Times above the longest are kept as the longest.
+		// Times above maxTime are recorded as maxTime.
 		_ = h.Current.RecordValue(int64(min(d, maxTime) / resolution))
 	}
 }
 
-// All is every class in order of name.
-func (b *Recorder) All() []Attainment {
-	b.init()
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	out := make([]Attainment, 0, len(b.classes))
-	for _, r := range b.classes {
-		r.advance(b.currentWindow())
-		out = append(out, r.attained())
+// All returns the attainment of every class, sorted by name.
+func (r *Recorder) All() []Attainment {
+	r.init()
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	out := make([]Attainment, 0, len(r.classes))
+	for _, s := range r.classes {
+		s.advance(r.currentWindow())
+		out = append(out, s.attained())
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Class.Name() < out[j].Class.Name() })
 	return out
 }
 
-// Retain forgets the classes that are not in force any more.
-func (b *Recorder) Retain(classes []spec.Class) {
-	b.init()
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// Retain removes all classes that are not in classes, the active ones.
+func (r *Recorder) Retain(classes []spec.Class) {
+	r.init()
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	keep := make(map[spec.ClassName]bool, len(classes))
 	for _, c := range classes {
 		keep[c.Name()] = true
 	}
-	for name := range b.classes {
+	for name := range r.classes {
 		if !keep[name] {
-			delete(b.classes, name)
+			delete(r.classes, name)
 		}
 	}
 }
 
-func (b *Recorder) currentWindow() int64 { return int64(time.Since(b.start) / windowLength) }
+func (r *Recorder) currentWindow() int64 { return int64(time.Since(r.start) / windowLength) }
 
-func (b *Recorder) statsFor(class spec.Class) *classStats {
-	r := b.classes[class.Name()]
-	if r != nil {
-		r.class = class
-		return r
+func (r *Recorder) statsFor(class spec.Class) *classStats {
+	s := r.classes[class.Name()]
+	if s != nil {
+		s.class = class
+		return s
 	}
-	r = &classStats{class: class, window: b.currentWindow()}
-	for _, h := range []**hdrhistogram.WindowedHistogram{&r.first, &r.gap, &r.whole} {
+	s = &classStats{class: class, window: r.currentWindow()}
+	for _, h := range []**hdrhistogram.WindowedHistogram{&s.first, &s.gap, &s.whole} {
 		*h = hdrhistogram.NewWindowed(windows, 1, int64(maxTime/resolution), digits)
 	}
-	r.seen = b.Meters.GetOrCreateCounter(fmt.Sprintf(`fulmarwick_target_seen_total{class=%q}`, class.Name()))
-	r.met = b.Meters.GetOrCreateCounter(fmt.Sprintf(`fulmarwick_target_met_total{class=%q}`, class.Name()))
-	b.classes[class.Name()] = r
-	return r
-}
-
-// advance moves on to window at; windows that nobody used are empty.
-func (r *classStats) advance(at int64) {
-	for steps := 0; r.window < at && steps < windows; steps++ {
-		r.window++
-		r.counts[r.window%windows] = counts{}
-		r.first.Rotate()
-		r.gap.Rotate()
-		r.whole.Rotate()
+	s.seen = r.Meters.GetOrCreateCounter(fmt.Sprintf(`fulmarwick_target_seen_total{class=%q}`, class.Name()))
+	s.met = r.Meters.GetOrCreateCounter(fmt.Sprintf(`fulmarwick_target_met_total{class=%q}`, class.Name()))
+	r.classes[class.Name()] = s
+	return s
+}
+
+// advance moves to the window with the given number. It clears each window that
+// it enters, so that windows without requests are empty.
+func (s *classStats) advance(number int64) {
+	for steps := 0; s.window < number && steps < windows; steps++ {
+		s.window++
+		s.counts[s.window%windows] = counts{}
+		s.first.Rotate()
+		s.gap.Rotate()
+		s.whole.Rotate()
 	}
-	if r.window < at {
-		// All windows were emptied; the rest would empty them again.
-		r.window = at
+	if s.window < number {
+		// All windows are cleared already; further steps would only clear them
+		// again.
+		s.window = number
 	}
 }
 
-func (r *classStats) attained() Attainment {
-	a := Attainment{Class: r.class, First: times(r.first), Gap: times(r.gap), Whole: times(r.whole)}
-	for _, c := range r.counts {
+func (s *classStats) attained() Attainment {
+	a := Attainment{Class: s.class, First: times(s.first), Gap: times(s.gap), Whole: times(s.whole)}
+	for _, c := range s.counts {
 		a.Seen += c.seen
 		a.Met += c.met
 		a.Answered += c.answered
--- a/internal/app/meters/meters_test.go
+++ b/internal/app/meters/meters_test.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// What happened longer ago than the windows reach counts no more, also if the
-// class was silent meanwhile for much longer.
+// Requests older than the windows no longer count, even if the class has had no
+// requests for much longer than that.
 func TestOldWindowsAreForgotten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := &meters.Recorder{}
