--- a/internal/app/spans/spans.go
+++ b/internal/app/spans/spans.go
@@ -1,7 +1,9 @@
-// Package spans sends the spans of requests to a collector by OTLP over HTTP.
+// Package spans exports the trace spans of requests to a collector by OTLP over
+// HTTP.
 //
-// It imports the OpenTelemetry SDK. The daemon opens one Sender and hands its
-// Provider to whatever starts a hop; no span carries a key or a body.
+// It imports the OpenTelemetry SDK. The instance opens one Sender and passes
+// its Provider to the components that start spans. No span contains a key or a
+// body.
 package spans
 
 import (
@@ -18,30 +20,33 @@
 )
 
 const (
-	// tracesPath is where collectors take spans.
+	// tracesPath is the path at which collectors accept spans.
 	tracesPath = "/v1/traces"
-	// maxQueue bounds the spans that wait for a slow collector; more are dropped,
-	// since no request may wait for its spans.
+	// maxQueue is the maximum number of spans that wait for a slow collector.
+	// Further spans are dropped, because no request may wait for its spans.
 	maxQueue = 4096
-	// closeTimeout bounds the sending of the last spans at the end.
+	// closeTimeout bounds the time for sending the last spans in Close.
 	closeTimeout = 5 * time.Second
 )
 
-// Sender sends spans. Set the exported fields before Open.
+// Sender exports spans to a collector. Set the exported fields before calling
+// Open.
 type Sender struct {
-	// URL is the collector's, such as "http://10.0.0.9:4318"; "" is off.
+	// URL is the base URL of the collector, such as "http://10.0.0.9:4318". If
+	// empty, tracing is off.
 	URL string
-	// Part is the share of traces that begin here which are kept, 0 to 1. A
-	// trace that a caller began is kept if the caller says so.
+	// Part is the fraction, from 0 to 1, of the traces that begin on this
+	// instance and are exported. A trace begun by a caller is exported if the
+	// caller sampled it.
 	Part float64
-	// Instance and DataCentre go with every span.
+	// Instance and DataCentre are attributes of every span.
 	Instance   string
 	DataCentre string
 
 	provider *sdk.TracerProvider
 }
 
-// Open starts the sending; without a URL it does nothing.
+// Open starts the export. Without a URL it does nothing.
 func (s *Sender) Open(ctx context.Context) error {
 	if s.URL == "" {
 		return nil
@@ -62,7 +67,8 @@
 	return nil
 }
 
-// Provider makes the spans; they cost nothing while sending is off.
+// Provider returns the provider that creates spans. If tracing is off, it is a
+// no-op provider.
 func (s *Sender) Provider() trace.TracerProvider {
 	if s.provider == nil {
 		return noop.NewTracerProvider()
@@ -70,7 +76,7 @@
 	return s.provider
 }
 
-// Close sends what waits, for a short while.
+// Close sends the queued spans and waits up to closeTimeout.
 func (s *Sender) Close() error {
 	if s.provider == nil {
 		return nil
--- a/internal/app/spans/spans_test.go
+++ b/internal/app/spans/spans_test.go
@@ -10,7 +10,8 @@
 	"fulmarwick/internal/app/spans"
 )
 
-// The collector gets the spans of the instance once it closes, at the latest.
+// The collector must have received the spans of the instance by the time Close
+// returns.
 func TestSpansReachTheCollector(t *testing.T) {
 	got := make(chan string, 10)
 	collector := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, req *http.Request) {
