--- a/internal/app/daemon/fleet.go
+++ b/internal/app/daemon/fleet.go
@@ -16,18 +16,21 @@
 )
 
 const (
-	// snapshotsFrom is how many peers are asked for a configuration at most.
-	snapshotsFrom = 3
-	// goneAfter is how long an instance must be out of the members before it
-	// counts as ended for the records that it left at running.
-	goneAfter = 10 * time.Second
-	// quitTime bounds the wait for the others to hear of the end.
-	quitTime = 2 * time.Second
-	// jobsLook is the time between two looks at forwarded requests at a stop.
-	jobsLook = 20 * time.Millisecond
+	// maxSnapshots is the maximum number of peers whose configuration is
+	// fetched.
+	maxSnapshots = 3
+	// exitedAfter is how long an instance must be missing from the members
+	// before it counts as ended, for the records that it left in state running.
+	exitedAfter = 10 * time.Second
+	// leaveTimeout bounds the wait until the peers have received the leave
+	// message.
+	leaveTimeout = 2 * time.Second
+	// jobsInterval is the time between two checks for forwarded requests during
+	// a stop.
+	jobsInterval = 20 * time.Millisecond
 )
 
-// fleet is this instance's part among the others.
+// fleet connects this instance to its peers.
 type fleet struct {
 	*Daemon
 	hub    *peer.Hub
@@ -36,34 +39,35 @@
 
 	mu      sync.Mutex
 	members []node.Peer
-	// left is when an instance was last among the members.
-	left    map[spec.InstanceID]time.Time
-	began   time.Time
-	ready   bool
-	done    chan struct{}
-	watches chan node.Watch
+	// lastSeen is when an instance was last among the members.
+	lastSeen  map[spec.InstanceID]time.Time
+	startTime time.Time
+	ready     bool
+	done      chan struct{}
+	watches   chan node.Watch
 }
 
-// newFleet builds the part; nil for an instance that stands alone.
+// newFleet creates the connection to the peers. It returns nil for an instance
+// without peers.
 func (d *Daemon) newFleet() (*fleet, error) {
 	if d.Peers == nil && d.Settings.Listen.Peers == "" {
 		return nil, nil
 	}
 	f := &fleet{
-		Daemon: d, left: map[spec.InstanceID]time.Time{}, began: time.Now(),
+		Daemon: d, lastSeen: map[spec.InstanceID]time.Time{}, startTime: time.Now(),
 		done: make(chan struct{}), watches: make(chan node.Watch, 1),
 	}
 	name := d.Settings.Instance.Name
-	self := node.Peer{ID: spec.InstanceID(name), DataCentre: spec.DataCentre(d.unit())}
+	self := node.Peer{ID: spec.InstanceID(name), DataCentre: spec.DataCentre(d.localSpan())}
 	f.logic = &node.Logic{
-		Local: self, StartTime: uint32(f.began.Unix()),
-		Rand: rand.New(rand.NewPCG(xxhash.Sum64String(name), uint64(f.began.UnixNano()))),
+		Local: self, StartTime: uint32(f.startTime.Unix()),
+		Rand: rand.New(rand.NewPCG(xxhash.Sum64String(name), uint64(f.startTime.UnixNano()))),
 	}
 	f.hub = &peer.Hub{
-		Self: self, Logic: f.logic, On: f.on, Serve: &server{d}, Config: f, Log: d.Log, Meters: d.parts.meters,
+		Self: self, Logic: f.logic, On: f.handleCommand, Serve: &forwardServer{d}, Config: f, Log: d.Log, Meters: d.parts.metrics,
 	}
 	if pair := d.Settings.TLS.Peers; pair.Set() {
-		source, err := d.source(pair)
+		source, err := d.certSource(pair)
 		if err != nil {
 			return nil, err
 		}
@@ -72,15 +76,17 @@
 	return f, nil
 }
 
-// Snapshot is the configuration in force, for an instance that joins.
+// Snapshot returns the encoded active configuration, for an instance that
+// joins.
 func (f *fleet) Snapshot() []byte {
-	if now := f.parts.book.Snapshot(); now != nil {
-		return now.Encode()
+	if current := f.parts.active.Snapshot(); current != nil {
+		return current.Encode()
 	}
 	return nil
 }
 
-// Snapshots asks a few peers for theirs.
+// Snapshots fetches the configurations of a few peers. It skips peers that fail
+// to answer.
 func (f *fleet) Snapshots(ctx context.Context) ([][]byte, error) {
 	var out [][]byte
 	for _, p := range f.peers() {
@@ -89,20 +95,20 @@
 			continue
 		}
 		out = append(out, data)
-		if len(out) >= snapshotsFrom {
+		if len(out) >= maxSnapshots {
 			break
 		}
 	}
 	return out, nil
 }
 
-// on takes a command of the fleet logic. It runs on the hub's goroutine and
-// must not block.
-func (f *fleet) on(c node.Command) {
+// handleCommand executes a command of the fleet logic. It runs on the hub's
+// goroutine and must not block.
+func (f *fleet) handleCommand(c node.Command) {
 	loop := f.parts.loop
 	switch c := c.(type) {
 	case node.Deliver:
-		f.deliver(c.Item)
+		f.handleItem(c.Item)
 	case node.PeerEngineLoad:
 		loop.Post(domain.PeerLoad{Engine: c.Engine, Active: c.Active, LayerTokenRate: c.Tokens})
 	case node.TeamUsage:
@@ -110,9 +116,9 @@
 	case node.ExpirePeer:
 		loop.Post(domain.PeerRemoved{Peer: c.Peer})
 	case node.Members:
-		f.met(c.Peers)
+		f.setMembers(c.Peers)
 	case node.Watch:
-		f.watch(c)
+		f.queueWatch(c)
 	case node.Duty:
 		f.duties.set(c.Name, c.Assigned)
 	case node.Ready:
@@ -125,9 +131,10 @@
 	}
 }
 
-// watch hands the newest assignment to the goroutine that follows it; the
-// watcher may be busy with its table and the hub must not wait.
-func (f *fleet) watch(c node.Watch) {
+// queueWatch passes the newest assignment to the goroutine of followWatches and
+// replaces one that is still queued. The hub must not wait for the watcher,
+// which may be busy updating its table.
+func (f *fleet) queueWatch(c node.Watch) {
 	select {
 	case <-f.watches:
 	default:
@@ -135,7 +142,7 @@
 	f.watches <- c
 }
 
-func (f *fleet) follow(ctx context.Context) error {
+func (f *fleet) followWatches(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
@@ -159,25 +166,26 @@
 	return "http://"
 }
 
-// leaving tells the fleet logic of the stop as soon as it begins, so that
-// duties and watches pass on while requests end.
-func (f *fleet) leaving(ctx context.Context) error {
+// announceStop notifies the fleet logic as soon as the stop begins, so that
+// duties and watches move to other instances while requests end.
+func (f *fleet) announceStop(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
-	case <-f.parts.halt.Begun():
+	case <-f.parts.drainer.Begun():
 		f.hub.Post(node.Stop{})
 	}
 	return nil
 }
 
-// quit tells the others of the end, once nothing is in progress here.
-func (f *fleet) quit(ctx context.Context) {
+// leave sends the leave message to the peers after all forwarded requests and
+// duties here have ended.
+func (f *fleet) leave(ctx context.Context) {
 	for f.hub.Jobs() > 0 && ctx.Err() == nil {
-		time.Sleep(jobsLook)
+		time.Sleep(jobsInterval)
 	}
 	f.duties.stop()
 	f.hub.Post(node.Leave{})
-	ctx, cancel := context.WithTimeout(ctx, quitTime)
+	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
 	select {
 	case <-f.done:
@@ -185,5 +193,5 @@
 	}
 }
 
-// handler serves other instances.
+// handler returns the handler for requests of other instances.
 func (f *fleet) handler() http.Handler { return f.hub.Handler() }
--- a/internal/app/daemon/peertls_test.go
+++ b/internal/app/daemon/peertls_test.go
@@ -20,8 +20,9 @@
 	"go.uber.org/zap"
 )
 
-// mutual runs an instance whose peers' endpoint uses the certificate in files.
-func mutual(t *testing.T, site *trial.Site, name string, files trust.Files) (callers, peers string) {
+// runPeerTLS runs an instance whose endpoint for peers uses the certificate in
+// files.
+func runPeerTLS(t *testing.T, site *trial.Site, name string, files trust.Files) (callers, peers string) {
 	t.Helper()
 	var at [3]net.Listener
 	for i := range at {
@@ -52,9 +53,10 @@
 	return "http://" + at[1].Addr().String(), at[2].Addr().String()
 }
 
-// Two instances find each other by mutual TLS from their settings. A stranger
-// who trusts their authority but shows no certificate of it reaches no
-// handler: the handshake fails, so nothing can be said in another's name.
+// Two instances connect by mutual TLS as configured in their settings. A client
+// that trusts their certificate authority but has no certificate signed by it
+// must fail in the TLS handshake and reach no handler. Otherwise it could send
+// messages in the name of another instance.
 func TestInstancesTrustOnlyTheirAuthority(t *testing.T) {
 	site := &trial.Site{}
 	if err := site.Start(t.Context()); err != nil {
@@ -73,11 +75,11 @@
 			t.Fatal(err)
 		}
 		authority = files.CA
-		operators[i], peers[i] = mutual(t, site, name, files)
+		operators[i], peers[i] = runPeerTLS(t, site, name, files)
 	}
 	for _, base := range operators {
-		for others(t, base) != 1 {
-			time.Sleep(pollTime)
+		for peerCount(t, base) != 1 {
+			time.Sleep(pollInterval)
 		}
 	}
 	pool := x509.NewCertPool()
@@ -85,16 +87,16 @@
 	if err != nil || !pool.AppendCertsFromPEM(pem) {
 		t.Fatalf("got no authority from %s: %v", authority, err)
 	}
-	stranger := &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS12}}}
-	resp, err := stranger.Get("https://" + peers[0] + "/v1/peer")
+	noCert := &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS12}}}
+	resp, err := noCert.Get("https://" + peers[0] + "/v1/peer")
 	if err == nil {
 		_ = resp.Body.Close()
 		t.Errorf("got status %d without a certificate, want a failed handshake", resp.StatusCode)
 	}
 }
 
-// others is how many other instances the instance at base knows.
-func others(t *testing.T, base string) int {
+// peerCount returns how many other instances the instance at base knows.
+func peerCount(t *testing.T, base string) int {
 	t.Helper()
 	c := &admin.Client{Base: base, HTTP: http.DefaultClient}
 	s, err := c.Status(t.Context())
--- a/internal/app/lines/lines.go
+++ b/internal/app/lines/lines.go
@@ -1,13 +1,14 @@
-// Package lines writes the log of a process: one JSON object a line, bounded in
-// volume, and never in the way of a request.
+// Package lines writes the log of a process: one JSON object per line, with
+// bounded volume, and without delaying requests.
 //
-// It imports the log library. The command edge makes one Writer and logs
+// It imports the log library. The command edge creates one Writer and logs
 // through its Core.
 //
-// Each kind of line, told by its message, has a budget per second; what is over
-// it is counted and told once the second is over. Lines go through a buffer of
-// fixed size to a goroutine that writes them. A reader that stops loses lines,
-// which are counted too, and costs no time.
+// Each kind of line, identified by its message, has a budget per second. Lines
+// over the budget are counted, and the counts are logged in the next second.
+// Lines go through a buffer of fixed size to a goroutine that writes them. If
+// the reader of the log stops, lines are lost and counted, but no caller is
+// delayed.
 package lines
 
 import (
@@ -21,43 +22,44 @@
 )
 
 const (
-	// backlog is how many lines wait for the writer: about a second of a busy
-	// instance, 300 KB.
-	backlog = 1024
-	// budget is how many lines of a kind are written in a second. An instance
-	// of today serves 25 requests a second.
-	budget = 60
-	// urgent is the same for lines of warnings and errors, which tell of what
-	// failed.
-	urgent = 240
+	// queueSize is the maximum number of lines that wait for the writer: about
+	// one second of a busy instance, 300 KB.
+	queueSize = 1024
+	// lineBudget is the maximum number of lines of one kind per second. An
+	// instance currently serves 25 requests per second.
+	lineBudget = 60
+	// warnBudget is lineBudget for warnings and errors. It is higher because
+	// they report failures.
+	warnBudget = 240
 )
 
-// Writer writes lines. Set the exported fields before Core.
+// Writer writes log lines within budgets. Set the exported fields before
+// calling Core.
 type Writer struct {
-	// Out takes the lines; it may block.
+	// Out receives the lines. Its Write may block.
 	Out   io.Writer
 	Level zapcore.Level
-	// Now is the clock of the budgets; nil is time.Now.
+	// Now returns the time for the budgets. If nil, time.Now is used.
 	Now func() time.Time
 
 	once  sync.Once
 	queue chan []byte
 	done  chan struct{}
 
-	mu      sync.Mutex
-	closed  bool
-	second  int64
-	written map[string]int
-	left    map[string]int
-	lost    int
+	mu         sync.Mutex
+	closed     bool
+	second     int64
+	written    map[string]int
+	overBudget map[string]int
+	lost       int
 }
 
-// Core returns the core of a logger.
+// Core returns a zapcore.Core that writes to w.
 func (w *Writer) Core() zapcore.Core {
 	w.once.Do(func() {
-		w.queue = make(chan []byte, backlog)
+		w.queue = make(chan []byte, queueSize)
 		w.done = make(chan struct{})
-		w.written, w.left = map[string]int{}, map[string]int{}
+		w.written, w.overBudget = map[string]int{}, map[string]int{}
 		go w.run()
 	})
 	config := zap.NewProductionEncoderConfig()
@@ -66,7 +68,7 @@
 	return &core{writer: w, encoder: zapcore.NewJSONEncoder(config)}
 }
 
-// Close writes what waits, as long as Out takes it within a moment.
+// Close writes the queued lines. It gives up after closeTimeout if Out blocks.
 func (w *Writer) Close() {
 	w.mu.Lock()
 	if w.closed {
@@ -76,7 +78,7 @@
 	w.closed = true
 	close(w.queue)
 	w.mu.Unlock()
-	timer := time.NewTimer(closeTime)
+	timer := time.NewTimer(closeTimeout)
 	defer timer.Stop()
 	select {
 	case <-w.done:
@@ -84,13 +86,13 @@
 	}
 }
 
-// closeTime bounds the wait for the last lines at the end of the process.
-const closeTime = 200 * time.Millisecond
+// closeTimeout bounds the wait for the last lines at the end of the process.
+const closeTimeout = 200 * time.Millisecond
 
 func (w *Writer) run() {
 	defer close(w.done)
 	for line := range w.queue {
-		// A log that cannot be written has nowhere to tell it.
+		// A failed write cannot be reported, because the log itself failed.
 		_, _ = w.Out.Write(line)
 	}
 }
@@ -102,30 +104,30 @@
 	return w.Now()
 }
 
-// admit reports whether a line is within its budget, and returns what was left
-// out in the second before.
-func (w *Writer) admit(e zapcore.Entry) (ok bool, left map[string]int, lost int) {
+// admit reports whether a line is within its budget. At the first line of a new
+// second it also returns the counts of the lines dropped until then.
+func (w *Writer) admit(e zapcore.Entry) (ok bool, dropped map[string]int, lost int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if second := w.now().Unix(); second != w.second {
 		w.second = second
-		left, lost = w.left, w.lost
-		w.written, w.left, w.lost = map[string]int{}, map[string]int{}, 0
+		dropped, lost = w.overBudget, w.lost
+		w.written, w.overBudget, w.lost = map[string]int{}, map[string]int{}, 0
 	}
-	most := budget
+	limit := lineBudget
 	if e.Level >= zapcore.WarnLevel {
-		most = urgent
+		limit = warnBudget
 	}
-	if w.written[e.Message] >= most {
-		w.left[e.Message]++
-		return false, left, lost
+	if w.written[e.Message] >= limit {
+		w.overBudget[e.Message]++
+		return false, dropped, lost
 	}
 	w.written[e.Message]++
-	return true, left, lost
+	return true, dropped, lost
 }
 
-// offer queues a line; without room it is lost and counted.
-func (w *Writer) offer(line []byte) {
+// enqueue queues a line. If the queue is full, the line is dropped and counted.
+func (w *Writer) enqueue(line []byte) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.closed {
@@ -138,25 +140,25 @@
 	}
 }
 
-// core is a zapcore.Core on a Writer.
+// core implements zapcore.Core on a Writer.
 type core struct {
 	writer  *Writer
 	encoder zapcore.Encoder
 }
 
-// Enabled reports whether lines of a level are written.
+// Enabled reports whether lines of level l are written.
 func (c *core) Enabled(l zapcore.Level) bool { return l >= c.writer.Level }
 
 // With returns a core that adds fields to each line.
 func (c *core) With(fields []zapcore.Field) zapcore.Core {
 	clone := &core{writer: c.writer, encoder: c.encoder.Clone()}
-	for _, f := range text(fields) {
+	for _, f := range errorsAsText(fields) {
 		f.AddTo(clone.encoder)
 	}
 	return clone
 }
 
-// Check adds the core to those that write a line.
+// Check adds the core to ce if the level of the entry is enabled.
 func (c *core) Check(e zapcore.Entry, ce *zapcore.CheckedEntry) *zapcore.CheckedEntry {
 	if c.Enabled(e.Level) {
 		return ce.AddCore(e, c)
@@ -164,32 +166,34 @@
 	return ce
 }
 
-// Write queues a line within its budget.
+// Write queues a line if it is within its budget.
 func (c *core) Write(e zapcore.Entry, fields []zapcore.Field) error {
-	ok, left, lost := c.writer.admit(e)
-	if len(left) > 0 || lost > 0 {
-		c.leftOut(e, left, lost)
+	ok, dropped, lost := c.writer.admit(e)
+	if len(dropped) > 0 || lost > 0 {
+		c.logDropped(e, dropped, lost)
 	}
 	if !ok {
 		return nil
 	}
-	return c.encode(e, text(fields))
+	return c.encode(e, errorsAsText(fields))
 }
 
-// leftOut tells what was not written in the second before.
-func (c *core) leftOut(e zapcore.Entry, left map[string]int, lost int) {
-	kinds := make([]string, 0, len(left))
-	for kind := range left {
+// logDropped logs the counts of dropped lines: those over budget by kind, and
+// those lost to a full queue.
+func (c *core) logDropped(e zapcore.Entry, dropped map[string]int, lost int) {
+	kinds := make([]string, 0, len(dropped))
+	for kind := range dropped {
 		kinds = append(kinds, kind)
 	}
 	sort.Strings(kinds)
 	fields := []zapcore.Field{zap.Int("lost", lost)}
 	for _, kind := range kinds {
-		fields = append(fields, zap.Int(kind, left[kind]))
+		fields = append(fields, zap.Int(kind, dropped[kind]))
 	}
-	told := zapcore.Entry{Level: zapcore.WarnLevel, Time: e.Time, Message: "lines: left out"}
-	// An error means a field that cannot be encoded; counts can.
-	_ = c.encode(told, fields)
+	summary := zapcore.Entry{Level: zapcore.WarnLevel, Time: e.Time, Message: "lines: left out"}
+	// Encoding fails only for fields that cannot be encoded; integer counts
+	// always can.
+	_ = c.encode(summary, fields)
 }
 
 func (c *core) encode(e zapcore.Entry, fields []zapcore.Field) error {
@@ -199,16 +203,16 @@
 	}
 	line := append([]byte(nil), b.Bytes()...)
 	b.Free()
-	c.writer.offer(line)
+	c.writer.enqueue(line)
 	return nil
 }
 
-// Sync does nothing: lines are written as they come.
+// Sync does nothing, because lines are written without delay.
 func (c *core) Sync() error { return nil }
 
-// text writes errors as their texts: the stacks that the errors library adds
-// would make most of the log's volume.
-func text(fields []zapcore.Field) []zapcore.Field {
+// errorsAsText replaces error fields with their messages. The stack traces that
+// the errors library adds would make up most of the log volume.
+func errorsAsText(fields []zapcore.Field) []zapcore.Field {
 	out := append([]zapcore.Field(nil), fields...)
 	for i, f := range out {
 		if err, ok := f.Interface.(error); ok && f.Type == zapcore.ErrorType {
--- a/internal/app/lines/lines_test.go
+++ b/internal/app/lines/lines_test.go
@@ -16,7 +16,7 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// clock is a time that the test moves.
+// clock is a clock that the test advances.
 type clock struct {
 	mu sync.Mutex
 	at time.Time
@@ -28,7 +28,7 @@
 	return c.at
 }
 
-func (c *clock) move(d time.Duration) {
+func (c *clock) advance(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.at = c.at.Add(d)
@@ -36,8 +36,9 @@
 
 func count(out, message string) int { return strings.Count(out, `"msg":"`+message+`"`) }
 
-// A kind of line floods the log. It is cut at its budget, failures are kept
-// beyond that, and what was left out is told in the next second.
+// One kind of line floods the log. It must be cut off at its budget, and the
+// number of dropped lines must be logged in the next second. Warnings and
+// errors have a higher budget and are kept.
 func TestFloodIsCutAndCounted(t *testing.T) {
 	var out bytes.Buffer
 	c := &clock{at: time.Unix(100, 0)}
@@ -48,18 +49,18 @@
 		log.Warn("failed", zap.Error(errors.Wrap(errors.New("cause"), "outer")))
 		log.Debug("hidden")
 	}
-	c.move(time.Second)
+	c.advance(time.Second)
 	log.Info("served", zap.Duration("took", 1500*time.Microsecond))
 	w.Close()
 	got := out.String()
 	if n := count(got, "served"); n != 61 {
-		t.Errorf("got %d lines of one kind, want 60 and one in the next second", n)
+		t.Errorf("got %d lines of one kind, want 60 and one more in the next second", n)
 	}
 	if n := count(got, "failed"); n != 200 || count(got, "hidden") != 0 {
 		t.Errorf("got %d failures, want all 200 and no line below the level", n)
 	}
 	if !strings.Contains(got, `"msg":"lines: left out","lost":0,"served":140`) {
-		t.Errorf("got %s, want the count of what was left out", got[max(0, len(got)-300):])
+		t.Errorf("got %s, want the count of dropped lines", got[max(0, len(got)-300):])
 	}
 	for line := range strings.Lines(got) {
 		var v map[string]any
@@ -67,27 +68,27 @@
 			t.Fatalf("got %q: %v, want JSON", line, err)
 		}
 		if v["msg"] == "failed" && v["error"] != "outer: cause" {
-			t.Errorf("got %v, want the error's text alone", v)
+			t.Errorf("got %v, want only the error's message", v)
 		}
 	}
 }
 
-// stuck is a reader that takes nothing until it is freed.
-type stuck struct {
+// blockedWriter blocks every write until free is closed.
+type blockedWriter struct {
 	free  chan struct{}
 	taken int
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
+func (s *blockedWriter) Write(p []byte) (int, error) {
 	<-s.free
 	s.taken++
 	return len(p), nil
 }
 
-// The reader of the log stops. Callers of the log go on without waiting; the
-// lines beyond the buffer are lost and counted.
+// The reader of the log stops. Calls to the log must return without waiting.
+// Lines beyond the buffer are lost and counted.
 func TestStoppedReaderCostsNoTime(t *testing.T) {
-	out := &stuck{free: make(chan struct{})}
+	out := &blockedWriter{free: make(chan struct{})}
 	c := &clock{at: time.Unix(100, 0)}
 	w := &lines.Writer{Out: out, Level: zapcore.InfoLevel, Now: c.now}
 	log := zap.New(w.Core())
@@ -95,16 +96,16 @@
 		for range 50 {
 			log.Info("a")
 		}
-		c.move(time.Second)
+		c.advance(time.Second)
 	}
 	close(out.free)
 	w.Close()
 	if out.taken < 1000 || out.taken > 1100 {
-		t.Errorf("got %d lines, want those of the buffer", out.taken)
+		t.Errorf("got %d lines, want only those of the buffer", out.taken)
 	}
 }
 
-// BenchmarkLine is what a line of a served request takes of the processor.
+// BenchmarkLine measures the processor time of one log line of a request.
 func BenchmarkLine(b *testing.B) {
 	w := &lines.Writer{Out: io.Discard, Level: zapcore.InfoLevel}
 	log := zap.New(w.Core())
--- a/internal/app/setup/load.go
+++ b/internal/app/setup/load.go
@@ -10,17 +10,17 @@
 	"gopkg.in/ini.v1"
 )
 
-// maxFile is the most bytes of a settings file.
+// maxFile is the maximum size of a settings file in bytes.
 const maxFile = 1 << 20
 
-// Load reads and checks the settings at path. Paths in the file are relative
-// to its directory. The error matches ErrBad and lists every problem at once.
+// Load reads and checks the settings file at path. Paths in the file are
+// relative to its directory. The error matches ErrBad and lists every problem.
 func Load(path string) (File, error) {
 	return load(path, true)
 }
 
-// LoadElsewhere is Load for a file that is meant for another machine: the
-// files that it names need not exist here.
+// LoadElsewhere is like Load for a settings file of another machine: the files
+// that it names need not exist on this machine.
 func LoadElsewhere(path string) (File, error) {
 	return load(path, false)
 }
@@ -32,12 +32,12 @@
 		bad.add(Problem{file: path, text: err.Error()})
 		return File{}, bad.orNil()
 	}
-	p := &parser{name: path, dir: filepath.Dir(path), files: files}
+	p := &parser{name: path, dir: filepath.Dir(path), checkFiles: files}
 	return p.parse(data)
 }
 
-// Parse checks settings held in memory; name stands for the file's name in
-// problems. Files that the settings name are not looked at.
+// Parse checks settings held in memory. Problems use name as the file name.
+// Parse does not open the files that the settings name.
 func Parse(name string, data []byte) (File, error) {
 	p := &parser{name: name}
 	return p.parse(data)
@@ -63,14 +63,14 @@
 	return data, nil
 }
 
-// parser holds one file while it is read.
+// parser holds the state of parsing one file.
 type parser struct {
-	name  string
-	dir   string
-	files bool
-	out   File
-	bad   BadError
-	lines map[entry]int
+	name       string
+	dir        string
+	checkFiles bool
+	out        File
+	bad        BadError
+	lines      map[keyPos]int
 }
 
 func (p *parser) parse(data []byte) (File, error) {
@@ -84,30 +84,30 @@
 		p.bad.add(Problem{file: p.name, text: err.Error()})
 		return File{}, p.bad.orNil()
 	}
-	p.lines = map[entry]int{}
-	p.unknown(at)
+	p.lines = map[keyPos]int{}
+	p.checkUnknown(at)
 	for _, e := range at.entries {
 		p.set(e, values.Section(e.section).Key(e.key).Value())
 	}
-	p.missing(at)
-	p.together()
+	p.checkMissing(at)
+	p.checkTogether()
 	if err := p.bad.orNil(); err != nil {
 		return File{}, err
 	}
 	return p.out, nil
 }
 
-// unknown refuses the sections that no setting has.
-func (p *parser) unknown(at layout) {
+// checkUnknown reports unknown sections.
+func (p *parser) checkUnknown(at layout) {
 	for name, line := range at.sections {
-		if find(name) == nil {
+		if findSection(name) == nil {
 			p.bad.add(Problem{file: p.name, line: line, section: name, text: "no such section"})
 		}
 	}
 }
 
-func (p *parser) set(e entry, value string) {
-	section := find(e.section)
+func (p *parser) set(e keyPos, value string) {
+	section := findSection(e.section)
 	if section == nil {
 		return
 	}
@@ -127,26 +127,25 @@
 	}
 }
 
-// missing refuses a file without the keys that have no default. A section
-// that may be left out asks for its keys only where it stands.
-func (p *parser) missing(at layout) {
+// checkMissing reports required keys that are missing. The required keys of an
+// optional section are checked only if the section is present.
+func (p *parser) checkMissing(at layout) {
 	for _, s := range sections {
-		if s.spare && at.sections[s.name] == 0 {
+		if s.optional && at.sections[s.name] == 0 {
 			continue
 		}
 		for _, k := range s.keys {
-			e := entry{section: s.name, key: k.name}
-			if k.must && p.lines[e] == 0 {
+			e := keyPos{section: s.name, key: k.name}
+			if k.required && p.lines[e] == 0 {
 				p.bad.add(Problem{file: p.name, line: at.sections[s.name], section: s.name, key: k.name, text: "missing"})
 			}
 		}
 	}
 }
 
-// fault adds a problem that concerns the key of a section, if need be one that
-// is not in the file.
-func (p *parser) fault(section, key, text string) {
-	line := p.lines[entry{section: section, key: key}]
+// addProblem adds a problem of a key, which need not be present in the file.
+func (p *parser) addProblem(section, key, text string) {
+	line := p.lines[keyPos{section: section, key: key}]
 	p.bad.add(Problem{file: p.name, line: line, section: section, key: key, text: text})
 }
 
--- a/internal/app/setup/setup_test.go
+++ b/internal/app/setup/setup_test.go
@@ -17,11 +17,11 @@
 	instance = "[instance]\nname = klang-1\ndatacentre = klang\nregion = my-west\n"
 	listen   = "[listen]\ncallers = 127.0.0.1:8080\n"
 	platform = "[platform]\ntable = http://127.0.0.1:7000\n"
-	least    = instance + listen + platform
+	minimal  = instance + listen + platform
 )
 
 func TestLeastSettingsTakeDefaults(t *testing.T) {
-	got, err := setup.Parse("least.ini", []byte(least))
+	got, err := setup.Parse("least.ini", []byte(minimal))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -29,7 +29,7 @@
 		t.Errorf("got limits %+v, want %+v", got.Limits, want)
 	}
 	if got.Platform.List != "http://127.0.0.1:7000" {
-		t.Errorf("got list %q, want that of the table", got.Platform.List)
+		t.Errorf("got list %q, want the URL of the table", got.Platform.List)
 	}
 }
 
@@ -41,7 +41,7 @@
 }
 
 func TestValuesAreTaken(t *testing.T) {
-	text := least + "[limits]\nbody = 2MiB\ntokens = 7\n[times]\ngrace = 90s\n[goal]\nweigh = recovery\n" +
+	text := minimal + "[limits]\nbody = 2MiB\ntokens = 7\n[times]\ngrace = 90s\n[goal]\nweigh = recovery\n" +
 		"[fencing]\nh200 = refuse\nt4 = ignore\n[trace]\nurl = http://127.0.0.1:4318/\npart = 0.5\n"
 	got, err := setup.Parse("full.ini", []byte(text))
 	if err != nil {
@@ -58,40 +58,40 @@
 	}
 }
 
-// Each refusal names file, line or section, and the reason.
+// Each rejection must name the file, the line or section, and the reason.
 func TestRefusals(t *testing.T) {
 	tests := []struct{ name, text, want string }{
-		{"unknown section", least + "[extra]\na = 1\n", "x.ini:9: [extra] no such section"},
-		{"unknown key", least + "[limits]\nbodi = 1\n", "x.ini:10: [limits] bodi: no such key"},
-		{"doubled key", least + "[log]\nlevel = info\nlevel = warn\n", "x.ini:11: [log] level: given twice, first on line 10"},
-		{"doubled section", least + "[log]\n[log]\n", "x.ini:10: [log] section given twice, first on line 9"},
-		{"doubled peer", least + "[peers]\na = 127.0.0.1:1\na = 127.0.0.1:2\n", "x.ini:11: [peers] a: given twice"},
-		{"doubled address", least + "[peers]\na = 127.0.0.1:1\nb = 127.0.0.1:1\n", "x.ini:11: [peers] b: 127.0.0.1:1 is the address of a already"},
-		{"number", least + "[limits]\ntokens = many\n", `x.ini:10: [limits] tokens: "many" is not a whole number`},
-		{"range", least + "[limits]\ntokens = 0\n", "x.ini:10: [limits] tokens: 0 is out of range, want 1 to 1048576"},
-		{"size range", least + "[limits]\nbody = 1GiB\n", `"1GiB" is not a size`},
-		{"size overflow", least + "[limits]\nbody = 9000000000000000MiB\n", "is not a size"},
-		{"time", least + "[times]\nbody = 5\n", `[times] body: "5" is not a time`},
-		{"time range", least + "[times]\nbody = -5s\n", "-5s is out of range, want 100ms to 1h0m0s"},
-		{"part", least + "[trace]\npart = NaN\n", `"NaN" is not a number from 0 to 1`},
-		{"choice", least + "[log]\nlevel = loud\n", `"loud" is none of debug, info, warn, error`},
-		{"goal", least + "[goal]\nweigh = both\n", `"both" is none of throughput, recovery`},
-		{"fencing", least + "[fencing]\nt4 = yes\n", `[fencing] t4: "yes" is none of refuse, ignore`},
-		{"host name", strings.Replace(least, "127.0.0.1:8080", "localhost:8080", 1), `"localhost:8080" is not an IP number and port`},
-		{"url", strings.Replace(least, "http://", "ftp://", 1), "is not a URL that begins with http:// or https://"},
-		{"no line form", least + "what\n", "x.ini:9: [platform] the line is neither"},
-		{"no section", "a = 1\n" + least, "x.ini:1: the key a stands before any section"},
-		{"several lines", least + "[log]\nlevel = \"\"\"\ninfo\"\"\"\n", "values over several lines"},
-		{"name", strings.Replace(least, "klang-1", "Klang 1", 1), `"Klang 1" is not a name`},
+		{"unknown section", minimal + "[extra]\na = 1\n", "x.ini:9: [extra] no such section"},
+		{"unknown key", minimal + "[limits]\nbodi = 1\n", "x.ini:10: [limits] bodi: no such key"},
+		{"doubled key", minimal + "[log]\nlevel = info\nlevel = warn\n", "x.ini:11: [log] level: given twice, first on line 10"},
+		{"doubled section", minimal + "[log]\n[log]\n", "x.ini:10: [log] section given twice, first on line 9"},
+		{"doubled peer", minimal + "[peers]\na = 127.0.0.1:1\na = 127.0.0.1:2\n", "x.ini:11: [peers] a: given twice"},
+		{"doubled address", minimal + "[peers]\na = 127.0.0.1:1\nb = 127.0.0.1:1\n", "x.ini:11: [peers] b: 127.0.0.1:1 is the address of a already"},
+		{"number", minimal + "[limits]\ntokens = many\n", `x.ini:10: [limits] tokens: "many" is not a whole number`},
+		{"range", minimal + "[limits]\ntokens = 0\n", "x.ini:10: [limits] tokens: 0 is out of range, want 1 to 1048576"},
+		{"size range", minimal + "[limits]\nbody = 1GiB\n", `"1GiB" is not a size`},
+		{"size overflow", minimal + "[limits]\nbody = 9000000000000000MiB\n", "is not a size"},
+		{"time", minimal + "[times]\nbody = 5\n", `[times] body: "5" is not a time`},
+		{"time range", minimal + "[times]\nbody = -5s\n", "-5s is out of range, want 100ms to 1h0m0s"},
+		{"part", minimal + "[trace]\npart = NaN\n", `"NaN" is not a number from 0 to 1`},
+		{"choice", minimal + "[log]\nlevel = loud\n", `"loud" is none of debug, info, warn, error`},
+		{"goal", minimal + "[goal]\nweigh = both\n", `"both" is none of throughput, recovery`},
+		{"fencing", minimal + "[fencing]\nt4 = yes\n", `[fencing] t4: "yes" is none of refuse, ignore`},
+		{"host name", strings.Replace(minimal, "127.0.0.1:8080", "localhost:8080", 1), `"localhost:8080" is not an IP number and port`},
+		{"url", strings.Replace(minimal, "http://", "ftp://", 1), "is not a URL that begins with http:// or https://"},
+		{"no line form", minimal + "what\n", "x.ini:9: [platform] the line is neither"},
+		{"no section", "a = 1\n" + minimal, "x.ini:1: the key a stands before any section"},
+		{"several lines", minimal + "[log]\nlevel = \"\"\"\ninfo\"\"\"\n", "values over several lines"},
+		{"name", strings.Replace(minimal, "klang-1", "Klang 1", 1), `"Klang 1" is not a name`},
 		{"missing key", "[instance]\nname = a\nregion = b\n" + listen + platform, "x.ini:1: [instance] datacentre: missing"},
 		{"missing section", instance + listen, "x.ini: [platform] table: missing"},
-		{"tls without key", least + "[tls callers]\ncert = a\n", "x.ini:9: [tls callers] key: missing"},
-		{"same address", strings.Replace(least, "[platform]", "peers = 127.0.0.1:8080\n[platform]", 1), "127.0.0.1:8080 is the address for callers already"},
-		{"operators exposed", strings.Replace(least, "[platform]", "operators = 10.0.0.1:7070\n[platform]", 1), "needs [tls operators] with ca"},
-		{"peers exposed", strings.Replace(least, "[platform]", "peers = 10.0.0.1:7070\n[platform]", 1), "needs [tls peers] with ca"},
-		{"peers without listener", least + "[peers]\na = 127.0.0.1:1\n", "[listen] peers: missing, though [peers] names others"},
-		{"self", least + "[peers]\nklang-1 = 127.0.0.1:1\n", "x.ini:10: [peers] klang-1: is this instance itself"},
-		{"team above streams", least + "[limits]\nstreams = 10\nteam = 11\nconnection = 5\n", "team: 11 is above streams, which is 10"},
+		{"tls without key", minimal + "[tls callers]\ncert = a\n", "x.ini:9: [tls callers] key: missing"},
+		{"same address", strings.Replace(minimal, "[platform]", "peers = 127.0.0.1:8080\n[platform]", 1), "127.0.0.1:8080 is the address for callers already"},
+		{"operators exposed", strings.Replace(minimal, "[platform]", "operators = 10.0.0.1:7070\n[platform]", 1), "needs [tls operators] with ca"},
+		{"peers exposed", strings.Replace(minimal, "[platform]", "peers = 10.0.0.1:7070\n[platform]", 1), "needs [tls peers] with ca"},
+		{"peers without listener", minimal + "[peers]\na = 127.0.0.1:1\n", "[listen] peers: missing, though [peers] names others"},
+		{"self", minimal + "[peers]\nklang-1 = 127.0.0.1:1\n", "x.ini:10: [peers] klang-1: is this instance itself"},
+		{"team above streams", minimal + "[limits]\nstreams = 10\nteam = 11\nconnection = 5\n", "team: 11 is above streams, which is 10"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -106,7 +106,7 @@
 	}
 }
 
-// The operator sees every problem of a file in one run, in order of line.
+// One run must report every problem of a file, sorted by line.
 func TestAllProblemsAtOnce(t *testing.T) {
 	text := "stray\n[instance]\nname = A B\nname = b\n[limits]\ntokens = -1\nfoo = 1\n[nothing]\n"
 	_, err := setup.Parse("x.ini", []byte(text))
@@ -118,7 +118,8 @@
 	for _, p := range bad.Problems() {
 		lines = append(lines, p.Line())
 	}
-	// Missing: datacentre and region (line of their section), callers, table.
+	// Missing keys: datacentre and region, reported at the line of their
+	// section, then callers and table.
 	want := []int{1, 2, 2, 3, 4, 6, 7, 8, 0, 0}
 	if len(lines) != len(want) {
 		t.Fatalf("got %d problems (%v), want %d", len(lines), err, len(want))
@@ -134,7 +135,7 @@
 func TestMissingFilesAreRefused(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "a.ini")
-	write(t, path, least+"[tls callers]\ncert = no.crt\nkey = no.key\n")
+	write(t, path, minimal+"[tls callers]\ncert = no.crt\nkey = no.key\n")
 	_, err := setup.Load(path)
 	for _, want := range []string{":10: [tls callers] cert: cannot be read", ":11: [tls callers] key: cannot be read"} {
 		if err == nil || !strings.Contains(err.Error(), want) {
@@ -154,7 +155,7 @@
 	write(t, filepath.Join(dir, "a.crt"), "no PEM")
 	write(t, filepath.Join(dir, "a.key"), "no PEM")
 	path := filepath.Join(dir, "a.ini")
-	write(t, path, least+"[tls callers]\ncert = a.crt\nkey = a.key\nca = a.crt\n")
+	write(t, path, minimal+"[tls callers]\ncert = a.crt\nkey = a.key\nca = a.crt\n")
 	_, err := setup.Load(path)
 	for _, want := range []string{"certificate and key do not load", "ca: holds no certificate"} {
 		if err == nil || !strings.Contains(err.Error(), want) {
@@ -173,8 +174,8 @@
 	}
 }
 
-// The examples of both deployments load as they stand once their certificates
-// exist, and agree about each other.
+// The example files of both deployments must load unchanged once their
+// certificates exist, and their addresses must agree with each other.
 func TestExamplesLoad(t *testing.T) {
 	for deployment, want := range map[string][]string{
 		"association": {"johor-1", "klang-1", "klang-2", "penang-1"},
@@ -201,11 +202,11 @@
 			}
 			loaded[name] = f
 		}
-		agree(t, loaded)
+		checkPeersAgree(t, loaded)
 	}
 }
 
-func agree(t *testing.T, loaded map[string]setup.File) {
+func checkPeersAgree(t *testing.T, loaded map[string]setup.File) {
 	t.Helper()
 	for name, f := range loaded {
 		if f.Instance.Name != name || len(f.Peers) != len(loaded)-1 {
@@ -220,7 +221,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(least))
+	f.Add([]byte(minimal))
 	f.Add([]byte("[limits]\nbody = 1MiB\n[peers]\na = `x\n"))
 	f.Add([]byte("\xef\xbb\xbf[a]\n\"q\"=1\n-=2\n[]\n[x\n"))
 	f.Fuzz(func(t *testing.T, data []byte) {
@@ -234,7 +235,7 @@
 	})
 }
 
-// The operators' page names every section and key.
+// The documentation for operators must name every section and key.
 func TestSettingsPageIsWhole(t *testing.T) {
 	data, err := os.ReadFile("../../../docs/operate/settings.md")
 	if err != nil {
@@ -244,20 +245,20 @@
 	for section, keys := range setup.Keys() {
 		_, rest, ok := strings.Cut(page, "| `["+section+"]` |")
 		if !ok {
-			t.Errorf("got no section [%s] in the page, want it", section)
+			t.Errorf("got no section [%s] in the documentation, want it", section)
 			continue
 		}
 		rows, _, _ := strings.Cut(rest, "\n| `[")
 		for _, key := range keys {
 			if !strings.Contains(rows, "`"+key+"`") {
-				t.Errorf("got no key %s under [%s] in the page, want it", key, section)
+				t.Errorf("got no key %s under [%s] in the documentation, want it", key, section)
 			}
 		}
 	}
 }
 
-// Guards against an instance that does not start because the platform gives a bound
-// or a size as a fraction.
+// The platform may give a limit or a size as a fraction. This must not keep an
+// instance from starting.
 func TestFractionsAreTaken(t *testing.T) {
 	tests := []struct {
 		name, text string
@@ -272,7 +273,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			f, err := setup.Parse("x.ini", []byte(least+test.text))
+			f, err := setup.Parse("x.ini", []byte(minimal+test.text))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -283,20 +284,20 @@
 	}
 }
 
-// FuzzSettings guards against settings that stop the program instead of being
-// refused, and against values out of their range that are taken.
+// FuzzSettings guards against settings that crash the program instead of being
+// rejected, and against accepted values outside their range.
 func FuzzSettings(f *testing.F) {
 	for _, value := range []string{"", "0", "-1", "1e300", "NaN", "inf", "0x1p-2", "40.7", "10s", "417.5MiB", "9e18MiB"} {
 		f.Add(value)
 	}
 	f.Fuzz(func(t *testing.T, value string) {
 		for _, key := range []string{"[retry]\nallowance = ", "[retry]\nratio = ", "[retry]\nwindow = ", "[limits]\nmemory = "} {
-			s, err := setup.Parse("x.ini", []byte(least+key+value+"\n"))
+			s, err := setup.Parse("x.ini", []byte(minimal+key+value+"\n"))
 			if err != nil {
 				continue
 			}
 			if s.Retry.Allowance < 0 || s.Retry.Ratio < 0 || s.Retry.Ratio > 1 || s.Retry.Window <= 0 || s.Limits.Memory < 0 {
-				t.Errorf("got %+v and %d bytes of memory from %q, want it refused", s.Retry, s.Limits.Memory, key+value)
+				t.Errorf("got %+v and %d bytes of memory from %q, want it rejected", s.Retry, s.Limits.Memory, key+value)
 			}
 		}
 	})
