--- a/internal/fakes/caller/caller.go
+++ b/internal/fakes/caller/caller.go
@@ -24,8 +24,8 @@
 var errCut = errors.New("caller: stream was cut")
 
 const (
-	shortWait = 20 * time.Millisecond
-	doneMark  = "[DONE]"
+	retryDelay = 20 * time.Millisecond
+	doneMark   = "[DONE]"
 )
 
 // Balancer gives the base URLs of the entry instances in turn.
@@ -74,9 +74,9 @@
 	First time.Duration
 	Gap   time.Duration
 	// Finish is the finish reason of the answer.
-	Finish string
-	last   time.Time
-	id     string
+	Finish      string
+	lastTokenAt time.Time
+	lastEventID string
 }
 
 type chunk struct {
@@ -100,40 +100,40 @@
 	var a Answer
 	began := time.Now()
 	for ctx.Err() == nil {
-		wait, err := c.ask(ctx, body, &a, began)
+		wait, err := c.attemptStream(ctx, body, &a, began)
 		if err == nil {
 			return a, nil
 		}
-		rest(ctx, wait)
+		sleep(ctx, wait)
 	}
 	return a, errors.Wrap(ctx.Err(), "caller: no whole answer")
 }
 
-func (c *Caller) ask(ctx context.Context, body []byte, a *Answer, began time.Time) (time.Duration, error) {
-	req, err := c.request(ctx, "/v1/chat/completions", body)
+func (c *Caller) attemptStream(ctx context.Context, body []byte, a *Answer, began time.Time) (time.Duration, error) {
+	req, err := c.newRequest(ctx, "/v1/chat/completions", body)
 	if err != nil {
-		return shortWait, err
+		return retryDelay, err
 	}
-	if a.id != "" {
-		req.Header.Set("Last-Event-ID", a.id)
+	if a.lastEventID != "" {
+		req.Header.Set("Last-Event-ID", a.lastEventID)
 	}
 	resp, err := c.HTTP.Do(req)
 	if err != nil {
-		return shortWait, errors.Wrap(err, "caller: send")
+		return retryDelay, errors.Wrap(err, "caller: send")
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
 		a.Refusals++
-		return wait(resp), errors.Errorf("caller: status %d", resp.StatusCode)
+		return retryAfter(resp), errors.Errorf("caller: status %d", resp.StatusCode)
 	}
-	err = a.read(resp.Body, began)
+	err = a.readEvents(resp.Body, began)
 	if err != nil {
 		a.Cuts++
 	}
-	return shortWait, err
+	return retryDelay, err
 }
 
-func (c *Caller) request(ctx context.Context, path string, body []byte) (*http.Request, error) {
+func (c *Caller) newRequest(ctx context.Context, path string, body []byte) (*http.Request, error) {
 	base := c.Balancer.pick()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, base+path, bytes.NewReader(body))
 	if err != nil {
@@ -147,8 +147,8 @@
 	return req, nil
 }
 
-// read takes events until the end mark.
-func (a *Answer) read(r io.Reader, began time.Time) error {
+// readEvents takes events until the end mark.
+func (a *Answer) readEvents(r io.Reader, began time.Time) error {
 	lines := bufio.NewScanner(r)
 	id := ""
 	for lines.Scan() {
@@ -164,14 +164,14 @@
 		if data == doneMark {
 			return nil
 		}
-		if err := a.event(data, id, began); err != nil {
+		if err := a.handleEvent(data, id, began); err != nil {
 			return err
 		}
 	}
 	return errCut
 }
 
-func (a *Answer) event(data, id string, began time.Time) error {
+func (a *Answer) handleEvent(data, id string, began time.Time) error {
 	var c chunk
 	if err := json.Unmarshal([]byte(data), &c); err != nil {
 		return errors.Wrap(err, "caller: event")
@@ -186,21 +186,21 @@
 		a.Finish = *f
 		return nil
 	}
-	a.id = id
+	a.lastEventID = id
 	a.Text += c.Choices[0].Delta.Content
 	a.Tokens++
-	a.time(began)
+	a.recordTiming(began)
 	return nil
 }
 
-func (a *Answer) time(began time.Time) {
+func (a *Answer) recordTiming(began time.Time) {
 	now := time.Now()
 	if a.Tokens == 1 {
 		a.First = now.Sub(began)
 	} else {
-		a.Gap = max(a.Gap, now.Sub(a.last))
+		a.Gap = max(a.Gap, now.Sub(a.lastTokenAt))
 	}
-	a.last = now
+	a.lastTokenAt = now
 }
 
 // Outcome is how a call ended, as the caller was told.
@@ -218,39 +218,39 @@
 	var o Outcome
 	for ctx.Err() == nil {
 		o.Tries++
-		state, text, wait := c.send(ctx, class, key, body)
+		state, text, wait := c.attemptCall(ctx, class, key, body)
 		if state == "done" || state == "unsure" || state == "notrun" {
 			o.State, o.Body = state, text
 			return o, nil
 		}
-		rest(ctx, wait)
+		sleep(ctx, wait)
 	}
 	return o, errors.Wrap(ctx.Err(), "caller: no outcome")
 }
 
-func (c *Caller) send(ctx context.Context, class, key, body string) (state, text string, after time.Duration) {
-	req, err := c.request(ctx, "/v1/calls/"+class, []byte(body))
+func (c *Caller) attemptCall(ctx context.Context, class, key, body string) (state, text string, after time.Duration) {
+	req, err := c.newRequest(ctx, "/v1/calls/"+class, []byte(body))
 	if err != nil {
-		return "", "", shortWait
+		return "", "", retryDelay
 	}
 	req.Header.Set("Idempotency-Key", key)
 	resp, err := c.HTTP.Do(req)
 	if err != nil {
-		return "", "", shortWait
+		return "", "", retryDelay
 	}
 	defer func() { _ = resp.Body.Close() }()
 	data, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return "", "", shortWait
+		return "", "", retryDelay
 	}
 	if resp.StatusCode == http.StatusOK {
 		return "done", string(data), 0
 	}
-	return stateOf(data), string(data), wait(resp)
+	return callState(data), string(data), retryAfter(resp)
 }
 
-// stateOf reads what a refusal says of the run.
-func stateOf(data []byte) string {
+// callState reads what a refusal says of the run.
+func callState(data []byte) string {
 	var b struct {
 		State string
 		Error struct{ Code string }
@@ -267,17 +267,17 @@
 	return ""
 }
 
-func wait(resp *http.Response) time.Duration {
+func retryAfter(resp *http.Response) time.Duration {
 	seconds, err := strconv.Atoi(resp.Header.Get("Retry-After"))
 	if err != nil {
-		return shortWait
+		return retryDelay
 	}
 	// The tests' clock is the machine's; a full second a refusal would only
 	// make them long.
-	return min(time.Duration(seconds)*time.Second, 5*shortWait)
+	return min(time.Duration(seconds)*time.Second, 5*retryDelay)
 }
 
-func rest(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/internal/fakes/clock/clock.go
+++ b/internal/fakes/clock/clock.go
@@ -28,8 +28,8 @@
 	layerTime = time.Microsecond
 	slots     = 1 << 12
 	cache     = 1 << 30
-	// replies is how many replies wait for the connection.
-	replies = 1024
+	// replyQueue is how many replies wait for the connection.
+	replyQueue = 1024
 )
 
 // Engine is the stand-in. The zero value is ready.
@@ -56,10 +56,10 @@
 		return
 	}
 	defer func() { _ = ws.Close() }()
-	out := make(chan *frame.Reply, replies)
+	out := make(chan *frame.Reply, replyQueue)
 	done := make(chan struct{})
 	defer close(done)
-	go send(ws, out, done)
+	go writeReplies(ws, out, done)
 	for {
 		_, data, err := ws.ReadMessage()
 		if err != nil {
@@ -71,13 +71,13 @@
 				return
 			}
 			if s.Verb != frame.VerbCancel {
-				go run(s, out, done)
+				go runStep(s, out, done)
 			}
 		}
 	}
 }
 
-func send(ws *websocket.Conn, out <-chan *frame.Reply, done <-chan struct{}) {
+func writeReplies(ws *websocket.Conn, out <-chan *frame.Reply, done <-chan struct{}) {
 	for {
 		select {
 		case r := <-out:
@@ -94,9 +94,9 @@
 	}
 }
 
-// run answers a run of tokens; the prompt takes one position. A prompt that
+// runStep answers a run of tokens; the prompt takes one position. A prompt that
 // ends in "gap=D" spaces them by D.
-func run(s *frame.Step, out chan<- *frame.Reply, done <-chan struct{}) {
+func runStep(s *frame.Step, out chan<- *frame.Reply, done <-chan struct{}) {
 	var gap time.Duration
 	if _, text, ok := strings.Cut(s.Text, "gap="); ok {
 		gap, _ = time.ParseDuration(strings.TrimSpace(text))
--- a/internal/fakes/depot/death_test.go
+++ b/internal/fakes/depot/death_test.go
@@ -19,7 +19,7 @@
 		var late, lost []int
 		var p99 []float64
 		for seed := range uint64(8) {
-			r := play(t, nil, func(w *drive.Work) {
+			r := runWorkload(t, nil, func(w *drive.Work) {
 				w.Seed = seed
 				w.Faults = []drive.Fault{{At: 6 * time.Second, Kind: kind, Count: 1}}
 			}).Total
--- a/internal/fakes/depot/depot.go
+++ b/internal/fakes/depot/depot.go
@@ -22,14 +22,14 @@
 	"go.uber.org/zap"
 )
 
-// settled is how long instances take to start and to place all layers.
-const settled = 9 * time.Second
+// startupTime is how long instances take to start and to place all layers.
+const startupTime = 9 * time.Second
 
 // Depot is a deployment. Set the exported fields before Open.
 type Depot struct {
 	Instances int
 	// Baseline puts forwarders in the place of instances; nil is the router.
-	Naive *stand.Baseline
+	Baseline *stand.Baseline
 	// Deployment is the model and its engines; one without layers is the usual.
 	Shape stand.Deployment
 	// Retry bounds repeats; zero is the usual bound.
@@ -41,8 +41,8 @@
 
 	site      *stand.Site
 	instances []*edge.Instance
-	fronts    []string
-	ended     sync.WaitGroup
+	addresses []string
+	wg        sync.WaitGroup
 	mu        sync.Mutex
 	errs      []error
 }
@@ -79,26 +79,26 @@
 		d.Log = zap.NewNop()
 	}
 	for n := range d.Instances {
-		d.fronts = append(d.fronts, Settings(n).Listen.Callers)
-		if d.Naive == nil {
-			d.start(n)
+		d.addresses = append(d.addresses, Settings(n).Listen.Callers)
+		if d.Baseline == nil {
+			d.startInstance(n)
 		}
 	}
-	if d.Naive != nil {
-		return d.forward(ctx)
+	if d.Baseline != nil {
+		return d.startForwarders(ctx)
 	}
-	time.Sleep(settled)
+	time.Sleep(startupTime)
 	return nil
 }
 
-func (d *Depot) start(n int) {
+func (d *Depot) startInstance(n int) {
 	s := settings(n, d.site.Deployment.Zones)
 	if d.Retry != (setup.Retry{}) {
 		s.Retry = d.Retry
 	}
 	i := &edge.Instance{Settings: s, Log: d.Log, Dial: d.site.Dial, Listen: d.site.Net.Listen}
 	d.instances = append(d.instances, i)
-	d.ended.Go(func() {
+	d.wg.Go(func() {
 		if err := i.Run(context.Background()); err != nil {
 			d.mu.Lock()
 			defer d.mu.Unlock()
@@ -107,16 +107,16 @@
 	})
 }
 
-// forward serves plain forwarders where instances would be.
-func (d *Depot) forward(ctx context.Context) error {
-	d.Naive.PlaceEvenly(d.site)
-	for _, address := range d.fronts {
+// startForwarders serves plain forwarders where instances would be.
+func (d *Depot) startForwarders(ctx context.Context) error {
+	d.Baseline.PlaceEvenly(d.site)
+	for _, address := range d.addresses {
 		l, err := d.site.Net.Listen(ctx, address)
 		if err != nil {
 			return errors.Wrap(err, "depot: forwarder")
 		}
-		server := &http.Server{Handler: d.Naive, ReadHeaderTimeout: time.Minute}
-		d.ended.Go(func() { _ = server.Serve(l) })
+		server := &http.Server{Handler: d.Baseline, ReadHeaderTimeout: time.Minute}
+		d.wg.Go(func() { _ = server.Serve(l) })
 		context.AfterFunc(ctx, func() { _ = server.Close() })
 	}
 	return nil
@@ -134,8 +134,8 @@
 	for _, i := range d.instances {
 		i.Stop()
 	}
-	if d.Naive == nil {
-		d.ended.Wait()
+	if d.Baseline == nil {
+		d.wg.Wait()
 	}
 	d.site.Close()
 	d.mu.Lock()
@@ -149,11 +149,11 @@
 
 // Drive is a run of a workload on the depot.
 func (d *Depot) Drive(w drive.Work) *drive.Run {
-	return &drive.Run{Work: w, Fronts: d.fronts, Dial: d.site.Dial, Fault: d.fault}
+	return &drive.Run{Work: w, Fronts: d.addresses, Dial: d.site.Dial, Fault: d.injectFault}
 }
 
-// fault makes a fault of a workload happen.
-func (d *Depot) fault(f drive.Fault) error {
+// injectFault makes a fault of a workload happen.
+func (d *Depot) injectFault(f drive.Fault) error {
 	switch f.Kind {
 	case drive.KindPipe:
 		d.site.SetLinkSlowdown(f.Times)
--- a/internal/fakes/depot/rate_test.go
+++ b/internal/fakes/depot/rate_test.go
@@ -15,9 +15,9 @@
 	"fulmarwick/platform/stand"
 )
 
-// predicted is the rate that the planner takes the placed engines of a site to
+// predictedRate is the rate that the planner takes the placed engines of a site to
 // carry, data centre by data centre.
-func predicted(s *stand.Site) float64 {
+func predictedRate(s *stand.Site) float64 {
 	m := &site.Model{
 		Slots: 192, Layers: s.Deployment.Layers, LayerMB: s.Deployment.LayerMB, TokenBytes: s.Deployment.TokenBytes, PrefillRate: s.Deployment.PrefillRate,
 		StepTime: 1020 * time.Microsecond, TimePerSequence: 7140 * time.Nanosecond, TimePer1kTokens: 9560 * time.Nanosecond, TypicalPrompt: s.Deployment.TypicalPrompt, TypicalAnswer: s.Deployment.TypicalAnswer,
@@ -41,7 +41,7 @@
 	if os.Getenv("WORST") == "" {
 		t.Skip("prints figures: WORST=1")
 	}
-	for _, s := range shapes[:3] {
+	for _, s := range deployments[:3] {
 		want, carried := 0.0, 0.0
 		for _, rate := range []float64{10, 20, 40, 60, 80, 100, 120, 140, 170, 200, 250, 300} {
 			var got drive.Row
@@ -50,8 +50,8 @@
 				if err := d.Open(context.Background()); err != nil {
 					t.Fatal(err)
 				}
-				want = predicted(d.Site())
-				w := usual()
+				want = predictedRate(d.Site())
+				w := usualWork()
 				w.Span = 8 * time.Second
 				w.Classes = w.Classes[:1]
 				w.Classes[0].Rate, w.Classes[0].Prompt, w.Classes[0].Answer, w.Classes[0].Retries = rate, s.shape.TypicalPrompt, s.shape.TypicalAnswer, 0
--- a/internal/fakes/depot/shape_test.go
+++ b/internal/fakes/depot/shape_test.go
@@ -9,9 +9,9 @@
 	"fulmarwick/platform/stand"
 )
 
-// shapes are deployments that differ from the usual one in cards, layers, sizes
+// deployments are deployments that differ from the usual one in cards, layers, sizes
 // of answers and data centres, with the part of the usual traffic that they get.
-var shapes = []struct {
+var deployments = []struct {
 	name  string
 	shape stand.Deployment
 	load  float64
@@ -44,10 +44,10 @@
 // in the middle. Callers get at least the stated worth, and on every deployment
 // more than the better of two forwarders without a plan brings them.
 func TestOtherShapes(t *testing.T) {
-	for _, s := range shapes {
+	for _, s := range deployments {
 		t.Run(s.name, func(t *testing.T) {
-			got := playShape(t, &s.shape, nil, s.load)
-			naive := max(playShape(t, &s.shape, &stand.Baseline{}, s.load), playShape(t, &s.shape, &stand.Baseline{LeastLoaded: true}, s.load))
+			got := runDeployment(t, &s.shape, nil, s.load)
+			naive := max(runDeployment(t, &s.shape, &stand.Baseline{}, s.load), runDeployment(t, &s.shape, &stand.Baseline{LeastLoaded: true}, s.load))
 			t.Logf("worth %.3f, naive forwarders %.3f", got, naive)
 			if got < s.aim || got < naive {
 				t.Errorf("got worth %.3f, want %.3f and no less than the %.3f of naive forwarders", got, s.aim, naive)
@@ -56,11 +56,11 @@
 	}
 }
 
-// playShape plays a part of the usual traffic with a death and returns the worth.
-func playShape(t *testing.T, shape *stand.Deployment, naive *stand.Baseline, load float64) float64 {
+// runDeployment plays a part of the usual traffic with a death and returns the worth.
+func runDeployment(t *testing.T, shape *stand.Deployment, naive *stand.Baseline, load float64) float64 {
 	t.Helper()
-	d := &depot.Depot{Instances: 4, Naive: naive, Shape: *shape}
-	return playOn(t, d, func(w *drive.Work) {
+	d := &depot.Depot{Instances: 4, Baseline: naive, Shape: *shape}
+	return runOn(t, d, func(w *drive.Work) {
 		w.Span = 10 * time.Second
 		for i := range w.Classes {
 			w.Classes[i].Rate *= load
--- a/internal/fakes/depot/worst_test.go
+++ b/internal/fakes/depot/worst_test.go
@@ -13,8 +13,8 @@
 	"fulmarwick/platform/stand"
 )
 
-// usual is the traffic of the users' sites.
-func usual() drive.Work {
+// usualWork is the traffic of the users' sites.
+func usualWork() drive.Work {
 	return drive.Work{
 		Span: 16 * time.Second, Instances: 4, Seed: 7,
 		Classes: []drive.Class{
@@ -25,8 +25,8 @@
 	}
 }
 
-// loads are the worst loads: what is added to the usual traffic.
-var loads = []struct {
+// workloads are the worst loads: what is added to the usual traffic.
+var workloads = []struct {
 	name string
 	add  func(*drive.Work)
 }{
@@ -44,14 +44,14 @@
 	}},
 }
 
-// play plays a workload on a depot of its own in virtual time.
-func play(t *testing.T, naive *stand.Baseline, add func(*drive.Work)) drive.Report {
+// runWorkload plays a workload on a depot of its own in virtual time.
+func runWorkload(t *testing.T, naive *stand.Baseline, add func(*drive.Work)) drive.Report {
 	t.Helper()
-	return playOn(t, &depot.Depot{Instances: 4, Naive: naive}, add)
+	return runOn(t, &depot.Depot{Instances: 4, Baseline: naive}, add)
 }
 
-// playOn plays the usual traffic with what is added on a depot in virtual time.
-func playOn(t *testing.T, d *depot.Depot, add func(*drive.Work)) (out drive.Report) {
+// runOn plays the usual traffic with what is added on a depot in virtual time.
+func runOn(t *testing.T, d *depot.Depot, add func(*drive.Work)) (out drive.Report) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -59,7 +59,7 @@
 		if err := d.Open(ctx); err != nil {
 			t.Fatal(err)
 		}
-		w := usual()
+		w := usualWork()
 		add(&w)
 		report, err := d.Drive(w).Do(ctx)
 		if err != nil {
@@ -79,9 +79,9 @@
 // Two of the busiest engines die at once. Callers of the router get 1.5 times
 // the worth that the better of two naive forwarders brings them.
 func TestTwoDeathsAgainstNaive(t *testing.T) {
-	two := loads[3].add
-	got := play(t, nil, two).Total.Worth
-	best := max(play(t, &stand.Baseline{}, two).Total.Worth, play(t, &stand.Baseline{LeastLoaded: true}, two).Total.Worth)
+	two := workloads[3].add
+	got := runWorkload(t, nil, two).Total.Worth
+	best := max(runWorkload(t, &stand.Baseline{}, two).Total.Worth, runWorkload(t, &stand.Baseline{LeastLoaded: true}, two).Total.Worth)
 	if got < 1.5*best {
 		t.Errorf("got worth %.3f beside %.3f of the better forwarder, want 1.5 times that", got, best)
 	}
@@ -92,8 +92,8 @@
 	if os.Getenv("WORST") == "" {
 		t.Skip("prints figures: WORST=1")
 	}
-	for _, l := range loads {
-		a, b, c := play(t, nil, l.add), play(t, &stand.Baseline{}, l.add), play(t, &stand.Baseline{LeastLoaded: true}, l.add)
+	for _, l := range workloads {
+		a, b, c := runWorkload(t, nil, l.add), runWorkload(t, &stand.Baseline{}, l.add), runWorkload(t, &stand.Baseline{LeastLoaded: true}, l.add)
 		t.Logf("| %s | %.3f | %.3f | %.3f | %d late, %d refused, %d failed of %d | %.0f, %.0f |", l.name, a.Total.Worth, b.Total.Worth, c.Total.Worth,
 			a.Total.Late, a.Total.Refused, a.Total.Failed, a.Total.Asked, a.Total.PauseP50, a.Total.PauseP99)
 	}
@@ -102,7 +102,7 @@
 // One team sends four times what the engines can do, nine others a little each.
 // The others are served as if they were alone, and the heavy team gets the rest.
 func TestSmallTeamsBesideHeavyOne(t *testing.T) {
-	got := play(t, nil, func(w *drive.Work) {
+	got := runWorkload(t, nil, func(w *drive.Work) {
 		w.Span = 10 * time.Second
 		heavy := w.Classes[0]
 		heavy.Rate, heavy.Retries = 300, 0
--- a/internal/fakes/desk/desk.go
+++ b/internal/fakes/desk/desk.go
@@ -21,31 +21,31 @@
 	// Delay is how long a call takes.
 	Delay time.Duration
 
-	mu    sync.Mutex
-	runs  map[string]int
-	done  map[scope]int
-	cut   int
-	reads int
+	mu        sync.Mutex
+	runs      map[string]int
+	outcomes  map[outcomeKey]int
+	cutsLeft  int
+	dropsLeft int
 	// active and others are the calls that run, and those that a test adds.
-	active  int
-	others  int
-	leaving bool
+	active      int
+	extraActive int
+	leaving     bool
 }
 
-// scope is what an outcome is kept under: keys of two teams may be equal.
-type scope struct {
+// outcomeKey is what an outcome is kept under: keys of two teams may be equal.
+type outcomeKey struct {
 	team, class, key string
 }
 
-// answer is what a call returns.
-type answer struct {
+// callResult is what a call returns.
+type callResult struct {
 	Service string `json:"service"`
 	Key     string `json:"key"`
 	Run     int    `json:"run"`
 }
 
-// report is what a load report tells.
-type report struct {
+// loadReport is what a load report tells.
+type loadReport struct {
 	State  string `json:"state"`
 	Active int    `json:"active"`
 	Queued int    `json:"queued"`
@@ -62,7 +62,7 @@
 func (d *Desk) Cut(n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.cut = n
+	d.cutsLeft = n
 }
 
 // Drop makes the next n calls read their request and drop the connection
@@ -70,14 +70,14 @@
 func (d *Desk) Drop(n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.reads = n
+	d.dropsLeft = n
 }
 
 // Busy adds n calls of others to what the load report tells.
 func (d *Desk) Busy(n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.others = n
+	d.extraActive = n
 }
 
 // Leave makes the load report tell that the instance leaves, or does not.
@@ -105,55 +105,55 @@
 		state = "leaving"
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(report{State: state, Active: d.active + d.others})
+	_ = json.NewEncoder(w).Encode(loadReport{State: state, Active: d.active + d.extraActive})
 }
 
-func (d *Desk) count(n int) {
+func (d *Desk) addActive(n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.active += n
 }
 
 func (d *Desk) call(w http.ResponseWriter, req *http.Request) {
-	d.count(1)
-	defer d.count(-1)
+	d.addActive(1)
+	defer d.addActive(-1)
 	_, _ = io.Copy(io.Discard, req.Body)
 	key := req.Header.Get("Idempotency-Key")
 	if d.Delay > 0 {
 		time.Sleep(d.Delay)
 	}
-	if d.drops() {
+	if d.dropRequest() {
 		panic(http.ErrAbortHandler)
 	}
-	n, cut := d.record(scope{team: req.Header.Get("X-Team"), class: mux.Vars(req)["class"], key: key})
+	n, cut := d.record(outcomeKey{team: req.Header.Get("X-Team"), class: mux.Vars(req)["class"], key: key})
 	if cut {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(answer{Service: d.Name, Key: key, Run: n})
+	_ = json.NewEncoder(w).Encode(callResult{Service: d.Name, Key: key, Run: n})
 }
 
-func (d *Desk) drops() bool {
+func (d *Desk) dropRequest() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.reads == 0 {
+	if d.dropsLeft == 0 {
 		return false
 	}
-	d.reads--
+	d.dropsLeft--
 	return true
 }
 
-func (d *Desk) record(sc scope) (n int, cut bool) {
+func (d *Desk) record(sc outcomeKey) (n int, cut bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.runs == nil {
 		d.runs = map[string]int{}
-		d.done = map[scope]int{}
+		d.outcomes = map[outcomeKey]int{}
 	}
 	d.runs[sc.key]++
-	d.done[sc]++
-	if d.cut > 0 {
-		d.cut--
+	d.outcomes[sc]++
+	if d.cutsLeft > 0 {
+		d.cutsLeft--
 		cut = true
 	}
 	return d.runs[sc.key], cut
@@ -162,12 +162,12 @@
 func (d *Desk) outcome(w http.ResponseWriter, req *http.Request) {
 	key := mux.Vars(req)["key"]
 	d.mu.Lock()
-	n := d.done[scope{team: req.Header.Get("X-Team"), class: req.Header.Get("X-Class"), key: key}]
+	n := d.outcomes[outcomeKey{team: req.Header.Get("X-Team"), class: req.Header.Get("X-Class"), key: key}]
 	d.mu.Unlock()
 	if n == 0 {
 		http.Error(w, "not known", http.StatusNotFound)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(answer{Service: d.Name, Key: key, Run: n})
+	_ = json.NewEncoder(w).Encode(callResult{Service: d.Name, Key: key, Run: n})
 }
--- a/internal/fakes/infra/server.go
+++ b/internal/fakes/infra/server.go
@@ -18,38 +18,38 @@
 	// Objects is the object store; its rows are objects.
 	Objects Table
 
-	mu   sync.Mutex
-	list []store.ListedBody
+	mu      sync.Mutex
+	entries []store.ListedBody
 }
 
 // List sets what the platform lists.
 func (s *Server) List(entries []store.ListedBody) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.list = append([]store.ListedBody(nil), entries...)
+	s.entries = append([]store.ListedBody(nil), entries...)
 }
 
 // Handler serves the platform's protocol.
 func (s *Server) Handler() http.Handler {
 	r := mux.NewRouter()
-	r.HandleFunc("/v1/row", get(s.Table)).Methods(http.MethodGet)
+	r.HandleFunc("/v1/row", handleGet(s.Table)).Methods(http.MethodGet)
 	r.HandleFunc("/v1/table", s.scan).Methods(http.MethodGet)
 	r.HandleFunc("/v1/commit", s.commit).Methods(http.MethodPost)
-	r.HandleFunc("/v1/object", get(&s.Objects)).Methods(http.MethodGet)
+	r.HandleFunc("/v1/object", handleGet(&s.Objects)).Methods(http.MethodGet)
 	r.HandleFunc("/v1/object", s.putObject).Methods(http.MethodPost)
-	r.HandleFunc("/v1/instances", s.instances).Methods(http.MethodGet)
+	r.HandleFunc("/v1/instances", s.listInstances).Methods(http.MethodGet)
 	return r
 }
 
-// get serves the rows of a table, or the objects of a store.
-func get(t *Table) http.HandlerFunc {
+// handleGet serves the rows of a table, or the objects of a store.
+func handleGet(t *Table) http.HandlerFunc {
 	return func(w http.ResponseWriter, req *http.Request) {
 		row, err := t.Get(req.Context(), req.URL.Query().Get("key"))
 		if err != nil {
-			reject(w, err)
+			writeError(w, err)
 			return
 		}
-		reply(w, body(row))
+		writeJSON(w, rowBody(row))
 	}
 }
 
@@ -63,14 +63,14 @@
 	}
 	rows, err := s.Table.Scan(req.Context(), q.Get("prefix"), since, limit)
 	if err != nil {
-		reject(w, err)
+		writeError(w, err)
 		return
 	}
 	out := store.ScanBody{}
 	for _, r := range rows {
-		out.Rows = append(out.Rows, body(r))
+		out.Rows = append(out.Rows, rowBody(r))
 	}
-	reply(w, out)
+	writeJSON(w, out)
 }
 
 func (s *Server) commit(w http.ResponseWriter, req *http.Request) {
@@ -89,10 +89,10 @@
 	}
 	version, err := s.Table.Commit(req.Context(), writes)
 	if err != nil {
-		reject(w, err)
+		writeError(w, err)
 		return
 	}
-	reply(w, store.CommitDone{Version: version})
+	writeJSON(w, store.CommitDone{Version: version})
 }
 
 func (s *Server) putObject(w http.ResponseWriter, req *http.Request) {
@@ -103,30 +103,30 @@
 	}
 	version, err := s.Objects.Commit(req.Context(), []store.Write{store.Put(in.Key, in.IfVersion, in.Value)})
 	if err != nil {
-		reject(w, err)
+		writeError(w, err)
 		return
 	}
-	reply(w, store.CommitDone{Version: version})
+	writeJSON(w, store.CommitDone{Version: version})
 }
 
-func (s *Server) instances(w http.ResponseWriter, _ *http.Request) {
+func (s *Server) listInstances(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	reply(w, s.list)
+	writeJSON(w, s.entries)
 }
 
-func body(r store.Row) store.RowBody {
+func rowBody(r store.Row) store.RowBody {
 	return store.RowBody{Key: r.Key(), Version: r.Version(), Value: r.Value()}
 }
 
-func reply(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// reject turns a fault into what a caller would see; a lost answer cuts the
+// writeError turns a fault into what a caller would see; a lost answer cuts the
 // connection.
-func reject(w http.ResponseWriter, err error) {
+func writeError(w http.ResponseWriter, err error) {
 	switch {
 	case errors.Is(err, store.ErrNotFound):
 		http.Error(w, "missing", http.StatusNotFound)
--- a/internal/fakes/infra/table.go
+++ b/internal/fakes/infra/table.go
@@ -17,16 +17,16 @@
 
 // Table is the platform's table in memory. The zero value is ready.
 type Table struct {
-	mu      sync.Mutex
-	rows    map[string]store.Row
-	old     map[string]store.Row
-	version uint64
-	faults  Faults
-	reads   int
-	writes  int
-	commits int
-	calls   int
-	late    [][]store.Write
+	mu       sync.Mutex
+	rows     map[string]store.Row
+	previous map[string]store.Row
+	version  uint64
+	faults   Faults
+	reads    int
+	writes   int
+	commits  int
+	calls    int
+	delayed  [][]store.Write
 }
 
 // Faults are what the platform does wrong, until set anew.
@@ -77,22 +77,22 @@
 func (t *Table) Land() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, w := range t.late {
-		if t.holds(w) {
-			t.take(w)
+	for _, w := range t.delayed {
+		if t.conditionsHold(w) {
+			t.apply(w)
 		}
 	}
-	t.late = nil
+	t.delayed = nil
 }
 
 // Get returns the row under key, or store.ErrMissing.
 func (t *Table) Get(ctx context.Context, key string) (store.Row, error) {
-	if err := t.enter(ctx); err != nil {
+	if err := t.begin(ctx); err != nil {
 		return store.Row{}, err
 	}
 	defer t.mu.Unlock()
 	t.reads++
-	r, ok := t.view()[key]
+	r, ok := t.visibleRows()[key]
 	if !ok {
 		return store.Row{}, store.ErrNotFound
 	}
@@ -101,13 +101,13 @@
 
 // Scan returns rows under prefix above version since, in order of version.
 func (t *Table) Scan(ctx context.Context, prefix string, since uint64, limit int) ([]store.Row, error) {
-	if err := t.enter(ctx); err != nil {
+	if err := t.begin(ctx); err != nil {
 		return nil, err
 	}
 	defer t.mu.Unlock()
 	t.reads++
 	var out []store.Row
-	for k, r := range t.view() {
+	for k, r := range t.visibleRows() {
 		if strings.HasPrefix(k, prefix) && r.Version() > since {
 			out = append(out, r)
 		}
@@ -123,7 +123,7 @@
 
 // Commit takes all writes or none.
 func (t *Table) Commit(ctx context.Context, writes []store.Write) (uint64, error) {
-	if err := t.enter(ctx); err != nil {
+	if err := t.begin(ctx); err != nil {
 		return 0, err
 	}
 	defer t.mu.Unlock()
@@ -133,13 +133,13 @@
 	}
 	if t.faults.Late > 0 {
 		t.faults.Late--
-		t.late = append(t.late, writes)
+		t.delayed = append(t.delayed, writes)
 		return 0, store.ErrOutcomeUnknown
 	}
-	if !t.holds(writes) {
+	if !t.conditionsHold(writes) {
 		return 0, store.ErrConflict
 	}
-	t.take(writes)
+	t.apply(writes)
 	if t.faults.Lose > 0 {
 		t.faults.Lose--
 		return 0, store.ErrOutcomeUnknown
@@ -147,7 +147,7 @@
 	return t.version, nil
 }
 
-func (t *Table) holds(writes []store.Write) bool {
+func (t *Table) conditionsHold(writes []store.Write) bool {
 	for _, w := range writes {
 		if t.rows[w.Key()].Version() != w.IfVersion() {
 			return false
@@ -156,16 +156,16 @@
 	return true
 }
 
-func (t *Table) take(writes []store.Write) {
+func (t *Table) apply(writes []store.Write) {
 	if t.rows == nil {
 		t.rows = map[string]store.Row{}
-		t.old = map[string]store.Row{}
+		t.previous = map[string]store.Row{}
 	}
 	t.version++
 	t.commits++
 	for _, w := range writes {
 		t.writes++
-		t.remember(w.Key())
+		t.savePrevious(w.Key())
 		if w.Removes() {
 			delete(t.rows, w.Key())
 			continue
@@ -174,29 +174,29 @@
 	}
 }
 
-// remember keeps what a stale read answers.
-func (t *Table) remember(key string) {
+// savePrevious keeps what a stale read answers.
+func (t *Table) savePrevious(key string) {
 	if r, ok := t.rows[key]; ok {
-		t.old[key] = r
+		t.previous[key] = r
 		return
 	}
-	delete(t.old, key)
+	delete(t.previous, key)
 }
 
-func (t *Table) view() map[string]store.Row {
+func (t *Table) visibleRows() map[string]store.Row {
 	if t.faults.Stale {
-		return t.old
+		return t.previous
 	}
 	return t.rows
 }
 
-// enter waits out the faults and returns with the lock held, or an error.
-func (t *Table) enter(ctx context.Context) error {
+// begin waits out the faults and returns with the lock held, or an error.
+func (t *Table) begin(ctx context.Context) error {
 	t.mu.Lock()
 	slow := t.faults.Slow
 	t.calls++
 	t.mu.Unlock()
-	if err := pause(ctx, slow); err != nil {
+	if err := sleep(ctx, slow); err != nil {
 		return err
 	}
 	t.mu.Lock()
@@ -207,7 +207,7 @@
 	return nil
 }
 
-func pause(ctx context.Context, d time.Duration) error {
+func sleep(ctx context.Context, d time.Duration) error {
 	if d == 0 {
 		return nil
 	}
--- a/internal/fakes/layer/layer.go
+++ b/internal/fakes/layer/layer.go
@@ -17,8 +17,8 @@
 // Vocabulary is the number of tokens; token 0 ends an answer.
 const Vocabulary = 4096
 
-// numberBytes is the size of one encoded value.
-const numberBytes = 8
+// valueBytes is the size of one encoded value.
+const valueBytes = 8
 
 // State is the cache of a range of layers for one request: one number per
 // layer that depends on all earlier tokens.
@@ -52,7 +52,7 @@
 	if from < s.from || to > s.from+len(s.kv) || from >= to {
 		return nil, false
 	}
-	out := make([]byte, 0, numberBytes*(to-from))
+	out := make([]byte, 0, valueBytes*(to-from))
 	for _, v := range s.kv[from-s.from : to-s.from] {
 		out = binary.BigEndian.AppendUint64(out, v)
 	}
@@ -62,13 +62,13 @@
 // Import returns the state that Export gave, after pos tokens; false if data
 // is of another size.
 func Import(from, to, pos int, data []byte) (*State, bool) {
-	if from < 0 || to <= from || pos < 0 || len(data) != numberBytes*(to-from) {
+	if from < 0 || to <= from || pos < 0 || len(data) != valueBytes*(to-from) {
 		return nil, false
 	}
 	s := NewState(from, to)
 	s.pos = pos
 	for i := range s.kv {
-		s.kv[i] = binary.BigEndian.Uint64(data[numberBytes*i:])
+		s.kv[i] = binary.BigEndian.Uint64(data[valueBytes*i:])
 	}
 	return s, true
 }
@@ -129,7 +129,7 @@
 
 // Decode reads what Encode wrote; other lengths give false.
 func Decode(data []byte) (uint64, bool) {
-	if len(data) != numberBytes {
+	if len(data) != valueBytes {
 		return 0, false
 	}
 	return binary.BigEndian.Uint64(data), true
--- a/internal/fakes/trial/bench_test.go
+++ b/internal/fakes/trial/bench_test.go
@@ -44,14 +44,14 @@
 
 func TestMain(m *testing.M) {
 	if platform := os.Getenv(routerVariable); platform != "" {
-		if err := router(platform); err != nil {
+		if err := runRouter(platform); err != nil {
 			_, _ = fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
 		return
 	}
 	if to := os.Getenv(relayVariable); to != "" {
-		if err := relay(to); err != nil {
+		if err := runRelay(to); err != nil {
 			_, _ = fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
@@ -60,9 +60,9 @@
 	os.Exit(m.Run())
 }
 
-// relay copies bytes until its standard input ends. It is the least that any
+// runRelay copies bytes until its standard input ends. It is the least that any
 // process between engine and client costs.
-func relay(to string) error {
+func runRelay(to string) error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
@@ -93,9 +93,9 @@
 	}
 }
 
-// router runs an instance until its standard input ends. It writes its two
+// runRouter runs an instance until its standard input ends. It writes its two
 // addresses first.
-func router(platform string) error {
+func runRouter(platform string) error {
 	var at [2]net.Listener
 	for i := range at {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -124,14 +124,14 @@
 	return d.Run(ctx)
 }
 
-// bed is a router in its own process before one engine that answers at once.
-type bed struct {
+// testBed is a router in its own process before one engine that answers at once.
+type testBed struct {
 	url       string
 	operators string
 	client    *http.Client
 }
 
-func newBed(b *testing.B) *bed {
+func newRouter(b *testing.B) *testBed {
 	b.Helper()
 	engine := httptest.NewServer((&clock.Engine{}).Handler())
 	b.Cleanup(engine.Close)
@@ -139,36 +139,36 @@
 	platform.List([]store.ListedBody{{ID: "clock", Role: store.RoleEngine, URL: engine.URL, DataCentre: "klang", State: frame.StateLive}})
 	table := httptest.NewServer(platform.Handler())
 	b.Cleanup(table.Close)
-	callers, operators := launch(b, routerVariable+"="+table.URL)
-	out := &bed{
+	callers, operators := startProcess(b, routerVariable+"="+table.URL)
+	out := &testBed{
 		url: "http://" + callers, operators: "http://" + operators,
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024}},
 	}
-	out.await(b)
+	out.waitReady(b)
 	return out
 }
 
-// readyTime bounds the wait for a router that knows its engine.
-const readyTime = 20 * time.Second
+// readyTimeout bounds the wait for a router that knows its engine.
+const readyTimeout = 20 * time.Second
 
-// await asks until the router serves, and tells what it says if it does not.
-func (b *bed) await(t *testing.B) {
+// waitReady asks until the router serves, and tells what it says if it does not.
+func (b *testBed) waitReady(t *testing.B) {
 	t.Helper()
 	began := time.Now()
 	for {
-		status, last := b.ask(t, 1, 0, nil)
+		status, last := b.request(t, 1, 0, nil)
 		if status == http.StatusOK {
 			return
 		}
-		if time.Since(began) > readyTime {
-			t.Fatalf("got %d %s from the router for %s, want an answer", status, last, readyTime)
+		if time.Since(began) > readyTimeout {
+			t.Fatalf("got %d %s from the router for %s, want an answer", status, last, readyTimeout)
 		}
 	}
 }
 
-// launch starts the test binary as another process and returns the two words
+// startProcess starts the test binary as another process and returns the two words
 // that it writes first.
-func launch(b *testing.B, variable string) (first, second string) {
+func startProcess(b *testing.B, variable string) (first, second string) {
 	b.Helper()
 	// Not the benchmark's own context: that ends before the clean-up, which
 	// lets the router end by itself.
@@ -199,17 +199,17 @@
 }
 
 // newRelay is a floor behind a process that only copies bytes.
-func newRelay(b *testing.B) *bed {
+func newRelay(b *testing.B) *testBed {
 	b.Helper()
 	out := newFloor(b)
-	at, _ := launch(b, relayVariable+"="+strings.TrimPrefix(out.url, "http://"))
+	at, _ := startProcess(b, relayVariable+"="+strings.TrimPrefix(out.url, "http://"))
 	out.url = "http://" + at
 	return out
 }
 
 // newFloor is a bed without a router: a plain server that streams the same
 // tokens. What it takes is the machine's own share of a figure.
-func newFloor(b *testing.B) *bed {
+func newFloor(b *testing.B) *testBed {
 	b.Helper()
 	floor := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		var ask struct {
@@ -228,19 +228,19 @@
 		_, _ = io.WriteString(w, "data: [DONE]\n\n")
 	}))
 	b.Cleanup(floor.Close)
-	return &bed{url: floor.URL, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024}}}
+	return &testBed{url: floor.URL, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024}}}
 }
 
 // stream asks for tokens spaced by gap and gives each event's data to seen.
-func (b *bed) stream(t testing.TB, tokens int, gap time.Duration, seen func(data string)) {
-	status, last := b.ask(t, tokens, gap, seen)
+func (b *testBed) stream(t testing.TB, tokens int, gap time.Duration, seen func(data string)) {
+	status, last := b.request(t, tokens, gap, seen)
 	if status != http.StatusOK || last != "data: [DONE]" {
 		t.Errorf("got %d and last %q, want 200 and [DONE]", status, last)
 	}
 }
 
-// ask is stream without a verdict. It returns the status and the last line.
-func (b *bed) ask(t testing.TB, tokens int, gap time.Duration, seen func(data string)) (status int, last string) {
+// request is stream without a verdict. It returns the status and the last line.
+func (b *testBed) request(t testing.TB, tokens int, gap time.Duration, seen func(data string)) (status int, last string) {
 	body := fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":%d,"messages":[{"role":"user","content":"gap=%s"}]}`, clock.Model, tokens, gap)
 	req, err := http.NewRequest(http.MethodPost, b.url+"/v1/chat/completions", strings.NewReader(body))
 	if err != nil {
@@ -266,8 +266,8 @@
 	return resp.StatusCode, last
 }
 
-// cpu is the processor time that the router's process has used, in seconds.
-func (b *bed) cpu(t testing.TB) float64 {
+// cpuSeconds is the processor time that the router's process has used, in seconds.
+func (b *testBed) cpuSeconds(t testing.TB) float64 {
 	resp, err := b.client.Get(b.operators + "/metrics")
 	if err != nil {
 		t.Fatal(err)
@@ -287,8 +287,8 @@
 	return 0
 }
 
-// left is when the token in an event's data left the engine.
-func left(data string) (time.Time, bool) {
+// sentAt is when the token in an event's data left the engine.
+func sentAt(data string) (time.Time, bool) {
 	_, rest, ok := strings.Cut(data, `"content":"`)
 	if !ok {
 		return time.Time{}, false
@@ -301,14 +301,14 @@
 	return hdrhistogram.New(1, int64(time.Minute), 3)
 }
 
-func report(b *testing.B, h *hdrhistogram.Histogram, name string) {
+func reportQuantiles(b *testing.B, h *hdrhistogram.Histogram, name string) {
 	for _, q := range []float64{50, 99} {
 		b.ReportMetric(float64(h.ValueAtQuantile(q))/1e3, fmt.Sprintf("%s-p%.0f-us", name, q))
 	}
 }
 
-// many runs work in n goroutines until the benchmark's count is done.
-func many(b *testing.B, n int, work func()) {
+// runConcurrent runs work in n goroutines until the benchmark's count is done.
+func runConcurrent(b *testing.B, n int, work func()) {
 	var all sync.WaitGroup
 	todo := make(chan struct{}, b.N)
 	for range b.N {
@@ -330,47 +330,47 @@
 // BenchmarkRequests gives whole requests of one token a second, and per core
 // of the router.
 func BenchmarkRequests(b *testing.B) {
-	bed := newBed(b)
-	before := bed.cpu(b)
-	many(b, 64, func() { bed.stream(b, 1, 0, nil) })
+	bed := newRouter(b)
+	before := bed.cpuSeconds(b)
+	runConcurrent(b, 64, func() { bed.stream(b, 1, 0, nil) })
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "requests/s")
-	b.ReportMetric(float64(b.N)/(bed.cpu(b)-before), "requests/core-s")
+	b.ReportMetric(float64(b.N)/(bed.cpuSeconds(b)-before), "requests/core-s")
 }
 
 // BenchmarkTokens gives streamed tokens a second, and per core of the router.
 func BenchmarkTokens(b *testing.B) {
 	const tokens = 500
-	bed := newBed(b)
-	before := bed.cpu(b)
-	many(b, 64, func() { bed.stream(b, tokens, 0, nil) })
+	bed := newRouter(b)
+	before := bed.cpuSeconds(b)
+	runConcurrent(b, 64, func() { bed.stream(b, tokens, 0, nil) })
 	total := float64(b.N * tokens)
 	b.ReportMetric(total/b.Elapsed().Seconds(), "tokens/s")
-	b.ReportMetric(total/(bed.cpu(b)-before), "tokens/core-s")
+	b.ReportMetric(total/(bed.cpuSeconds(b)-before), "tokens/core-s")
 }
 
-// beds are the router, a process that only copies bytes in its place, and
+// testBeds are the router, a process that only copies bytes in its place, and
 // none.
-var beds = []struct {
+var testBeds = []struct {
 	name string
-	make func(*testing.B) *bed
-}{{"router", newBed}, {"relay", newRelay}, {"floor", newFloor}}
+	make func(*testing.B) *testBed
+}{{"router", newRouter}, {"relay", newRelay}, {"floor", newFloor}}
 
 // BenchmarkFirst gives the time from a request to its first token. The engine
 // answers at once, so the router adds what is above the floor.
 func BenchmarkFirst(b *testing.B) {
 	for _, streams := range []int{1, 16} {
-		for _, bed := range beds {
+		for _, bed := range testBeds {
 			b.Run(fmt.Sprintf("streams=%d/%s", streams, bed.name), func(b *testing.B) {
-				first(b, bed.make(b), streams)
+				benchFirst(b, bed.make(b), streams)
 			})
 		}
 	}
 }
 
-func first(b *testing.B, bed *bed, streams int) {
+func benchFirst(b *testing.B, bed *testBed, streams int) {
 	h := newHistogram()
 	var mu sync.Mutex
-	many(b, streams, func() {
+	runConcurrent(b, streams, func() {
 		began, first := time.Now(), true
 		bed.stream(b, 1, 0, func(string) {
 			if !first {
@@ -383,7 +383,7 @@
 			_ = h.RecordValue(int64(took))
 		})
 	})
-	report(b, h, "first")
+	reportQuantiles(b, h, "first")
 }
 
 // BenchmarkBetween gives how long a token is on its way from the engine to the
@@ -391,21 +391,21 @@
 // the router adds to the time between two tokens.
 func BenchmarkBetween(b *testing.B) {
 	for _, streams := range []int{1, 64, 512} {
-		for _, bed := range beds {
+		for _, bed := range testBeds {
 			b.Run(fmt.Sprintf("streams=%d/%s", streams, bed.name), func(b *testing.B) {
-				between(b, bed.make(b), streams)
+				benchBetween(b, bed.make(b), streams)
 			})
 		}
 	}
 }
 
-func between(b *testing.B, bed *bed, streams int) {
+func benchBetween(b *testing.B, bed *testBed, streams int) {
 	const tokens = 100
 	h := newHistogram()
 	var mu sync.Mutex
-	many(b, streams, func() {
+	runConcurrent(b, streams, func() {
 		bed.stream(b, tokens, 10*time.Millisecond, func(data string) {
-			at, ok := left(data)
+			at, ok := sentAt(data)
 			took := time.Since(at)
 			if !ok {
 				return
@@ -415,5 +415,5 @@
 			_ = h.RecordValue(int64(took))
 		})
 	})
-	report(b, h, "between")
+	reportQuantiles(b, h, "between")
 }
--- a/internal/fakes/trial/trial.go
+++ b/internal/fakes/trial/trial.go
@@ -32,8 +32,8 @@
 	Key = "trial-key"
 )
 
-// document is the configuration that Start puts in force.
-const document = `[class answer]
+// configuration is the configuration that Start puts in force.
+const configuration = `[class answer]
 kind = model
 model = ` + Model + `
 first = 1s
@@ -60,13 +60,13 @@
 	// Poison is a word that kills each engine that runs it; "" is none.
 	Poison string
 
-	engines []*stage.Engine
-	desk    *desk.Desk
-	server  *infra.Server
-	mu      sync.Mutex
-	listed  []store.ListedBody
-	url     string
-	closers []net.Listener
+	engines   []*stage.Engine
+	desk      *desk.Desk
+	server    *infra.Server
+	mu        sync.Mutex
+	entries   []store.ListedBody
+	url       string
+	listeners []net.Listener
 }
 
 // Engines are the stand-in engines.
@@ -84,15 +84,15 @@
 // Start serves all stand-ins on free loopback ports.
 func (s *Site) Start(ctx context.Context) error {
 	s.server = &infra.Server{Table: &infra.Table{}}
-	s.engines = engines(s.Layer, max(1, s.Copies))
+	s.engines = newEngines(s.Layer, max(1, s.Copies))
 	for _, e := range s.engines {
 		e.Poison = s.Poison
-		if err := s.add(ctx, e.Name, store.RoleEngine, "", e.Handler()); err != nil {
+		if err := s.addUpstream(ctx, e.Name, store.RoleEngine, "", e.Handler()); err != nil {
 			return err
 		}
 	}
 	s.desk = &desk.Desk{Name: Service}
-	if err := s.add(ctx, Service+"-1", store.RoleService, Service, s.desk.Handler()); err != nil {
+	if err := s.addUpstream(ctx, Service+"-1", store.RoleService, Service, s.desk.Handler()); err != nil {
 		return err
 	}
 	url, err := s.serve(ctx, s.server.Handler())
@@ -100,9 +100,9 @@
 		return err
 	}
 	s.url = url
-	s.server.List(s.listed)
+	s.server.List(s.entries)
 	team := "\n[team trial]\nkey-hash = " + string(config.HashKey(Key)) + "\n"
-	return Apply(ctx, s.server.Table, document+team)
+	return Apply(ctx, s.server.Table, configuration+team)
 }
 
 // Apply puts a document in force.
@@ -119,39 +119,39 @@
 func (s *Site) List(entry store.ListedBody) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for i := range s.listed {
-		if s.listed[i].ID == entry.ID {
-			s.listed = append(s.listed[:i], s.listed[i+1:]...)
+	for i := range s.entries {
+		if s.entries[i].ID == entry.ID {
+			s.entries = append(s.entries[:i], s.entries[i+1:]...)
 			break
 		}
 	}
-	s.listed = append(s.listed, entry)
-	s.server.List(s.listed)
+	s.entries = append(s.entries, entry)
+	s.server.List(s.entries)
 }
 
 // Unlist removes an entry from the platform's list.
 func (s *Site) Unlist(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for i := range s.listed {
-		if s.listed[i].ID == id {
-			s.listed = append(s.listed[:i], s.listed[i+1:]...)
+	for i := range s.entries {
+		if s.entries[i].ID == id {
+			s.entries = append(s.entries[:i], s.entries[i+1:]...)
 			break
 		}
 	}
-	s.server.List(s.listed)
+	s.server.List(s.entries)
 }
 
 // Close stops all stand-ins.
 func (s *Site) Close() {
-	for _, l := range s.closers {
+	for _, l := range s.listeners {
 		_ = l.Close()
 	}
 }
 
-// engines are of three speeds and hold overlapping ranges; no one of them
+// newEngines are of three speeds and hold overlapping ranges; no one of them
 // holds the whole model.
-func engines(unit time.Duration, copies int) []*stage.Engine {
+func newEngines(unit time.Duration, copies int) []*stage.Engine {
 	ranges := []struct {
 		name, kind string
 		from, to   int
@@ -181,12 +181,12 @@
 	return out
 }
 
-func (s *Site) add(ctx context.Context, id, role, service string, h http.Handler) error {
+func (s *Site) addUpstream(ctx context.Context, id, role, service string, h http.Handler) error {
 	url, err := s.serve(ctx, h)
 	if err != nil {
 		return err
 	}
-	s.listed = append(s.listed, store.ListedBody{
+	s.entries = append(s.entries, store.ListedBody{
 		ID: id, Role: role, Service: service, URL: url, DataCentre: Centre, State: frame.StateLive,
 	})
 	return nil
@@ -197,7 +197,7 @@
 	if err != nil {
 		return "", errors.Wrap(err, "trial: listen")
 	}
-	s.closers = append(s.closers, l)
+	s.listeners = append(s.listeners, l)
 	server := &http.Server{Handler: h, ReadHeaderTimeout: time.Minute}
 	go func() { _ = server.Serve(l) }()
 	return "http://" + l.Addr().String(), nil
--- a/internal/fakes/trust/trust.go
+++ b/internal/fakes/trust/trust.go
@@ -17,8 +17,8 @@
 	"time"
 )
 
-// life is how long certificates are valid.
-const life = time.Hour
+// validity is how long certificates are valid.
+const validity = time.Hour
 
 // Authority signs certificates.
 type Authority struct {
@@ -41,7 +41,7 @@
 	}
 	template := &x509.Certificate{
 		SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "ca"},
-		NotBefore: time.Now().Add(-life), NotAfter: time.Now().Add(life),
+		NotBefore: time.Now().Add(-validity), NotAfter: time.Now().Add(validity),
 		IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign,
 	}
 	der, err := x509.CreateCertificate(rand.Reader, template, template, &key.PublicKey, key)
@@ -69,7 +69,7 @@
 	template := &x509.Certificate{
 		SerialNumber: big.NewInt(2), Subject: pkix.Name{CommonName: name},
 		DNSNames: []string{name}, IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)},
-		NotBefore: time.Now().Add(-life), NotAfter: time.Now().Add(life),
+		NotBefore: time.Now().Add(-validity), NotAfter: time.Now().Add(validity),
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
 	}
 	cert, err := x509.CreateCertificate(rand.Reader, template, a.cert, &key.PublicKey, a.key)
@@ -84,14 +84,14 @@
 		path, kind string
 		data       []byte
 	}{{out.Cert, "CERTIFICATE", cert}, {out.Key, "EC PRIVATE KEY", private}, {out.CA, "CERTIFICATE", a.cert.Raw}} {
-		if err := put(f.path, f.kind, f.data, at); err != nil {
+		if err := writePEM(f.path, f.kind, f.data, at); err != nil {
 			return out, err
 		}
 	}
 	return out, nil
 }
 
-func put(path, kind string, data []byte, at time.Time) error {
+func writePEM(path, kind string, data []byte, at time.Time) error {
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		return err
 	}
