--- a/internal/fakes/depot/shape_test.go
+++ b/internal/fakes/depot/deployment_test.go
@@ -9,14 +9,15 @@
 	"fulmarwick/platform/stand"
 )
 
-// deployments are deployments that differ from the usual one in cards, layers, sizes
-// of answers and data centres, with the part of the usual traffic that they get.
+// deployments differ from the default one in cards, layers, sizes of answers and
+// data centres.
 var deployments = []struct {
 	name  string
 	shape stand.Deployment
-	load  float64
-	// aim is the least worth that callers must get.
-	aim float64
+	// load is the share of the usual traffic that the deployment gets.
+	load float64
+	// minWorth is the least worth that callers must get.
+	minWorth float64
 }{
 	{"small and slow cards", stand.Deployment{
 		Cards:  []stand.Card{{Name: "a100", MemoryMB: 72000, StepFactor: 2.4, PrefillFactor: 3.2, EvenLayers: 20}, {Name: "v100", MemoryMB: 14400, StepFactor: 5.3, PrefillFactor: 7.9, EvenLayers: 5}, {Name: "l4", MemoryMB: 21600, StepFactor: 16, PrefillFactor: 8.2, EvenLayers: 10}},
@@ -40,26 +41,27 @@
 	}, 0.2, 0},
 }
 
-// Nothing in the router knows these deployments. One of the busiest engines dies
-// in the middle. Callers get at least the stated worth, and on every deployment
-// more than the better of two forwarders without a plan brings them.
+// TestOtherShapes runs deployments that the router has no tuning for and crashes the
+// busiest engine halfway. Callers get at least minWorth, and no less than the better
+// of two forwarders that work without a plan.
 func TestOtherShapes(t *testing.T) {
 	for _, s := range deployments {
 		t.Run(s.name, func(t *testing.T) {
 			got := runDeployment(t, &s.shape, nil, s.load)
-			naive := max(runDeployment(t, &s.shape, &stand.Baseline{}, s.load), runDeployment(t, &s.shape, &stand.Baseline{LeastLoaded: true}, s.load))
-			t.Logf("worth %.3f, naive forwarders %.3f", got, naive)
-			if got < s.aim || got < naive {
-				t.Errorf("got worth %.3f, want %.3f and no less than the %.3f of naive forwarders", got, s.aim, naive)
+			baseline := max(runDeployment(t, &s.shape, &stand.Baseline{}, s.load), runDeployment(t, &s.shape, &stand.Baseline{LeastLoaded: true}, s.load))
+			t.Logf("worth %.3f, baseline forwarders %.3f", got, baseline)
+			if got < s.minWorth || got < baseline {
+				t.Errorf("got worth %.3f, want at least %.3f and at least the %.3f of the baseline forwarders", got, s.minWorth, baseline)
 			}
 		})
 	}
 }
 
-// runDeployment plays a part of the usual traffic with a death and returns the worth.
-func runDeployment(t *testing.T, shape *stand.Deployment, naive *stand.Baseline, load float64) float64 {
+// runDeployment runs a share of the usual traffic with one crash and returns the
+// worth of all answers.
+func runDeployment(t *testing.T, shape *stand.Deployment, baseline *stand.Baseline, load float64) float64 {
 	t.Helper()
-	d := &depot.Depot{Instances: 4, Baseline: naive, Shape: *shape}
+	d := &depot.Depot{Instances: 4, Baseline: baseline, Shape: *shape}
 	return runOn(t, d, func(w *drive.Work) {
 		w.Span = 10 * time.Second
 		for i := range w.Classes {
--- a/internal/fakes/depot/depot.go
+++ b/internal/fakes/depot/depot.go
@@ -1,8 +1,9 @@
-// Package depot is a whole deployment in one process: the platform's stand-in,
-// its upstreams, and instances of the router or plain forwarders in their place.
+// Package depot runs a whole deployment in one process: the stand-in for the
+// platform, its upstreams, and either instances of the router or plain forwarders
+// to compare them with.
 //
-// It imports app/edge and the stand-in. The load command runs it on a real
-// clock, tests on a virtual one.
+// It imports app/edge and the stand-in. The load command runs it in real time,
+// tests run it in virtual time.
 package depot
 
 import (
@@ -22,21 +23,23 @@
 	"go.uber.org/zap"
 )
 
-// startupTime is how long instances take to start and to place all layers.
+// startupTime is how long instances take to start and to have all layers loaded.
 const startupTime = 9 * time.Second
 
 // Depot is a deployment. Set the exported fields before Open.
 type Depot struct {
+	// Instances is the number of instances, or of forwarders.
 	Instances int
-	// Baseline puts forwarders in the place of instances; nil is the router.
+	// Baseline replaces all instances by plain forwarders; nil runs the router.
 	Baseline *stand.Baseline
-	// Deployment is the model and its engines; one without layers is the usual.
+	// Shape is the model and its engines. Without layers, the default deployment
+	// of the stand-in is used.
 	Shape stand.Deployment
-	// Retry bounds repeats; zero is the usual bound.
+	// Retry is the retry budget; the zero value keeps that of Settings.
 	Retry setup.Retry
-	// Handshake is how long an engine takes for a new connection.
+	// Handshake is how long an engine takes to accept a connection.
 	Handshake time.Duration
-	// Log is that of the instances; nil has none.
+	// Log is the logger of the instances; nil logs nothing.
 	Log *zap.Logger
 
 	site      *stand.Site
@@ -47,12 +50,13 @@
 	errs      []error
 }
 
-// Settings are those of instance n.
+// Settings returns the settings of instance n in the default deployment.
 func Settings(n int) setup.File {
 	return settings(n, stand.DefaultDeployment.Zones)
 }
 
-// settings are those of instance n in front of data centres.
+// settings returns the settings of instance n. Instances are spread over the data
+// centres in zones, one after another.
 func settings(n int, zones []stand.Zone) setup.File {
 	f := setup.Default()
 	zone := zones[n%len(zones)].Name
@@ -66,7 +70,7 @@
 	return f
 }
 
-// Open starts everything and waits until layers are placed.
+// Open starts the deployment and waits until the layers are loaded.
 func (d *Depot) Open(ctx context.Context) error {
 	d.site = stand.NewSite()
 	d.site.HandshakeTime = d.Handshake
@@ -107,13 +111,13 @@
 	})
 }
 
-// startForwarders serves plain forwarders where instances would be.
+// startForwarders runs a plain forwarder at the address of each instance.
 func (d *Depot) startForwarders(ctx context.Context) error {
 	d.Baseline.PlaceEvenly(d.site)
 	for _, address := range d.addresses {
 		l, err := d.site.Net.Listen(ctx, address)
 		if err != nil {
-			return errors.Wrap(err, "depot: forwarder")
+			return errors.Wrap(err, "depot: start forwarder")
 		}
 		server := &http.Server{Handler: d.Baseline, ReadHeaderTimeout: time.Minute}
 		d.wg.Go(func() { _ = server.Serve(l) })
@@ -122,14 +126,14 @@
 	return nil
 }
 
-// Site is the platform's stand-in.
+// Site returns the stand-in for the platform and its upstreams.
 func (d *Depot) Site() *stand.Site { return d.site }
 
-// Running are the instances of the router.
+// Running returns the instances of the router.
 func (d *Depot) Running() []*edge.Instance { return slices.Clone(d.instances) }
 
-// Close stops everything. It returns every rule that upstreams saw broken and
-// every instance that failed.
+// Close stops the deployment. Its error joins the failures of instances and the
+// protocol violations that upstreams detected.
 func (d *Depot) Close() error {
 	for _, i := range d.instances {
 		i.Stop()
@@ -141,18 +145,18 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	errs := d.errs
-	for _, f := range d.site.Violations() {
-		errs = append(errs, errors.Errorf("depot: rule broken: %s", f))
+	for _, violation := range d.site.Violations() {
+		errs = append(errs, errors.Errorf("depot: protocol violation: %s", violation))
 	}
 	return errors.Join(errs...)
 }
 
-// Drive is a run of a workload on the depot.
+// Drive returns a run of workload w against the deployment.
 func (d *Depot) Drive(w drive.Work) *drive.Run {
 	return &drive.Run{Work: w, Fronts: d.addresses, Dial: d.site.Dial, Fault: d.injectFault}
 }
 
-// injectFault makes a fault of a workload happen.
+// injectFault injects a fault of a workload. Faults of engines hit the busiest ones.
 func (d *Depot) injectFault(f drive.Fault) error {
 	switch f.Kind {
 	case drive.KindPipe:
@@ -169,7 +173,7 @@
 	for range f.Count {
 		e := d.busiest()
 		if e == nil {
-			return errors.Errorf("depot: fault %s: no engine is left", f.Kind)
+			return errors.Errorf("depot: fault %s: no serving engine left", f.Kind)
 		}
 		switch f.Kind {
 		case drive.KindCrash:
@@ -181,13 +185,14 @@
 		case drive.KindSlow:
 			d.site.SetSlowdown(e, f.Times)
 		default:
-			return errors.Errorf("depot: fault %s is not known", f.Kind)
+			return errors.Errorf("depot: unknown fault %s", f.Kind)
 		}
 	}
 	return nil
 }
 
-// busiest is the sound engine that most runs pass: losing it is worst.
+// busiest returns the serving engine that the most runs pass, or nil if no engine
+// serves. Its loss does the most harm.
 func (d *Depot) busiest() *stand.Engine {
 	var best *stand.Engine
 	for _, e := range d.site.Engines() {
--- a/internal/fakes/depot/death_test.go
+++ b/internal/fakes/depot/engineloss_test.go
@@ -9,11 +9,12 @@
 	"fulmarwick/internal/fakes/drive"
 )
 
-// TestDeaths prints what one death costs, by kind, over several runs: how many
-// answers are late or lost and how long callers see nothing.
+// TestDeaths prints the effect of losing one engine, for each kind of fault: late
+// answers, lost answers and the 99th percentile of pauses within answers. Each
+// figure is the median and the maximum of eight seeds.
 func TestDeaths(t *testing.T) {
 	if os.Getenv("WORST") == "" {
-		t.Skip("prints figures: WORST=1")
+		t.Skip("only prints figures; set WORST=1 to run it")
 	}
 	for _, kind := range []drive.Kind{drive.KindCrash, drive.KindDark, drive.KindDrain} {
 		var late, lost []int
--- a/internal/fakes/depot/rate_test.go
+++ b/internal/fakes/depot/rate_test.go
@@ -15,34 +15,34 @@
 	"fulmarwick/platform/stand"
 )
 
-// predictedRate is the rate that the planner takes the placed engines of a site to
-// carry, data centre by data centre.
+// predictedRate returns the rate that the planner predicts for the loaded layers of
+// a site's engines: the sum over its data centres.
 func predictedRate(s *stand.Site) float64 {
 	m := &site.Model{
 		Slots: 192, Layers: s.Deployment.Layers, LayerMB: s.Deployment.LayerMB, TokenBytes: s.Deployment.TokenBytes, PrefillRate: s.Deployment.PrefillRate,
 		StepTime: 1020 * time.Microsecond, TimePerSequence: 7140 * time.Nanosecond, TimePer1kTokens: 9560 * time.Nanosecond, TypicalPrompt: s.Deployment.TypicalPrompt, TypicalAnswer: s.Deployment.TypicalAnswer,
 	}
-	by := map[string][]layout.Engine{}
+	byCentre := map[string][]layout.Engine{}
 	for _, e := range s.Engines() {
 		from, to := e.LoadedLayers()
 		card := site.Card{Name: e.Card.Name, MemoryMB: e.Card.MemoryMB, StepFactor: e.Card.StepFactor, PrefillFactor: e.Card.PrefillFactor}
-		by[e.Zone] = append(by[e.Zone], layout.Engine{ID: spec.UpstreamID(e.ID), Card: card, Held: spec.NewLayers(from, to)})
+		byCentre[e.Zone] = append(byCentre[e.Zone], layout.Engine{ID: spec.UpstreamID(e.ID), Card: card, Held: spec.NewLayers(from, to)})
 	}
-	sum := 0.0
-	for _, engines := range by {
-		sum += layout.Rate(m, engines)
+	total := 0.0
+	for _, engines := range byCentre {
+		total += layout.Rate(m, engines)
 	}
-	return sum
+	return total
 }
 
-// TestPredictedRate prints the rate that the planner predicts beside the greatest
-// rate of which the stand-in serves nineteen in twenty in their target.
+// TestPredictedRate prints the rate that the planner predicts and the highest rate
+// at which the stand-in serves at least 19 of 20 requests within their target.
 func TestPredictedRate(t *testing.T) {
 	if os.Getenv("WORST") == "" {
-		t.Skip("prints figures: WORST=1")
+		t.Skip("only prints figures; set WORST=1 to run it")
 	}
 	for _, s := range deployments[:3] {
-		want, carried := 0.0, 0.0
+		predicted, achieved := 0.0, 0.0
 		for _, rate := range []float64{10, 20, 40, 60, 80, 100, 120, 140, 170, 200, 250, 300} {
 			var got drive.Row
 			synctest.Test(t, func(t *testing.T) {
@@ -50,7 +50,7 @@
 				if err := d.Open(context.Background()); err != nil {
 					t.Fatal(err)
 				}
-				want = predictedRate(d.Site())
+				predicted = predictedRate(d.Site())
 				w := usualWork()
 				w.Span = 8 * time.Second
 				w.Classes = w.Classes[:1]
@@ -67,8 +67,8 @@
 			if got.InTarget*20 < got.Asked*19 {
 				break
 			}
-			carried = rate
+			achieved = rate
 		}
-		t.Logf("%s: predicted %.0f requests a second, carried %.0f", s.name, want, carried)
+		t.Logf("%s: predicted %.0f requests a second, achieved %.0f", s.name, predicted, achieved)
 	}
 }
--- a/internal/fakes/depot/worst_test.go
+++ b/internal/fakes/depot/workload_test.go
@@ -13,7 +13,7 @@
 	"fulmarwick/platform/stand"
 )
 
-// usualWork is the traffic of the users' sites.
+// usualWork returns the usual traffic of users' sites.
 func usualWork() drive.Work {
 	return drive.Work{
 		Span: 16 * time.Second, Instances: 4, Seed: 7,
@@ -25,7 +25,7 @@
 	}
 }
 
-// workloads are the worst loads: what is added to the usual traffic.
+// workloads are the worst cases: each adds a burst or faults to the usual traffic.
 var workloads = []struct {
 	name string
 	add  func(*drive.Work)
@@ -44,13 +44,14 @@
 	}},
 }
 
-// runWorkload plays a workload on a depot of its own in virtual time.
-func runWorkload(t *testing.T, naive *stand.Baseline, add func(*drive.Work)) drive.Report {
+// runWorkload runs the usual traffic, changed by add, on a new deployment in virtual
+// time.
+func runWorkload(t *testing.T, baseline *stand.Baseline, add func(*drive.Work)) drive.Report {
 	t.Helper()
-	return runOn(t, &depot.Depot{Instances: 4, Baseline: naive}, add)
+	return runOn(t, &depot.Depot{Instances: 4, Baseline: baseline}, add)
 }
 
-// runOn plays the usual traffic with what is added on a depot in virtual time.
+// runOn runs the usual traffic, changed by add, on deployment d in virtual time.
 func runOn(t *testing.T, d *depot.Depot, add func(*drive.Work)) (out drive.Report) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -69,38 +70,42 @@
 		if err := d.Close(); err != nil {
 			t.Error(err)
 		}
-		// Runs see that their callers left, in virtual time.
+		// Lets runs detect in virtual time that their callers are gone.
 		time.Sleep(4 * time.Second)
 		out = report
 	})
 	return out
 }
 
-// Two of the busiest engines die at once. Callers of the router get 1.5 times
-// the worth that the better of two naive forwarders brings them.
+// TestTwoDeathsAgainstNaive crashes the two busiest engines at once. The worth of
+// the router's answers is at least 1.5 times that of the better of two baseline
+// forwarders.
 func TestTwoDeathsAgainstNaive(t *testing.T) {
-	two := workloads[3].add
-	got := runWorkload(t, nil, two).Total.Worth
-	best := max(runWorkload(t, &stand.Baseline{}, two).Total.Worth, runWorkload(t, &stand.Baseline{LeastLoaded: true}, two).Total.Worth)
+	twoCrashes := workloads[3].add
+	got := runWorkload(t, nil, twoCrashes).Total.Worth
+	best := max(runWorkload(t, &stand.Baseline{}, twoCrashes).Total.Worth, runWorkload(t, &stand.Baseline{LeastLoaded: true}, twoCrashes).Total.Worth)
 	if got < 1.5*best {
-		t.Errorf("got worth %.3f beside %.3f of the better forwarder, want 1.5 times that", got, best)
+		t.Errorf("got worth %.3f, and %.3f from the better forwarder; want at least 1.5 times that", got, best)
 	}
 }
 
-// TestWorstLoads prints what docs/MEASURED.md shows.
+// TestWorstLoads prints the table of docs/MEASURED.md that compares the router with
+// both forwarders under each workload.
 func TestWorstLoads(t *testing.T) {
 	if os.Getenv("WORST") == "" {
-		t.Skip("prints figures: WORST=1")
+		t.Skip("only prints figures; set WORST=1 to run it")
 	}
 	for _, l := range workloads {
-		a, b, c := runWorkload(t, nil, l.add), runWorkload(t, &stand.Baseline{}, l.add), runWorkload(t, &stand.Baseline{LeastLoaded: true}, l.add)
-		t.Logf("| %s | %.3f | %.3f | %.3f | %d late, %d refused, %d failed of %d | %.0f, %.0f |", l.name, a.Total.Worth, b.Total.Worth, c.Total.Worth,
-			a.Total.Late, a.Total.Refused, a.Total.Failed, a.Total.Asked, a.Total.PauseP50, a.Total.PauseP99)
+		router, inTurn, leastLoaded := runWorkload(t, nil, l.add), runWorkload(t, &stand.Baseline{}, l.add), runWorkload(t, &stand.Baseline{LeastLoaded: true}, l.add)
+		t.Logf("| %s | %.3f | %.3f | %.3f | %d late, %d refused, %d failed of %d | %.0f, %.0f |", l.name, router.Total.Worth, inTurn.Total.Worth, leastLoaded.Total.Worth,
+			router.Total.Late, router.Total.Refused, router.Total.Failed, router.Total.Asked, router.Total.PauseP50, router.Total.PauseP99)
 	}
 }
 
-// One team sends four times what the engines can do, nine others a little each.
-// The others are served as if they were alone, and the heavy team gets the rest.
+// TestSmallTeamsBesideHeavyOne guards against one team starving the others. One team
+// sends four times what the engines can serve, 300 requests a second; nine others
+// send 0.7 each. At least nine tenths of the small teams' requests are served, and
+// at least a fifth of the heavy team's.
 func TestSmallTeamsBesideHeavyOne(t *testing.T) {
 	got := runWorkload(t, nil, func(w *drive.Work) {
 		w.Span = 10 * time.Second
@@ -121,6 +126,6 @@
 	heavy := got.Classes[0]
 	t.Logf("small %d of %d, heavy %d of %d (%d late)", served, asked, heavy.InTarget+heavy.Late, heavy.Asked, heavy.Late)
 	if served < asked*9/10 || heavy.InTarget+heavy.Late < heavy.Asked/5 {
-		t.Errorf("got %d of %d small and %d of %d heavy requests served, want nine tenths and a fifth", served, asked, heavy.InTarget+heavy.Late, heavy.Asked)
+		t.Errorf("got %d of %d small and %d of %d heavy requests served, want at least nine tenths and a fifth", served, asked, heavy.InTarget+heavy.Late, heavy.Asked)
 	}
 }
