--- a/internal/fakes/trial/bench_test.go
+++ b/internal/fakes/trial/bench_test.go
@@ -31,13 +31,13 @@
 	"go.uber.org/zap"
 )
 
-// routerVariable makes the test binary act as an instance before the platform
-// that it names. The router so runs in a process of its own, and the processor
-// time that it reports is its own and not that of stand-ins and clients.
+// routerVariable holds the URL of the platform. If it is set, the test binary runs
+// an instance of the router. In a process of its own, the router reports only its
+// own processor time, without that of stand-ins and clients.
 const routerVariable = "FULMARWICK_BENCH_PLATFORM"
 
-// relayVariable makes the test binary act as a relay of bytes to the address
-// that it names.
+// relayVariable holds an address. If it is set, the test binary copies bytes
+// between its own callers and that address.
 const relayVariable = "FULMARWICK_BENCH_RELAY"
 
 const benchKey = "bench-key"
@@ -60,62 +60,64 @@
 	os.Exit(m.Run())
 }
 
-// runRelay copies bytes until its standard input ends. It is the least that any
-// process between engine and client costs.
+// runRelay copies bytes until its standard input ends. It measures the least cost of
+// any process between engine and client.
 func runRelay(to string) error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
 	_, _ = fmt.Fprintf(os.Stdout, "%s -\n", l.Addr())
-	ended := make(chan struct{})
+	stdinClosed := make(chan struct{})
 	go func() {
 		_, _ = io.Copy(io.Discard, os.Stdin)
-		close(ended)
+		close(stdinClosed)
 		_ = l.Close()
 	}()
 	for {
 		c, err := l.Accept()
 		if errors.Is(err, net.ErrClosed) {
-			<-ended
+			<-stdinClosed
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		far, err := net.Dial("tcp", to)
+		upstream, err := net.Dial("tcp", to)
 		if err != nil {
 			return err
 		}
-		// Wrapped, so that the copy is not left to the kernel.
-		go func() { _, _ = io.Copy(struct{ io.Writer }{far}, struct{ io.Reader }{c}) }()
-		go func() { _, _ = io.Copy(struct{ io.Writer }{c}, struct{ io.Reader }{far}) }()
+		// The wrappers hide the connection types, so that io.Copy can't leave the
+		// copying to the kernel.
+		go func() { _, _ = io.Copy(struct{ io.Writer }{upstream}, struct{ io.Reader }{c}) }()
+		go func() { _, _ = io.Copy(struct{ io.Writer }{c}, struct{ io.Reader }{upstream}) }()
 	}
 }
 
-// runRouter runs an instance until its standard input ends. It writes its two
-// addresses first.
+// runRouter runs an instance until its standard input ends. It first prints the
+// addresses for callers and for operators.
 func runRouter(platform string) error {
-	var at [2]net.Listener
-	for i := range at {
+	var listeners [2]net.Listener
+	for i := range listeners {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return err
 		}
-		at[i] = l
+		listeners[i] = l
 	}
 	settings := setup.Default()
 	settings.Instance = setup.Instance{Name: "bench-1", DataCentre: "klang", Region: "bench"}
 	settings.Platform = setup.Platform{Table: platform, Watch: 100 * time.Millisecond}
 	settings.Times.Grace = 0
-	loose := "[class bench]\nkind = model\nmodel = " + clock.Model + "\nfirst = 1m\ngap = 1m\npercent = 95\n" +
+	// Targets of a minute are loose enough to never affect a benchmark.
+	document := "[class bench]\nkind = model\nmodel = " + clock.Model + "\nfirst = 1m\ngap = 1m\npercent = 95\n" +
 		"[team bench]\nkey-hash = " + string(config.HashKey(benchKey)) + "\n"
 	table := &store.Client{BaseURL: platform, HTTP: store.NewHTTPClient()}
-	if err := trial.Apply(context.Background(), table, loose); err != nil {
+	if err := trial.Apply(context.Background(), table, document); err != nil {
 		return err
 	}
-	d := &daemon.Daemon{Settings: settings, Log: zap.NewNop(), Listener: at[0], Operators: at[1]}
-	_, _ = fmt.Fprintf(os.Stdout, "%s %s\n", at[0].Addr(), at[1].Addr())
+	d := &daemon.Daemon{Settings: settings, Log: zap.NewNop(), Listener: listeners[0], Operators: listeners[1]}
+	_, _ = fmt.Fprintf(os.Stdout, "%s %s\n", listeners[0].Addr(), listeners[1].Addr())
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
 		_, _ = io.Copy(io.Discard, os.Stdin)
@@ -124,7 +126,8 @@
 	return d.Run(ctx)
 }
 
-// testBed is a router in its own process before one engine that answers at once.
+// testBed is what the benchmarks send requests to: a router in its own process in
+// front of an engine that answers at once, or a server to compare it with.
 type testBed struct {
 	url       string
 	operators string
@@ -148,30 +151,31 @@
 	return out
 }
 
-// readyTimeout bounds the wait for a router that knows its engine.
+// readyTimeout bounds the wait until the router has discovered its engine.
 const readyTimeout = 20 * time.Second
 
-// waitReady asks until the router serves, and tells what it says if it does not.
+// waitReady sends requests until the router serves one. After readyTimeout it fails
+// the benchmark with the last response.
 func (b *testBed) waitReady(t *testing.B) {
 	t.Helper()
-	began := time.Now()
+	start := time.Now()
 	for {
 		status, last := b.request(t, 1, 0, nil)
 		if status == http.StatusOK {
 			return
 		}
-		if time.Since(began) > readyTimeout {
-			t.Fatalf("got %d %s from the router for %s, want an answer", status, last, readyTimeout)
+		if time.Since(start) > readyTimeout {
+			t.Fatalf("got %d %s from the router after %s, want 200", status, last, readyTimeout)
 		}
 	}
 }
 
-// startProcess starts the test binary as another process and returns the two words
-// that it writes first.
+// startProcess starts the test binary as another process with an environment
+// variable set, and returns the two words of the line that it prints first.
 func startProcess(b *testing.B, variable string) (first, second string) {
 	b.Helper()
-	// Not the benchmark's own context: that ends before the clean-up, which
-	// lets the router end by itself.
+	// The benchmark's own context ends before the clean-up and would kill the
+	// process; the clean-up lets it exit by itself.
 	cmd := exec.CommandContext(context.Background(), os.Args[0])
 	cmd.Env = append(os.Environ(), variable)
 	cmd.Stderr = os.Stderr
@@ -198,7 +202,7 @@
 	return first, second
 }
 
-// newRelay is a floor behind a process that only copies bytes.
+// newRelay returns a plain server behind a process that only copies bytes.
 func newRelay(b *testing.B) *testBed {
 	b.Helper()
 	out := newFloor(b)
@@ -207,40 +211,42 @@
 	return out
 }
 
-// newFloor is a bed without a router: a plain server that streams the same
-// tokens. What it takes is the machine's own share of a figure.
+// newFloor returns a plain server without a router that streams the same tokens.
+// Its figures are the machine's own share of every figure.
 func newFloor(b *testing.B) *testBed {
 	b.Helper()
-	floor := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-		var ask struct {
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+		var chat struct {
 			Max      int `json:"max_tokens"`
 			Messages []struct{ Content string }
 		}
-		if err := json.NewDecoder(req.Body).Decode(&ask); err != nil {
+		if err := json.NewDecoder(req.Body).Decode(&chat); err != nil {
 			return
 		}
-		gap, _ := time.ParseDuration(strings.TrimPrefix(ask.Messages[0].Content, "gap="))
-		for range ask.Max {
+		gap, _ := time.ParseDuration(strings.TrimPrefix(chat.Messages[0].Content, "gap="))
+		for range chat.Max {
 			time.Sleep(gap)
 			_, _ = fmt.Fprintf(w, "data: {\"content\":\"%d\"}\n\n", time.Now().UnixNano())
 			_ = http.NewResponseController(w).Flush()
 		}
 		_, _ = io.WriteString(w, "data: [DONE]\n\n")
 	}))
-	b.Cleanup(floor.Close)
-	return &testBed{url: floor.URL, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024}}}
+	b.Cleanup(server.Close)
+	return &testBed{url: server.URL, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024}}}
 }
 
-// stream asks for tokens spaced by gap and gives each event's data to seen.
-func (b *testBed) stream(t testing.TB, tokens int, gap time.Duration, seen func(data string)) {
-	status, last := b.request(t, tokens, gap, seen)
+// stream requests tokens spaced by gap and calls onData with each event's data. It
+// fails the test unless the stream is complete.
+func (b *testBed) stream(t testing.TB, tokens int, gap time.Duration, onData func(data string)) {
+	status, last := b.request(t, tokens, gap, onData)
 	if status != http.StatusOK || last != "data: [DONE]" {
-		t.Errorf("got %d and last %q, want 200 and [DONE]", status, last)
+		t.Errorf("got status %d and last line %q, want 200 and [DONE]", status, last)
 	}
 }
 
-// request is stream without a verdict. It returns the status and the last line.
-func (b *testBed) request(t testing.TB, tokens int, gap time.Duration, seen func(data string)) (status int, last string) {
+// request is like stream but doesn't check the response. It returns the status and
+// the last line that isn't empty.
+func (b *testBed) request(t testing.TB, tokens int, gap time.Duration, onData func(data string)) (status int, last string) {
 	body := fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":%d,"messages":[{"role":"user","content":"gap=%s"}]}`, clock.Model, tokens, gap)
 	req, err := http.NewRequest(http.MethodPost, b.url+"/v1/chat/completions", strings.NewReader(body))
 	if err != nil {
@@ -256,8 +262,8 @@
 	lines := bufio.NewScanner(resp.Body)
 	for lines.Scan() {
 		data, ok := strings.CutPrefix(lines.Text(), "data: ")
-		if ok && seen != nil {
-			seen(data)
+		if ok && onData != nil {
+			onData(data)
 		}
 		if lines.Text() != "" {
 			last = lines.Text()
@@ -266,7 +272,8 @@
 	return resp.StatusCode, last
 }
 
-// cpuSeconds is the processor time that the router's process has used, in seconds.
+// cpuSeconds returns the processor time that the router's process has used, in
+// seconds.
 func (b *testBed) cpuSeconds(t testing.TB) float64 {
 	resp, err := b.client.Get(b.operators + "/metrics")
 	if err != nil {
@@ -283,11 +290,11 @@
 			return v
 		}
 	}
-	t.Fatal("got no process_cpu_seconds_total")
+	t.Fatal("metric process_cpu_seconds_total is missing")
 	return 0
 }
 
-// sentAt is when the token in an event's data left the engine.
+// sentAt returns when the engine sent the token in an event's data.
 func sentAt(data string) (time.Time, bool) {
 	_, rest, ok := strings.Cut(data, `"content":"`)
 	if !ok {
@@ -307,28 +314,28 @@
 	}
 }
 
-// runConcurrent runs work in n goroutines until the benchmark's count is done.
+// runConcurrent calls work b.N times in all, from n goroutines.
 func runConcurrent(b *testing.B, n int, work func()) {
-	var all sync.WaitGroup
-	todo := make(chan struct{}, b.N)
+	var wg sync.WaitGroup
+	jobs := make(chan struct{}, b.N)
 	for range b.N {
-		todo <- struct{}{}
+		jobs <- struct{}{}
 	}
-	close(todo)
+	close(jobs)
 	b.ResetTimer()
 	for range n {
-		all.Go(func() {
-			for range todo {
+		wg.Go(func() {
+			for range jobs {
 				work()
 			}
 		})
 	}
-	all.Wait()
+	wg.Wait()
 	b.StopTimer()
 }
 
-// BenchmarkRequests gives whole requests of one token a second, and per core
-// of the router.
+// BenchmarkRequests reports requests of one token each, per second and per
+// core-second of the router.
 func BenchmarkRequests(b *testing.B) {
 	bed := newRouter(b)
 	before := bed.cpuSeconds(b)
@@ -337,7 +344,8 @@
 	b.ReportMetric(float64(b.N)/(bed.cpuSeconds(b)-before), "requests/core-s")
 }
 
-// BenchmarkTokens gives streamed tokens a second, and per core of the router.
+// BenchmarkTokens reports streamed tokens, per second and per core-second of the
+// router.
 func BenchmarkTokens(b *testing.B) {
 	const tokens = 500
 	bed := newRouter(b)
@@ -348,15 +356,15 @@
 	b.ReportMetric(total/(bed.cpuSeconds(b)-before), "tokens/core-s")
 }
 
-// testBeds are the router, a process that only copies bytes in its place, and
-// none.
+// testBeds are the router, a process that only copies bytes in its place, and a
+// plain server with no process in between.
 var testBeds = []struct {
 	name string
 	make func(*testing.B) *testBed
 }{{"router", newRouter}, {"relay", newRelay}, {"floor", newFloor}}
 
-// BenchmarkFirst gives the time from a request to its first token. The engine
-// answers at once, so the router adds what is above the floor.
+// BenchmarkFirst reports the time from a request to its first token. The engine
+// answers at once, so what exceeds the figure of "floor" is added by the router.
 func BenchmarkFirst(b *testing.B) {
 	for _, streams := range []int{1, 16} {
 		for _, bed := range testBeds {
@@ -371,24 +379,24 @@
 	h := newHistogram()
 	var mu sync.Mutex
 	runConcurrent(b, streams, func() {
-		began, first := time.Now(), true
+		start, first := time.Now(), true
 		bed.stream(b, 1, 0, func(string) {
 			if !first {
 				return
 			}
 			first = false
-			took := time.Since(began)
+			latency := time.Since(start)
 			mu.Lock()
 			defer mu.Unlock()
-			_ = h.RecordValue(int64(took))
+			_ = h.RecordValue(int64(latency))
 		})
 	})
 	reportQuantiles(b, h, "first")
 }
 
-// BenchmarkBetween gives how long a token is on its way from the engine to the
-// client while tokens leave every 10 ms. What is above the floor bounds what
-// the router adds to the time between two tokens.
+// BenchmarkBetween reports the latency of a token from the engine to the client,
+// with a token sent every 10 ms. What exceeds the figure of "floor" is an upper
+// bound for what the router adds to the time between two tokens.
 func BenchmarkBetween(b *testing.B) {
 	for _, streams := range []int{1, 64, 512} {
 		for _, bed := range testBeds {
@@ -405,14 +413,14 @@
 	var mu sync.Mutex
 	runConcurrent(b, streams, func() {
 		bed.stream(b, tokens, 10*time.Millisecond, func(data string) {
-			at, ok := sentAt(data)
-			took := time.Since(at)
+			sent, ok := sentAt(data)
+			latency := time.Since(sent)
 			if !ok {
 				return
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			_ = h.RecordValue(int64(took))
+			_ = h.RecordValue(int64(latency))
 		})
 	})
 	reportQuantiles(b, h, "between")
--- a/internal/fakes/trial/trial.go
+++ b/internal/fakes/trial/trial.go
@@ -1,7 +1,7 @@
-// Package trial sets up the stand-ins of a small deployment on loopback.
+// Package trial runs the stand-ins of a small deployment on loopback addresses.
 //
 // It imports the other stand-ins. The trial command and end-to-end tests
-// start a Site and point instances at it.
+// start a Site and connect instances to it.
 package trial
 
 import (
@@ -22,17 +22,21 @@
 	"github.com/go-faster/errors"
 )
 
-// Names of the stand-in deployment.
+// The parts of the stand-in deployment.
 const (
-	Model   = "levy-13b"
-	Depth   = 24
+	// Model is the name of the model.
+	Model = "levy-13b"
+	// Depth is the number of layers of the model.
+	Depth = 24
+	// Service is the name of the plain service.
 	Service = "payments"
-	Centre  = "klang"
-	// Key is the key of the only team.
+	// Centre is the data centre of all upstreams.
+	Centre = "klang"
+	// Key is the API key of the only team.
 	Key = "trial-key"
 )
 
-// configuration is the configuration that Start puts in force.
+// configuration is the document that Start applies, without the section of the team.
 const configuration = `[class answer]
 kind = model
 model = ` + Model + `
@@ -53,11 +57,12 @@
 
 // Site is a running set of stand-ins. Set the exported fields before Start.
 type Site struct {
-	// Layer is the time of a layer on the fastest engine.
+	// Layer is how long the fastest engines take to run one layer.
 	Layer time.Duration
-	// Copies is how many engines there are of each of the six; zero is one.
+	// Copies is the number of copies of each of the six engines; zero means one.
 	Copies int
-	// Poison is a word that kills each engine that runs it; "" is none.
+	// Poison is a word that crashes every engine that runs a prompt with it; ""
+	// means no such word.
 	Poison string
 
 	engines   []*stage.Engine
@@ -69,19 +74,19 @@
 	listeners []net.Listener
 }
 
-// Engines are the stand-in engines.
+// Engines returns the stand-in engines.
 func (s *Site) Engines() []*stage.Engine { return s.engines }
 
-// Desk is the stand-in plain service.
+// Desk returns the stand-in plain service.
 func (s *Site) Desk() *desk.Desk { return s.desk }
 
-// Table is the stand-in platform's table.
+// Table returns the table of the stand-in platform.
 func (s *Site) Table() *infra.Table { return s.server.Table }
 
-// URL is where the platform answers.
+// URL returns the base URL of the stand-in platform.
 func (s *Site) URL() string { return s.url }
 
-// Start serves all stand-ins on free loopback ports.
+// Start serves all stand-ins on free loopback ports and applies the configuration.
 func (s *Site) Start(ctx context.Context) error {
 	s.server = &infra.Server{Table: &infra.Table{}}
 	s.engines = newEngines(s.Layer, max(1, s.Copies))
@@ -105,17 +110,18 @@
 	return Apply(ctx, s.server.Table, configuration+team)
 }
 
-// Apply puts a document in force.
+// Apply makes text the configuration in force.
 func Apply(ctx context.Context, table config.CommitTable, text string) error {
 	applier := &config.Applier{Table: table}
 	change := config.Change{Documents: []config.Document{{File: "trial.ini", Data: []byte(text)}}, Author: "trial"}
 	if _, err := applier.Apply(ctx, change); err != nil {
-		return errors.Wrap(err, "trial: configure")
+		return errors.Wrap(err, "trial: apply configuration")
 	}
 	return nil
 }
 
-// List adds an entry to the platform's list, or replaces the one of its ID.
+// List adds an entry to the platform's list of instances. It replaces an entry with
+// the same ID.
 func (s *Site) List(entry store.ListedBody) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -129,7 +135,7 @@
 	s.server.List(s.entries)
 }
 
-// Unlist removes an entry from the platform's list.
+// Unlist removes the entry with this ID from the platform's list of instances.
 func (s *Site) Unlist(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -149,13 +155,13 @@
 	}
 }
 
-// newEngines are of three speeds and hold overlapping ranges; no one of them
-// holds the whole model.
-func newEngines(unit time.Duration, copies int) []*stage.Engine {
+// newEngines returns engines of three speeds with overlapping ranges of layers. No
+// engine holds the whole model.
+func newEngines(layerTime time.Duration, copies int) []*stage.Engine {
 	ranges := []struct {
 		name, kind string
 		from, to   int
-		slow       time.Duration
+		slowdown   time.Duration
 	}{
 		{"fast-1", "h200", 0, 12, 1},
 		{"fast-2", "h200", 8, 20, 1},
@@ -171,10 +177,10 @@
 			if c > 0 {
 				name += "-" + strconv.Itoa(c+1)
 			}
-			hold := frame.Hold{Model: Model, Version: "1", Depth: Depth, From: r.from, To: r.to}
+			held := frame.Hold{Model: Model, Version: "1", Depth: Depth, From: r.from, To: r.to}
 			out = append(out, &stage.Engine{
-				Name: name, DataCentre: Centre, Kind: r.kind, Holds: []frame.Hold{hold},
-				Layer: unit * r.slow, Slots: 16,
+				Name: name, DataCentre: Centre, Kind: r.kind, Holds: []frame.Hold{held},
+				Layer: layerTime * r.slowdown, Slots: 16,
 			})
 		}
 	}
