--- a/internal/fakes/infra/server.go
+++ b/internal/fakes/infra/server.go
@@ -12,24 +12,25 @@
 	"github.com/gorilla/mux"
 )
 
-// Server serves a Table and a list of instances over HTTP.
+// Server serves a table, an object store and a list of instances over HTTP.
 type Server struct {
+	// Table is the table that the server serves.
 	Table *Table
-	// Objects is the object store; its rows are objects.
+	// Objects is the object store: each row is an object.
 	Objects Table
 
 	mu      sync.Mutex
 	entries []store.ListedBody
 }
 
-// List sets what the platform lists.
+// List replaces the platform's list of instances.
 func (s *Server) List(entries []store.ListedBody) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.entries = append([]store.ListedBody(nil), entries...)
 }
 
-// Handler serves the platform's protocol.
+// Handler returns the handler of the platform's protocol.
 func (s *Server) Handler() http.Handler {
 	r := mux.NewRouter()
 	r.HandleFunc("/v1/row", handleGet(s.Table)).Methods(http.MethodGet)
@@ -41,7 +42,7 @@
 	return r
 }
 
-// handleGet serves the rows of a table, or the objects of a store.
+// handleGet returns a handler that serves single rows of a table, or objects.
 func handleGet(t *Table) http.HandlerFunc {
 	return func(w http.ResponseWriter, req *http.Request) {
 		row, err := t.Get(req.Context(), req.URL.Query().Get("key"))
@@ -124,8 +125,8 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// writeError turns a fault into what a caller would see; a lost answer cuts the
-// connection.
+// writeError sends the status that stands for err. If the outcome is unknown, it
+// closes the connection without a response.
 func writeError(w http.ResponseWriter, err error) {
 	switch {
 	case errors.Is(err, store.ErrNotFound):
--- a/internal/fakes/infra/table.go
+++ b/internal/fakes/infra/table.go
@@ -1,8 +1,8 @@
-// Package infra is a stand-in for the platform: its table, its object store
-// and its list of instances, in memory, with faults to order.
+// Package infra is a stand-in for the platform. It keeps the platform's table, its
+// object store and its list of instances in memory, and can inject faults.
 //
-// It imports state/store for the bodies on the wire. The trial command and
-// tests run it, over HTTP or in the process.
+// It imports state/store for the encoding on the wire. The trial command and
+// tests run it, over HTTP or in process.
 package infra
 
 import (
@@ -15,7 +15,7 @@
 	"fulmarwick/internal/state/store"
 )
 
-// Table is the platform's table in memory. The zero value is ready.
+// Table is the platform's table in memory. The zero value is ready to use.
 type Table struct {
 	mu       sync.Mutex
 	rows     map[string]store.Row
@@ -29,30 +29,31 @@
 	delayed  [][]store.Write
 }
 
-// Faults are what the platform does wrong, until set anew.
+// Faults are the faults that a Table injects.
 type Faults struct {
-	// Down refuses every call without effect.
+	// Down makes every call fail without effect.
 	Down bool
-	// Slow delays every call.
+	// Slow is the delay of every call.
 	Slow time.Duration
-	// Lose drops the answers of this many commits after they took effect.
+	// Lose is how many commits take effect but lose their response.
 	Lose int
-	// Drop loses this many commits before they take effect, with no answer.
+	// Drop is how many commits get lost without effect and without a response.
 	Drop int
-	// Late answers this many commits not at all and takes them at Land.
+	// Late is how many commits get no response and are kept until Land applies
+	// them.
 	Late int
-	// Stale answers reads with what each row was before its last change.
+	// Stale makes reads return each row as it was before its last change.
 	Stale bool
 }
 
-// Fault sets the faults from now on.
+// Fault replaces the faults that the table injects.
 func (t *Table) Fault(f Faults) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.faults = f
 }
 
-// Counts returns the reads and the rows written so far.
+// Counts returns the number of reads and of rows written so far.
 func (t *Table) Counts() (reads, writes int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -66,26 +67,26 @@
 	return t.commits
 }
 
-// Calls returns how many calls came so far, refused ones included.
+// Calls returns how many calls were received so far, including failed ones.
 func (t *Table) Calls() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.calls
 }
 
-// Land takes the late commits whose conditions hold now.
+// Land applies the delayed commits whose conditions hold now and drops the others.
 func (t *Table) Land() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, w := range t.delayed {
-		if t.conditionsHold(w) {
-			t.apply(w)
+	for _, writes := range t.delayed {
+		if t.conditionsHold(writes) {
+			t.apply(writes)
 		}
 	}
 	t.delayed = nil
 }
 
-// Get returns the row under key, or store.ErrMissing.
+// Get returns the row under key, or store.ErrNotFound.
 func (t *Table) Get(ctx context.Context, key string) (store.Row, error) {
 	if err := t.begin(ctx); err != nil {
 		return store.Row{}, err
@@ -99,7 +100,8 @@
 	return r, nil
 }
 
-// Scan returns rows under prefix above version since, in order of version.
+// Scan returns at most limit rows whose key has the prefix and whose version is
+// above since, in order of version.
 func (t *Table) Scan(ctx context.Context, prefix string, since uint64, limit int) ([]store.Row, error) {
 	if err := t.begin(ctx); err != nil {
 		return nil, err
@@ -121,7 +123,7 @@
 	return out[:min(limit, len(out))], nil
 }
 
-// Commit takes all writes or none.
+// Commit applies all writes or none, and returns the new version of the table.
 func (t *Table) Commit(ctx context.Context, writes []store.Write) (uint64, error) {
 	if err := t.begin(ctx); err != nil {
 		return 0, err
@@ -174,7 +176,7 @@
 	}
 }
 
-// savePrevious keeps what a stale read answers.
+// savePrevious keeps the current row under key for stale reads.
 func (t *Table) savePrevious(key string) {
 	if r, ok := t.rows[key]; ok {
 		t.previous[key] = r
@@ -190,13 +192,14 @@
 	return t.rows
 }
 
-// begin waits out the faults and returns with the lock held, or an error.
+// begin counts a call, waits for its delay and returns with the lock held. If it
+// returns an error, the lock is not held.
 func (t *Table) begin(ctx context.Context) error {
 	t.mu.Lock()
-	slow := t.faults.Slow
+	delay := t.faults.Slow
 	t.calls++
 	t.mu.Unlock()
-	if err := sleep(ctx, slow); err != nil {
+	if err := sleep(ctx, delay); err != nil {
 		return err
 	}
 	t.mu.Lock()
