--- a/internal/fakes/caller/caller.go
+++ b/internal/fakes/caller/caller.go
@@ -1,8 +1,8 @@
-// Package caller is a stand-in for the client library of a caller behind a
-// balancer: it resumes cut streams and repeats calls at another instance.
+// Package caller is a stand-in for the client library of a caller behind a load
+// balancer. It resumes interrupted streams and retries calls at another instance.
 //
 // It imports the standard library only. End-to-end tests run many Callers and
-// compare what they got with the oracle.
+// compare the answers with those of the stand-in model.
 package caller
 
 import (
@@ -20,15 +20,17 @@
 	"github.com/go-faster/errors"
 )
 
-// errCut means that a stream ended without its end mark.
-var errCut = errors.New("caller: stream was cut")
+// errCut means that a stream ended before its end mark.
+var errCut = errors.New("caller: stream ended without end mark")
 
 const (
+	// retryDelay is the delay before a retry if the response names none.
 	retryDelay = 20 * time.Millisecond
-	doneMark   = "[DONE]"
+	// doneMark is the data of the last event of a complete stream.
+	doneMark = "[DONE]"
 )
 
-// Balancer gives the base URLs of the entry instances in turn.
+// Balancer hands out the base URLs of the entry instances, round robin.
 type Balancer struct {
 	mu    sync.Mutex
 	bases []string
@@ -52,27 +54,31 @@
 	return b.bases[b.next%len(b.bases)]
 }
 
-// Caller asks until it has an answer. Set the exported fields before use.
+// Caller sends a request and retries it until it has an answer. Set the exported
+// fields before use.
 type Caller struct {
 	Balancer *Balancer
 	HTTP     *http.Client
-	Key      string
+	// Key is the API key of the caller's team.
+	Key string
 	// Class is sent as X-Class if it is set.
 	Class string
 }
 
-// Answer is what a streamed request brought.
+// Answer is the result of a streamed request.
 type Answer struct {
+	// Text is the text of all tokens.
 	Text string
-	// Tokens is how many token events came, over all connections.
+	// Tokens is how many token events were received, over all connections.
 	Tokens int
-	// Cuts is how often a stream broke, Refusals how often a request was
-	// refused before it ran.
-	Cuts     int
+	// Cuts is how often a stream was interrupted.
+	Cuts int
+	// Refusals is how often a request was rejected before it ran.
 	Refusals int
-	// First is the time to the first token and Gap the longest between two.
+	// First is the time to the first token.
 	First time.Duration
-	Gap   time.Duration
+	// Gap is the longest time between two tokens.
+	Gap time.Duration
 	// Finish is the finish reason of the answer.
 	Finish      string
 	lastTokenAt time.Time
@@ -87,29 +93,29 @@
 	Error *struct{ Code, Message string }
 }
 
-// Ask streams an answer, going on at another instance after each cut, until
-// it is whole or ctx ends.
+// Ask streams an answer. After each interruption it resumes at the next instance,
+// until the answer is complete or ctx ends.
 func (c *Caller) Ask(ctx context.Context, model, text string, limit int) (Answer, error) {
 	body, err := json.Marshal(map[string]any{
 		"model": model, "stream": true, "max_tokens": limit,
 		"messages": []map[string]string{{"role": "user", "content": text}},
 	})
 	if err != nil {
-		return Answer{}, errors.Wrap(err, "caller: encode")
+		return Answer{}, errors.Wrap(err, "caller: encode request")
 	}
 	var a Answer
-	began := time.Now()
+	start := time.Now()
 	for ctx.Err() == nil {
-		wait, err := c.attemptStream(ctx, body, &a, began)
+		wait, err := c.attemptStream(ctx, body, &a, start)
 		if err == nil {
 			return a, nil
 		}
 		sleep(ctx, wait)
 	}
-	return a, errors.Wrap(ctx.Err(), "caller: no whole answer")
+	return a, errors.Wrap(ctx.Err(), "caller: answer incomplete")
 }
 
-func (c *Caller) attemptStream(ctx context.Context, body []byte, a *Answer, began time.Time) (time.Duration, error) {
+func (c *Caller) attemptStream(ctx context.Context, body []byte, a *Answer, start time.Time) (time.Duration, error) {
 	req, err := c.newRequest(ctx, "/v1/chat/completions", body)
 	if err != nil {
 		return retryDelay, err
@@ -119,14 +125,14 @@
 	}
 	resp, err := c.HTTP.Do(req)
 	if err != nil {
-		return retryDelay, errors.Wrap(err, "caller: send")
+		return retryDelay, errors.Wrap(err, "caller: send request")
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
 		a.Refusals++
 		return retryAfter(resp), errors.Errorf("caller: status %d", resp.StatusCode)
 	}
-	err = a.readEvents(resp.Body, began)
+	err = a.readEvents(resp.Body, start)
 	if err != nil {
 		a.Cuts++
 	}
@@ -137,7 +143,7 @@
 	base := c.Balancer.pick()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, base+path, bytes.NewReader(body))
 	if err != nil {
-		return nil, errors.Wrap(err, "caller: request")
+		return nil, errors.Wrap(err, "caller: create request")
 	}
 	req.Header.Set("Authorization", "Bearer "+c.Key)
 	req.Header.Set("Content-Type", "application/json")
@@ -147,8 +153,8 @@
 	return req, nil
 }
 
-// readEvents takes events until the end mark.
-func (a *Answer) readEvents(r io.Reader, began time.Time) error {
+// readEvents reads events up to the end mark. It returns errCut if there is none.
+func (a *Answer) readEvents(r io.Reader, start time.Time) error {
 	lines := bufio.NewScanner(r)
 	id := ""
 	for lines.Scan() {
@@ -164,17 +170,17 @@
 		if data == doneMark {
 			return nil
 		}
-		if err := a.handleEvent(data, id, began); err != nil {
+		if err := a.handleEvent(data, id, start); err != nil {
 			return err
 		}
 	}
 	return errCut
 }
 
-func (a *Answer) handleEvent(data, id string, began time.Time) error {
+func (a *Answer) handleEvent(data, id string, start time.Time) error {
 	var c chunk
 	if err := json.Unmarshal([]byte(data), &c); err != nil {
-		return errors.Wrap(err, "caller: event")
+		return errors.Wrap(err, "caller: decode event")
 	}
 	if c.Error != nil {
 		return errors.Errorf("caller: %s: %s", c.Error.Code, c.Error.Message)
@@ -189,31 +195,32 @@
 	a.lastEventID = id
 	a.Text += c.Choices[0].Delta.Content
 	a.Tokens++
-	a.recordTiming(began)
+	a.recordTiming(start)
 	return nil
 }
 
-func (a *Answer) recordTiming(began time.Time) {
+func (a *Answer) recordTiming(start time.Time) {
 	now := time.Now()
 	if a.Tokens == 1 {
-		a.First = now.Sub(began)
+		a.First = now.Sub(start)
 	} else {
 		a.Gap = max(a.Gap, now.Sub(a.lastTokenAt))
 	}
 	a.lastTokenAt = now
 }
 
-// Outcome is how a call ended, as the caller was told.
+// Outcome is how a call ended, as reported to the caller.
 type Outcome struct {
 	// State is done, notrun or unsure.
 	State string
-	Body  string
-	// Tries is how often the call was sent to the fleet under its key.
+	// Body is the body of the last response.
+	Body string
+	// Tries is how often the call was sent under its key.
 	Tries int
 }
 
-// Call sends a call under a key once and, when the answer is not final, asks
-// for its outcome at any instance until it is or ctx ends.
+// Call sends a call with an idempotency key. While the response is not final, it
+// sends the call again with the same key at the next instance, until ctx ends.
 func (c *Caller) Call(ctx context.Context, class, key, body string) (Outcome, error) {
 	var o Outcome
 	for ctx.Err() == nil {
@@ -249,7 +256,8 @@
 	return callState(data), string(data), retryAfter(resp)
 }
 
-// callState reads what a refusal says of the run.
+// callState returns the final state that the body of a rejection reports: "unsure",
+// "notrun", or "" if the state is not final.
 func callState(data []byte) string {
 	var b struct {
 		State string
@@ -272,8 +280,8 @@
 	if err != nil {
 		return retryDelay
 	}
-	// The tests' clock is the machine's; a full second a refusal would only
-	// make them long.
+	// Tests run in real time. Waiting a full second for each rejection would only
+	// make them slow.
 	return min(time.Duration(seconds)*time.Second, 5*retryDelay)
 }
 
