--- a/internal/fakes/desk/desk.go
+++ b/internal/fakes/desk/desk.go
@@ -1,8 +1,8 @@
 // Package desk is a stand-in for a plain service that records payments or
-// bookings. It counts how often each key ran.
+// bookings. It counts how often it ran the call with each key.
 //
-// It imports the standard library and the router library. The trial command
-// and tests run it.
+// It imports the standard library and gorilla/mux. The trial command and tests
+// run it.
 package desk
 
 import (
@@ -17,6 +17,7 @@
 
 // Desk is a stand-in service. Set the exported fields before serving.
 type Desk struct {
+	// Name is the name of the service in its responses.
 	Name string
 	// Delay is how long a call takes.
 	Delay time.Duration
@@ -26,69 +27,71 @@
 	outcomes  map[outcomeKey]int
 	cutsLeft  int
 	dropsLeft int
-	// active and others are the calls that run, and those that a test adds.
-	active      int
+	// active is the number of calls in progress.
+	active int
+	// extraActive is the number of calls that a test adds to load reports.
 	extraActive int
 	leaving     bool
 }
 
-// outcomeKey is what an outcome is kept under: keys of two teams may be equal.
+// outcomeKey identifies an outcome. Two teams may use the same idempotency key.
 type outcomeKey struct {
 	team, class, key string
 }
 
-// callResult is what a call returns.
+// callResult is the body of the response to a call.
 type callResult struct {
 	Service string `json:"service"`
 	Key     string `json:"key"`
 	Run     int    `json:"run"`
 }
 
-// loadReport is what a load report tells.
+// loadReport is the body of a load report.
 type loadReport struct {
 	State  string `json:"state"`
 	Active int    `json:"active"`
 	Queued int    `json:"queued"`
 }
 
-// Runs is how often the call with key ran.
+// Runs returns how often the call with key ran.
 func (d *Desk) Runs(key string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.runs[key]
 }
 
-// Cut makes the next n calls run and then drop their connection unanswered.
+// Cut makes the next n calls run and then close their connection without a
+// response.
 func (d *Desk) Cut(n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.cutsLeft = n
 }
 
-// Drop makes the next n calls read their request and drop the connection
-// without running.
+// Drop makes the next n calls read their request and close the connection without
+// running.
 func (d *Desk) Drop(n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.dropsLeft = n
 }
 
-// Busy adds n calls of others to what the load report tells.
+// Busy adds n calls of other callers to the active calls in load reports.
 func (d *Desk) Busy(n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.extraActive = n
 }
 
-// Leave makes the load report tell that the instance leaves, or does not.
+// Leave sets whether load reports give the state as leaving or live.
 func (d *Desk) Leave(leaving bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.leaving = leaving
 }
 
-// Handler serves POST /v1/calls/{class}, GET /v1/outcomes/{key} and GET
-// /v1/load.
+// Handler returns a handler of POST /v1/calls/{class}, GET /v1/outcomes/{key} and
+// GET /v1/load.
 func (d *Desk) Handler() http.Handler {
 	r := mux.NewRouter()
 	r.HandleFunc("/v1/calls/{class}", d.call).Methods(http.MethodPost)
@@ -143,20 +146,20 @@
 	return true
 }
 
-func (d *Desk) record(sc outcomeKey) (n int, cut bool) {
+func (d *Desk) record(k outcomeKey) (n int, cut bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.runs == nil {
 		d.runs = map[string]int{}
 		d.outcomes = map[outcomeKey]int{}
 	}
-	d.runs[sc.key]++
-	d.outcomes[sc]++
+	d.runs[k.key]++
+	d.outcomes[k]++
 	if d.cutsLeft > 0 {
 		d.cutsLeft--
 		cut = true
 	}
-	return d.runs[sc.key], cut
+	return d.runs[k.key], cut
 }
 
 func (d *Desk) outcome(w http.ResponseWriter, req *http.Request) {
