--- a/internal/fakes/clock/clock.go
+++ b/internal/fakes/clock/clock.go
@@ -1,6 +1,6 @@
 // Package clock is a stand-in engine that holds a whole model and answers at
-// once. The text of each of its tokens is the time at which it left, so that a
-// client in the same process can tell how long it was on its way.
+// once. The text of each token is the time at which the engine sent it, so that a
+// client in the same process can compute its latency.
 //
 // It imports base/frame and the WebSocket library. Benchmarks of the router run
 // it.
@@ -24,18 +24,20 @@
 	// Model is the model that the engine holds.
 	Model = "bench"
 	depth = 24
-	// What the engine says of itself: never the limit of a benchmark.
+	// The capacity that the engine reports: large enough to never limit a
+	// benchmark.
 	layerTime = time.Microsecond
 	slots     = 1 << 12
 	cache     = 1 << 30
-	// replyQueue is how many replies wait for the connection.
+	// replyQueue is how many replies can wait for the connection.
 	replyQueue = 1024
 )
 
-// Engine is the stand-in. The zero value is ready.
+// Engine is the stand-in engine. The zero value is ready to use.
 type Engine struct{ seq atomic.Uint64 }
 
-// Handler serves the engine protocol, as far as the router uses it here.
+// Handler returns a handler of the part of the engine protocol that the router uses
+// with this engine.
 func (e *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("/v1/engine", func(w http.ResponseWriter, _ *http.Request) {
@@ -50,16 +52,16 @@
 }
 
 func (e *Engine) steps(w http.ResponseWriter, req *http.Request) {
-	up := websocket.Upgrader{ReadBufferSize: 64 << 10, WriteBufferSize: 64 << 10}
-	ws, err := up.Upgrade(w, req, nil)
+	upgrader := websocket.Upgrader{ReadBufferSize: 64 << 10, WriteBufferSize: 64 << 10}
+	ws, err := upgrader.Upgrade(w, req, nil)
 	if err != nil {
 		return
 	}
 	defer func() { _ = ws.Close() }()
-	out := make(chan *frame.Reply, replyQueue)
+	replies := make(chan *frame.Reply, replyQueue)
 	done := make(chan struct{})
 	defer close(done)
-	go writeReplies(ws, out, done)
+	go writeReplies(ws, replies, done)
 	for {
 		_, data, err := ws.ReadMessage()
 		if err != nil {
@@ -71,16 +73,16 @@
 				return
 			}
 			if s.Verb != frame.VerbCancel {
-				go runStep(s, out, done)
+				go runStep(s, replies, done)
 			}
 		}
 	}
 }
 
-func writeReplies(ws *websocket.Conn, out <-chan *frame.Reply, done <-chan struct{}) {
+func writeReplies(ws *websocket.Conn, replies <-chan *frame.Reply, done <-chan struct{}) {
 	for {
 		select {
-		case r := <-out:
+		case r := <-replies:
 			if r.Code == frame.CodeOK {
 				r.Text = strconv.FormatInt(time.Now().UnixNano(), 10)
 			}
@@ -94,9 +96,9 @@
 	}
 }
 
-// runStep answers a run of tokens; the prompt takes one position. A prompt that
-// ends in "gap=D" spaces them by D.
-func runStep(s *frame.Step, out chan<- *frame.Reply, done <-chan struct{}) {
+// runStep replies with the tokens that a step requests; the prompt takes one
+// position. A prompt that ends in "gap=D" spaces the tokens by D.
+func runStep(s *frame.Step, replies chan<- *frame.Reply, done <-chan struct{}) {
 	var gap time.Duration
 	if _, text, ok := strings.Cut(s.Text, "gap="); ok {
 		gap, _ = time.ParseDuration(strings.TrimSpace(text))
@@ -113,7 +115,7 @@
 			r.End, r.Total = true, i+1
 		}
 		select {
-		case out <- r:
+		case replies <- r:
 		case <-done:
 			return
 		}
