--- a/internal/fakes/layer/layer.go
+++ b/internal/fakes/layer/layer.go
@@ -1,9 +1,9 @@
-// Package layer is the function of the stand-in model: it is sensitive to
-// every layer, position and request, so that a layer that is skipped, doubled,
-// reordered or crossed with another request changes every later token.
+// Package layer computes the stand-in model. The result depends on every layer,
+// position and request: a layer that is skipped, run twice, run out of order or
+// mixed up with another request changes every later token.
 //
-// It imports xxhash only. The stand-in engine runs ranges of it; tests run it
-// whole as the oracle.
+// It imports xxhash only. The stand-in engine runs ranges of layers; tests run the
+// whole model and compare answers with it.
 package layer
 
 import (
@@ -14,13 +14,13 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Vocabulary is the number of tokens; token 0 ends an answer.
+// Vocabulary is the number of different tokens. Token 0 ends an answer.
 const Vocabulary = 4096
 
 // valueBytes is the size of one encoded value.
 const valueBytes = 8
 
-// State is the cache of a range of layers for one request: one number per
+// State is the cache of a range of layers for one request. It holds one number per
 // layer that depends on all earlier tokens.
 type State struct {
 	from int
@@ -33,10 +33,11 @@
 	return &State{from: from, kv: make([]uint64, to-from)}
 }
 
-// Pos is how many tokens ran through the range.
+// Pos returns how many tokens ran through the range.
 func (s *State) Pos() int { return s.pos }
 
-// Run puts one hidden value through the range and into the cache.
+// Run computes the range of layers for one hidden value and updates the cache. It
+// returns the hidden value after the last layer of the range.
 func (s *State) Run(hidden uint64) uint64 {
 	for i := range s.kv {
 		layer := uint64(s.from + i)
@@ -47,7 +48,8 @@
 	return hidden
 }
 
-// Export returns the cache of layers [from, to), or false if it is not all in s.
+// Export returns the encoded cache of layers [from, to), or false if s doesn't hold
+// all of them.
 func (s *State) Export(from, to int) ([]byte, bool) {
 	if from < s.from || to > s.from+len(s.kv) || from >= to {
 		return nil, false
@@ -59,8 +61,8 @@
 	return out, true
 }
 
-// Import returns the state that Export gave, after pos tokens; false if data
-// is of another size.
+// Import decodes the cache of layers [from, to) from the data of Export, after pos
+// tokens. It returns false if the size of data doesn't fit.
 func Import(from, to, pos int, data []byte) (*State, bool) {
 	if from < 0 || to <= from || pos < 0 || len(data) != valueBytes*(to-from) {
 		return nil, false
@@ -73,7 +75,7 @@
 	return s, true
 }
 
-// Split turns a prompt into tokens; it never returns none.
+// Split turns a prompt into tokens, at least one.
 func Split(text string) []uint32 {
 	words := strings.Fields(text)
 	if len(words) == 0 {
@@ -86,17 +88,17 @@
 	return out
 }
 
-// Embed is the hidden value of a token before layer 0.
+// Embed returns the hidden value of a token before layer 0.
 func Embed(token uint32) uint64 { return mix(uint64(token), 0x9e37, 0x79b9) }
 
-// Pick is the token that a final hidden value stands for.
+// Pick returns the token that follows from the hidden value after the last layer.
 func Pick(hidden uint64) uint32 { return uint32(hidden % Vocabulary) }
 
-// Word is the text of a token.
+// Word returns the text of a token.
 func Word(token uint32) string { return "w" + strconv.Itoa(int(token)) + " " }
 
-// Whole runs the model of depth layers on one machine: the oracle. It returns
-// the tokens after the prompt, at most limit, without the ending token.
+// Whole runs the whole model of depth layers, as the reference for tests. It returns
+// the tokens after the prompt, at most limit, without the token that ends an answer.
 func Whole(text string, depth, limit int) []uint32 {
 	s := NewState(0, depth)
 	var hidden uint64
@@ -115,7 +117,7 @@
 	return out
 }
 
-// Text is the answer that tokens stand for.
+// Text returns the text of an answer made of tokens.
 func Text(tokens []uint32) string {
 	var b strings.Builder
 	for _, t := range tokens {
@@ -124,10 +126,10 @@
 	return b.String()
 }
 
-// Encode and Decode carry a hidden value as bytes.
+// Encode encodes a hidden value as bytes.
 func Encode(hidden uint64) []byte { return binary.BigEndian.AppendUint64(nil, hidden) }
 
-// Decode reads what Encode wrote; other lengths give false.
+// Decode decodes the bytes of Encode. It returns false if their length is wrong.
 func Decode(data []byte) (uint64, bool) {
 	if len(data) != valueBytes {
 		return 0, false
