--- a/internal/fakes/inmem/inmem.go
+++ b/internal/fakes/inmem/inmem.go
@@ -1,6 +1,5 @@
-// Package inmem is a network inside the process: a listener whose connections
-// are pipes, so that servers and clients run in the virtual time of
-// testing/synctest.
+// Package inmem is an in-memory network. Its connections are pipes, so that servers
+// and clients can run in the virtual time of testing/synctest.
 //
 // It imports the standard library only. Tests use it.
 package inmem
@@ -12,7 +11,7 @@
 	"sync"
 )
 
-// Listener accepts the connections that Dial makes.
+// Listener accepts the connections that its Dial method makes.
 type Listener struct {
 	conns  chan net.Conn
 	closed chan struct{}
@@ -34,21 +33,21 @@
 	}
 }
 
-// Close refuses connections from now on.
+// Close closes the listener. Later calls of Accept and Dial fail.
 func (l *Listener) Close() error {
 	l.once.Do(func() { close(l.closed) })
 	return nil
 }
 
-// Addr is a name without meaning.
+// Addr returns a placeholder address.
 func (l *Listener) Addr() net.Addr { return &net.IPAddr{IP: net.IPv4(127, 0, 0, 1)} }
 
-// Dial connects to the listener; network and address are not looked at.
+// Dial connects to the listener. It ignores network and address.
 func (l *Listener) Dial(ctx context.Context, _, _ string) (net.Conn, error) {
-	ours, theirs := net.Pipe()
+	client, server := net.Pipe()
 	select {
-	case l.conns <- theirs:
-		return ours, nil
+	case l.conns <- server:
+		return client, nil
 	case <-l.closed:
 		return nil, net.ErrClosed
 	case <-ctx.Done():
@@ -56,7 +55,7 @@
 	}
 }
 
-// Client returns a client that connects to the listener.
+// Client returns an HTTP client whose connections all go to the listener.
 func (l *Listener) Client() *http.Client {
 	return &http.Client{Transport: &http.Transport{DialContext: l.Dial}}
 }
--- a/internal/fakes/inmem/net.go
+++ b/internal/fakes/inmem/net.go
@@ -9,19 +9,20 @@
 	"github.com/go-faster/errors"
 )
 
-// Net is a network of listeners by address.
+// Net is an in-memory network of listeners, each with an address. The zero value is
+// ready to use.
 type Net struct {
 	mu    sync.Mutex
 	hosts map[string]*host
 }
 
-// host is what listens at one address, and the connections made to it.
+// host is the listener at one address and the connections made to it.
 type host struct {
 	listener *Listener
 	conns    []net.Conn
 }
 
-// Listen opens an address.
+// Listen opens a listener at an address. It fails if the address is in use.
 func (n *Net) Listen(_ context.Context, address string) (net.Listener, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -36,7 +37,7 @@
 	return h.listener, nil
 }
 
-// Dial connects to an address. Where nothing listens it is refused.
+// Dial connects to an address. It is refused if nothing listens there.
 func (n *Net) Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	n.mu.Lock()
 	h := n.hosts[address]
@@ -54,8 +55,8 @@
 	return c, nil
 }
 
-// Kill closes an address and all connections made to it, as the end of a
-// process does.
+// Kill closes the listener at an address and all connections made to it, as happens
+// when a process dies.
 func (n *Net) Kill(address string) {
 	n.mu.Lock()
 	h := n.hosts[address]
