--- a/internal/fakes/trust/trust.go
+++ b/internal/fakes/trust/trust.go
@@ -1,4 +1,4 @@
-// Package trust is a certificate authority for tests.
+// Package trust creates a certificate authority and certificates for tests.
 //
 // It imports the standard library only. Tests of endpoints with TLS use it.
 package trust
@@ -17,7 +17,7 @@
 	"time"
 )
 
-// validity is how long certificates are valid.
+// validity is how long before and after their creation certificates are valid.
 const validity = time.Hour
 
 // Authority signs certificates.
@@ -26,14 +26,15 @@
 	key  *ecdsa.PrivateKey
 }
 
-// Files are where one identity's PEM files are.
+// Files are the paths of the PEM files of one identity: its certificate, its key and
+// the certificate of the authority.
 type Files struct {
 	Cert string
 	Key  string
 	CA   string
 }
 
-// New returns an authority of its own.
+// New returns a new authority with a key and a certificate of its own.
 func New() (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -55,10 +56,10 @@
 	return &Authority{cert: cert, key: key}, nil
 }
 
-// Write puts a certificate for name, which is also its host name beside
-// 127.0.0.1, its key and that of the authority into dir. The files are stamped
-// with at.
-func (a *Authority) Write(dir, name string, at time.Time) (Files, error) {
+// Write writes a certificate for name, its key and the certificate of the authority
+// into dir. The certificate is valid for the host name name and for 127.0.0.1. The
+// files get the modification time modTime.
+func (a *Authority) Write(dir, name string, modTime time.Time) (Files, error) {
 	out := Files{
 		Cert: filepath.Join(dir, name+".crt"), Key: filepath.Join(dir, name+".key"), CA: filepath.Join(dir, "ca.crt"),
 	}
@@ -84,19 +85,19 @@
 		path, kind string
 		data       []byte
 	}{{out.Cert, "CERTIFICATE", cert}, {out.Key, "EC PRIVATE KEY", private}, {out.CA, "CERTIFICATE", a.cert.Raw}} {
-		if err := writePEM(f.path, f.kind, f.data, at); err != nil {
+		if err := writePEM(f.path, f.kind, f.data, modTime); err != nil {
 			return out, err
 		}
 	}
 	return out, nil
 }
 
-func writePEM(path, kind string, data []byte, at time.Time) error {
+func writePEM(path, kind string, data []byte, modTime time.Time) error {
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		return err
 	}
 	if err := os.WriteFile(path, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: data}), 0o600); err != nil {
 		return err
 	}
-	return os.Chtimes(path, at, at)
+	return os.Chtimes(path, modTime, modTime)
 }
