--- a/internal/fakes/caller/caller.go
+++ b/internal/fakes/caller/caller.go
@@ -1,8 +1,8 @@
-// Package caller is a stand-in for the client library of a caller behind a
-// balancer: it resumes cut streams and repeats calls at another instance.
+// Package caller is a stand-in for the client library of a caller behind a load
+// balancer. It resumes interrupted streams and retries calls at another instance.
 //
 // It imports the standard library only. End-to-end tests run many Callers and
-// compare what they got with the oracle.
+// compare the answers with those of the stand-in model.
 package caller
 
 import (
@@ -20,15 +20,17 @@
 	"github.com/go-faster/errors"
 )
 
-// errCut means that a stream ended without its end mark.
-var errCut = errors.New("caller: stream was cut")
+// errCut means that a stream ended before its end mark.
+var errCut = errors.New("caller: stream ended without end mark")
 
 const (
-	shortWait = 20 * time.Millisecond
-	doneMark  = "[DONE]"
+	// retryDelay is the delay before a retry if the response names none.
+	retryDelay = 20 * time.Millisecond
+	// doneMark is the data of the last event of a complete stream.
+	doneMark = "[DONE]"
 )
 
-// Balancer gives the base URLs of the entry instances in turn.
+// Balancer hands out the base URLs of the entry instances, round robin.
 type Balancer struct {
 	mu    sync.Mutex
 	bases []string
@@ -52,31 +54,35 @@
 	return b.bases[b.next%len(b.bases)]
 }
 
-// Caller asks until it has an answer. Set the exported fields before use.
+// Caller sends a request and retries it until it has an answer. Set the exported
+// fields before use.
 type Caller struct {
 	Balancer *Balancer
 	HTTP     *http.Client
-	Key      string
+	// Key is the API key of the caller's team.
+	Key string
 	// Class is sent as X-Class if it is set.
 	Class string
 }
 
-// Answer is what a streamed request brought.
+// Answer is the result of a streamed request.
 type Answer struct {
+	// Text is the text of all tokens.
 	Text string
-	// Tokens is how many token events came, over all connections.
+	// Tokens is how many token events were received, over all connections.
 	Tokens int
-	// Cuts is how often a stream broke, Refusals how often a request was
-	// refused before it ran.
-	Cuts     int
+	// Cuts is how often a stream was interrupted.
+	Cuts int
+	// Refusals is how often a request was rejected before it ran.
 	Refusals int
-	// First is the time to the first token and Gap the longest between two.
+	// First is the time to the first token.
 	First time.Duration
-	Gap   time.Duration
+	// Gap is the longest time between two tokens.
+	Gap time.Duration
 	// Finish is the finish reason of the answer.
-	Finish string
-	last   time.Time
-	id     string
+	Finish      string
+	lastTokenAt time.Time
+	lastEventID string
 }
 
 type chunk struct {
@@ -87,57 +93,57 @@
 	Error *struct{ Code, Message string }
 }
 
-// Ask streams an answer, going on at another instance after each cut, until
-// it is whole or ctx ends.
+// Ask streams an answer. After each interruption it resumes at the next instance,
+// until the answer is complete or ctx ends.
 func (c *Caller) Ask(ctx context.Context, model, text string, limit int) (Answer, error) {
 	body, err := json.Marshal(map[string]any{
 		"model": model, "stream": true, "max_tokens": limit,
 		"messages": []map[string]string{{"role": "user", "content": text}},
 	})
 	if err != nil {
-		return Answer{}, errors.Wrap(err, "caller: encode")
+		return Answer{}, errors.Wrap(err, "caller: encode request")
 	}
 	var a Answer
-	began := time.Now()
+	start := time.Now()
 	for ctx.Err() == nil {
-		wait, err := c.ask(ctx, body, &a, began)
+		wait, err := c.attemptStream(ctx, body, &a, start)
 		if err == nil {
 			return a, nil
 		}
-		rest(ctx, wait)
+		sleep(ctx, wait)
 	}
-	return a, errors.Wrap(ctx.Err(), "caller: no whole answer")
+	return a, errors.Wrap(ctx.Err(), "caller: answer incomplete")
 }
 
-func (c *Caller) ask(ctx context.Context, body []byte, a *Answer, began time.Time) (time.Duration, error) {
-	req, err := c.request(ctx, "/v1/chat/completions", body)
+func (c *Caller) attemptStream(ctx context.Context, body []byte, a *Answer, start time.Time) (time.Duration, error) {
+	req, err := c.newRequest(ctx, "/v1/chat/completions", body)
 	if err != nil {
-		return shortWait, err
+		return retryDelay, err
 	}
-	if a.id != "" {
-		req.Header.Set("Last-Event-ID", a.id)
+	if a.lastEventID != "" {
+		req.Header.Set("Last-Event-ID", a.lastEventID)
 	}
 	resp, err := c.HTTP.Do(req)
 	if err != nil {
-		return shortWait, errors.Wrap(err, "caller: send")
+		return retryDelay, errors.Wrap(err, "caller: send request")
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
 		a.Refusals++
-		return wait(resp), errors.Errorf("caller: status %d", resp.StatusCode)
+		return retryAfter(resp), errors.Errorf("caller: status %d", resp.StatusCode)
 	}
-	err = a.read(resp.Body, began)
+	err = a.readEvents(resp.Body, start)
 	if err != nil {
 		a.Cuts++
 	}
-	return shortWait, err
+	return retryDelay, err
 }
 
-func (c *Caller) request(ctx context.Context, path string, body []byte) (*http.Request, error) {
+func (c *Caller) newRequest(ctx context.Context, path string, body []byte) (*http.Request, error) {
 	base := c.Balancer.pick()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, base+path, bytes.NewReader(body))
 	if err != nil {
-		return nil, errors.Wrap(err, "caller: request")
+		return nil, errors.Wrap(err, "caller: create request")
 	}
 	req.Header.Set("Authorization", "Bearer "+c.Key)
 	req.Header.Set("Content-Type", "application/json")
@@ -147,8 +153,8 @@
 	return req, nil
 }
 
-// read takes events until the end mark.
-func (a *Answer) read(r io.Reader, began time.Time) error {
+// readEvents reads events up to the end mark. It returns errCut if there is none.
+func (a *Answer) readEvents(r io.Reader, start time.Time) error {
 	lines := bufio.NewScanner(r)
 	id := ""
 	for lines.Scan() {
@@ -164,17 +170,17 @@
 		if data == doneMark {
 			return nil
 		}
-		if err := a.event(data, id, began); err != nil {
+		if err := a.handleEvent(data, id, start); err != nil {
 			return err
 		}
 	}
 	return errCut
 }
 
-func (a *Answer) event(data, id string, began time.Time) error {
+func (a *Answer) handleEvent(data, id string, start time.Time) error {
 	var c chunk
 	if err := json.Unmarshal([]byte(data), &c); err != nil {
-		return errors.Wrap(err, "caller: event")
+		return errors.Wrap(err, "caller: decode event")
 	}
 	if c.Error != nil {
 		return errors.Errorf("caller: %s: %s", c.Error.Code, c.Error.Message)
@@ -186,71 +192,73 @@
 		a.Finish = *f
 		return nil
 	}
-	a.id = id
+	a.lastEventID = id
 	a.Text += c.Choices[0].Delta.Content
 	a.Tokens++
-	a.time(began)
+	a.recordTiming(start)
 	return nil
 }
 
-func (a *Answer) time(began time.Time) {
+func (a *Answer) recordTiming(start time.Time) {
 	now := time.Now()
 	if a.Tokens == 1 {
-		a.First = now.Sub(began)
+		a.First = now.Sub(start)
 	} else {
-		a.Gap = max(a.Gap, now.Sub(a.last))
+		a.Gap = max(a.Gap, now.Sub(a.lastTokenAt))
 	}
-	a.last = now
+	a.lastTokenAt = now
 }
 
-// Outcome is how a call ended, as the caller was told.
+// Outcome is how a call ended, as reported to the caller.
 type Outcome struct {
 	// State is done, notrun or unsure.
 	State string
-	Body  string
-	// Tries is how often the call was sent to the fleet under its key.
+	// Body is the body of the last response.
+	Body string
+	// Tries is how often the call was sent under its key.
 	Tries int
 }
 
-// Call sends a call under a key once and, when the answer is not final, asks
-// for its outcome at any instance until it is or ctx ends.
+// Call sends a call with an idempotency key. While the response is not final, it
+// sends the call again with the same key at the next instance, until ctx ends.
 func (c *Caller) Call(ctx context.Context, class, key, body string) (Outcome, error) {
 	var o Outcome
 	for ctx.Err() == nil {
 		o.Tries++
-		state, text, wait := c.send(ctx, class, key, body)
+		state, text, wait := c.attemptCall(ctx, class, key, body)
 		if state == "done" || state == "unsure" || state == "notrun" {
 			o.State, o.Body = state, text
 			return o, nil
 		}
-		rest(ctx, wait)
+		sleep(ctx, wait)
 	}
 	return o, errors.Wrap(ctx.Err(), "caller: no outcome")
 }
 
-func (c *Caller) send(ctx context.Context, class, key, body string) (state, text string, after time.Duration) {
-	req, err := c.request(ctx, "/v1/calls/"+class, []byte(body))
+func (c *Caller) attemptCall(ctx context.Context, class, key, body string) (state, text string, after time.Duration) {
+	req, err := c.newRequest(ctx, "/v1/calls/"+class, []byte(body))
 	if err != nil {
-		return "", "", shortWait
+		return "", "", retryDelay
 	}
 	req.Header.Set("Idempotency-Key", key)
 	resp, err := c.HTTP.Do(req)
 	if err != nil {
-		return "", "", shortWait
+		return "", "", retryDelay
 	}
 	defer func() { _ = resp.Body.Close() }()
 	data, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return "", "", shortWait
+		return "", "", retryDelay
 	}
 	if resp.StatusCode == http.StatusOK {
 		return "done", string(data), 0
 	}
-	return stateOf(data), string(data), wait(resp)
+	return callState(data), string(data), retryAfter(resp)
 }
 
-// stateOf reads what a refusal says of the run.
-func stateOf(data []byte) string {
+// callState returns the final state that the body of a rejection reports: "unsure",
+// "notrun", or "" if the state is not final.
+func callState(data []byte) string {
 	var b struct {
 		State string
 		Error struct{ Code string }
@@ -267,17 +275,17 @@
 	return ""
 }
 
-func wait(resp *http.Response) time.Duration {
+func retryAfter(resp *http.Response) time.Duration {
 	seconds, err := strconv.Atoi(resp.Header.Get("Retry-After"))
 	if err != nil {
-		return shortWait
+		return retryDelay
 	}
-	// The tests' clock is the machine's; a full second a refusal would only
-	// make them long.
-	return min(time.Duration(seconds)*time.Second, 5*shortWait)
+	// Tests run in real time. Waiting a full second for each rejection would only
+	// make them slow.
+	return min(time.Duration(seconds)*time.Second, 5*retryDelay)
 }
 
-func rest(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/internal/fakes/desk/desk.go
+++ b/internal/fakes/desk/desk.go
@@ -1,8 +1,8 @@
 // Package desk is a stand-in for a plain service that records payments or
-// bookings. It counts how often each key ran.
+// bookings. It counts how often it ran the call with each key.
 //
-// It imports the standard library and the router library. The trial command
-// and tests run it.
+// It imports the standard library and gorilla/mux. The trial command and tests
+// run it.
 package desk
 
 import (
@@ -17,78 +17,81 @@
 
 // Desk is a stand-in service. Set the exported fields before serving.
 type Desk struct {
+	// Name is the name of the service in its responses.
 	Name string
 	// Delay is how long a call takes.
 	Delay time.Duration
 
-	mu    sync.Mutex
-	runs  map[string]int
-	done  map[scope]int
-	cut   int
-	reads int
-	// active and others are the calls that run, and those that a test adds.
-	active  int
-	others  int
-	leaving bool
+	mu        sync.Mutex
+	runs      map[string]int
+	outcomes  map[outcomeKey]int
+	cutsLeft  int
+	dropsLeft int
+	// active is the number of calls in progress.
+	active int
+	// extraActive is the number of calls that a test adds to load reports.
+	extraActive int
+	leaving     bool
 }
 
-// scope is what an outcome is kept under: keys of two teams may be equal.
-type scope struct {
+// outcomeKey identifies an outcome. Two teams may use the same idempotency key.
+type outcomeKey struct {
 	team, class, key string
 }
 
-// answer is what a call returns.
-type answer struct {
+// callResult is the body of the response to a call.
+type callResult struct {
 	Service string `json:"service"`
 	Key     string `json:"key"`
 	Run     int    `json:"run"`
 }
 
-// report is what a load report tells.
-type report struct {
+// loadReport is the body of a load report.
+type loadReport struct {
 	State  string `json:"state"`
 	Active int    `json:"active"`
 	Queued int    `json:"queued"`
 }
 
-// Runs is how often the call with key ran.
+// Runs returns how often the call with key ran.
 func (d *Desk) Runs(key string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.runs[key]
 }
 
-// Cut makes the next n calls run and then drop their connection unanswered.
+// Cut makes the next n calls run and then close their connection without a
+// response.
 func (d *Desk) Cut(n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.cut = n
+	d.cutsLeft = n
 }
 
-// Drop makes the next n calls read their request and drop the connection
-// without running.
+// Drop makes the next n calls read their request and close the connection without
+// running.
 func (d *Desk) Drop(n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.reads = n
+	d.dropsLeft = n
 }
 
-// Busy adds n calls of others to what the load report tells.
+// Busy adds n calls of other callers to the active calls in load reports.
 func (d *Desk) Busy(n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.others = n
+	d.extraActive = n
 }
 
-// Leave makes the load report tell that the instance leaves, or does not.
+// Leave sets whether load reports give the state as leaving or live.
 func (d *Desk) Leave(leaving bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.leaving = leaving
 }
 
-// Handler serves POST /v1/calls/{class}, GET /v1/outcomes/{key} and GET
-// /v1/load.
+// Handler returns a handler of POST /v1/calls/{class}, GET /v1/outcomes/{key} and
+// GET /v1/load.
 func (d *Desk) Handler() http.Handler {
 	r := mux.NewRouter()
 	r.HandleFunc("/v1/calls/{class}", d.call).Methods(http.MethodPost)
@@ -105,69 +108,69 @@
 		state = "leaving"
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(report{State: state, Active: d.active + d.others})
+	_ = json.NewEncoder(w).Encode(loadReport{State: state, Active: d.active + d.extraActive})
 }
 
-func (d *Desk) count(n int) {
+func (d *Desk) addActive(n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.active += n
 }
 
 func (d *Desk) call(w http.ResponseWriter, req *http.Request) {
-	d.count(1)
-	defer d.count(-1)
+	d.addActive(1)
+	defer d.addActive(-1)
 	_, _ = io.Copy(io.Discard, req.Body)
 	key := req.Header.Get("Idempotency-Key")
 	if d.Delay > 0 {
 		time.Sleep(d.Delay)
 	}
-	if d.drops() {
+	if d.dropRequest() {
 		panic(http.ErrAbortHandler)
 	}
-	n, cut := d.record(scope{team: req.Header.Get("X-Team"), class: mux.Vars(req)["class"], key: key})
+	n, cut := d.record(outcomeKey{team: req.Header.Get("X-Team"), class: mux.Vars(req)["class"], key: key})
 	if cut {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(answer{Service: d.Name, Key: key, Run: n})
+	_ = json.NewEncoder(w).Encode(callResult{Service: d.Name, Key: key, Run: n})
 }
 
-func (d *Desk) drops() bool {
+func (d *Desk) dropRequest() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.reads == 0 {
+	if d.dropsLeft == 0 {
 		return false
 	}
-	d.reads--
+	d.dropsLeft--
 	return true
 }
 
-func (d *Desk) record(sc scope) (n int, cut bool) {
+func (d *Desk) record(k outcomeKey) (n int, cut bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.runs == nil {
 		d.runs = map[string]int{}
-		d.done = map[scope]int{}
+		d.outcomes = map[outcomeKey]int{}
 	}
-	d.runs[sc.key]++
-	d.done[sc]++
-	if d.cut > 0 {
-		d.cut--
+	d.runs[k.key]++
+	d.outcomes[k]++
+	if d.cutsLeft > 0 {
+		d.cutsLeft--
 		cut = true
 	}
-	return d.runs[sc.key], cut
+	return d.runs[k.key], cut
 }
 
 func (d *Desk) outcome(w http.ResponseWriter, req *http.Request) {
 	key := mux.Vars(req)["key"]
 	d.mu.Lock()
-	n := d.done[scope{team: req.Header.Get("X-Team"), class: req.Header.Get("X-Class"), key: key}]
+	n := d.outcomes[outcomeKey{team: req.Header.Get("X-Team"), class: req.Header.Get("X-Class"), key: key}]
 	d.mu.Unlock()
 	if n == 0 {
 		http.Error(w, "not known", http.StatusNotFound)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(answer{Service: d.Name, Key: key, Run: n})
+	_ = json.NewEncoder(w).Encode(callResult{Service: d.Name, Key: key, Run: n})
 }
--- a/internal/fakes/infra/table.go
+++ b/internal/fakes/infra/table.go
@@ -1,8 +1,8 @@
-// Package infra is a stand-in for the platform: its table, its object store
-// and its list of instances, in memory, with faults to order.
+// Package infra is a stand-in for the platform. It keeps the platform's table, its
+// object store and its list of instances in memory, and can inject faults.
 //
-// It imports state/store for the bodies on the wire. The trial command and
-// tests run it, over HTTP or in the process.
+// It imports state/store for the encoding on the wire. The trial command and
+// tests run it, over HTTP or in process.
 package infra
 
 import (
@@ -15,44 +15,45 @@
 	"fulmarwick/internal/state/store"
 )
 
-// Table is the platform's table in memory. The zero value is ready.
+// Table is the platform's table in memory. The zero value is ready to use.
 type Table struct {
-	mu      sync.Mutex
-	rows    map[string]store.Row
-	old     map[string]store.Row
-	version uint64
-	faults  Faults
-	reads   int
-	writes  int
-	commits int
-	calls   int
-	late    [][]store.Write
-}
-
-// Faults are what the platform does wrong, until set anew.
+	mu       sync.Mutex
+	rows     map[string]store.Row
+	previous map[string]store.Row
+	version  uint64
+	faults   Faults
+	reads    int
+	writes   int
+	commits  int
+	calls    int
+	delayed  [][]store.Write
+}
+
+// Faults are the faults that a Table injects.
 type Faults struct {
-	// Down refuses every call without effect.
+	// Down makes every call fail without effect.
 	Down bool
-	// Slow delays every call.
+	// Slow is the delay of every call.
 	Slow time.Duration
-	// Lose drops the answers of this many commits after they took effect.
+	// Lose is how many commits take effect but lose their response.
 	Lose int
-	// Drop loses this many commits before they take effect, with no answer.
+	// Drop is how many commits get lost without effect and without a response.
 	Drop int
-	// Late answers this many commits not at all and takes them at Land.
+	// Late is how many commits get no response and are kept until Land applies
+	// them.
 	Late int
-	// Stale answers reads with what each row was before its last change.
+	// Stale makes reads return each row as it was before its last change.
 	Stale bool
 }
 
-// Fault sets the faults from now on.
+// Fault replaces the faults that the table injects.
 func (t *Table) Fault(f Faults) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.faults = f
 }
 
-// Counts returns the reads and the rows written so far.
+// Counts returns the number of reads and of rows written so far.
 func (t *Table) Counts() (reads, writes int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -66,48 +67,49 @@
 	return t.commits
 }
 
-// Calls returns how many calls came so far, refused ones included.
+// Calls returns how many calls were received so far, including failed ones.
 func (t *Table) Calls() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.calls
 }
 
-// Land takes the late commits whose conditions hold now.
+// Land applies the delayed commits whose conditions hold now and drops the others.
 func (t *Table) Land() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, w := range t.late {
-		if t.holds(w) {
-			t.take(w)
+	for _, writes := range t.delayed {
+		if t.conditionsHold(writes) {
+			t.apply(writes)
 		}
 	}
-	t.late = nil
+	t.delayed = nil
 }
 
-// Get returns the row under key, or store.ErrMissing.
+// Get returns the row under key, or store.ErrNotFound.
 func (t *Table) Get(ctx context.Context, key string) (store.Row, error) {
-	if err := t.enter(ctx); err != nil {
+	if err := t.begin(ctx); err != nil {
 		return store.Row{}, err
 	}
 	defer t.mu.Unlock()
 	t.reads++
-	r, ok := t.view()[key]
+	r, ok := t.visibleRows()[key]
 	if !ok {
 		return store.Row{}, store.ErrNotFound
 	}
 	return r, nil
 }
 
-// Scan returns rows under prefix above version since, in order of version.
+// Scan returns at most limit rows whose key has the prefix and whose version is
+// above since, in order of version.
 func (t *Table) Scan(ctx context.Context, prefix string, since uint64, limit int) ([]store.Row, error) {
-	if err := t.enter(ctx); err != nil {
+	if err := t.begin(ctx); err != nil {
 		return nil, err
 	}
 	defer t.mu.Unlock()
 	t.reads++
 	var out []store.Row
-	for k, r := range t.view() {
+	for k, r := range t.visibleRows() {
 		if strings.HasPrefix(k, prefix) && r.Version() > since {
 			out = append(out, r)
 		}
@@ -121,9 +123,9 @@
 	return out[:min(limit, len(out))], nil
 }
 
-// Commit takes all writes or none.
+// Commit applies all writes or none, and returns the new version of the table.
 func (t *Table) Commit(ctx context.Context, writes []store.Write) (uint64, error) {
-	if err := t.enter(ctx); err != nil {
+	if err := t.begin(ctx); err != nil {
 		return 0, err
 	}
 	defer t.mu.Unlock()
@@ -133,13 +135,13 @@
 	}
 	if t.faults.Late > 0 {
 		t.faults.Late--
-		t.late = append(t.late, writes)
+		t.delayed = append(t.delayed, writes)
 		return 0, store.ErrOutcomeUnknown
 	}
-	if !t.holds(writes) {
+	if !t.conditionsHold(writes) {
 		return 0, store.ErrConflict
 	}
-	t.take(writes)
+	t.apply(writes)
 	if t.faults.Lose > 0 {
 		t.faults.Lose--
 		return 0, store.ErrOutcomeUnknown
@@ -147,7 +149,7 @@
 	return t.version, nil
 }
 
-func (t *Table) holds(writes []store.Write) bool {
+func (t *Table) conditionsHold(writes []store.Write) bool {
 	for _, w := range writes {
 		if t.rows[w.Key()].Version() != w.IfVersion() {
 			return false
@@ -156,16 +158,16 @@
 	return true
 }
 
-func (t *Table) take(writes []store.Write) {
+func (t *Table) apply(writes []store.Write) {
 	if t.rows == nil {
 		t.rows = map[string]store.Row{}
-		t.old = map[string]store.Row{}
+		t.previous = map[string]store.Row{}
 	}
 	t.version++
 	t.commits++
 	for _, w := range writes {
 		t.writes++
-		t.remember(w.Key())
+		t.savePrevious(w.Key())
 		if w.Removes() {
 			delete(t.rows, w.Key())
 			continue
@@ -174,29 +176,30 @@
 	}
 }
 
-// remember keeps what a stale read answers.
-func (t *Table) remember(key string) {
+// savePrevious keeps the current row under key for stale reads.
+func (t *Table) savePrevious(key string) {
 	if r, ok := t.rows[key]; ok {
-		t.old[key] = r
+		t.previous[key] = r
 		return
 	}
-	delete(t.old, key)
+	delete(t.previous, key)
 }
 
-func (t *Table) view() map[string]store.Row {
+func (t *Table) visibleRows() map[string]store.Row {
 	if t.faults.Stale {
-		return t.old
+		return t.previous
 	}
 	return t.rows
 }
 
-// enter waits out the faults and returns with the lock held, or an error.
-func (t *Table) enter(ctx context.Context) error {
+// begin counts a call, waits for its delay and returns with the lock held. If it
+// returns an error, the lock is not held.
+func (t *Table) begin(ctx context.Context) error {
 	t.mu.Lock()
-	slow := t.faults.Slow
+	delay := t.faults.Slow
 	t.calls++
 	t.mu.Unlock()
-	if err := pause(ctx, slow); err != nil {
+	if err := sleep(ctx, delay); err != nil {
 		return err
 	}
 	t.mu.Lock()
@@ -207,7 +210,7 @@
 	return nil
 }
 
-func pause(ctx context.Context, d time.Duration) error {
+func sleep(ctx context.Context, d time.Duration) error {
 	if d == 0 {
 		return nil
 	}
