--- a/internal/app/cmds/check.go
+++ b/internal/app/cmds/check.go
@@ -87,7 +87,7 @@
 func settingsProblems(path string, elsewhere bool) []string {
 	load := setup.Load
 	if elsewhere {
-		load = setup.LoadElsewhere
+		load = setup.LoadWithoutFiles
 	}
 	if _, err := load(path); err != nil {
 		return strings.Split(err.Error(), "\n")
--- a/internal/app/cmds/edge.go
+++ b/internal/app/cmds/edge.go
@@ -34,7 +34,7 @@
 			defer stop()
 			return runInstance(cmd.Context(), &edge.Instance{
 				Settings: settings, Log: log, Build: buildVersion(),
-				ReadSettings: func() (setup.File, error) { return setup.Load(path) },
+				ReadSettings: func() (setup.Settings, error) { return setup.Load(path) },
 			})
 		},
 	}
--- a/internal/app/cmds/exit.go
+++ b/internal/app/cmds/exit.go
@@ -33,7 +33,7 @@
 	switch {
 	case errors.As(err, &conflict):
 		return ExitConflict
-	case errors.As(err, &refused), errors.Is(err, errUsage), errors.Is(err, setup.ErrBad), errors.Is(err, drive.ErrWork), errors.Is(err, certs.ErrBad):
+	case errors.As(err, &refused), errors.Is(err, errUsage), errors.Is(err, setup.ErrBad), errors.Is(err, drive.ErrInvalidWorkload), errors.Is(err, certs.ErrBad):
 		return ExitUsage
 	case errors.Is(err, admin.ErrReach), errors.Is(err, admin.ErrDown):
 		return ExitReach
--- a/internal/app/cmds/load.go
+++ b/internal/app/cmds/load.go
@@ -52,7 +52,7 @@
 
 // runLoad runs the workload, prints the report to out and writes the files that the
 // flags name.
-func runLoad(ctx context.Context, work drive.Work, f loadFlags, out, progress io.Writer) (err error) {
+func runLoad(ctx context.Context, work drive.Workload, f loadFlags, out, progress io.Writer) (err error) {
 	run, done, err := newRun(ctx, work, f.addresses)
 	if err != nil {
 		return err
@@ -82,18 +82,18 @@
 
 // newRun returns a run of the workload against addresses, or against fakes in this
 // process if there are none. done stops the fakes.
-func newRun(ctx context.Context, work drive.Work, addresses []string) (run *drive.Run, done func() error, err error) {
+func newRun(ctx context.Context, work drive.Workload, addresses []string) (run *drive.Run, done func() error, err error) {
 	if len(addresses) > 0 {
 		if len(work.Faults) > 0 {
-			return nil, nil, errors.Wrap(drive.ErrWork, "faults can be made in stand-ins only, not at --address")
+			return nil, nil, errors.Wrap(drive.ErrInvalidWorkload, "faults can be made in stand-ins only, not at --address")
 		}
-		return &drive.Run{Work: work, Fronts: addresses}, func() error { return nil }, nil
+		return &drive.Run{Workload: work, Addresses: addresses}, func() error { return nil }, nil
 	}
 	d := &depot.Depot{Instances: work.Instances}
 	if err := d.Open(ctx); err != nil {
 		return nil, nil, err
 	}
-	return d.Drive(work), d.Close, nil
+	return d.NewRun(work), d.Close, nil
 }
 
 // toFile calls write with a new file called name. It does nothing if name is empty.
--- a/internal/app/cmds/trial.go
+++ b/internal/app/cmds/trial.go
@@ -40,7 +40,7 @@
 }
 
 func runTrial(cmd *cobra.Command, listen, operators string) error {
-	site := &trial.Site{Layer: trialLayerTime}
+	site := &trial.Site{LayerTime: trialLayerTime}
 	if err := site.Start(cmd.Context()); err != nil {
 		return err
 	}
--- a/internal/app/daemon/announce.go
+++ b/internal/app/daemon/announce.go
@@ -36,7 +36,7 @@
 		return
 	}
 	if item, ok := d.itemFor(c); ok {
-		d.parts.fleet.hub.Say(item)
+		d.parts.fleet.hub.Publish(item)
 	}
 }
 
@@ -51,17 +51,17 @@
 		body := news.Rate{Team: string(c.Team), Rate: c.Rate}
 		return d.newItem(news.KindRate, string(c.Team), news.ScopeFleet, loadTTL, body)
 	case domain.LocalCapacity:
-		body := news.Sum{DataCentre: d.localSpan(), Model: string(c.Model), Free: c.FreeRate}
+		body := news.FreeCapacity{DataCentre: d.localSpan(), Model: string(c.Model), Free: c.FreeRate}
 		return d.newItem(news.KindSum, string(c.Model), news.ScopeFleet, capacityTTL, body)
 	case domain.ReportSuspect:
 		key := strconv.FormatUint(c.Fingerprint, 16)
-		return d.newItem(news.KindPrint, key, news.ScopeFleet, suspectTTL, news.Print{Print: c.Fingerprint, Crashes: c.Crashes, Engine: string(c.Engine)})
+		return d.newItem(news.KindPrint, key, news.ScopeFleet, suspectTTL, news.Fingerprint{Fingerprint: c.Fingerprint, Crashes: c.Crashes, LastEngine: string(c.Engine)})
 	}
 	return news.Item{}, false
 }
 
 func (d *Daemon) newItem(kind news.Kind, key string, scope news.Scope, life time.Duration, body any) (news.Item, bool) {
-	item, err := news.Make(kind, key, scope, life.Milliseconds(), body)
+	item, err := news.New(kind, key, scope, life.Milliseconds(), body)
 	if err != nil {
 		d.Log.Warn("daemon: encode news item failed, item dropped", zap.Stringer("kind", kind), zap.Error(err))
 		return news.Item{}, false
@@ -78,12 +78,12 @@
 			f.parts.follower.NotifyVersion(b.Version)
 		}
 	case news.KindPrint:
-		var b news.Print
+		var b news.Fingerprint
 		if news.Decode(item, &b) == nil {
-			f.parts.loop.Post(domain.SuspectReported{Fingerprint: b.Print, Crashes: b.Crashes, Engine: spec.UpstreamID(b.Engine)})
+			f.parts.loop.Post(domain.SuspectReported{Fingerprint: b.Fingerprint, Crashes: b.Crashes, Engine: spec.UpstreamID(b.LastEngine)})
 		}
 	case news.KindSum:
-		var b news.Sum
+		var b news.FreeCapacity
 		if news.Decode(item, &b) == nil && b.DataCentre != f.localSpan() {
 			f.parts.loop.Post(domain.CentreCapacity{
 				DataCentre: spec.DataCentre(b.DataCentre), Model: spec.ModelName(b.Model),
@@ -91,7 +91,7 @@
 			})
 		}
 	default:
-		f.parts.watcher.Heard(item)
+		f.parts.watcher.HandleItem(item)
 	}
 }
 
@@ -117,6 +117,6 @@
 		return
 	}
 	if item, ok := f.newItem(news.KindHead, "head", news.ScopeFleet, versionTTL, news.Head{Version: current.Version()}); ok {
-		f.hub.Say(item)
+		f.hub.Publish(item)
 	}
 }
--- a/internal/app/daemon/build.go
+++ b/internal/app/daemon/build.go
@@ -95,7 +95,7 @@
 	p.metrics.RegisterMetricsWriter(d.gauges)
 	p.attainment = &meters.Recorder{Meters: p.metrics}
 	p.spans = &spans.Sender{
-		URL: d.Settings.Trace.URL, Part: d.Settings.Trace.Part,
+		URL: d.Settings.Trace.URL, SampleRatio: d.Settings.Trace.SampleRatio,
 		Instance: d.Settings.Instance.Name, DataCentre: d.Settings.Instance.DataCentre,
 	}
 }
@@ -105,7 +105,7 @@
 	name := d.Settings.Instance.Name
 	p.planner = &place.Planner{Goal: plannerGoal(d.Settings.Goal), DataCentre: d.plannedCentre()}
 	p.logic = &core.Logic{ID: spec.InstanceID(name), Seed: xxhash.Sum64String(name), Planner: p.planner}
-	p.loop = &loop.Loop{Logic: p.logic, HandleOther: d.handleRouteCommand, MaxArrivals: d.Settings.Limits.Queue, Meters: p.metrics}
+	p.loop = &loop.Loop{Logic: p.logic, HandleCommand: d.handleRouteCommand, MaxArrivals: d.Settings.Limits.Queue, Meters: p.metrics}
 	p.pool = &engine.Pool{HTTP: &http.Client{}, Post: p.loop.Post, Meters: p.metrics}
 	p.controls = &controls{pool: p.pool, http: p.pool.HTTP}
 	p.runner = &chain.Runner{Engines: p.pool, Router: p.loop, KV: p.pool, Meters: p.metrics}
@@ -136,7 +136,7 @@
 		OnError: func(err error) { d.Log.Warn("config: update failed", zap.Error(err)) },
 	}
 	p.applier = &config.Applier{Table: otherTable, StartFrom: p.follower}
-	sender := &plain.Sender{HTTP: plain.NewHTTP(), Repeats: d.retryable, Meters: p.metrics}
+	sender := &plain.Sender{HTTP: plain.NewHTTP(), Retryable: d.retryable, Meters: p.metrics}
 	p.ledger = &ledger.Ledger{
 		Table:       &store.Batcher{Table: p.budget.Limit(store.RankRecord, p.breaker), Meters: p.metrics},
 		LookupTable: otherTable,
@@ -154,11 +154,11 @@
 		lister.BaseURL = d.Settings.Platform.Table
 	}
 	p.watcher = &watch.Watcher{
-		List: lister, Loop: p.interceptor, Engines: p.controls, Services: sender, HTTP: &http.Client{},
-		Log: d.Log, Every: d.Settings.Platform.Watch, Caches: p.controls,
+		List: lister, Events: p.interceptor, Engines: p.controls, Services: sender, HTTP: &http.Client{},
+		Log: d.Log, ListInterval: d.Settings.Platform.Watch, Caches: p.controls,
 	}
 	if p.fleet != nil {
-		p.watcher.News = p.fleet.hub
+		p.watcher.Publisher = p.fleet.hub
 		p.watcher.Self = p.fleet.hub.Self.ID
 		p.watcher.Listed = p.fleet.handleList
 	}
@@ -167,17 +167,17 @@
 func (d *Daemon) buildCallers() {
 	p := &d.parts
 	p.callers = &entry.Server{
-		Models: &modelRunner{d}, Calls: p.ledger, Book: p.active, Limits: entryLimits(d.Settings),
+		Models: &modelRunner{d}, Calls: p.ledger, Config: p.active, Limits: entryLimits(d.Settings),
 		Log: d.Log, Meters: p.metrics, Observer: p.attainment,
 	}
 }
 
-func entryLimits(s setup.File) entry.Limits {
+func entryLimits(s setup.Settings) entry.Limits {
 	return entry.Limits{
 		Body: s.Limits.Body, Header: s.Limits.Header, Tokens: s.Limits.Tokens,
-		Streams: s.Limits.Streams, Team: s.Limits.Team, Connection: s.Limits.Connection, Buffer: s.Limits.Buffer,
+		Streams: s.Limits.Streams, TeamStreams: s.Limits.Team, ConnectionStreams: s.Limits.Connection, Buffer: s.Limits.Buffer,
 		HeaderTime: s.Times.Header, BodyTime: s.Times.Body, WriteTime: s.Times.Write,
-		IdleTime: s.Times.Idle, Comment: s.Times.Comment,
+		IdleTime: s.Times.Idle, CommentInterval: s.Times.Comment,
 	}
 }
 
--- a/internal/app/daemon/config_test.go
+++ b/internal/app/daemon/config_test.go
@@ -89,7 +89,7 @@
 	site, _, operators := startBoth(t)
 	c := &admin.Client{Base: operators, HTTP: http.DefaultClient}
 	waitVersion(t, c, 1)
-	site.Table().Fault(infra.Faults{Down: true})
+	site.Table().SetFaults(infra.Faults{Unavailable: true})
 	if _, err := c.Apply(t.Context(), draft(0, "ani", quick)); !errors.Is(err, admin.ErrDown) {
 		t.Errorf("got %v, want ErrDown", err)
 	}
--- a/internal/app/daemon/daemon.go
+++ b/internal/app/daemon/daemon.go
@@ -19,7 +19,7 @@
 
 // Daemon is one instance. Set the exported fields before Run.
 type Daemon struct {
-	Settings setup.File
+	Settings setup.Settings
 	Log      *zap.Logger
 	// Build is the program version that the status reports.
 	Build string
@@ -61,7 +61,7 @@
 	if err := p.spans.Open(ctx); err != nil {
 		return err
 	}
-	p.callers.Spans = p.spans.Provider()
+	p.callers.TracerProvider = p.spans.Provider()
 	ends, err := d.listen(ctx)
 	if err != nil {
 		return err
--- a/internal/app/daemon/daemon_test.go
+++ b/internal/app/daemon/daemon_test.go
@@ -138,7 +138,7 @@
 	if err := json.Unmarshal([]byte(text), &got); err != nil {
 		t.Fatal(err)
 	}
-	want := layer.Text(layer.Whole("user: Explain my levy notice\n", trial.Depth, 50))
+	want := layer.Text(layer.Generate("user: Explain my levy notice\n", trial.Depth, 50))
 	if got.Choices[0].Message.Content != want {
 		t.Errorf("got %q, want %q", got.Choices[0].Message.Content, want)
 	}
--- a/internal/app/daemon/duties.go
+++ b/internal/app/daemon/duties.go
@@ -206,10 +206,10 @@
 	return d.Settings.Fenced[d.parts.interceptor.kind(id)]
 }
 
-func holdFrames(holds []domain.LoadedRange) []frame.Hold {
-	out := make([]frame.Hold, 0, len(holds))
+func holdFrames(holds []domain.LoadedRange) []frame.LoadedLayers {
+	out := make([]frame.LoadedLayers, 0, len(holds))
 	for _, h := range holds {
-		out = append(out, frame.Hold{
+		out = append(out, frame.LoadedLayers{
 			Model: string(h.Model), Version: h.Version, Depth: h.Depth,
 			From: h.Layers.From(), To: h.Layers.To(), Width: h.Width,
 		})
--- a/internal/app/daemon/fleet.go
+++ b/internal/app/daemon/fleet.go
@@ -64,7 +64,7 @@
 		Rand: rand.New(rand.NewPCG(xxhash.Sum64String(name), uint64(f.startTime.UnixNano()))),
 	}
 	f.hub = &peer.Hub{
-		Self: self, Logic: f.logic, On: f.handleCommand, Serve: &forwardServer{d}, Config: f, Log: d.Log, Meters: d.parts.metrics,
+		Self: self, Logic: f.logic, HandleCommand: f.handleCommand, JobServer: &forwardServer{d}, Config: f, Log: d.Log, Meters: d.parts.metrics,
 	}
 	if pair := d.Settings.TLS.Peers; pair.Set() {
 		source, err := d.certSource(pair)
--- a/internal/app/daemon/fleet_test.go
+++ b/internal/app/daemon/fleet_test.go
@@ -48,7 +48,7 @@
 
 func newCluster(t testing.TB, n int) *cluster {
 	t.Helper()
-	return newClusterAt(t, n, &trial.Site{Layer: 20 * time.Microsecond})
+	return newClusterAt(t, n, &trial.Site{LayerTime: 20 * time.Microsecond})
 }
 
 // newClusterAt starts n instances with a site that is not started yet.
@@ -206,8 +206,8 @@
 	for n := 0; !w.stopped(); n++ {
 		text := fmt.Sprintf("explain notice %d of lorry %d", n, id)
 		limit := 20 + (id+n)%40
-		a, err := c.Ask(w.e.ctx, trial.Model, text, limit)
-		tokens := layer.Whole("user: "+text+"\n", trial.Depth, limit)
+		a, err := c.Stream(w.e.ctx, trial.Model, text, limit)
+		tokens := layer.Generate("user: "+text+"\n", trial.Depth, limit)
 		w.mu.Lock()
 		w.answers++
 		w.cuts += a.Cuts
@@ -299,9 +299,9 @@
 	}
 	w.waitAnswers(faultSpacing)
 
-	e.site.Table().Fault(infra.Faults{Down: true})
+	e.site.Table().SetFaults(infra.Faults{Unavailable: true})
 	w.waitAnswers(faultSpacing)
-	e.site.Table().Fault(infra.Faults{})
+	e.site.Table().SetFaults(infra.Faults{})
 	w.waitAnswers(faultSpacing)
 
 	frozen := e.remove("klang-3")
--- a/internal/app/daemon/forward.go
+++ b/internal/app/daemon/forward.go
@@ -105,7 +105,7 @@
 	a := job.Arrived
 	return peer.Job{
 		Request: a.Request, Team: a.Team, Class: a.Class, Model: a.Model, Text: job.Text,
-		Prompt: a.PromptTokens, Limit: a.MaxTokens, Print: a.Fingerprint, Blocks: a.BlockHashes, Hops: a.Hops,
+		Prompt: a.PromptTokens, Limit: a.MaxTokens, Fingerprint: a.Fingerprint, Blocks: a.BlockHashes, Hops: a.Hops,
 	}
 }
 
@@ -115,7 +115,7 @@
 	for r := domain.ReasonOverload; r <= domain.ReasonNotReady; r++ {
 		if r.String() == f.Code {
 			return &chain.RefusedError{
-				Reason: r, After: time.Duration(f.After) * time.Millisecond, Ran: f.Ran != string(entry.RanNo),
+				Reason: r, RetryAfter: time.Duration(f.After) * time.Millisecond, Ran: f.Ran != string(entry.RanNo),
 			}
 		}
 	}
@@ -132,14 +132,14 @@
 func (s *forwardServer) ServeForwarded(ctx context.Context, _ spec.InstanceID, job peer.Job, sink func(peer.Token) error) (peer.End, error) {
 	arrived := domain.RequestArrived{
 		Request: job.Request, Team: job.Team, Class: job.Class, Model: job.Model, PromptTokens: job.Prompt,
-		MaxTokens: job.Limit, BlockHashes: job.Blocks, Fingerprint: job.Print, Hops: job.Hops,
+		MaxTokens: job.Limit, BlockHashes: job.Blocks, Fingerprint: job.Fingerprint, Hops: job.Hops,
 	}
 	result, err := s.parts.runner.Run(ctx, chain.Job{Arrived: arrived, Text: job.Text}, func(t chain.Token) error {
 		return sink(peer.Token{Index: t.Index, Text: t.Text})
 	})
 	var refused *chain.RefusedError
 	if errors.As(err, &refused) {
-		f := &peer.Fault{Code: refused.Reason.String(), Ran: string(entry.RanNo), After: refused.After.Milliseconds()}
+		f := &peer.Fault{Code: refused.Reason.String(), Ran: string(entry.RanNo), After: refused.RetryAfter.Milliseconds()}
 		if refused.Ran {
 			f.Ran = string(entry.RanYes)
 		}
--- a/internal/app/daemon/idle_test.go
+++ b/internal/app/daemon/idle_test.go
@@ -22,7 +22,7 @@
 // instances with thirty engines uses without requests: the cost of the control
 // plane.
 func BenchmarkIdle(b *testing.B) {
-	e := newClusterWatch(b, 4, &trial.Site{Layer: 20 * time.Microsecond, Copies: 5}, time.Second)
+	e := newClusterWatch(b, 4, &trial.Site{LayerTime: 20 * time.Microsecond, Copies: 5}, time.Second)
 	for range b.N {
 		before := map[string]int{}
 		for name, p := range e.live {
--- a/internal/app/daemon/interceptor.go
+++ b/internal/app/daemon/interceptor.go
@@ -26,10 +26,10 @@
 		i.recordReport(ev.Engine)
 	case domain.EngineDead:
 		i.parts.duties.orders.RemoveReport(ev.Engine)
-		i.parts.pool.Break(ev.Engine)
+		i.parts.pool.Disconnect(ev.Engine)
 	case domain.EngineRemoved:
 		i.parts.duties.orders.RemoveReport(ev.Engine)
-		i.parts.pool.Forget(ev.Engine)
+		i.parts.pool.Remove(ev.Engine)
 		i.mu.Lock()
 		delete(i.kinds, ev.Engine)
 		i.mu.Unlock()
@@ -62,15 +62,15 @@
 	baseURLs map[spec.UpstreamID]string
 }
 
-// Locate sets the base URL of an engine.
-func (c *controls) Locate(id spec.UpstreamID, base string) {
+// SetAddress sets the base URL of an engine.
+func (c *controls) SetAddress(id spec.UpstreamID, base string) {
 	c.mu.Lock()
 	if c.baseURLs == nil {
 		c.baseURLs = map[spec.UpstreamID]string{}
 	}
 	c.baseURLs[id] = base
 	c.mu.Unlock()
-	c.pool.Locate(id, base)
+	c.pool.SetAddress(id, base)
 }
 
 // SendOrder sends a load order to an engine.
--- a/internal/app/daemon/outage_test.go
+++ b/internal/app/daemon/outage_test.go
@@ -16,11 +16,11 @@
 // payments as not run, which is correct, until the platform is back.
 func TestInstanceStartsWhileThePlatformIsOut(t *testing.T) {
 	e := newCluster(t, 2)
-	e.site.Table().Fault(infra.Faults{Down: true})
+	e.site.Table().SetFaults(infra.Faults{Unavailable: true})
 	joined := e.start(trial.Centre)
 	e.ready(joined)
 	e.balancer.Set([]string{e.bases[joined]})
-	a, err := (&work{e: e}).caller().Ask(e.ctx, trial.Model, "explain", 10)
+	a, err := (&work{e: e}).caller().Stream(e.ctx, trial.Model, "explain", 10)
 	if err != nil || a.Tokens != 10 {
 		t.Errorf("got %d tokens and %v in the outage, want 10", a.Tokens, err)
 	}
@@ -31,7 +31,7 @@
 	if got := e.site.Desk().Runs("k1"); got != 0 {
 		t.Errorf("got %d runs of a payment reported as not run, want 0", got)
 	}
-	e.site.Table().Fault(infra.Faults{})
+	e.site.Table().SetFaults(infra.Faults{})
 	o, err := (&work{e: e}).caller().Call(e.ctx, "payment", "k1", `{"amount":1}`)
 	if err != nil || o.State != "done" || e.site.Desk().Runs("k1") != 1 {
 		t.Errorf("got %+v, %v and %d runs after the outage, want done and 1", o, err, e.site.Desk().Runs("k1"))
@@ -43,7 +43,7 @@
 // the service itself, at any instance, and a repeated key does not pay again.
 func TestLostAnswersOfPaymentsAreSettledByLookUp(t *testing.T) {
 	e := newCluster(t, 2)
-	e.site.Desk().Cut(3)
+	e.site.Desk().CutReplies(3)
 	for i := range 3 {
 		key := fmt.Sprintf("k%d", i)
 		status, text := post(t, e.bases["klang-1"]+"/v1/calls/payment", key, `{"amount":1}`)
@@ -86,7 +86,7 @@
 	e := newCluster(t, 2)
 	post(t, e.bases["klang-1"]+"/v1/calls/payment", "k1", `{"amount":1}`)
 	e.remove("klang-1").kill()
-	e.site.Table().Fault(infra.Faults{Down: true})
+	e.site.Table().SetFaults(infra.Faults{Unavailable: true})
 	status, text := post(t, e.bases["klang-2"]+"/v1/calls/payment", "k1", `{"amount":1}`)
 	if status != http.StatusServiceUnavailable || !strings.Contains(text, `"ran":"unsure"`) {
 		t.Errorf("got %d %s, want 503 and unsure", status, text)
--- a/internal/app/daemon/poison_test.go
+++ b/internal/app/daemon/poison_test.go
@@ -15,7 +15,7 @@
 // second crash identifies it, and every instance refuses it from then on. All
 // requests that ran beside it on those engines must complete.
 func TestPoisonCostsTwoEnginesOverTheFleet(t *testing.T) {
-	e := newClusterAt(t, 4, &trial.Site{Layer: 20 * time.Microsecond, Copies: 5, Poison: "venom"})
+	e := newClusterAt(t, 4, &trial.Site{LayerTime: 20 * time.Microsecond, Copies: 5, Poison: "venom"})
 	w := e.work()
 	w.waitAnswers(faultSpacing)
 	body := `{"model":"levy-13b","max_tokens":20,"messages":[{"role":"user","content":"this is venom for engines"}]}`
--- a/internal/app/daemon/recovery_test.go
+++ b/internal/app/daemon/recovery_test.go
@@ -31,11 +31,11 @@
 		group.Go(func() {
 			c := (&work{e: e}).caller()
 			text := fmt.Sprintf("a long notice %d", i)
-			a, err := c.Ask(e.ctx, trial.Model, text, longAnswer)
+			a, err := c.Stream(e.ctx, trial.Model, text, longAnswer)
 			if err != nil {
 				b.Errorf("got %v, want a whole answer", err)
 			}
-			if want := layer.Text(layer.Whole("user: "+text+"\n", trial.Depth, longAnswer)); a.Text != want {
+			if want := layer.Text(layer.Generate("user: "+text+"\n", trial.Depth, longAnswer)); a.Text != want {
 				b.Errorf("got an answer that differs from that of one machine")
 			}
 			out[i] = a
@@ -90,7 +90,7 @@
 func runRecovery(b *testing.B, fail func(*cluster)) {
 	// Five copies of each engine give the thirty engines of the association
 	// deployment.
-	e := newClusterAt(b, 4, &trial.Site{Layer: 20 * time.Microsecond, Copies: 5})
+	e := newClusterAt(b, 4, &trial.Site{LayerTime: 20 * time.Microsecond, Copies: 5})
 	wait := e.streams(b)
 	time.Sleep(500 * time.Millisecond)
 	fail(e)
@@ -99,8 +99,8 @@
 	cuts := 0
 	first := time.Duration(0)
 	for _, a := range answers {
-		gaps = append(gaps, a.Gap)
-		first = max(first, a.First)
+		gaps = append(gaps, a.MaxGap)
+		first = max(first, a.FirstToken)
 		cuts += a.Cuts
 	}
 	slices.Sort(gaps)
--- a/internal/app/daemon/stop_test.go
+++ b/internal/app/daemon/stop_test.go
@@ -54,10 +54,10 @@
 	book.SetIfNewer(snapshot())
 	s := setup.Default()
 	return &entry.Server{
-		Models: g, Calls: g, Book: book, Log: zap.NewNop(),
+		Models: g, Calls: g, Config: book, Log: zap.NewNop(),
 		Limits: entry.Limits{
 			Body: s.Limits.Body, Header: s.Limits.Header, Tokens: s.Limits.Tokens, Buffer: s.Limits.Buffer,
-			HeaderTime: s.Times.Header, BodyTime: s.Times.Body, WriteTime: s.Times.Write, IdleTime: s.Times.Idle, Comment: s.Times.Comment,
+			HeaderTime: s.Times.Header, BodyTime: s.Times.Body, WriteTime: s.Times.Write, IdleTime: s.Times.Idle, CommentInterval: s.Times.Comment,
 		},
 	}, &halt.Drainer{Grace: s.Times.Grace, Log: zap.NewNop()}
 }
--- a/internal/app/edge/fixture_test.go
+++ b/internal/app/edge/fixture_test.go
@@ -48,7 +48,7 @@
 	if err := f.depot.Open(context.Background()); err != nil {
 		t.Fatal(err)
 	}
-	f.site, f.instances = f.depot.Site(), f.depot.Running()
+	f.site, f.instances = f.depot.Site(), f.depot.Routers()
 	for range d.Instances {
 		f.clients = append(f.clients, &http.Client{Transport: &http.Transport{DialContext: f.site.Dial}})
 	}
--- a/internal/app/edge/mesh.go
+++ b/internal/app/edge/mesh.go
@@ -80,7 +80,7 @@
 func (m *meshNode) initHub() {
 	m.livePeers = map[spec.InstanceID]bool{}
 	m.logic = &mesh.Logic{ID: m.id, DataCentre: m.centre, URL: m.url, Local: m, Receiver: m, Now: time.Now}
-	m.hub = &peer.Hub{Self: node.Peer{ID: m.id, URL: m.url}, Logic: m.logic, Silence: meshIdleTimeout, Dial: m.dial, Log: m.log, Meters: m.meters}
+	m.hub = &peer.Hub{Self: node.Peer{ID: m.id, URL: m.url}, Logic: m.logic, ReadTimeout: meshIdleTimeout, Dial: m.dial, Log: m.log, Meters: m.meters}
 }
 
 // handler serves the connections of other instances.
--- a/internal/app/edge/pause_test.go
+++ b/internal/app/edge/pause_test.go
@@ -159,7 +159,7 @@
 		for _, test := range tests {
 			t.Run(fmt.Sprintf("%s among %d", test.name, peers), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					f := newFixtureFrom(t, &depot.Depot{Instances: peers, Shape: scaledShape(1 + peers/16)})
+					f := newFixtureFrom(t, &depot.Depot{Instances: peers, Deployment: scaledShape(1 + peers/16)})
 					defer f.close()
 					f.runPausedInstance(func(p *pausableProcess) {
 						for range test.times {
--- a/internal/app/edge/start_test.go
+++ b/internal/app/edge/start_test.go
@@ -19,7 +19,7 @@
 func TestStartingFleetOverloadsNoEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const requests = 4
-		f := newFixtureFrom(t, &depot.Depot{Instances: 1, Shape: scaledShape(2)})
+		f := newFixtureFrom(t, &depot.Depot{Instances: 1, Deployment: scaledShape(2)})
 		defer f.close()
 		for k := 1; k <= startedFleetSize; k++ {
 			defer f.runInstance(&edge.Instance{Settings: depot.Settings(k), Log: zap.NewNop(), Dial: f.site.Dial, Listen: f.site.Net.Listen})()
--- a/internal/app/setup/load.go
+++ b/internal/app/setup/load.go
@@ -15,22 +15,22 @@
 
 // Load reads and checks the settings file at path. Paths in the file are
 // relative to its directory. The error matches ErrBad and lists every problem.
-func Load(path string) (File, error) {
+func Load(path string) (Settings, error) {
 	return load(path, true)
 }
 
-// LoadElsewhere is like Load for a settings file of another machine: the files
+// LoadWithoutFiles is like Load for a settings file of another machine: the files
 // that it names need not exist on this machine.
-func LoadElsewhere(path string) (File, error) {
+func LoadWithoutFiles(path string) (Settings, error) {
 	return load(path, false)
 }
 
-func load(path string, files bool) (File, error) {
+func load(path string, files bool) (Settings, error) {
 	data, err := readFile(path)
 	if err != nil {
 		bad := &BadError{}
 		bad.add(Problem{file: path, text: err.Error()})
-		return File{}, bad.orNil()
+		return Settings{}, bad.orNil()
 	}
 	p := &parser{name: path, dir: filepath.Dir(path), checkFiles: files}
 	return p.parse(data)
@@ -38,7 +38,7 @@
 
 // Parse checks settings held in memory. Problems use name as the file name.
 // Parse does not open the files that the settings name.
-func Parse(name string, data []byte) (File, error) {
+func Parse(name string, data []byte) (Settings, error) {
 	p := &parser{name: name}
 	return p.parse(data)
 }
@@ -68,12 +68,12 @@
 	name       string
 	dir        string
 	checkFiles bool
-	out        File
+	out        Settings
 	bad        BadError
 	lines      map[keyPos]int
 }
 
-func (p *parser) parse(data []byte) (File, error) {
+func (p *parser) parse(data []byte) (Settings, error) {
 	p.out = Default()
 	at := scan(p.name, data, &p.bad)
 	values, err := ini.LoadSources(ini.LoadOptions{
@@ -82,7 +82,7 @@
 	}, data)
 	if err != nil {
 		p.bad.add(Problem{file: p.name, text: err.Error()})
-		return File{}, p.bad.orNil()
+		return Settings{}, p.bad.orNil()
 	}
 	p.lines = map[keyPos]int{}
 	p.checkUnknown(at)
@@ -92,7 +92,7 @@
 	p.checkMissing(at)
 	p.checkTogether()
 	if err := p.bad.orNil(); err != nil {
-		return File{}, err
+		return Settings{}, err
 	}
 	return p.out, nil
 }
--- a/internal/app/setup/setup_test.go
+++ b/internal/app/setup/setup_test.go
@@ -53,7 +53,7 @@
 	if got.Goal != setup.GoalRecovery || !got.Fenced["h200"] || got.Fenced["t4"] || len(got.Fenced) != 2 {
 		t.Errorf("got goal %s and fencing %v, want recovery, h200 refusing, t4 not", got.Goal, got.Fenced)
 	}
-	if got.Trace.URL != "http://127.0.0.1:4318" || got.Trace.Part != 0.5 {
+	if got.Trace.URL != "http://127.0.0.1:4318" || got.Trace.SampleRatio != 0.5 {
 		t.Errorf("got %+v, want the trace settings of the file", got.Trace)
 	}
 }
@@ -142,7 +142,7 @@
 			t.Errorf("got %v, want it to contain %q", err, want)
 		}
 	}
-	if _, err := setup.LoadElsewhere(path); err != nil {
+	if _, err := setup.LoadWithoutFiles(path); err != nil {
 		t.Errorf("got %v for a file meant for another machine, want nil", err)
 	}
 	if _, err := setup.Load(filepath.Join(dir, "none.ini")); !errors.Is(err, setup.ErrBad) {
@@ -186,7 +186,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		loaded := map[string]setup.File{}
+		loaded := map[string]setup.Settings{}
 		for _, name := range want {
 			data, err := os.ReadFile(filepath.Join("../../../examples", deployment, name+".ini"))
 			if err != nil {
@@ -206,7 +206,7 @@
 	}
 }
 
-func checkPeersAgree(t *testing.T, loaded map[string]setup.File) {
+func checkPeersAgree(t *testing.T, loaded map[string]setup.Settings) {
 	t.Helper()
 	for name, f := range loaded {
 		if f.Instance.Name != name || len(f.Peers) != len(loaded)-1 {
@@ -262,14 +262,14 @@
 func TestFractionsAreTaken(t *testing.T) {
 	tests := []struct {
 		name, text string
-		got        func(setup.File) float64
+		got        func(setup.Settings) float64
 		want       float64
 	}{
-		{"repeats", "[retry]\nallowance = 40.73684210526316\n", func(f setup.File) float64 { return f.Retry.Allowance }, 40.73684210526316},
-		{"no repeats", "[retry]\nallowance = 0\n", func(f setup.File) float64 { return f.Retry.Allowance }, 0},
-		{"ratio", "[retry]\nratio = 0.125\n", func(f setup.File) float64 { return f.Retry.Ratio }, 0.125},
-		{"window", "[retry]\nwindow = 10.5s\n", func(f setup.File) float64 { return f.Retry.Window.Seconds() }, 10.5},
-		{"memory", "[limits]\nmemory = 417.25MiB\n", func(f setup.File) float64 { return float64(f.Limits.Memory) }, 417.25 * (1 << 20)},
+		{"repeats", "[retry]\nallowance = 40.73684210526316\n", func(f setup.Settings) float64 { return f.Retry.Allowance }, 40.73684210526316},
+		{"no repeats", "[retry]\nallowance = 0\n", func(f setup.Settings) float64 { return f.Retry.Allowance }, 0},
+		{"ratio", "[retry]\nratio = 0.125\n", func(f setup.Settings) float64 { return f.Retry.Ratio }, 0.125},
+		{"window", "[retry]\nwindow = 10.5s\n", func(f setup.Settings) float64 { return f.Retry.Window.Seconds() }, 10.5},
+		{"memory", "[limits]\nmemory = 417.25MiB\n", func(f setup.Settings) float64 { return float64(f.Limits.Memory) }, 417.25 * (1 << 20)},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/app/setup/value.go
+++ b/internal/app/setup/value.go
@@ -19,7 +19,7 @@
 
 const badName = "%q is not a name: up to 63 of a-z, 0-9, '.', '_' and '-', first a letter or digit"
 
-func name(at func(*File) *string) setter {
+func name(at func(*Settings) *string) setter {
 	return func(p *parser, value string) string {
 		if !namePattern.MatchString(value) {
 			return fmt.Sprintf(badName, value)
@@ -36,7 +36,7 @@
 	return ""
 }
 
-func address(at func(*File) *string) setter {
+func address(at func(*Settings) *string) setter {
 	return func(p *parser, value string) string {
 		if reason := checkAddress(value); reason != "" {
 			return reason
@@ -46,7 +46,7 @@
 	}
 }
 
-func baseURL(at func(*File) *string) setter {
+func baseURL(at func(*Settings) *string) setter {
 	return func(p *parser, value string) string {
 		u, err := url.Parse(value)
 		if err != nil || u.Host == "" || (u.Scheme != "http" && u.Scheme != "https") {
@@ -60,7 +60,7 @@
 	}
 }
 
-func duration(at func(*File) *time.Duration, low, high time.Duration) setter {
+func duration(at func(*Settings) *time.Duration, low, high time.Duration) setter {
 	return func(p *parser, value string) string {
 		d, err := time.ParseDuration(value)
 		if err != nil {
@@ -75,7 +75,7 @@
 }
 
 // count returns a setter for a whole number from 1 to maxCount.
-func count(at func(*File) *int) setter {
+func count(at func(*Settings) *int) setter {
 	return func(p *parser, value string) string {
 		n, err := strconv.Atoi(value)
 		if err != nil {
@@ -91,7 +91,7 @@
 
 // amount returns a setter for a number from 0 to maxCount, which may be a
 // fraction.
-func amount(at func(*File) *float64) setter {
+func amount(at func(*Settings) *float64) setter {
 	return func(p *parser, value string) string {
 		x, err := strconv.ParseFloat(value, 64)
 		if err != nil || math.IsNaN(x) {
@@ -112,7 +112,7 @@
 	bytes  int64
 }{{"KiB", 1 << 10}, {"MiB", 1 << 20}, {"", 1}}
 
-func size(at func(*File) *int64, low, high int64) setter {
+func size(at func(*Settings) *int64, low, high int64) setter {
 	return func(p *parser, value string) string {
 		n, ok := bytesOf(value)
 		if !ok {
@@ -145,7 +145,7 @@
 	return 0, false
 }
 
-func fraction(at func(*File) *float64) setter {
+func fraction(at func(*Settings) *float64) setter {
 	return func(p *parser, value string) string {
 		x, err := strconv.ParseFloat(value, 64)
 		if err != nil || !(x >= 0 && x <= 1) {
@@ -156,7 +156,7 @@
 	}
 }
 
-func choice(at func(*File) *string, of ...string) setter {
+func choice(at func(*Settings) *string, of ...string) setter {
 	return func(p *parser, value string) string {
 		for _, c := range of {
 			if value == c {
@@ -190,7 +190,7 @@
 
 // path returns a setter for the path of a file that must be readable. A
 // relative path starts at the directory of the settings file.
-func path(at func(*File) *string) setter {
+func path(at func(*Settings) *string) setter {
 	return func(p *parser, value string) string {
 		if value == "" {
 			return "missing"
--- a/internal/app/spans/spans.go
+++ b/internal/app/spans/spans.go
@@ -35,10 +35,10 @@
 	// URL is the base URL of the collector, such as "http://10.0.0.9:4318". If
 	// empty, tracing is off.
 	URL string
-	// Part is the fraction, from 0 to 1, of the traces that begin on this
+	// SampleRatio is the fraction, from 0 to 1, of the traces that begin on this
 	// instance and are exported. A trace begun by a caller is exported if the
 	// caller sampled it.
-	Part float64
+	SampleRatio float64
 	// Instance and DataCentre are attributes of every span.
 	Instance   string
 	DataCentre string
@@ -57,7 +57,7 @@
 	}
 	s.provider = sdk.NewTracerProvider(
 		sdk.WithBatcher(exporter, sdk.WithMaxQueueSize(maxQueue)),
-		sdk.WithSampler(sdk.ParentBased(sdk.TraceIDRatioBased(s.Part))),
+		sdk.WithSampler(sdk.ParentBased(sdk.TraceIDRatioBased(s.SampleRatio))),
 		sdk.WithResource(resource.NewSchemaless(
 			attribute.String("service.name", "fulmarwick"),
 			attribute.String("service.instance.id", s.Instance),
--- a/internal/app/spans/spans_test.go
+++ b/internal/app/spans/spans_test.go
@@ -19,7 +19,7 @@
 		got <- req.URL.Path + " " + string(data)
 	}))
 	defer collector.Close()
-	s := &spans.Sender{URL: collector.URL, Part: 1, Instance: "klang-1"}
+	s := &spans.Sender{URL: collector.URL, SampleRatio: 1, Instance: "klang-1"}
 	if err := s.Open(t.Context()); err != nil {
 		t.Fatal(err)
 	}
@@ -37,7 +37,7 @@
 }
 
 func TestOffWithoutURL(t *testing.T) {
-	s := &spans.Sender{Part: 1}
+	s := &spans.Sender{SampleRatio: 1}
 	if err := s.Open(t.Context()); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/base/frame/code_string.go
+++ b/internal/base/frame/code_string.go
@@ -13,7 +13,7 @@
 	_ = x[CodeGap-2]
 	_ = x[CodeRange-3]
 	_ = x[CodeFull-4]
-	_ = x[CodeLeave-5]
+	_ = x[CodeLeaving-5]
 	_ = x[CodeFailed-6]
 }
 
--- a/internal/base/frame/codec_test.go
+++ b/internal/base/frame/codec_test.go
@@ -23,7 +23,7 @@
 	return []frame.Reply{
 		{Req: "r", Try: 3, Seq: 1, Hidden: [][]byte{{1}, {2}}, Next: 2, Took: 15},
 		{Req: "r", Try: 3, Seq: 9, Token: 7, Text: "w7 ", Index: 8, End: true, Total: 9, Next: 12},
-		{Req: "r", Code: frame.CodeGap, Why: "no state"},
+		{Req: "r", Code: frame.CodeGap, Reason: "no state"},
 	}
 }
 
--- a/internal/base/frame/engine.go
+++ b/internal/base/frame/engine.go
@@ -1,7 +1,7 @@
 package frame
 
-// Hold is a range of a model's layers that an engine has loaded.
-type Hold struct {
+// LoadedLayers is a range of a model's layers that an engine has loaded.
+type LoadedLayers struct {
 	Model   string `json:"model"`
 	Version string `json:"version"`
 	Depth   int    `json:"depth"`
@@ -16,10 +16,10 @@
 // has loaded and its load at Seq. Reports lag behind the engine; of two reports, the
 // one with the higher Seq is the later.
 type Engine struct {
-	Name       string `json:"name"`
-	DataCentre string `json:"datacentre"`
-	Kind       string `json:"kind"`
-	Holds      []Hold `json:"holds"`
+	Name       string         `json:"name"`
+	DataCentre string         `json:"datacentre"`
+	Kind       string         `json:"kind"`
+	Holds      []LoadedLayers `json:"holds"`
 	// Layer is the time in nanoseconds that one token takes to run through one layer.
 	Layer int64 `json:"layer"`
 	// Slots is the number of requests that the engine batches at once.
@@ -56,9 +56,9 @@
 // Order is the body of POST /v1/orders, a load order. It states the layers and the
 // role that the engine must end with, not the steps, so sending it again is safe.
 type Order struct {
-	Fence uint64 `json:"fence"`
-	Holds []Hold `json:"holds"`
-	Role  string `json:"role,omitempty"`
+	Fence uint64         `json:"fence"`
+	Holds []LoadedLayers `json:"holds"`
+	Role  string         `json:"role,omitempty"`
 }
 
 // Event is one change of an engine's cache. The engine numbers its events with
--- a/internal/base/frame/step.go
+++ b/internal/base/frame/step.go
@@ -33,13 +33,13 @@
 
 // The codes.
 const (
-	CodeOK     Code = iota // ok
-	CodeStale              // stale
-	CodeGap                // gap
-	CodeRange              // range
-	CodeFull               // full
-	CodeLeave              // leaving
-	CodeFailed             // failed
+	CodeOK      Code = iota // ok
+	CodeStale               // stale
+	CodeGap                 // gap
+	CodeRange               // range
+	CodeFull                // full
+	CodeLeaving             // leaving
+	CodeFailed              // failed
 )
 
 // Step asks an engine to run inputs through a range of layers.
@@ -83,7 +83,7 @@
 	Seq    uint64   `cbor:"3,keyasint"`
 	From   int      `cbor:"4,keyasint,omitempty"`
 	Code   Code     `cbor:"5,keyasint,omitempty"`
-	Why    string   `cbor:"6,keyasint,omitempty"`
+	Reason string   `cbor:"6,keyasint,omitempty"`
 	Pos    int      `cbor:"7,keyasint,omitempty"`
 	Hidden [][]byte `cbor:"8,keyasint,omitempty"`
 	Token  uint32   `cbor:"9,keyasint,omitempty"`
--- a/internal/base/news/news.go
+++ b/internal/base/news/news.go
@@ -27,8 +27,8 @@
 	KindRates               // rates
 )
 
-// Kinds is the number of kinds.
-const Kinds = KindRates + 1
+// KindCount is the number of kinds.
+const KindCount = KindRates + 1
 
 // Scope defines which instances receive an item.
 type Scope int
@@ -51,9 +51,9 @@
 	// Stamp orders the items of one origin, which increments it.
 	Stamp uint64 `cbor:"4,keyasint"`
 	Scope Scope  `cbor:"5,keyasint"`
-	// Life is the time to live in milliseconds, counted from when an instance
+	// TTL is the time to live in milliseconds, counted from when an instance
 	// receives the item.
-	Life int64  `cbor:"6,keyasint"`
+	TTL  int64  `cbor:"6,keyasint"`
 	Body []byte `cbor:"7,keyasint,omitempty"`
 }
 
@@ -67,13 +67,13 @@
 	Leaving struct {
 		Upstream string `cbor:"1,keyasint"`
 	}
-	// Print is the number of engines that died while they ran a request, which its
+	// Fingerprint is the number of engines that died while they ran a request, which its
 	// fingerprint identifies.
-	Print struct {
-		Print   uint64 `cbor:"1,keyasint"`
-		Crashes int    `cbor:"2,keyasint"`
-		// Engine is the last engine that died, or "" if it is not known.
-		Engine string `cbor:"3,keyasint,omitempty"`
+	Fingerprint struct {
+		Fingerprint uint64 `cbor:"1,keyasint"`
+		Crashes     int    `cbor:"2,keyasint"`
+		// LastEngine is the last engine that died, or "" if it is not known.
+		LastEngine string `cbor:"3,keyasint,omitempty"`
 	}
 	// Rate is the usage of a team with high usage at the origin, in tokens per
 	// second.
@@ -88,9 +88,9 @@
 		Active int    `cbor:"2,keyasint"`
 		Tokens int    `cbor:"3,keyasint"`
 	}
-	// Sum is the free capacity of the origin's data centre for a model, in tokens per
+	// FreeCapacity is the free capacity of the origin's data centre for a model, in tokens per
 	// second.
-	Sum struct {
+	FreeCapacity struct {
 		DataCentre string  `cbor:"1,keyasint"`
 		Model      string  `cbor:"2,keyasint"`
 		Free       float64 `cbor:"3,keyasint"`
@@ -102,36 +102,36 @@
 		URL    string `cbor:"2,keyasint"`
 		Data   []byte `cbor:"3,keyasint"`
 	}
-	// Level contains the frequently changing values from the report of the engine
+	// LoadLevel contains the frequently changing values from the report of the engine
 	// that the item's key names. It is the most frequent item, so its encoding is
 	// compact.
-	Level struct {
+	LoadLevel struct {
 		_ struct{} `cbor:",toarray"`
-		// Born is the engine's incarnation. If it differs from the known one, the
+		// Incarnation is the engine's incarnation. If it differs from the known one, the
 		// engine restarted and lost all its state.
-		Born   uint64
-		Seq    uint64
-		Queued int
-		Active int
-		Cached int
+		Incarnation uint64
+		Seq         uint64
+		Queued      int
+		Active      int
+		Cached      int
 	}
-	// Doubt is the number of consecutive polls by the origin that an engine did not
-	// answer. Zero withdraws an earlier Doubt.
-	Doubt struct {
+	// MissedPolls is the number of consecutive polls by the origin that an engine did not
+	// answer. Zero withdraws earlier MissedPolls.
+	MissedPolls struct {
 		Engine string `cbor:"1,keyasint"`
 		Misses int    `cbor:"2,keyasint,omitempty"`
 	}
-	// Down reports that an engine is dead. Reports of incarnation Born with a Seq up
+	// EngineDead reports that an engine is dead. Reports of Incarnation with a Seq up
 	// to Seq are older than its death, so no instance marks it live because of them.
-	Down struct {
-		Engine string `cbor:"1,keyasint"`
-		Born   uint64 `cbor:"2,keyasint,omitempty"`
-		Seq    uint64 `cbor:"3,keyasint"`
+	EngineDead struct {
+		Engine      string `cbor:"1,keyasint"`
+		Incarnation uint64 `cbor:"2,keyasint,omitempty"`
+		Seq         uint64 `cbor:"3,keyasint"`
 	}
-	// Reach reports whether a gateway can reach the data centre that the item's key
+	// Reachability reports whether a gateway can reach the data centre that the item's key
 	// names.
-	Reach struct {
-		Cut bool `cbor:"1,keyasint,omitempty"`
+	Reachability struct {
+		Unreachable bool `cbor:"1,keyasint,omitempty"`
 	}
 	// Loads contains, for each engine, the sum of the requests and tokens that the
 	// instances of a data centre have in flight.
--- a/internal/fakes/caller/caller.go
+++ b/internal/fakes/caller/caller.go
@@ -75,10 +75,10 @@
 	Cuts int
 	// Refusals is how often a request was rejected before it ran.
 	Refusals int
-	// First is the time to the first token.
-	First time.Duration
-	// Gap is the longest time between two tokens.
-	Gap time.Duration
+	// FirstToken is the time to the first token.
+	FirstToken time.Duration
+	// MaxGap is the longest time between two tokens.
+	MaxGap time.Duration
 	// Finish is the finish reason of the answer.
 	Finish      string
 	lastTokenAt time.Time
@@ -93,9 +93,9 @@
 	Error *struct{ Code, Message string }
 }
 
-// Ask streams an answer. After each interruption it resumes at the next instance,
+// Stream streams an answer. After each interruption it resumes at the next instance,
 // until the answer is complete or ctx ends.
-func (c *Caller) Ask(ctx context.Context, model, text string, limit int) (Answer, error) {
+func (c *Caller) Stream(ctx context.Context, model, text string, limit int) (Answer, error) {
 	body, err := json.Marshal(map[string]any{
 		"model": model, "stream": true, "max_tokens": limit,
 		"messages": []map[string]string{{"role": "user", "content": text}},
@@ -202,9 +202,9 @@
 func (a *Answer) recordTiming(start time.Time) {
 	now := time.Now()
 	if a.Tokens == 1 {
-		a.First = now.Sub(start)
+		a.FirstToken = now.Sub(start)
 	} else {
-		a.Gap = max(a.Gap, now.Sub(a.lastTokenAt))
+		a.MaxGap = max(a.MaxGap, now.Sub(a.lastTokenAt))
 	}
 	a.lastTokenAt = now
 }
@@ -215,8 +215,8 @@
 	State string
 	// Body is the body of the last response.
 	Body string
-	// Tries is how often the call was sent under its key.
-	Tries int
+	// Attempts is how often the call was sent under its key.
+	Attempts int
 }
 
 // Call sends a call with an idempotency key. While the response is not final, it
@@ -224,7 +224,7 @@
 func (c *Caller) Call(ctx context.Context, class, key, body string) (Outcome, error) {
 	var o Outcome
 	for ctx.Err() == nil {
-		o.Tries++
+		o.Attempts++
 		state, text, wait := c.attemptCall(ctx, class, key, body)
 		if state == "done" || state == "unsure" || state == "notrun" {
 			o.State, o.Body = state, text
--- a/internal/fakes/clock/clock.go
+++ b/internal/fakes/clock/clock.go
@@ -44,7 +44,7 @@
 		_ = json.NewEncoder(w).Encode(frame.Engine{
 			Name: "clock", DataCentre: "klang", Kind: "h200", Layer: int64(layerTime), Slots: slots, Memory: depth,
 			Cache: cache, State: frame.StateLive, Seq: e.seq.Add(1),
-			Holds: []frame.Hold{{Model: Model, Version: "1", Depth: depth, To: depth}},
+			Holds: []frame.LoadedLayers{{Model: Model, Version: "1", Depth: depth, To: depth}},
 		})
 	})
 	mux.HandleFunc("/v1/steps", e.steps)
--- a/internal/fakes/depot/deployment_test.go
+++ b/internal/fakes/depot/deployment_test.go
@@ -61,9 +61,9 @@
 // worth of all answers.
 func runDeployment(t *testing.T, shape *stand.Deployment, baseline *stand.Baseline, load float64) float64 {
 	t.Helper()
-	d := &depot.Depot{Instances: 4, Baseline: baseline, Shape: *shape}
-	return runOn(t, d, func(w *drive.Work) {
-		w.Span = 10 * time.Second
+	d := &depot.Depot{Instances: 4, Baseline: baseline, Deployment: *shape}
+	return runOn(t, d, func(w *drive.Workload) {
+		w.Duration = 10 * time.Second
 		for i := range w.Classes {
 			w.Classes[i].Rate *= load
 		}
--- a/internal/fakes/depot/depot.go
+++ b/internal/fakes/depot/depot.go
@@ -32,9 +32,9 @@
 	Instances int
 	// Baseline replaces all instances by plain forwarders; nil runs the router.
 	Baseline *stand.Baseline
-	// Shape is the model and its engines. Without layers, the default deployment
+	// Deployment is the model and its engines. Without layers, the default deployment
 	// of the stand-in is used.
-	Shape stand.Deployment
+	Deployment stand.Deployment
 	// Retry is the retry budget; the zero value keeps that of Settings.
 	Retry setup.Retry
 	// Handshake is how long an engine takes to accept a connection.
@@ -51,13 +51,13 @@
 }
 
 // Settings returns the settings of instance n in the default deployment.
-func Settings(n int) setup.File {
+func Settings(n int) setup.Settings {
 	return settings(n, stand.DefaultDeployment.Zones)
 }
 
 // settings returns the settings of instance n. Instances are spread over the data
 // centres in zones, one after another.
-func settings(n int, zones []stand.Zone) setup.File {
+func settings(n int, zones []stand.Zone) setup.Settings {
 	f := setup.Default()
 	zone := zones[n%len(zones)].Name
 	f.Instance = setup.Instance{Name: fmt.Sprintf("edge-%d", n), DataCentre: zone, Region: "west"}
@@ -74,8 +74,8 @@
 func (d *Depot) Open(ctx context.Context) error {
 	d.site = stand.NewSite()
 	d.site.HandshakeTime = d.Handshake
-	if d.Shape.Layers > 0 {
-		d.site.Deployment = d.Shape
+	if d.Deployment.Layers > 0 {
+		d.site.Deployment = d.Deployment
 	}
 	d.site.Store.Put("op", "config", d.site.Config(1))
 	d.site.AddUpstreams()
@@ -129,8 +129,8 @@
 // Site returns the stand-in for the platform and its upstreams.
 func (d *Depot) Site() *stand.Site { return d.site }
 
-// Running returns the instances of the router.
-func (d *Depot) Running() []*edge.Instance { return slices.Clone(d.instances) }
+// Routers returns the instances of the router.
+func (d *Depot) Routers() []*edge.Instance { return slices.Clone(d.instances) }
 
 // Close stops the deployment. Its error joins the failures of instances and the
 // protocol violations that upstreams detected.
@@ -151,16 +151,16 @@
 	return errors.Join(errs...)
 }
 
-// Drive returns a run of workload w against the deployment.
-func (d *Depot) Drive(w drive.Work) *drive.Run {
-	return &drive.Run{Work: w, Fronts: d.addresses, Dial: d.site.Dial, Fault: d.injectFault}
+// NewRun returns a run of workload w against the deployment.
+func (d *Depot) NewRun(w drive.Workload) *drive.Run {
+	return &drive.Run{Workload: w, Addresses: d.addresses, Dial: d.site.Dial, Fault: d.injectFault}
 }
 
 // injectFault injects a fault of a workload. Faults of engines hit the busiest ones.
 func (d *Depot) injectFault(f drive.Fault) error {
 	switch f.Kind {
 	case drive.KindPipe:
-		d.site.SetLinkSlowdown(f.Times)
+		d.site.SetLinkSlowdown(f.Factor)
 		return nil
 	case drive.KindZone:
 		for _, e := range d.site.Engines() {
@@ -178,12 +178,12 @@
 		switch f.Kind {
 		case drive.KindCrash:
 			d.site.Crash(e)
-		case drive.KindDark:
+		case drive.KindHang:
 			d.site.StopResponding(e)
 		case drive.KindDrain:
 			d.site.DrainEngine(e)
 		case drive.KindSlow:
-			d.site.SetSlowdown(e, f.Times)
+			d.site.SetSlowdown(e, f.Factor)
 		default:
 			return errors.Errorf("depot: unknown fault %s", f.Kind)
 		}
--- a/internal/fakes/depot/engineloss_test.go
+++ b/internal/fakes/depot/engineloss_test.go
@@ -16,11 +16,11 @@
 	if os.Getenv("WORST") == "" {
 		t.Skip("only prints figures; set WORST=1 to run it")
 	}
-	for _, kind := range []drive.Kind{drive.KindCrash, drive.KindDark, drive.KindDrain} {
+	for _, kind := range []drive.Kind{drive.KindCrash, drive.KindHang, drive.KindDrain} {
 		var late, lost []int
 		var p99 []float64
 		for seed := range uint64(8) {
-			r := runWorkload(t, nil, func(w *drive.Work) {
+			r := runWorkload(t, nil, func(w *drive.Workload) {
 				w.Seed = seed
 				w.Faults = []drive.Fault{{At: 6 * time.Second, Kind: kind, Count: 1}}
 			}).Total
--- a/internal/fakes/depot/rate_test.go
+++ b/internal/fakes/depot/rate_test.go
@@ -46,16 +46,16 @@
 		for _, rate := range []float64{10, 20, 40, 60, 80, 100, 120, 140, 170, 200, 250, 300} {
 			var got drive.Row
 			synctest.Test(t, func(t *testing.T) {
-				d := &depot.Depot{Instances: 4, Shape: s.shape}
+				d := &depot.Depot{Instances: 4, Deployment: s.shape}
 				if err := d.Open(context.Background()); err != nil {
 					t.Fatal(err)
 				}
 				predicted = predictedRate(d.Site())
 				w := usualWork()
-				w.Span = 8 * time.Second
+				w.Duration = 8 * time.Second
 				w.Classes = w.Classes[:1]
 				w.Classes[0].Rate, w.Classes[0].Prompt, w.Classes[0].Answer, w.Classes[0].Retries = rate, s.shape.TypicalPrompt, s.shape.TypicalAnswer, 0
-				report, err := d.Drive(w).Do(context.Background())
+				report, err := d.NewRun(w).Do(context.Background())
 				if err != nil {
 					t.Error(err)
 				}
--- a/internal/fakes/depot/workload_test.go
+++ b/internal/fakes/depot/workload_test.go
@@ -14,13 +14,13 @@
 )
 
 // usualWork returns the usual traffic of users' sites.
-func usualWork() drive.Work {
-	return drive.Work{
-		Span: 16 * time.Second, Instances: 4, Seed: 7,
+func usualWork() drive.Workload {
+	return drive.Workload{
+		Duration: 16 * time.Second, Instances: 4, Seed: 7,
 		Classes: []drive.Class{
-			{Name: "draft", Method: "POST", Key: stand.TeamKey(1), Path: "/write/1", Rate: 40.5, Prompt: 800, Answer: 171, Target: 500 * time.Millisecond, Gap: 200 * time.Millisecond, Deadline: 20 * time.Second, Late: 0.5, Retries: 1},
-			{Name: "reply", Method: "POST", Key: stand.TeamKey(1), Path: "/write/2", Rate: 38.3, Prompt: 740, Answer: 231, Target: 500 * time.Millisecond, Gap: 200 * time.Millisecond, Deadline: 20 * time.Second, Late: 0.5, Retries: 1},
-			{Name: "book", Method: "POST", Key: stand.TeamKey(1), Path: "/book/1", Rate: 6.8, Target: 300 * time.Millisecond, Deadline: 3 * time.Second, Late: 0.3, Retries: 1},
+			{Name: "draft", Method: "POST", Key: stand.TeamKey(1), Path: "/write/1", Rate: 40.5, Prompt: 800, Answer: 171, Target: 500 * time.Millisecond, Gap: 200 * time.Millisecond, Deadline: 20 * time.Second, LateValue: 0.5, Retries: 1},
+			{Name: "reply", Method: "POST", Key: stand.TeamKey(1), Path: "/write/2", Rate: 38.3, Prompt: 740, Answer: 231, Target: 500 * time.Millisecond, Gap: 200 * time.Millisecond, Deadline: 20 * time.Second, LateValue: 0.5, Retries: 1},
+			{Name: "book", Method: "POST", Key: stand.TeamKey(1), Path: "/book/1", Rate: 6.8, Target: 300 * time.Millisecond, Deadline: 3 * time.Second, LateValue: 0.3, Retries: 1},
 		},
 	}
 }
@@ -28,31 +28,41 @@
 // workloads are the worst cases: each adds a burst or faults to the usual traffic.
 var workloads = []struct {
 	name string
-	add  func(*drive.Work)
+	add  func(*drive.Workload)
 }{
-	{"calm", func(*drive.Work) {}},
-	{"burst 1.5", func(w *drive.Work) { w.Bursts = []drive.Burst{{At: 4 * time.Second, For: 6 * time.Second, Times: 1.5}} }},
-	{"burst 3", func(w *drive.Work) { w.Bursts = []drive.Burst{{At: 4 * time.Second, For: 6 * time.Second, Times: 3}} }},
-	{"2 deaths", func(w *drive.Work) { w.Faults = []drive.Fault{{At: 6 * time.Second, Kind: drive.KindCrash, Count: 2}} }},
-	{"2 dark", func(w *drive.Work) { w.Faults = []drive.Fault{{At: 6 * time.Second, Kind: drive.KindDark, Count: 2}} }},
-	{"lost data centre", func(w *drive.Work) {
+	{"calm", func(*drive.Workload) {}},
+	{"burst 1.5", func(w *drive.Workload) {
+		w.Bursts = []drive.Burst{{At: 4 * time.Second, For: 6 * time.Second, Factor: 1.5}}
+	}},
+	{"burst 3", func(w *drive.Workload) {
+		w.Bursts = []drive.Burst{{At: 4 * time.Second, For: 6 * time.Second, Factor: 3}}
+	}},
+	{"2 deaths", func(w *drive.Workload) {
+		w.Faults = []drive.Fault{{At: 6 * time.Second, Kind: drive.KindCrash, Count: 2}}
+	}},
+	{"2 dark", func(w *drive.Workload) {
+		w.Faults = []drive.Fault{{At: 6 * time.Second, Kind: drive.KindHang, Count: 2}}
+	}},
+	{"lost data centre", func(w *drive.Workload) {
 		w.Faults = []drive.Fault{{At: 6 * time.Second, Kind: drive.KindZone, Zone: stand.DefaultDeployment.Zones[0].Name}}
 	}},
-	{"pipe 3 times slower", func(w *drive.Work) { w.Faults = []drive.Fault{{At: 4 * time.Second, Kind: drive.KindPipe, Times: 3}} }},
-	{"2 slow", func(w *drive.Work) {
-		w.Faults = []drive.Fault{{At: 6 * time.Second, Kind: drive.KindSlow, Count: 2, Times: 4}}
+	{"pipe 3 times slower", func(w *drive.Workload) {
+		w.Faults = []drive.Fault{{At: 4 * time.Second, Kind: drive.KindPipe, Factor: 3}}
+	}},
+	{"2 slow", func(w *drive.Workload) {
+		w.Faults = []drive.Fault{{At: 6 * time.Second, Kind: drive.KindSlow, Count: 2, Factor: 4}}
 	}},
 }
 
 // runWorkload runs the usual traffic, changed by add, on a new deployment in virtual
 // time.
-func runWorkload(t *testing.T, baseline *stand.Baseline, add func(*drive.Work)) drive.Report {
+func runWorkload(t *testing.T, baseline *stand.Baseline, add func(*drive.Workload)) drive.Report {
 	t.Helper()
 	return runOn(t, &depot.Depot{Instances: 4, Baseline: baseline}, add)
 }
 
 // runOn runs the usual traffic, changed by add, on deployment d in virtual time.
-func runOn(t *testing.T, d *depot.Depot, add func(*drive.Work)) (out drive.Report) {
+func runOn(t *testing.T, d *depot.Depot, add func(*drive.Workload)) (out drive.Report) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -62,7 +72,7 @@
 		}
 		w := usualWork()
 		add(&w)
-		report, err := d.Drive(w).Do(ctx)
+		report, err := d.NewRun(w).Do(ctx)
 		if err != nil {
 			t.Error(err)
 		}
@@ -107,8 +117,8 @@
 // send 0.7 each. At least nine tenths of the small teams' requests are served, and
 // at least a fifth of the heavy team's.
 func TestSmallTeamsBesideHeavyOne(t *testing.T) {
-	got := runWorkload(t, nil, func(w *drive.Work) {
-		w.Span = 10 * time.Second
+	got := runWorkload(t, nil, func(w *drive.Workload) {
+		w.Duration = 10 * time.Second
 		heavy := w.Classes[0]
 		heavy.Rate, heavy.Retries = 300, 0
 		w.Classes = []drive.Class{heavy}
--- a/internal/fakes/desk/desk.go
+++ b/internal/fakes/desk/desk.go
@@ -60,31 +60,31 @@
 	return d.runs[key]
 }
 
-// Cut makes the next n calls run and then close their connection without a
+// CutReplies makes the next n calls run and then close their connection without a
 // response.
-func (d *Desk) Cut(n int) {
+func (d *Desk) CutReplies(n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.cutsLeft = n
 }
 
-// Drop makes the next n calls read their request and close the connection without
+// DropRequests makes the next n calls read their request and close the connection without
 // running.
-func (d *Desk) Drop(n int) {
+func (d *Desk) DropRequests(n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.dropsLeft = n
 }
 
-// Busy adds n calls of other callers to the active calls in load reports.
-func (d *Desk) Busy(n int) {
+// SetExtraActive adds n calls of other callers to the active calls in load reports.
+func (d *Desk) SetExtraActive(n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.extraActive = n
 }
 
-// Leave sets whether load reports give the state as leaving or live.
-func (d *Desk) Leave(leaving bool) {
+// SetLeaving sets whether load reports give the state as leaving or live.
+func (d *Desk) SetLeaving(leaving bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.leaving = leaving
--- a/internal/fakes/drive/drive_test.go
+++ b/internal/fakes/drive/drive_test.go
@@ -53,7 +53,7 @@
 			t.Fatal(err)
 		}
 		seconds := 0
-		run := d.Drive(work)
+		run := d.NewRun(work)
 		run.Progress = func(int, drive.Second) { seconds++ }
 		if report, err = run.Do(context.Background()); err != nil {
 			t.Error(err)
@@ -97,7 +97,7 @@
 			if err := d.Open(context.Background()); err != nil {
 				t.Fatal(err)
 			}
-			report, err := d.Drive(work).Do(context.Background())
+			report, err := d.NewRun(work).Do(context.Background())
 			if err != nil {
 				t.Error(err)
 			}
@@ -115,18 +115,18 @@
 // An invalid file must be refused with an error that names all its problems.
 func TestParseNamesAllFaults(t *testing.T) {
 	_, err := drive.Parse([]byte("[load]\nseconds = never\n[class a]\npath = x\nrate = -1\nrates = 3\n[burst b]\nclass = none\n[fault f]\nkind = rain\n[what]\n"))
-	if !errors.Is(err, drive.ErrWork) {
-		t.Fatalf("got %v, want %v", err, drive.ErrWork)
+	if !errors.Is(err, drive.ErrInvalidWorkload) {
+		t.Fatalf("got %v, want %v", err, drive.ErrInvalidWorkload)
 	}
 	for _, want := range []string{"seconds", "path", "rate: ", "rates is not known", "none", "rain", "[what]"} {
 		if !strings.Contains(err.Error(), want) {
 			t.Errorf("got %v, want it to name %q", err, want)
 		}
 	}
-	if _, err := drive.Parse([]byte("[load]\nseconds = 3")); !errors.Is(err, drive.ErrWork) {
-		t.Errorf("got %v without a class, want %v", err, drive.ErrWork)
+	if _, err := drive.Parse([]byte("[load]\nseconds = 3")); !errors.Is(err, drive.ErrInvalidWorkload) {
+		t.Errorf("got %v without a class, want %v", err, drive.ErrInvalidWorkload)
 	}
-	if work, err := drive.Parse([]byte("[class a]\npath = /")); err != nil || work.Span != 30*time.Second {
+	if work, err := drive.Parse([]byte("[class a]\npath = /")); err != nil || work.Duration != 30*time.Second {
 		t.Errorf("got %+v and %v, want 30s by default", work, err)
 	}
 }
--- a/internal/fakes/drive/report.go
+++ b/internal/fakes/drive/report.go
@@ -17,8 +17,8 @@
 }
 
 // Row summarizes the requests of a class. Times are in milliseconds. Worth is
-// the mean value of an answer: 1 within its target, Class.Late outside it and 0
-// if it was refused or failed.
+// the mean value of an answer: 1 within its target, Class.LateValue outside it and
+// 0 if it was refused or failed.
 type Row struct {
 	Class    string  `json:"class"`
 	Asked    int     `json:"asked"`
@@ -47,17 +47,17 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out Report
-	for i := range r.Work.Classes {
+	for i := range r.Workload.Classes {
 		var answers []answer
 		for _, a := range r.answers {
-			if a.class == &r.Work.Classes[i] {
+			if a.class == &r.Workload.Classes[i] {
 				answers = append(answers, a)
 			}
 		}
-		out.Classes = append(out.Classes, summarize(r.Work.Classes[i].Name, answers))
+		out.Classes = append(out.Classes, summarize(r.Workload.Classes[i].Name, answers))
 	}
 	out.Total = summarize("all", r.answers)
-	for n := range int(r.Work.Span / time.Second) {
+	for n := range int(r.Workload.Duration / time.Second) {
 		out.Seconds = append(out.Seconds, summarizeSecond(n, r.answers))
 	}
 	return out
@@ -73,7 +73,7 @@
 			out.Worth++
 		case OutcomeLate:
 			out.Late++
-			out.Worth += a.class.Late
+			out.Worth += a.class.LateValue
 		case OutcomeRefused:
 			out.Refused++
 			continue
--- a/internal/fakes/drive/run.go
+++ b/internal/fakes/drive/run.go
@@ -19,9 +19,9 @@
 
 // Run executes a workload once. Set the exported fields before Do.
 type Run struct {
-	Work Work
-	// Fronts are the addresses that callers use in turn.
-	Fronts []string
+	Workload Workload
+	// Addresses are the addresses that callers use in turn.
+	Addresses []string
 	// Dial opens connections; nil uses the network.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 	// Fault injects a fault. It may be nil if the workload has no faults.
@@ -61,16 +61,16 @@
 
 // Do executes the workload and returns the results that its callers observed.
 func (r *Run) Do(ctx context.Context) (Report, error) {
-	for range r.Fronts {
+	for range r.Addresses {
 		r.clients = append(r.clients, &http.Client{Transport: &http.Transport{DialContext: r.Dial, MaxIdleConnsPerHost: 64}})
 	}
 	r.start = time.Now()
 	var callers, senders sync.WaitGroup
-	for i := range r.Work.Classes {
-		senders.Go(func() { r.sendClass(ctx, &r.Work.Classes[i], uint64(i), &callers) })
+	for i := range r.Workload.Classes {
+		senders.Go(func() { r.sendClass(ctx, &r.Workload.Classes[i], uint64(i), &callers) })
 	}
-	faults := make(chan error, len(r.Work.Faults))
-	for _, f := range r.Work.Faults {
+	faults := make(chan error, len(r.Workload.Faults))
+	for _, f := range r.Workload.Faults {
 		senders.Go(func() { faults <- r.applyFault(ctx, f) })
 	}
 	done := make(chan struct{})
@@ -95,7 +95,7 @@
 // sendClass sends the requests of a class at random intervals with the mean
 // given by its rate.
 func (r *Run) sendClass(ctx context.Context, c *Class, n uint64, callers *sync.WaitGroup) {
-	random := rand.New(rand.NewPCG(r.Work.Seed, n))
+	random := rand.New(rand.NewPCG(r.Workload.Seed, n))
 	at := time.Duration(0)
 	for k := 0; ; k++ {
 		rate := c.Rate * r.rateFactor(c, at)
@@ -103,7 +103,7 @@
 			return
 		}
 		at += time.Duration(random.ExpFloat64() / rate * float64(time.Second))
-		if at > r.Work.Span || !feed.Sleep(ctx, time.Until(r.start.Add(at))) {
+		if at > r.Workload.Duration || !feed.Sleep(ctx, time.Until(r.start.Add(at))) {
 			return
 		}
 		id, sent := fmt.Sprintf("%s-%d", c.Name, k), at
@@ -115,9 +115,9 @@
 // given time.
 func (r *Run) rateFactor(c *Class, at time.Duration) float64 {
 	factor := 1.0
-	for _, b := range r.Work.Bursts {
+	for _, b := range r.Workload.Bursts {
 		if (b.Class == "" || b.Class == c.Name) && at >= b.At && at < b.At+b.For {
-			factor *= b.Times
+			factor *= b.Factor
 		}
 	}
 	return factor
@@ -157,7 +157,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.next++
-	return r.next % len(r.Fronts)
+	return r.next % len(r.Addresses)
 }
 
 // request sends one request. If it is refused, retryAfter is the time from its
@@ -169,7 +169,7 @@
 		tokens = fmt.Sprintf("%d,%d", c.Prompt, c.Answer)
 	}
 	n := r.nextFront()
-	req, err := stand.NewRequest(ctx, c.Method, "http://"+r.Fronts[n]+c.Path, id, tokens)
+	req, err := stand.NewRequest(ctx, c.Method, "http://"+r.Addresses[n]+c.Path, id, tokens)
 	if err != nil {
 		return a, 0
 	}
--- a/internal/fakes/drive/work.go
+++ b/internal/fakes/drive/work.go
@@ -18,13 +18,13 @@
 	"gopkg.in/ini.v1"
 )
 
-// ErrWork is returned for an invalid workload. The message lists all problems.
-var ErrWork = errors.New("drive: invalid workload")
+// ErrInvalidWorkload is returned for an invalid workload. The message lists all problems.
+var ErrInvalidWorkload = errors.New("drive: invalid workload")
 
-// Work is a workload: the requests to send and the faults to inject.
-type Work struct {
-	// Span is how long requests are sent.
-	Span time.Duration
+// Workload is a workload: the requests to send and the faults to inject.
+type Workload struct {
+	// Duration is how long requests are sent.
+	Duration time.Duration
 	// Instances is the number of router instances that a stand-in starts.
 	Instances int
 	// Seed determines the times at which requests are sent.
@@ -52,18 +52,18 @@
 	// Gap is the maximum time between events.
 	Gap      time.Duration
 	Deadline time.Duration
-	// Late is the value of an answer outside its target. An answer within its
+	// LateValue is the value of an answer outside its target. An answer within its
 	// target has the value 1.
-	Late float64
+	LateValue float64
 	// Retries is how often a caller repeats a refused request.
 	Retries int
 }
 
-// Burst multiplies request rates by Times for the duration For.
+// Burst multiplies request rates by Factor for the duration For.
 type Burst struct {
-	At    time.Duration
-	For   time.Duration
-	Times float64
+	At     time.Duration
+	For    time.Duration
+	Factor float64
 	// Class is the class whose rate changes; empty means all classes.
 	Class string
 }
@@ -74,8 +74,8 @@
 	Kind Kind
 	// Count is the number of affected engines.
 	Count int
-	// Times is the factor by which the engines or the pipes slow down.
-	Times float64
+	// Factor is the factor by which the engines or the pipes slow down.
+	Factor float64
 	// Zone is the data centre that fails.
 	Zone string
 }
@@ -86,35 +86,35 @@
 // The kinds of faults.
 const (
 	KindCrash Kind = "crash"
-	KindDark  Kind = "dark"
+	KindHang  Kind = "dark"
 	KindDrain Kind = "drain"
 	KindSlow  Kind = "slow"
 	KindZone  Kind = "zone"
 	KindPipe  Kind = "pipe"
 )
 
-var kinds = []Kind{KindCrash, KindDark, KindDrain, KindSlow, KindZone, KindPipe}
+var kinds = []Kind{KindCrash, KindHang, KindDrain, KindSlow, KindZone, KindPipe}
 
 // Parse reads a workload in INI form.
-func Parse(data []byte) (Work, error) {
+func Parse(data []byte) (Workload, error) {
 	file, err := ini.Load(data)
 	if err != nil {
-		return Work{}, errors.Wrap(ErrWork, err.Error())
+		return Workload{}, errors.Wrap(ErrInvalidWorkload, err.Error())
 	}
-	p := &parser{work: Work{Span: 30 * time.Second, Instances: 4, Seed: 1}}
+	p := &parser{work: Workload{Duration: 30 * time.Second, Instances: 4, Seed: 1}}
 	for _, s := range file.Sections() {
 		p.section(s)
 	}
 	p.checkReferences()
 	if len(p.problems) > 0 {
-		return Work{}, errors.Wrap(ErrWork, strings.Join(p.problems, "; "))
+		return Workload{}, errors.Wrap(ErrInvalidWorkload, strings.Join(p.problems, "; "))
 	}
 	return p.work, nil
 }
 
 // parser collects a workload and all problems of its file.
 type parser struct {
-	work     Work
+	work     Workload
 	problems []string
 }
 
@@ -129,7 +129,7 @@
 		p.checkKeys(s)
 	case "load":
 		p.checkKeys(s, "seconds", "instances", "seed")
-		p.work.Span = p.duration(s, "seconds", p.work.Span, time.Second)
+		p.work.Duration = p.duration(s, "seconds", p.work.Duration, time.Second)
 		p.work.Instances = int(p.number(s, "instances", 4, 1, 64))
 		p.work.Seed = uint64(p.number(s, "seed", 1, 0, 1e9))
 	case "class":
@@ -138,13 +138,13 @@
 		p.checkKeys(s, "at", "for", "times", "class")
 		p.work.Bursts = append(p.work.Bursts, Burst{
 			At: p.duration(s, "at", 0, 0), For: p.duration(s, "for", time.Second, time.Millisecond),
-			Times: p.number(s, "times", 2, 0, 100), Class: s.Key("class").String(),
+			Factor: p.number(s, "times", 2, 0, 100), Class: s.Key("class").String(),
 		})
 	case "fault":
 		p.checkKeys(s, "at", "kind", "count", "times", "zone")
 		p.work.Faults = append(p.work.Faults, Fault{
 			At: p.duration(s, "at", 0, 0), Kind: Kind(s.Key("kind").String()), Count: int(p.number(s, "count", 1, 1, 1000)),
-			Times: p.number(s, "times", 3, 1, 1000), Zone: s.Key("zone").String(),
+			Factor: p.number(s, "times", 3, 1, 1000), Zone: s.Key("zone").String(),
 		})
 	default:
 		p.addProblem("section [%s] is not known", s.Name())
@@ -157,8 +157,8 @@
 		Name: name, Method: s.Key("method").MustString("POST"), Key: s.Key("key").MustString(stand.TeamKey(1)), Path: s.Key("path").String(), Rate: p.number(s, "rate", 1, 0, 1e5),
 		Prompt: int(p.number(s, "prompt", 0, 0, 1e6)), Answer: int(p.number(s, "answer", 0, 0, 1e6)),
 		Target: p.duration(s, "target", 500*time.Millisecond, time.Millisecond), Gap: p.duration(s, "gap", 200*time.Millisecond, time.Millisecond),
-		Deadline: p.duration(s, "deadline", 20*time.Second, time.Millisecond),
-		Late:     p.number(s, "late", 0.5, 0, 1), Retries: int(p.number(s, "retries", 1, 0, 10)),
+		Deadline:  p.duration(s, "deadline", 20*time.Second, time.Millisecond),
+		LateValue: p.number(s, "late", 0.5, 0, 1), Retries: int(p.number(s, "retries", 1, 0, 10)),
 	}
 	if name == "" {
 		p.addProblem("[class] has no name")
--- a/internal/fakes/infra/server.go
+++ b/internal/fakes/infra/server.go
@@ -23,8 +23,8 @@
 	entries []store.ListedBody
 }
 
-// List replaces the platform's list of instances.
-func (s *Server) List(entries []store.ListedBody) {
+// SetEntries replaces the platform's list of instances.
+func (s *Server) SetEntries(entries []store.ListedBody) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.entries = append([]store.ListedBody(nil), entries...)
--- a/internal/fakes/infra/table.go
+++ b/internal/fakes/infra/table.go
@@ -31,23 +31,23 @@
 
 // Faults are the faults that a Table injects.
 type Faults struct {
-	// Down makes every call fail without effect.
-	Down bool
-	// Slow is the delay of every call.
-	Slow time.Duration
-	// Lose is how many commits take effect but lose their response.
-	Lose int
-	// Drop is how many commits get lost without effect and without a response.
-	Drop int
-	// Late is how many commits get no response and are kept until Land applies
-	// them.
-	Late int
-	// Stale makes reads return each row as it was before its last change.
-	Stale bool
-}
-
-// Fault replaces the faults that the table injects.
-func (t *Table) Fault(f Faults) {
+	// Unavailable makes every call fail without effect.
+	Unavailable bool
+	// Latency is the delay of every call.
+	Latency time.Duration
+	// LoseReplies is how many commits take effect but lose their response.
+	LoseReplies int
+	// DropCommits is how many commits get lost without effect and without a response.
+	DropCommits int
+	// DelayCommits is how many commits get no response and are kept until
+	// ApplyDelayed applies them.
+	DelayCommits int
+	// StaleReads makes reads return each row as it was before its last change.
+	StaleReads bool
+}
+
+// SetFaults replaces the faults that the table injects.
+func (t *Table) SetFaults(f Faults) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.faults = f
@@ -74,8 +74,8 @@
 	return t.calls
 }
 
-// Land applies the delayed commits whose conditions hold now and drops the others.
-func (t *Table) Land() {
+// ApplyDelayed applies the delayed commits whose conditions hold now and drops the others.
+func (t *Table) ApplyDelayed() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, writes := range t.delayed {
@@ -129,12 +129,12 @@
 		return 0, err
 	}
 	defer t.mu.Unlock()
-	if t.faults.Drop > 0 {
-		t.faults.Drop--
+	if t.faults.DropCommits > 0 {
+		t.faults.DropCommits--
 		return 0, store.ErrOutcomeUnknown
 	}
-	if t.faults.Late > 0 {
-		t.faults.Late--
+	if t.faults.DelayCommits > 0 {
+		t.faults.DelayCommits--
 		t.delayed = append(t.delayed, writes)
 		return 0, store.ErrOutcomeUnknown
 	}
@@ -142,8 +142,8 @@
 		return 0, store.ErrConflict
 	}
 	t.apply(writes)
-	if t.faults.Lose > 0 {
-		t.faults.Lose--
+	if t.faults.LoseReplies > 0 {
+		t.faults.LoseReplies--
 		return 0, store.ErrOutcomeUnknown
 	}
 	return t.version, nil
@@ -186,7 +186,7 @@
 }
 
 func (t *Table) visibleRows() map[string]store.Row {
-	if t.faults.Stale {
+	if t.faults.StaleReads {
 		return t.previous
 	}
 	return t.rows
@@ -196,14 +196,14 @@
 // returns an error, the lock is not held.
 func (t *Table) begin(ctx context.Context) error {
 	t.mu.Lock()
-	delay := t.faults.Slow
+	delay := t.faults.Latency
 	t.calls++
 	t.mu.Unlock()
 	if err := sleep(ctx, delay); err != nil {
 		return err
 	}
 	t.mu.Lock()
-	if t.faults.Down {
+	if t.faults.Unavailable {
 		t.mu.Unlock()
 		return store.ErrUnavailable
 	}
--- a/internal/fakes/layer/layer.go
+++ b/internal/fakes/layer/layer.go
@@ -97,9 +97,9 @@
 // Word returns the text of a token.
 func Word(token uint32) string { return "w" + strconv.Itoa(int(token)) + " " }
 
-// Whole runs the whole model of depth layers, as the reference for tests. It returns
+// Generate runs the whole model of depth layers, as the reference for tests. It returns
 // the tokens after the prompt, at most limit, without the token that ends an answer.
-func Whole(text string, depth, limit int) []uint32 {
+func Generate(text string, depth, limit int) []uint32 {
 	s := NewState(0, depth)
 	var hidden uint64
 	for _, t := range Split(text) {
--- a/internal/fakes/stage/cache.go
+++ b/internal/fakes/stage/cache.go
@@ -95,7 +95,7 @@
 			break
 		}
 		out.Seq = entry.event.Seq
-		if e.Gap == nil || !e.Gap(entry.event.Seq) {
+		if e.SkipEvent == nil || !e.SkipEvent(entry.event.Seq) {
 			out.Events = append(out.Events, entry.event)
 		}
 	}
--- a/internal/fakes/stage/link.go
+++ b/internal/fakes/stage/link.go
@@ -106,10 +106,10 @@
 // arrivalTime returns when a frame of the given size that is sent now reaches
 // the other end. It returns the zero time if the link has no delay.
 func (e *Engine) arrivalTime(bytes int) time.Time {
-	if e.Link == 0 && e.Bandwidth == 0 {
+	if e.HopTime == 0 && e.Bandwidth == 0 {
 		return time.Time{}
 	}
-	delay := e.Link
+	delay := e.HopTime
 	if e.Bandwidth > 0 {
 		delay += time.Duration(float64(bytes) / float64(e.Bandwidth) * float64(time.Second))
 	}
@@ -176,7 +176,7 @@
 		_ = l.ws.Close()
 		return
 	case FaultDelay:
-		time.AfterFunc(e.Late, func() { e.queueReply(l, r) })
+		time.AfterFunc(e.ReplyDelay, func() { e.queueReply(l, r) })
 		return
 	case FaultDouble:
 		e.queueReply(l, r)
--- a/internal/fakes/stage/order.go
+++ b/internal/fakes/stage/order.go
@@ -10,9 +10,9 @@
 	"fulmarwick/internal/base/frame"
 )
 
-// Weights is a weight store shared by several engines. It serves Rate layers
+// WeightStore is a weight store shared by several engines. It serves Rate layers
 // per second in total.
-type Weights struct {
+type WeightStore struct {
 	Rate float64
 
 	mu     sync.Mutex
@@ -21,7 +21,7 @@
 
 // reserve queues the transfer of a number of layers and returns the time until
 // it completes.
-func (w *Weights) reserve(count int) time.Duration {
+func (w *WeightStore) reserve(count int) time.Duration {
 	if w == nil || w.Rate <= 0 || count == 0 {
 		return 0
 	}
@@ -66,8 +66,8 @@
 
 // loadWeights loads the wanted ranges after the delay of the weight store,
 // unless a later order or a crash happens first.
-func (e *Engine) loadWeights(want []frame.Hold, order, epoch uint64) {
-	delay := e.Store.reserve(layerCount(want) - layerCount(e.loaded))
+func (e *Engine) loadWeights(want []frame.LoadedLayers, order, epoch uint64) {
+	delay := e.WeightStore.reserve(layerCount(want) - layerCount(e.loaded))
 	if delay == 0 {
 		e.loaded = slices.Clone(want)
 		return
@@ -82,8 +82,8 @@
 }
 
 // intersect returns the parts of want that are already loaded.
-func intersect(loaded, want []frame.Hold) []frame.Hold {
-	var out []frame.Hold
+func intersect(loaded, want []frame.LoadedLayers) []frame.LoadedLayers {
+	var out []frame.LoadedLayers
 	for _, w := range want {
 		for _, h := range loaded {
 			if h.Model != w.Model || h.Version != w.Version {
@@ -99,7 +99,7 @@
 	return out
 }
 
-func layerCount(holds []frame.Hold) int {
+func layerCount(holds []frame.LoadedLayers) int {
 	n := 0
 	for _, h := range holds {
 		n += h.To - h.From
--- a/internal/fakes/stage/queue.go
+++ b/internal/fakes/stage/queue.go
@@ -68,8 +68,8 @@
 		e.cancel(s)
 		return
 	}
-	if s.Seq == 1 && e.Traced != nil {
-		e.Traced(s.Trace)
+	if s.Seq == 1 && e.OnFirstStep != nil {
+		e.OnFirstStep(s.Trace)
 	}
 	if s.From == 0 && s.Seq == 1 {
 		e.cache.addPrompt(s.Text, e.Cache)
@@ -134,8 +134,8 @@
 // ends or more urgent work waits.
 func (e *Engine) runWork(w *work) {
 	for {
-		if e.Layer > 0 {
-			time.Sleep(e.Layer * time.Duration(max(0, w.step.To-w.step.From)))
+		if e.LayerTime > 0 {
+			time.Sleep(e.LayerTime * time.Duration(max(0, w.step.To-w.step.From)))
 		}
 		s := w.step
 		r, more := e.apply(w)
--- a/internal/fakes/stage/stage.go
+++ b/internal/fakes/stage/stage.go
@@ -29,51 +29,51 @@
 	Kind       string
 	Role       string
 	// Holds are the ranges loaded at start. Orders change them later.
-	Holds []frame.Hold
-	// Layer is the time that one layer takes for a step; zero means none.
-	Layer time.Duration
+	Holds []frame.LoadedLayers
+	// LayerTime is the time that one layer takes for a step; zero means none.
+	LayerTime time.Duration
 	// Slots is how many steps run concurrently; zero means one.
 	Slots int
 	// Memory is the capacity for weights in layers; zero means unlimited.
 	Memory int
 	// Cache is the capacity of the prefix cache in prompt blocks.
 	Cache int
-	// Link is the time of one hop.
-	Link time.Duration
+	// HopTime is the time of one hop.
+	HopTime time.Duration
 	// Bandwidth is the bandwidth of the link in bytes per second; zero means
 	// unlimited.
 	Bandwidth int64
 	// Fenced makes the engine refuse orders with an old fencing number. Other
 	// engines accept any order.
 	Fenced bool
-	// Store limits how fast weights load; nil means they load at once.
-	Store *Weights
-	// Lag is how old the load in a report may be.
-	Lag time.Duration
+	// WeightStore limits how fast weights load; nil means they load at once.
+	WeightStore *WeightStore
+	// ReportLag is how old the load in a report may be.
+	ReportLag time.Duration
 	// EventLag is how long cache events are held back.
 	EventLag time.Duration
-	// Gap, if set, selects cache events that are never sent.
-	Gap func(seq uint64) bool
+	// SkipEvent, if set, selects cache events that are never sent.
+	SkipEvent func(seq uint64) bool
 	// Grace is how long a state is kept after its connection breaks; zero
 	// means 5 s.
 	Grace time.Duration
 	// Idle is how long an unused state is kept; zero means forever.
 	Idle time.Duration
-	// Traced, if set, is called with the traceparent of each state's first
-	// step.
-	Traced func(traceparent string)
+	// OnFirstStep, if set, is called with the traceparent of each state's
+	// first step.
+	OnFirstStep func(traceparent string)
 	// Poison is a word that kills the engine if a prompt contains it; "" means
 	// none.
 	Poison string
 	// Faults, if set, selects the fault injected into the reply of a step.
 	Faults func(*frame.Step) Fault
-	// Late is the delay of FaultDelay.
-	Late time.Duration
+	// ReplyDelay is the delay of FaultDelay.
+	ReplyDelay time.Duration
 
 	once       sync.Once
 	mu         sync.Mutex
 	epoch      uint64
-	loaded     []frame.Hold
+	loaded     []frame.LoadedLayers
 	fence      uint64
 	orderCount uint64
 	role       string
@@ -190,14 +190,14 @@
 	writeJSON(w, e.Report())
 }
 
-// Report returns the engine's current report. Its load figures are up to Lag
-// old.
+// Report returns the engine's current report. Its load figures are up to
+// ReportLag old.
 func (e *Engine) Report() frame.Engine {
 	e.init()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.expire()
-	if now := time.Now(); e.load.at.IsZero() || now.Sub(e.load.at) >= e.Lag {
+	if now := time.Now(); e.load.at.IsZero() || now.Sub(e.load.at) >= e.ReportLag {
 		e.load = load{at: now, active: e.running, queued: len(e.waiting)}
 	}
 	e.seq++
@@ -207,11 +207,11 @@
 	}
 	return frame.Engine{
 		Name: e.Name, DataCentre: e.DataCentre, Kind: e.Kind, Role: e.role,
-		Holds: slices.Clone(e.loaded), Layer: int64(e.Layer), Slots: max(1, e.Slots),
+		Holds: slices.Clone(e.loaded), Layer: int64(e.LayerTime), Slots: max(1, e.Slots),
 		Memory: e.Memory, Cache: e.Cache, Cached: len(e.cache.blocks),
 		Fenced: e.Fenced, Fence: e.fence, State: state, Incarnation: e.epoch, Seq: e.seq,
 		Active: e.load.active, Queued: e.load.queued,
-		Link: e.Link.Microseconds(), Bandwidth: e.Bandwidth,
+		Link: e.HopTime.Microseconds(), Bandwidth: e.Bandwidth,
 	}
 }
 
--- a/internal/fakes/stage/state.go
+++ b/internal/fakes/stage/state.go
@@ -157,7 +157,7 @@
 		return nil, frame.CodeGap
 	}
 	if e.leaving.Load() {
-		return nil, frame.CodeLeave
+		return nil, frame.CodeLeaving
 	}
 	depth, ok := e.findLoaded(s.Model, s.From, s.To)
 	if !ok {
@@ -220,5 +220,5 @@
 }
 
 func failure(s *frame.Step, code frame.Code, why string) *frame.Reply {
-	return &frame.Reply{Req: s.Req, Try: s.Try, Seq: s.Seq, From: s.From, Code: code, Why: why}
+	return &frame.Reply{Req: s.Req, Try: s.Try, Seq: s.Seq, From: s.From, Code: code, Reason: why}
 }
--- a/internal/fakes/trial/bench_test.go
+++ b/internal/fakes/trial/bench_test.go
@@ -139,7 +139,7 @@
 	engine := httptest.NewServer((&clock.Engine{}).Handler())
 	b.Cleanup(engine.Close)
 	platform := &infra.Server{Table: &infra.Table{}}
-	platform.List([]store.ListedBody{{ID: "clock", Role: store.RoleEngine, URL: engine.URL, DataCentre: "klang", State: frame.StateLive}})
+	platform.SetEntries([]store.ListedBody{{ID: "clock", Role: store.RoleEngine, URL: engine.URL, DataCentre: "klang", State: frame.StateLive}})
 	table := httptest.NewServer(platform.Handler())
 	b.Cleanup(table.Close)
 	callers, operators := startProcess(b, routerVariable+"="+table.URL)
--- a/internal/fakes/trial/trial.go
+++ b/internal/fakes/trial/trial.go
@@ -57,8 +57,8 @@
 
 // Site is a running set of stand-ins. Set the exported fields before Start.
 type Site struct {
-	// Layer is how long the fastest engines take to run one layer.
-	Layer time.Duration
+	// LayerTime is how long the fastest engines take to run one layer.
+	LayerTime time.Duration
 	// Copies is the number of copies of each of the six engines; zero means one.
 	Copies int
 	// Poison is a word that crashes every engine that runs a prompt with it; ""
@@ -89,7 +89,7 @@
 // Start serves all stand-ins on free loopback ports and applies the configuration.
 func (s *Site) Start(ctx context.Context) error {
 	s.server = &infra.Server{Table: &infra.Table{}}
-	s.engines = newEngines(s.Layer, max(1, s.Copies))
+	s.engines = newEngines(s.LayerTime, max(1, s.Copies))
 	for _, e := range s.engines {
 		e.Poison = s.Poison
 		if err := s.addUpstream(ctx, e.Name, store.RoleEngine, "", e.Handler()); err != nil {
@@ -105,7 +105,7 @@
 		return err
 	}
 	s.url = url
-	s.server.List(s.entries)
+	s.server.SetEntries(s.entries)
 	team := "\n[team trial]\nkey-hash = " + string(config.HashKey(Key)) + "\n"
 	return Apply(ctx, s.server.Table, configuration+team)
 }
@@ -132,7 +132,7 @@
 		}
 	}
 	s.entries = append(s.entries, entry)
-	s.server.List(s.entries)
+	s.server.SetEntries(s.entries)
 }
 
 // Unlist removes the entry with this ID from the platform's list of instances.
@@ -145,7 +145,7 @@
 			break
 		}
 	}
-	s.server.List(s.entries)
+	s.server.SetEntries(s.entries)
 }
 
 // Close stops all stand-ins.
@@ -177,10 +177,10 @@
 			if c > 0 {
 				name += "-" + strconv.Itoa(c+1)
 			}
-			held := frame.Hold{Model: Model, Version: "1", Depth: Depth, From: r.from, To: r.to}
+			held := frame.LoadedLayers{Model: Model, Version: "1", Depth: Depth, From: r.from, To: r.to}
 			out = append(out, &stage.Engine{
-				Name: name, DataCentre: Centre, Kind: r.kind, Holds: []frame.Hold{held},
-				Layer: layerTime * r.slowdown, Slots: 16,
+				Name: name, DataCentre: Centre, Kind: r.kind, Holds: []frame.LoadedLayers{held},
+				LayerTime: layerTime * r.slowdown, Slots: 16,
 			})
 		}
 	}
--- a/internal/fleet/gossip/store.go
+++ b/internal/fleet/gossip/store.go
@@ -145,7 +145,7 @@
 		e := &b.Items[i]
 		item := news.Item{
 			Kind: e.Kind, Key: e.Key, Origin: string(b.Origin), Stamp: e.Stamp,
-			Scope: b.Scope, Life: e.TTLMs, Body: e.Body,
+			Scope: b.Scope, TTL: e.TTLMs, Body: e.Body,
 		}
 		if e.Stamp > st.watermark && s.put(now, st, item) {
 			newItems = append(newItems, item)
@@ -190,7 +190,7 @@
 		s.refusedCount++
 		return false
 	}
-	life := time.Duration(item.Life) * time.Millisecond
+	life := time.Duration(item.TTL) * time.Millisecond
 	e := &entry{item: item, stream: st, expiresAt: now + life, refreshAt: now + life/2}
 	at, _ := slices.BinarySearchFunc(st.items, item.Stamp, func(e *entry, stamp uint64) int {
 		return cmp.Compare(e.item.Stamp, stamp)
--- a/internal/fleet/gossip/store_test.go
+++ b/internal/fleet/gossip/store_test.go
@@ -24,7 +24,7 @@
 	for i := range body {
 		body[i] = fill
 	}
-	return news.Item{Kind: kind, Key: key, Scope: news.ScopeCentre, Life: 60_000, Body: body}
+	return news.Item{Kind: kind, Key: key, Scope: news.ScopeCentre, TTL: 60_000, Body: body}
 }
 
 // syncStores sends b what it lacks of a, in at most limit bytes.
--- a/internal/fleet/node/api.go
+++ b/internal/fleet/node/api.go
@@ -56,8 +56,8 @@
 // Stamp. Items of KindLoad and KindRate are not sent as they are: they are
 // added to the values of the other instances, and the totals come back as
 // PeerEngineLoad and TeamUsage. An item that is still valid must be published
-// again before its Life is over; publishing it unchanged costs nothing in the
-// first half of its Life.
+// again before its TTL is over; publishing it unchanged costs nothing in the
+// first half of its TTL.
 type Publish struct {
 	Item news.Item
 }
--- a/internal/fleet/node/bench_test.go
+++ b/internal/fleet/node/bench_test.go
@@ -35,8 +35,8 @@
 		}
 		for _, e := range x.watch.Primary {
 			seq := uint64(f.now / time.Second)
-			f.publishFor(x, news.KindLevel, string(e), news.ScopeCentre, 5, news.Level{
-				Born: 1700000000, Seq: seq, Queued: rand.IntN(20), Active: rand.IntN(16), Cached: rand.IntN(100000),
+			f.publishFor(x, news.KindLevel, string(e), news.ScopeCentre, 5, news.LoadLevel{
+				Incarnation: 1700000000, Seq: seq, Queued: rand.IntN(20), Active: rand.IntN(16), Cached: rand.IntN(100000),
 			})
 			f.publishFor(x, news.KindReport, string(e), news.ScopeCentre, 300, news.Report{
 				Engine: string(e), URL: "http://10.0.0.1:9000", Data: make([]byte, 450),
@@ -49,7 +49,7 @@
 			f.publishFor(x, news.KindRate, "t", news.ScopeFleet, 5, news.Rate{Team: teamName(t), Rate: teamRate(t) * (0.9 + 0.2*rand.Float64())})
 		}
 		for m := range 5 {
-			f.publishFor(x, news.KindSum, fmt.Sprintf("m%d", m), news.ScopeFleet, 10, news.Sum{DataCentre: string(x.self.DataCentre), Model: fmt.Sprintf("m%d", m), Free: rand.Float64()})
+			f.publishFor(x, news.KindSum, fmt.Sprintf("m%d", m), news.ScopeFleet, 10, news.FreeCapacity{DataCentre: string(x.self.DataCentre), Model: fmt.Sprintf("m%d", m), Free: rand.Float64()})
 		}
 	}
 }
@@ -60,7 +60,7 @@
 func teamRate(t int) float64 { return 1000 / float64(1+t) }
 
 func (f *fleet) publishFor(x *instance, kind news.Kind, key string, scope news.Scope, life int64, body any) {
-	item, err := news.Make(kind, key, scope, life*1000, body)
+	item, err := news.New(kind, key, scope, life*1000, body)
 	if err != nil {
 		f.t.Fatal(err)
 	}
--- a/internal/fleet/node/helpers_test.go
+++ b/internal/fleet/node/helpers_test.go
@@ -36,7 +36,7 @@
 
 func (f *fleet) publish(x *instance, kind news.Kind, key string, scope news.Scope, body any) string {
 	f.t.Helper()
-	item, err := news.Make(kind, key, scope, 60_000, body)
+	item, err := news.New(kind, key, scope, 60_000, body)
 	if err != nil {
 		f.t.Fatal(err)
 	}
--- a/internal/fleet/node/join_test.go
+++ b/internal/fleet/node/join_test.go
@@ -83,7 +83,7 @@
 	f.settle()
 	var items []string
 	for i := range 300 {
-		items = append(items, f.publish(f.instances[i%7], news.KindPrint, fmt.Sprintf("p%d", i), news.ScopeFleet, news.Print{Print: uint64(i), Crashes: 1}))
+		items = append(items, f.publish(f.instances[i%7], news.KindPrint, fmt.Sprintf("p%d", i), news.ScopeFleet, news.Fingerprint{Fingerprint: uint64(i), Crashes: 1}))
 	}
 	f.run(5 * time.Second)
 	before := f.dutyHolders(anyInstance)
--- a/internal/fleet/node/remote.go
+++ b/internal/fleet/node/remote.go
@@ -186,7 +186,7 @@
 	}
 	c.cutOff = cutOff
 	c.reportedAt = l.now
-	item, err := news.Make(news.KindReach, string(c.centre), news.ScopeCentre, reachabilityTTL.Milliseconds(), news.Reach{Cut: cutOff})
+	item, err := news.New(news.KindReach, string(c.centre), news.ScopeCentre, reachabilityTTL.Milliseconds(), news.Reachability{Unreachable: cutOff})
 	if err != nil {
 		return
 	}
@@ -201,8 +201,8 @@
 	}
 	for _, id := range l.remoteCentres.gateways {
 		item, ok := l.items.Get(news.KindReach, id, string(centre))
-		var report news.Reach
-		if !ok || news.Decode(item, &report) != nil || !report.Cut {
+		var report news.Reachability
+		if !ok || news.Decode(item, &report) != nil || !report.Unreachable {
 			return true
 		}
 	}
--- a/internal/fleet/node/sums.go
+++ b/internal/fleet/node/sums.go
@@ -14,7 +14,7 @@
 
 func (l *Logic) publishLoads(name string, in func(spec.UpstreamID) bool) {
 	body := news.Loads{Sums: l.shares.aggregator.Loads(in)}
-	item, err := news.Make(news.KindLoads, name, news.ScopeCentre, loadsTTL.Milliseconds(), body)
+	item, err := news.New(news.KindLoads, name, news.ScopeCentre, loadsTTL.Milliseconds(), body)
 	if err != nil {
 		return
 	}
@@ -49,7 +49,7 @@
 
 func (l *Logic) publishRates() {
 	body := news.Rates{Sums: l.shares.aggregator.Rates()}
-	item, err := news.Make(news.KindRates, string(l.Local.DataCentre), news.ScopeFleet, ratesTTL.Milliseconds(), body)
+	item, err := news.New(news.KindRates, string(l.Local.DataCentre), news.ScopeFleet, ratesTTL.Milliseconds(), body)
 	if err != nil {
 		return
 	}
@@ -61,7 +61,7 @@
 func (l *Logic) handleRates(item news.Item) {
 	var body news.Rates
 	if news.Decode(item, &body) == nil {
-		l.shares.fleet.SetCentreRates(l.now, item.Key, time.Duration(item.Life)*time.Millisecond, body.Sums)
+		l.shares.fleet.SetCentreRates(l.now, item.Key, time.Duration(item.TTL)*time.Millisecond, body.Sums)
 	}
 }
 
--- a/internal/fleet/node/usage_test.go
+++ b/internal/fleet/node/usage_test.go
@@ -34,7 +34,7 @@
 			case 1:
 				f.start(other)
 			case 2:
-				f.publish(other, news.KindPrint, "p", news.ScopeFleet, news.Print{Print: uint64(f.now)})
+				f.publish(other, news.KindPrint, "p", news.ScopeFleet, news.Fingerprint{Fingerprint: uint64(f.now)})
 			case 3:
 				x.events = append(x.events, node.TokensUsed{Team: "t", Tokens: 50}, node.ConnectionLost{Peer: other.self.ID})
 			}
--- a/internal/route/admit/margin.go
+++ b/internal/route/admit/margin.go
@@ -76,9 +76,9 @@
 	return max(1, int(c.lengthShare*float64(limit)))
 }
 
-// KeepClasses discards what was learned for classes that are not in the current
+// RetainClasses discards what was learned for classes that are not in the current
 // configuration.
-func (m *Margins) KeepClasses(classes []spec.Class) {
+func (m *Margins) RetainClasses(classes []spec.Class) {
 	kept := map[spec.ClassName]*classStats{}
 	for _, c := range classes {
 		if r := m.classes[c.Name()]; r != nil {
--- a/internal/route/core/core.go
+++ b/internal/route/core/core.go
@@ -136,7 +136,7 @@
 		if ev.Version >= state.Version() {
 			l.retryBudget.RetainClasses(ev.Classes)
 			l.timeouts.RetainClasses(ev.Classes)
-			l.margins.KeepClasses(ev.Classes)
+			l.margins.RetainClasses(ev.Classes)
 		}
 	}
 	state.Apply(ev)
--- a/internal/route/domain/request.go
+++ b/internal/route/domain/request.go
@@ -121,8 +121,8 @@
 // again since.
 func (r *Request) AwaitsRestart() bool { return r.awaitsRestart }
 
-// Avoids reports whether the engine failed while running this request.
-func (r *Request) Avoids(id spec.UpstreamID) bool {
+// FailedOn reports whether the engine failed while running this request.
+func (r *Request) FailedOn(id spec.UpstreamID) bool {
 	for _, failed := range r.failedEngines {
 		if failed == id {
 			return true
--- a/internal/route/pick/pick.go
+++ b/internal/route/pick/pick.go
@@ -109,7 +109,7 @@
 	var out []candidate
 	for _, s := range c.r.Chain() {
 		e := c.w.Engines().Get(s.Engine())
-		if e == nil || e.State() == domain.StateDead || c.r.Avoids(e.ID) {
+		if e == nil || e.State() == domain.StateDead || c.r.FailedOn(e.ID) {
 			continue
 		}
 		if h, ok := e.FindLoaded(m.Name(), m.Version(), s.Layers()); ok {
@@ -175,7 +175,7 @@
 }
 
 func (c *selection) usable(e *domain.Engine) bool {
-	if !e.Usable(c.w.Now()) || c.r.Avoids(e.ID) {
+	if !e.Usable(c.w.Now()) || c.r.FailedOn(e.ID) {
 		return false
 	}
 	return c.query.AllowsSuspect == nil || c.query.AllowsSuspect(e.ID)
--- a/internal/state/config/check.go
+++ b/internal/state/config/check.go
@@ -38,7 +38,7 @@
 	hashes := map[string]string{}
 	for _, i := range c.proposed.items() {
 		c.checkItem(i)
-		if i.Sort != SortTeam {
+		if i.Sort != ItemTeam {
 			continue
 		}
 		if other, ok := hashes[i.KeyHash]; ok {
@@ -53,7 +53,7 @@
 	if _, ok := c.proposed.rows[i.key()]; !ok && !c.offline {
 		c.addProblem(i, fmt.Sprintf("unknown %s cannot be removed", i.Sort))
 	}
-	if i.Sort != SortTeam || uses == nil {
+	if i.Sort != ItemTeam || uses == nil {
 		return
 	}
 	if reason, used := uses(i.Name); used {
@@ -63,11 +63,11 @@
 
 func (c *checker) checkItem(i *item) {
 	switch i.Sort {
-	case SortClass:
+	case ItemClass:
 		c.checkClass(i)
-	case SortTeam:
+	case ItemTeam:
 		c.checkTeam(i)
-	case SortModel:
+	case ItemModel:
 		c.checkModel(i)
 	}
 }
@@ -76,7 +76,7 @@
 	c.checkUpstream(i)
 	c.checkTarget(i)
 	for _, name := range i.Teams {
-		h, known := c.proposed.rows[rowKey(SortTeam, name)]
+		h, known := c.proposed.rows[rowKey(ItemTeam, name)]
 		switch {
 		case !known && !c.offline:
 			c.addProblem(i, "names the unknown team "+name)
@@ -144,7 +144,7 @@
 	if i.DefaultClass == "" {
 		return
 	}
-	class, ok := c.proposed.item(SortClass, i.DefaultClass)
+	class, ok := c.proposed.item(ItemClass, i.DefaultClass)
 	switch {
 	case !ok && c.offline:
 	case !ok:
--- a/internal/state/config/config_test.go
+++ b/internal/state/config/config_test.go
@@ -214,15 +214,15 @@
 		faults infra.Faults
 		want   uint64
 	}{
-		{"lost after the effect", infra.Faults{Lose: 1}, 2},
-		{"lost before the effect", infra.Faults{Drop: 2}, 2},
-		{"lost before and after the effect", infra.Faults{Drop: 1, Lose: 1}, 2},
+		{"lost after the effect", infra.Faults{LoseReplies: 1}, 2},
+		{"lost before the effect", infra.Faults{DropCommits: 2}, 2},
+		{"lost before and after the effect", infra.Faults{DropCommits: 1, LoseReplies: 1}, 2},
 	}
 	for _, c := range cases {
 		synctest.Test(t, func(t *testing.T) {
 			table := &infra.Table{}
 			mustApply(t, table, classDocument("one", "1s"))
-			table.Fault(c.faults)
+			table.SetFaults(c.faults)
 			if got := mustApply(t, table, classDocument("one", "2s")); got != c.want {
 				t.Errorf("%s: got version %d, want %d", c.name, got, c.want)
 			}
@@ -235,13 +235,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		table := &infra.Table{}
 		race := &interferingTable{Table: table}
-		race.beforeCommit = func() { table.Fault(infra.Faults{Drop: 100}) }
+		race.beforeCommit = func() { table.SetFaults(infra.Faults{DropCommits: 100}) }
 		_, err := (&config.Applier{Table: race}).Apply(t.Context(), config.Change{Documents: classDocument("one", "1s"), ID: "c1"})
 		var unknown *config.OutcomeUnknownError
 		if !errors.As(err, &unknown) || unknown.ChangeID != "c1" {
 			t.Errorf("got %v, want an OutcomeUnknownError with the ID of the change", err)
 		}
-		table.Fault(infra.Faults{Down: true})
+		table.SetFaults(infra.Faults{Unavailable: true})
 		if _, err := (&config.Applier{Table: table}).Apply(t.Context(), config.Change{}); !errors.Is(err, config.ErrStoreUnavailable) {
 			t.Errorf("got %v with the table down, want ErrStoreUnavailable", err)
 		}
@@ -260,7 +260,7 @@
 	f := &config.Follower{Table: table, Active: &config.Active{}}
 	mustPoll(t, f)
 
-	table.Fault(infra.Faults{Stale: true})
+	table.SetFaults(infra.Faults{StaleReads: true})
 	mustPoll(t, f)
 	if err := f.ApplyPeerSnapshot(oldPeer); err != nil {
 		t.Errorf("got %v from an outdated peer, want no error", err)
@@ -277,7 +277,7 @@
 	if restarted.Ready() {
 		t.Errorf("got ready at version %d, want not before version 2", restarted.Version())
 	}
-	table.Fault(infra.Faults{})
+	table.SetFaults(infra.Faults{})
 	mustPoll(t, restarted)
 	if got := totalTime(restarted.Active, "one"); got != 2*time.Second || !restarted.Ready() {
 		t.Errorf("got %v, ready %v, want 2s and ready", got, restarted.Ready())
@@ -352,7 +352,7 @@
 		snaps = append(snaps, first.Active.Snapshot().Encode())
 	}
 	snaps[1], snaps[2] = snaps[2], snaps[1]
-	table.Fault(infra.Faults{Down: true})
+	table.SetFaults(infra.Faults{Unavailable: true})
 	alone := &config.Follower{Table: table, Active: &config.Active{}}
 	if err := alone.Poll(t.Context()); !errors.Is(err, config.ErrStoreUnavailable) || alone.Ready() {
 		t.Errorf("got %v and ready %v without table and peers, want ErrStoreUnavailable and not ready", err, alone.Ready())
@@ -363,7 +363,7 @@
 	if joined.Version() != 3 || !joined.Ready() || len(seen) != 2 {
 		t.Errorf("got version %d, ready %v, changes %v; want 3 after 1", joined.Version(), joined.Ready(), seen)
 	}
-	table.Fault(infra.Faults{})
+	table.SetFaults(infra.Faults{})
 	mustApply(t, table, classDocument("two", "1s"))
 	readsBefore, _ := table.Counts()
 	mustPoll(t, joined)
--- a/internal/state/config/history.go
+++ b/internal/state/config/history.go
@@ -89,15 +89,15 @@
 
 func (i *item) write(b *strings.Builder) {
 	switch i.Sort {
-	case SortClass:
+	case ItemClass:
 		i.writeClass(b)
-	case SortTeam:
+	case ItemTeam:
 		writeKey(b, "key-hash", i.KeyHash, i.KeyHash != "")
 		writeKey(b, "share", i.Share, true)
 		writeKey(b, "limit", i.RateLimit, i.RateLimit > 0)
-	case SortService:
+	case ItemService:
 		writeKey(b, "outcomes", "yes", i.Outcomes)
-	case SortModel:
+	case ItemModel:
 		writeKey(b, "default", i.DefaultClass, i.DefaultClass != "")
 	}
 }
--- a/internal/state/config/item.go
+++ b/internal/state/config/item.go
@@ -10,17 +10,17 @@
 	"github.com/go-faster/errors"
 )
 
-//go:generate stringer -type=Sort -linecomment -output=sort_string.go
+//go:generate stringer -type=ItemKind -linecomment -output=itemkind_string.go
 
-// Sort is the kind of item that a document section or a row defines.
-type Sort int
+// ItemKind is the kind of item that a document section or a row defines.
+type ItemKind int
 
 // The kinds of item.
 const (
-	SortClass   Sort = iota // class
-	SortTeam                // team
-	SortService             // service
-	SortModel               // model
+	ItemClass   ItemKind = iota // class
+	ItemTeam                    // team
+	ItemService                 // service
+	ItemModel                   // model
 )
 
 // The keys of the rows. The history is outside the prefix that followers read.
@@ -34,9 +34,9 @@
 // for the codec. The row of a removed item is kept with Deleted set, so that followers
 // that read only changed rows see the removal.
 type item struct {
-	Sort    Sort   `cbor:"1,keyasint"`
-	Name    string `cbor:"2,keyasint"`
-	Deleted bool   `cbor:"3,keyasint,omitempty"`
+	Sort    ItemKind `cbor:"1,keyasint"`
+	Name    string   `cbor:"2,keyasint"`
+	Deleted bool     `cbor:"3,keyasint,omitempty"`
 
 	Kind        spec.Kind     `cbor:"4,keyasint,omitempty"`
 	Model       string        `cbor:"5,keyasint,omitempty"`
@@ -71,7 +71,7 @@
 	Digest uint64 `cbor:"3,keyasint"`
 }
 
-func rowKey(s Sort, name string) string { return rowPrefix + s.String() + "/" + name }
+func rowKey(s ItemKind, name string) string { return rowPrefix + s.String() + "/" + name }
 
 func (i *item) key() string { return rowKey(i.Sort, i.Name) }
 
--- a/internal/state/config/parse.go
+++ b/internal/state/config/parse.go
@@ -86,7 +86,7 @@
 	p.changes = append(p.changes, sectionChange{item: i, file: p.file})
 }
 
-var sortByName = map[string]Sort{"class": SortClass, "team": SortTeam, "service": SortService, "model": SortModel}
+var sortByName = map[string]ItemKind{"class": ItemClass, "team": ItemTeam, "service": ItemService, "model": ItemModel}
 
 func (p *parser) addProblem(section, reason string) {
 	p.problems = append(p.problems, Problem{File: p.file, Section: section, Reason: reason})
@@ -101,15 +101,15 @@
 
 func (r *sectionReader) readItem(i *item) {
 	switch i.Sort {
-	case SortClass:
+	case ItemClass:
 		r.readClass(i)
-	case SortTeam:
+	case ItemTeam:
 		i.KeyHash = strings.ToLower(r.stringValue("key-hash"))
 		i.Share = r.numberValue("share", 1)
 		i.RateLimit = r.numberValue("limit", 0)
-	case SortService:
+	case ItemService:
 		i.Outcomes = r.boolValue("outcomes")
-	case SortModel:
+	case ItemModel:
 		i.DefaultClass = r.stringValue("default")
 	}
 }
--- a/internal/state/config/rollout_test.go
+++ b/internal/state/config/rollout_test.go
@@ -166,16 +166,16 @@
 	for i, s := range script {
 		go func() {
 			time.Sleep(time.Duration(s[0]*2) * time.Millisecond)
-			f := infra.Faults{Slow: time.Duration(s[1]) * time.Millisecond}
+			f := infra.Faults{Latency: time.Duration(s[1]) * time.Millisecond}
 			switch s[2] {
 			case 0:
-				f.Lose = 1
+				f.LoseReplies = 1
 			case 1:
-				f.Drop = 1
+				f.DropCommits = 1
 			case 2:
-				f.Late = 1
+				f.DelayCommits = 1
 			}
-			table.Fault(f)
+			table.SetFaults(f)
 			tries[i] = runOperator(t, table, i, s[3]%3)
 			done <- struct{}{}
 		}()
@@ -183,8 +183,8 @@
 	for range script {
 		<-done
 	}
-	table.Fault(infra.Faults{})
-	table.Land()
+	table.SetFaults(infra.Faults{})
+	table.ApplyDelayed()
 	verifyHistory(t, table, tries)
 	for _, a := range tries {
 		var conflict *config.ConflictError
--- a/internal/state/config/snapshot.go
+++ b/internal/state/config/snapshot.go
@@ -35,16 +35,16 @@
 	items := s.items()
 	for _, i := range items {
 		switch i.Sort {
-		case SortClass:
+		case ItemClass:
 			classes = append(classes, i.toClass())
-		case SortTeam:
+		case ItemTeam:
 			teams = append(teams, i.toTeam())
 		}
 	}
 	out := NewSnapshot(s.head.Version, classes, teams)
 	out.state = s
 	for _, i := range items {
-		if c, ok := out.classByName[spec.ClassName(i.DefaultClass)]; ok && i.Sort == SortModel {
+		if c, ok := out.classByName[spec.ClassName(i.DefaultClass)]; ok && i.Sort == ItemModel {
 			out.defaultByModel[spec.ModelName(i.Name)] = c
 		}
 	}
@@ -98,7 +98,7 @@
 	if s.state == nil {
 		return false
 	}
-	i, _ := s.state.item(SortService, string(service))
+	i, _ := s.state.item(ItemService, string(service))
 	return i.Outcomes
 }
 
@@ -108,7 +108,7 @@
 	if s.state == nil {
 		return 0
 	}
-	i, _ := s.state.item(SortClass, string(class))
+	i, _ := s.state.item(ItemClass, string(class))
 	return i.Reliability
 }
 
@@ -118,7 +118,7 @@
 	if s.state == nil {
 		return 0
 	}
-	i, _ := s.state.item(SortTeam, s.teamByID[team].Name())
+	i, _ := s.state.item(ItemTeam, s.teamByID[team].Name())
 	return i.RateLimit
 }
 
@@ -128,6 +128,6 @@
 	if s.state == nil {
 		return true
 	}
-	i, _ := s.state.item(SortClass, string(class))
+	i, _ := s.state.item(ItemClass, string(class))
 	return len(i.Teams) == 0 || slices.Contains(i.Teams, s.teamByID[team].Name())
 }
--- a/internal/state/config/state.go
+++ b/internal/state/config/state.go
@@ -79,7 +79,7 @@
 func (s *state) isConsistent() bool { return s.digest == s.head.Digest }
 
 // item returns the item if it exists and is not deleted.
-func (s *state) item(sort Sort, name string) (item, bool) {
+func (s *state) item(sort ItemKind, name string) (item, bool) {
 	h, ok := s.rows[rowKey(sort, name)]
 	if !ok || h.item.Deleted {
 		return item{}, false
--- a/internal/state/lease/lease_test.go
+++ b/internal/state/lease/lease_test.go
@@ -70,7 +70,7 @@
 		want   bool
 	}{
 		{"unavailable", func(table *infra.Table, a, _ *lease.Lease) {
-			table.Fault(infra.Faults{Down: true})
+			table.SetFaults(infra.Faults{Unavailable: true})
 			for range 5 {
 				time.Sleep(4 * second)
 				_ = a.RenewOrAcquire(t.Context())
@@ -78,7 +78,7 @@
 		}, true},
 		{"paused", func(*infra.Table, *lease.Lease, *lease.Lease) { time.Sleep(20 * second) }, false},
 		{"unavailable, then paused", func(table *infra.Table, a, _ *lease.Lease) {
-			table.Fault(infra.Faults{Down: true})
+			table.SetFaults(infra.Faults{Unavailable: true})
 			_ = a.RenewOrAcquire(t.Context())
 			time.Sleep(20 * second)
 		}, false},
@@ -88,7 +88,7 @@
 				time.Sleep(second)
 			}
 			_ = a.RenewOrAcquire(t.Context())
-			table.Fault(infra.Faults{Down: true})
+			table.SetFaults(infra.Faults{Unavailable: true})
 			_ = a.RenewOrAcquire(t.Context())
 		}, false},
 	}
@@ -117,14 +117,14 @@
 		a, b := newLease(table, "a"), newLease(table, "b")
 		renewOrAcquire(t, a)
 		time.Sleep(5 * second)
-		table.Fault(infra.Faults{Lose: 1})
+		table.SetFaults(infra.Faults{LoseReplies: 1})
 		renewOrAcquire(t, a)
 		time.Sleep(7 * second)
 		if a.Held() {
 			t.Error("got held 12 s after the last confirmed renewal, want not held with 3 s left")
 		}
 		renewOrAcquire(t, b)
-		table.Fault(infra.Faults{Down: true})
+		table.SetFaults(infra.Faults{Unavailable: true})
 		for range 10 {
 			time.Sleep(3 * second)
 			if err := a.RenewOrAcquire(t.Context()); !errors.Is(err, lease.ErrStoreUnavailable) {
@@ -135,7 +135,7 @@
 				t.Error("got a holder in the outage, want none")
 			}
 		}
-		table.Fault(infra.Faults{})
+		table.SetFaults(infra.Faults{})
 		renewOrAcquire(t, a)
 		renewOrAcquire(t, b)
 		if !a.Held() || b.Held() || a.Fence() != 1 {
@@ -202,7 +202,7 @@
 			if rapid.IntRange(0, 9).Draw(t, "pause") == 0 {
 				now = now.Add(20 * second)
 			}
-			table.Fault(faults(rapid.IntRange(0, 7).Draw(t, "fault")))
+			table.SetFaults(faults(rapid.IntRange(0, 7).Draw(t, "fault")))
 			_ = all[rapid.IntRange(0, 2).Draw(t, "who")].RenewOrAcquire(context.Background())
 			holders := 0
 			for _, l := range all {
@@ -232,13 +232,13 @@
 func faults(n int) infra.Faults {
 	switch n {
 	case 0:
-		return infra.Faults{Down: true}
+		return infra.Faults{Unavailable: true}
 	case 1:
-		return infra.Faults{Lose: 1}
+		return infra.Faults{LoseReplies: 1}
 	case 2:
-		return infra.Faults{Drop: 1}
+		return infra.Faults{DropCommits: 1}
 	case 3:
-		return infra.Faults{Stale: true}
+		return infra.Faults{StaleReads: true}
 	}
 	return infra.Faults{}
 }
--- a/internal/state/ledger/ledger_test.go
+++ b/internal/state/ledger/ledger_test.go
@@ -156,26 +156,26 @@
 		after  ledger.State
 		runs   int
 	}{
-		{"down before the send", infra.Faults{Down: true}, infra.Faults{}, ledger.StateNone, ledger.StateNone, 0},
-		{"first response lost, committed", infra.Faults{Lose: 1}, infra.Faults{}, ledger.StateDone, ledger.StateDone, 1},
-		{"first response lost, not committed", infra.Faults{Drop: 1}, infra.Faults{}, ledger.StateNone, ledger.StateNotRun, 0},
-		{"first response lost, stale read", infra.Faults{Lose: 1, Stale: true}, infra.Faults{}, ledger.StateNone, ledger.StateNotRun, 0},
-		{"down after the send", infra.Faults{}, infra.Faults{Down: true}, ledger.StateDone, ledger.StateDone, 1},
-		{"last response lost, committed", infra.Faults{}, infra.Faults{Lose: 1}, ledger.StateDone, ledger.StateDone, 1},
-		{"last response lost, not committed", infra.Faults{}, infra.Faults{Drop: 1}, ledger.StateDone, ledger.StateDone, 1},
+		{"down before the send", infra.Faults{Unavailable: true}, infra.Faults{}, ledger.StateNone, ledger.StateNone, 0},
+		{"first response lost, committed", infra.Faults{LoseReplies: 1}, infra.Faults{}, ledger.StateDone, ledger.StateDone, 1},
+		{"first response lost, not committed", infra.Faults{DropCommits: 1}, infra.Faults{}, ledger.StateNone, ledger.StateNotRun, 0},
+		{"first response lost, stale read", infra.Faults{LoseReplies: 1, StaleReads: true}, infra.Faults{}, ledger.StateNone, ledger.StateNotRun, 0},
+		{"down after the send", infra.Faults{}, infra.Faults{Unavailable: true}, ledger.StateDone, ledger.StateDone, 1},
+		{"last response lost, committed", infra.Faults{}, infra.Faults{LoseReplies: 1}, ledger.StateDone, ledger.StateDone, 1},
+		{"last response lost, not committed", infra.Faults{}, infra.Faults{DropCommits: 1}, ledger.StateDone, ledger.StateDone, 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				table := &infra.Table{}
-				svc := &fakeService{beforeRun: func() { table.Fault(c.during) }}
+				svc := &fakeService{beforeRun: func() { table.SetFaults(c.during) }}
 				l := &ledger.Ledger{Table: table, Sender: svc}
-				table.Fault(c.before)
+				table.SetFaults(c.before)
 				out, err := l.Do(t.Context(), paymentCall("1"))
 				checkEqual(t, "the caller", out.State(), c.state)
 				checkEqual(t, "the rejection", errors.Is(err, ledger.ErrStoreUnavailable), c.state == ledger.StateNone)
 				time.Sleep(time.Minute)
-				table.Fault(infra.Faults{})
+				table.SetFaults(infra.Faults{})
 				if err := l.Wait(t.Context()); err != nil {
 					t.Fatal(err)
 				}
@@ -197,7 +197,7 @@
 		checkEqual(t, "the refused send", mustDo(t, l, "1"), ledger.StateNotRun)
 		checkEqual(t, "the record", mustLookup(t, l), ledger.StateNotRun)
 		checkEqual(t, "the second send", mustDo(t, l, "1"), ledger.StateDone)
-		table.Fault(infra.Faults{Down: true})
+		table.SetFaults(infra.Faults{Unavailable: true})
 		checkEqual(t, "the third send with the store down", mustDo(t, l, "1"), ledger.StateUnsure)
 		_, err := l.Lookup(t.Context(), "team", "payment", "k1")
 		checkEqual(t, "a lookup with the store down", errors.Is(err, ledger.ErrRecordUnreadable), true)
@@ -213,8 +213,8 @@
 		l := &ledger.Ledger{Table: table, Sender: svc}
 		mustDo(t, l, "1")
 		mustDo(t, l, "1")
-		for _, f := range []infra.Faults{{Stale: true}} {
-			table.Fault(f)
+		for _, f := range []infra.Faults{{StaleReads: true}} {
+			table.SetFaults(f)
 			out, err := l.Lookup(t.Context(), "team", "payment", "k1")
 			if err == nil && (out.State() == ledger.StateNotRun || out.State() == ledger.StateNone) {
 				t.Errorf("got %v, want an error or a later state", out.State())
@@ -324,7 +324,7 @@
 // lookups. Payments are not affected.
 func TestLookupsUseSeparateTable(t *testing.T) {
 	exhausted := &infra.Table{}
-	exhausted.Fault(infra.Faults{Down: true})
+	exhausted.SetFaults(infra.Faults{Unavailable: true})
 	l := &ledger.Ledger{Table: &infra.Table{}, LookupTable: exhausted, Sender: &fakeService{}}
 	checkEqual(t, "the payment", mustDo(t, l, "1"), ledger.StateDone)
 	_, err := l.Lookup(t.Context(), "team", "payment", "k1")
@@ -337,11 +337,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		table, svc := &infra.Table{}, &fakeService{}
 		l := &ledger.Ledger{Table: table, Sender: svc, Backlog: 1}
-		svc.beforeRun = func() { table.Fault(infra.Faults{Down: true}) }
+		svc.beforeRun = func() { table.SetFaults(infra.Faults{Unavailable: true}) }
 		checkEqual(t, "the call during which the outage begins", mustDo(t, l, "1"), ledger.StateDone)
 		_, err := l.Do(t.Context(), ledger.NewCall("team", "payment", "payments", "k2", "", nil))
 		checkEqual(t, "a call at the bound", errors.Is(err, ledger.ErrStoreUnavailable), true)
-		table.Fault(infra.Faults{})
+		table.SetFaults(infra.Faults{})
 		if err := l.Wait(t.Context()); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/state/ledger/linear_test.go
+++ b/internal/state/ledger/linear_test.go
@@ -155,21 +155,21 @@
 				svc.errs = append(svc.errs, errConnectionCut)
 			}
 			svc.mu.Unlock()
-			f := infra.Faults{Slow: time.Duration(s[1]) * time.Millisecond}
+			f := infra.Faults{Latency: time.Duration(s[1]) * time.Millisecond}
 			switch s[2] {
 			case 0:
-				f.Down = true
+				f.Unavailable = true
 			case 1:
-				f.Lose = 1
+				f.LoseReplies = 1
 			case 2:
-				f.Drop = 1
+				f.DropCommits = 1
 			}
-			table.Fault(f)
+			table.SetFaults(f)
 			ops[i] = runOperation(t, all[i%2], s[1]%3 == 0)
 		})
 	}
 	wait.Wait()
-	table.Fault(infra.Faults{})
+	table.SetFaults(infra.Faults{})
 	for _, l := range all {
 		if err := l.Wait(t.Context()); err != nil {
 			t.Fatal(err)
--- a/internal/state/ledger/rate_test.go
+++ b/internal/state/ledger/rate_test.go
@@ -25,7 +25,7 @@
 // half of the written rows, since a call writes two rows.
 func measureThroughput(t *testing.T, n int, batch bool) (rate float64, table *infra.Table) {
 	table = &infra.Table{}
-	table.Fault(infra.Faults{Slow: 5 * time.Millisecond})
+	table.SetFaults(infra.Faults{Latency: 5 * time.Millisecond})
 	ctx, cancel := context.WithTimeout(t.Context(), warmupTime+measuredTime)
 	defer cancel()
 	var all sync.WaitGroup
@@ -98,7 +98,7 @@
 			checkEqual(t, "the error", err, nil)
 		})
 		step("a call whose first response was lost", 1, 2, func() {
-			table.Fault(infra.Faults{Lose: 1})
+			table.SetFaults(infra.Faults{LoseReplies: 1})
 			_, err := a.Do(t.Context(), ledger.NewCall("t", "payment", "payments", "k2", "", nil))
 			checkEqual(t, "the error", err, nil)
 		})
--- a/internal/state/order/desired.go
+++ b/internal/state/order/desired.go
@@ -14,7 +14,7 @@
 
 // unwrittenState is a desired state that is not written to the table yet.
 type unwrittenState struct {
-	holds []frame.Hold
+	holds []frame.LoadedLayers
 	role  string
 }
 
@@ -22,7 +22,7 @@
 // role unless it is empty. It writes one row, and none if the desired state is the same
 // already. A desired state that cannot be written now is kept and written by a later
 // Reconcile of the same lease term; only ErrLeaseLost means that it is lost.
-func (r *Reconciler) SetDesired(ctx context.Context, engine spec.UpstreamID, holds []frame.Hold, role string) error {
+func (r *Reconciler) SetDesired(ctx context.Context, engine spec.UpstreamID, holds []frame.LoadedLayers, role string) error {
 	if err := r.ensureAdopted(ctx); err != nil {
 		r.updateUnwritten(engine, unwrittenState{holds, role}, err)
 		return err
@@ -47,7 +47,7 @@
 	r.unwritten[engine] = state
 }
 
-func (r *Reconciler) writeDesired(ctx context.Context, engine spec.UpstreamID, holds []frame.Hold, role string) error {
+func (r *Reconciler) writeDesired(ctx context.Context, engine spec.UpstreamID, holds []frame.LoadedLayers, role string) error {
 	ctx, cancel, fence, err := r.guardLease(ctx)
 	if err != nil {
 		return err
--- a/internal/state/order/order.go
+++ b/internal/state/order/order.go
@@ -105,10 +105,10 @@
 
 // desiredState is the encoded row of an engine.
 type desiredState struct {
-	Engine string       `cbor:"1,keyasint"`
-	Holds  []frame.Hold `cbor:"2,keyasint"`
-	Role   string       `cbor:"3,keyasint,omitempty"`
-	Fence  uint64       `cbor:"4,keyasint"`
+	Engine string               `cbor:"1,keyasint"`
+	Holds  []frame.LoadedLayers `cbor:"2,keyasint"`
+	Role   string               `cbor:"3,keyasint,omitempty"`
+	Fence  uint64               `cbor:"4,keyasint"`
 }
 
 // desiredRow is a row as this lease holder knows it.
@@ -124,7 +124,7 @@
 
 // report is the layers that an engine reports as loaded.
 type report struct {
-	holds []frame.Hold
+	holds []frame.LoadedLayers
 	seq   uint64
 }
 
--- a/internal/state/order/order_test.go
+++ b/internal/state/order/order_test.go
@@ -19,13 +19,13 @@
 
 const second = time.Second
 
-func holdLayers(version string, from, to int) []frame.Hold {
-	return []frame.Hold{{Model: "levy", Version: version, Depth: 24, From: from, To: to}}
+func holdLayers(version string, from, to int) []frame.LoadedLayers {
+	return []frame.LoadedLayers{{Model: "levy", Version: version, Depth: 24, From: from, To: to}}
 }
 
 // fakeEngine is an engine that follows orders immediately.
 type fakeEngine struct {
-	holds       []frame.Hold
+	holds       []frame.LoadedLayers
 	fence       uint64
 	checksFence bool
 	seq         uint64
@@ -203,15 +203,15 @@
 		p := newPlanner(table, "a", engines)
 		mustSucceed(t, p.lease.RenewOrAcquire(t.Context()))
 		mustSucceed(t, p.reconciler.Adopt(t.Context()))
-		table.Fault(infra.Faults{Drop: 1})
+		table.SetFaults(infra.Faults{DropCommits: 1})
 		if err := p.reconciler.SetDesired(t.Context(), "checks", holdLayers("1", 0, 12), ""); !errors.Is(err, order.ErrStoreUnavailable) {
 			t.Errorf("got %v for a lost response, want ErrStoreUnavailable", err)
 		}
-		table.Fault(infra.Faults{Down: true})
+		table.SetFaults(infra.Faults{Unavailable: true})
 		if err := p.reconciler.SetDesired(t.Context(), "ignores", holdLayers("1", 0, 12), ""); !errors.Is(err, order.ErrStoreUnavailable) {
 			t.Errorf("got %v in the outage, want ErrStoreUnavailable", err)
 		}
-		table.Fault(infra.Faults{})
+		table.SetFaults(infra.Faults{})
 		time.Sleep(5 * second)
 		if unsettled := reconcileUntilSettled(p); unsettled != 0 || len(engines["checks"].holds) != 1 || len(engines["ignores"].holds) != 1 {
 			t.Errorf("got %d unsettled engines and %v, want both engines ordered", unsettled, engines)
@@ -282,11 +282,11 @@
 		case 1:
 			time.Sleep(20 * second)
 		case 2:
-			table.Fault(infra.Faults{Down: true})
+			table.SetFaults(infra.Faults{Unavailable: true})
 		case 3:
-			table.Fault(infra.Faults{Lose: 1})
+			table.SetFaults(infra.Faults{LoseReplies: 1})
 		case 4:
-			table.Fault(infra.Faults{})
+			table.SetFaults(infra.Faults{})
 		case 5:
 			for _, f := range p.sender.delayed {
 				f()
@@ -296,7 +296,7 @@
 		planOnce(t.Context(), p, fmt.Sprint(i), s)
 		time.Sleep(2 * second)
 	}
-	table.Fault(infra.Faults{})
+	table.SetFaults(infra.Faults{})
 	for _, p := range all {
 		p.sender.paused = false
 		for _, f := range p.sender.delayed {
--- a/internal/state/order/reconcile.go
+++ b/internal/state/order/reconcile.go
@@ -175,7 +175,7 @@
 }
 
 // missingLayers counts the layers of want that have does not contain in that version.
-func missingLayers(want, have []frame.Hold) int {
+func missingLayers(want, have []frame.LoadedLayers) int {
 	n := 0
 	for _, w := range want {
 		for layer := w.From; layer < w.To; layer++ {
@@ -187,7 +187,7 @@
 	return n
 }
 
-func holdsLayer(have []frame.Hold, w frame.Hold, layer int) bool {
+func holdsLayer(have []frame.LoadedLayers, w frame.LoadedLayers, layer int) bool {
 	for _, h := range have {
 		if h.Model == w.Model && h.Version == w.Version && h.From <= layer && layer < h.To {
 			return true
@@ -199,4 +199,6 @@
 // sameLayers reports whether two sets of ranges contain the same layers of the same
 // versions, regardless of how the ranges are split. Depth and width are determined by
 // the engine and are not compared.
-func sameLayers(a, b []frame.Hold) bool { return missingLayers(a, b) == 0 && missingLayers(b, a) == 0 }
+func sameLayers(a, b []frame.LoadedLayers) bool {
+	return missingLayers(a, b) == 0 && missingLayers(b, a) == 0
+}
--- a/internal/state/store/client_test.go
+++ b/internal/state/store/client_test.go
@@ -102,11 +102,11 @@
 	if err != nil || string(got.Value()) != "object" || got.Version() != o {
 		t.Errorf("got %v %v, want the object", got, err)
 	}
-	server.Table.Fault(infra.Faults{Lose: 1})
+	server.Table.SetFaults(infra.Faults{LoseReplies: 1})
 	if _, err := c.Commit(ctx, []store.Write{store.Put("b", 0, nil)}); !errors.Is(err, store.ErrOutcomeUnknown) {
 		t.Errorf("got %v for a lost response, want ErrOutcomeUnknown", err)
 	}
-	server.Table.Fault(infra.Faults{Down: true})
+	server.Table.SetFaults(infra.Faults{Unavailable: true})
 	if _, err := c.Get(ctx, "b"); !errors.Is(err, store.ErrUnavailable) {
 		t.Errorf("got %v, want ErrUnavailable", err)
 	}
--- a/internal/state/store/limits_test.go
+++ b/internal/state/store/limits_test.go
@@ -70,7 +70,7 @@
 func TestBatchIsBoundedInBytes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := &infra.Table{}
-		table.Fault(infra.Faults{Slow: time.Millisecond})
+		table.SetFaults(infra.Faults{Latency: time.Millisecond})
 		b := &store.Batcher{Table: table, MaxBytes: 1000}
 		var all sync.WaitGroup
 		for i := range 9 {
@@ -93,7 +93,7 @@
 func TestBatchedCommitFaults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := &infra.Table{}
-		table.Fault(infra.Faults{Slow: time.Second, Lose: 1})
+		table.SetFaults(infra.Faults{Latency: time.Second, LoseReplies: 1})
 		b := &store.Batcher{Table: table}
 		put := func(ctx context.Context, version uint64) error {
 			_, err := b.Commit(ctx, []store.Write{store.Put("k", version, nil)})
@@ -234,11 +234,11 @@
 		time.Sleep(100 * time.Millisecond)
 		return table.Calls() - before
 	}
-	table.Fault(infra.Faults{Down: true})
+	table.SetFaults(infra.Faults{Unavailable: true})
 	for range 6000 {
 		tries += tick()
 	}
-	table.Fault(infra.Faults{})
+	table.SetFaults(infra.Faults{})
 	start := time.Now()
 	for {
 		peak = max(peak, tick())
--- a/internal/wire/chain/api.go
+++ b/internal/wire/chain/api.go
@@ -41,9 +41,9 @@
 // RefusedError is returned for a request that the routing logic refused. Ran
 // reports whether some of it may have run.
 type RefusedError struct {
-	Reason domain.Reason
-	After  time.Duration
-	Ran    bool
+	Reason     domain.Reason
+	RetryAfter time.Duration
+	Ran        bool
 }
 
 // Error includes the reason.
--- a/internal/wire/chain/bench_test.go
+++ b/internal/wire/chain/bench_test.go
@@ -37,7 +37,7 @@
 func longText() string {
 	for i := 0; ; i++ {
 		text := fmt.Sprint("notice ", i)
-		if len(layer.Whole(text, depth, benchTokens)) == benchTokens {
+		if len(layer.Generate(text, depth, benchTokens)) == benchTokens {
 			return text
 		}
 	}
@@ -67,10 +67,10 @@
 				for i := range stages {
 					name := fmt.Sprint("e", i)
 					e := newEngine(name, depth, i*depth/stages, (i+1)*depth/stages)
-					e.Layer, e.Slots = 0, 64
+					e.LayerTime, e.Slots = 0, 64
 					server := httptest.NewServer(e.Handler())
 					defer server.Close()
-					pool.Locate(spec.UpstreamID(name), server.URL)
+					pool.SetAddress(spec.UpstreamID(name), server.URL)
 					router.chain = append(router.chain, stageOn(name, i*depth/stages, (i+1)*depth/stages))
 				}
 				r := &chain.Runner{Engines: pool, Router: router}
--- a/internal/wire/chain/call.go
+++ b/internal/wire/chain/call.go
@@ -117,7 +117,7 @@
 		// The engine is up, but the state it was left with has expired or was
 		// dropped.
 		return j.rebuild(s)
-	case frame.CodeLeave, frame.CodeFull:
+	case frame.CodeLeaving, frame.CodeFull:
 		return j.markLost(s, domain.CauseLeaving)
 	default:
 		return j.markLost(s, domain.CauseStateLost)
--- a/internal/wire/chain/chain_test.go
+++ b/internal/wire/chain/chain_test.go
@@ -33,7 +33,7 @@
 // layer: the prompt and every token but the last, which runs only if more
 // tokens follow.
 func positions(text string, limit int) int64 {
-	tokens := layer.Whole(text, depth, limit)
+	tokens := layer.Generate(text, depth, limit)
 	n := int64(len(layer.Split(text)) + len(tokens))
 	if len(tokens) == limit {
 		n--
@@ -180,7 +180,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := threeStageSite()
 		defer s.close()
-		s.runner.Journal = 1
+		s.runner.JournalBytes = 1
 		a := s.ask(t.Context(), "r", prompt, limit, func(n int) {
 			if n == 10 {
 				s.engines[1].Kill()
@@ -202,7 +202,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		const long = 1300
 		text := prompt
-		for i := 0; len(layer.Whole(text, depth, long)) < long; i++ {
+		for i := 0; len(layer.Generate(text, depth, long)) < long; i++ {
 			text = fmt.Sprintf("%s %d", prompt, i)
 		}
 		s := newSite(depth, newEngine("a", depth, 0, 6), newEngine("b", depth, 6, 12), newEngine("c", depth, 0, 6))
@@ -229,7 +229,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := threeStageSite()
 		defer s.close()
-		s.runner.Positions = 10
+		s.runner.StepPositions = 10
 		text := prompt + strings.Repeat(" door", 94)
 		start := time.Now()
 		var first time.Duration
@@ -254,7 +254,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := threeStageSite()
 		defer s.close()
-		s.runner.Positions = 10
+		s.runner.StepPositions = 10
 		n := 0
 		s.engines[1].Faults = func(*frame.Step) stage.Fault {
 			n++
@@ -287,7 +287,7 @@
 		var mu sync.Mutex
 		traceparents := map[string]bool{}
 		for _, e := range s.engines {
-			e.Traced = func(traceparent string) {
+			e.OnFirstStep = func(traceparent string) {
 				mu.Lock()
 				defer mu.Unlock()
 				traceparents[traceparent] = true
--- a/internal/wire/chain/faults_test.go
+++ b/internal/wire/chain/faults_test.go
@@ -116,14 +116,14 @@
 	var engines []*stage.Engine
 	for i, h := range s.holds {
 		e := newEngine(fmt.Sprintf("e%d", i), s.depth, h[0], h[1])
-		e.Late = 50 * time.Millisecond
+		e.ReplyDelay = 50 * time.Millisecond
 		e.Faults = faults(s.seed+uint64(i), s.faults[i])
 		engines = append(engines, e)
 	}
 	built := newSite(s.depth, engines...)
 	built.router.rand = rand.New(rand.NewPCG(s.seed, 2))
 	built.router.limit = 1000
-	built.runner.Journal, built.runner.Chunk, built.runner.Positions = s.journal, s.chunk, s.positions
+	built.runner.JournalBytes, built.runner.ChunkBytes, built.runner.StepPositions = s.journal, s.chunk, s.positions
 	if s.moves {
 		built.runner.KV = &flakyMover{Mover: built.pool, rand: rand.New(rand.NewPCG(s.seed, 4))}
 	}
--- a/internal/wire/chain/flow_test.go
+++ b/internal/wire/chain/flow_test.go
@@ -53,7 +53,7 @@
 		defer s.close()
 		// The first prompt whose answer is long enough to overflow the queue.
 		text := prompt
-		for i := 0; len(layer.Whole(text, depth, long)) < long; i++ {
+		for i := 0; len(layer.Generate(text, depth, long)) < long; i++ {
 			text = fmt.Sprintf("%s %d", prompt, i)
 		}
 		read := make(chan struct{})
@@ -106,8 +106,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := singleEngineSite()
 		defer s.close()
-		s.engines[0].Layer = 20 * time.Millisecond
-		s.engines[0].Link = 3 * time.Millisecond
+		s.engines[0].LayerTime = 20 * time.Millisecond
+		s.engines[0].HopTime = 3 * time.Millisecond
 		s.ask(t.Context(), "r", prompt, limit, nil).mustMatch(t, prompt, depth, limit)
 		progress, hops := 0, 0
 		for _, ev := range s.router.events {
@@ -124,7 +124,7 @@
 		if progress == 0 || progress > limit/2 {
 			t.Errorf("got %d progress events, want some, fewer than tokens", progress)
 		}
-		s.engines[0].Layer = 0
+		s.engines[0].LayerTime = 0
 		time.Sleep(time.Second)
 		s.ask(t.Context(), "r2", prompt, limit, nil).mustMatch(t, prompt, depth, limit)
 		if hops > 1 {
--- a/internal/wire/chain/run.go
+++ b/internal/wire/chain/run.go
@@ -37,18 +37,18 @@
 	// KV moves KV caches between engines that are up. If nil, a new stage
 	// always replays its inputs.
 	KV Mover
-	// Journal bounds the hidden inputs kept for one request, in bytes; zero
+	// JournalBytes bounds the hidden inputs kept for one request, in bytes; zero
 	// means 4 MiB. They allow a lost stage to be rebuilt alone. Beyond the
 	// bound, a lost stage makes all stages before it run again from the
 	// tokens.
-	Journal int
-	// Chunk bounds the hidden inputs of one step, in bytes, so that a rebuild
+	JournalBytes int
+	// ChunkBytes bounds the hidden inputs of one step, in bytes, so that a rebuild
 	// does not block the other streams of a connection; zero means 1 MiB.
-	Chunk int
-	// Positions bounds how many positions of the prompt, or of tokens that run
+	ChunkBytes int
+	// StepPositions bounds how many positions of the prompt, or of tokens that run
 	// again, are sent in one step, so that their hidden values fit into a
 	// reply; zero means 256.
-	Positions int
+	StepPositions int
 	// Meters is the set in which the counters are registered; nil means a
 	// private set.
 	Meters *metrics.Set
@@ -63,14 +63,14 @@
 	r.once.Do(func() {
 		r.meters = newMeters(r.Meters)
 		r.nonce = uuid.NewString()
-		if r.Journal <= 0 {
-			r.Journal = defaultJournal
+		if r.JournalBytes <= 0 {
+			r.JournalBytes = defaultJournal
 		}
-		if r.Chunk <= 0 {
-			r.Chunk = defaultChunk
+		if r.ChunkBytes <= 0 {
+			r.ChunkBytes = defaultChunk
 		}
-		if r.Positions <= 0 {
-			r.Positions = defaultPositions
+		if r.StepPositions <= 0 {
+			r.StepPositions = defaultPositions
 		}
 	})
 }
@@ -114,7 +114,7 @@
 	j := &run{
 		Runner: r, job: job, sink: sink, commands: r.Router.Watch(id), start: now, lastProgress: now,
 		reqID:  string(id) + "~" + r.nonce + "-" + strconv.FormatUint(r.runs.Add(1), 10),
-		inputs: inputs{limit: r.Journal},
+		inputs: inputs{limit: r.JournalBytes},
 	}
 	defer r.Router.Unwatch(id)
 	defer j.closeAll()
@@ -177,7 +177,7 @@
 		case c := <-j.commands:
 			switch c := c.(type) {
 			case domain.Refuse:
-				return &RefusedError{Reason: c.Reason, After: c.RetryAfter, Ran: c.Ran}
+				return &RefusedError{Reason: c.Reason, RetryAfter: c.RetryAfter, Ran: c.Ran}
 			case domain.Forward:
 				return &ForwardError{To: c.To}
 			case domain.Start:
--- a/internal/wire/chain/site_test.go
+++ b/internal/wire/chain/site_test.go
@@ -54,7 +54,7 @@
 		listeners[e.Name] = l
 		s.servers = append(s.servers, server)
 		s.served.Go(func() { _ = server.Serve(l) })
-		s.pool.Locate(spec.UpstreamID(e.Name), "http://"+e.Name)
+		s.pool.SetAddress(spec.UpstreamID(e.Name), "http://"+e.Name)
 	}
 	s.runner = &chain.Runner{Engines: s.pool, Router: s.router}
 	return s
@@ -224,7 +224,7 @@
 	if a.err != nil {
 		return fmt.Errorf("got error %w, want none", a.err)
 	}
-	tokens := layer.Whole(text, depth, limit)
+	tokens := layer.Generate(text, depth, limit)
 	if got, want := a.text.String(), layer.Text(tokens); got != want {
 		return fmt.Errorf("got answer %q, want %q", got, want)
 	}
@@ -246,8 +246,8 @@
 
 func newEngine(name string, depth, from, to int) *stage.Engine {
 	return &stage.Engine{
-		Name: name, Slots: 8, Layer: time.Millisecond,
-		Holds: []frame.Hold{{Model: model, Version: "1", Depth: depth, From: from, To: to}},
+		Name: name, Slots: 8, LayerTime: time.Millisecond,
+		Holds: []frame.LoadedLayers{{Model: model, Version: "1", Depth: depth, From: from, To: to}},
 	}
 }
 
--- a/internal/wire/chain/stage.go
+++ b/internal/wire/chain/stage.go
@@ -114,10 +114,10 @@
 	}
 	switch {
 	case s.from() > 0:
-		s.step.Hidden = limitBytes(j.inputs.from(s.from(), s.done), j.Chunk)
+		s.step.Hidden = limitBytes(j.inputs.from(s.from(), s.done), j.ChunkBytes)
 		return len(s.step.Hidden) > 0
 	case j.inPrompt(s):
-		s.step.Count = j.Positions
+		s.step.Count = j.StepPositions
 		if s.seq == 0 {
 			s.step.Text = j.job.Text
 		}
@@ -126,7 +126,7 @@
 		return false
 	default:
 		rest := j.inputs.tokens[s.done-j.inputs.prompt:]
-		s.step.Tokens = rest[:min(len(rest), j.Positions)]
+		s.step.Tokens = rest[:min(len(rest), j.StepPositions)]
 		return true
 	}
 }
--- a/internal/wire/engine/check.go
+++ b/internal/wire/engine/check.go
@@ -28,10 +28,10 @@
 
 func checkEngine(b *frame.Engine) error {
 	if b.State != frame.StateLive && b.State != frame.StateLeaving {
-		return errors.Wrapf(ErrBody, "unknown state %.20q", b.State)
+		return errors.Wrapf(ErrInvalidResponse, "unknown state %.20q", b.State)
 	}
 	if tooLong(b.Name, b.DataCentre, b.Kind, b.Role) {
-		return errors.Wrap(ErrBody, "name too long")
+		return errors.Wrap(ErrInvalidResponse, "name too long")
 	}
 	numbers := []struct {
 		name   string
@@ -50,7 +50,7 @@
 	}
 	for _, n := range numbers {
 		if n.value < 0 || n.value > n.bounds {
-			return errors.Wrapf(ErrBody, "%s %d is out of range", n.name, n.value)
+			return errors.Wrapf(ErrInvalidResponse, "%s %d is out of range", n.name, n.value)
 		}
 	}
 	return checkHolds(b.Holds)
@@ -68,26 +68,26 @@
 // checkHolds rejects ranges that are empty, exceed their model, or overlap
 // within one version. A layer that one engine reports twice would be counted
 // twice.
-func checkHolds(holds []frame.Hold) error {
+func checkHolds(holds []frame.LoadedLayers) error {
 	if len(holds) > maxHolds {
-		return errors.Wrapf(ErrBody, "too many layer ranges: %d", len(holds))
+		return errors.Wrapf(ErrInvalidResponse, "too many layer ranges: %d", len(holds))
 	}
 	for i, h := range holds {
 		switch {
 		case h.Model == "" || tooLong(h.Model, h.Version):
-			return errors.Wrapf(ErrBody, "range %d has no model or a name that is too long", i)
+			return errors.Wrapf(ErrInvalidResponse, "range %d has no model or a name that is too long", i)
 		case h.From < 0 || h.From >= h.To || h.To > h.Depth || h.Depth > maxLayers:
-			return errors.Wrapf(ErrBody, "range %d is invalid: layers %d-%d of %d", i, h.From, h.To, h.Depth)
+			return errors.Wrapf(ErrInvalidResponse, "range %d is invalid: layers %d-%d of %d", i, h.From, h.To, h.Depth)
 		case h.Width < 0 || h.Width > maxWidth:
-			return errors.Wrapf(ErrBody, "range %d has invalid width %d", i, h.Width)
+			return errors.Wrapf(ErrInvalidResponse, "range %d has invalid width %d", i, h.Width)
 		case overlaps(holds[:i], h):
-			return errors.Wrapf(ErrBody, "range %d overlaps another range", i)
+			return errors.Wrapf(ErrInvalidResponse, "range %d overlaps another range", i)
 		}
 	}
 	return nil
 }
 
-func overlaps(others []frame.Hold, h frame.Hold) bool {
+func overlaps(others []frame.LoadedLayers, h frame.LoadedLayers) bool {
 	for _, o := range others {
 		if o.Model == h.Model && o.Version == h.Version && o.From < h.To && h.From < o.To {
 			return true
@@ -105,15 +105,15 @@
 	last := since
 	for _, ev := range b.Events {
 		if ev.Seq <= last || ev.Seq > b.Seq {
-			return errors.Wrapf(ErrBody, "event %d must be above %d and at most %d", ev.Seq, last, b.Seq)
+			return errors.Wrapf(ErrInvalidResponse, "event %d must be above %d and at most %d", ev.Seq, last, b.Seq)
 		}
 		last = ev.Seq
 	}
 	return nil
 }
 
-// Row converts a checked report to the engine type of the routing logic.
-func Row(id spec.UpstreamID, b frame.Engine) domain.Engine {
+// ToEngine converts a checked report to the engine type of the routing logic.
+func ToEngine(id spec.UpstreamID, b frame.Engine) domain.Engine {
 	row := domain.Engine{
 		ID: id, DataCentre: spec.DataCentre(b.DataCentre), Kind: b.Kind,
 		LayerTime: time.Duration(b.Layer), Slots: b.Slots, LayerCapacity: b.Memory,
@@ -129,9 +129,9 @@
 	return row
 }
 
-// Seen converts a page of cache events to events of the routing logic, one per
+// ToCacheReports converts a page of cache events to events of the routing logic, one per
 // Seq, so that the routing logic detects each gap.
-func Seen(id spec.UpstreamID, page frame.Events) []domain.CacheReport {
+func ToCacheReports(id spec.UpstreamID, page frame.Events) []domain.CacheReport {
 	if page.Reset {
 		return []domain.CacheReport{{Engine: id, Seq: page.Seq, Added: page.Blocks, Reset: true}}
 	}
--- a/internal/wire/engine/control.go
+++ b/internal/wire/engine/control.go
@@ -39,8 +39,8 @@
 }
 
 // Report requests the report of the engine. It returns ErrRefused if the
-// engine does not respond or refuses the call, and ErrBody if the response is
-// invalid.
+// engine does not respond or refuses the call, and ErrInvalidResponse if the
+// response is invalid.
 func (c *Control) Report(ctx context.Context) (frame.Engine, error) {
 	var body frame.Engine
 	q := call{method: http.MethodGet, path: "/v1/engine", timeout: reportTimeout, limit: reportBytes}
@@ -89,7 +89,7 @@
 		return frame.KV{}, err
 	}
 	if body.Req != req || body.From != from || body.To != to || body.Pos < 0 {
-		return frame.KV{}, errors.Wrap(ErrBody, "KV cache has a wrong request, layer range or position")
+		return frame.KV{}, errors.Wrap(ErrInvalidResponse, "KV cache has a wrong request, layer range or position")
 	}
 	return body, nil
 }
@@ -153,10 +153,10 @@
 		return errors.Wrap(ErrRefused, err.Error())
 	}
 	if int64(len(data)) > limit {
-		return errors.Wrapf(ErrBody, "response exceeds %d bytes", limit)
+		return errors.Wrapf(ErrInvalidResponse, "response exceeds %d bytes", limit)
 	}
 	if err := json.Unmarshal(data, into); err != nil {
-		return errors.Wrap(ErrBody, err.Error())
+		return errors.Wrap(ErrInvalidResponse, err.Error())
 	}
 	return nil
 }
--- a/internal/wire/engine/control_test.go
+++ b/internal/wire/engine/control_test.go
@@ -64,7 +64,7 @@
 			if body == validReport {
 				t.Fatal("the case changes nothing")
 			}
-			if got, err := controlFor(body).Report(t.Context()); !errors.Is(err, engine.ErrBody) {
+			if got, err := controlFor(body).Report(t.Context()); !errors.Is(err, engine.ErrInvalidResponse) {
 				t.Errorf("got %+v and %v, want ErrBody", got, err)
 			}
 		})
@@ -73,7 +73,7 @@
 
 func TestOversizedAnswerIsRefused(t *testing.T) {
 	body := validReport[:len(validReport)-1] + strings.Repeat(" ", 2<<20) + "}"
-	if _, err := controlFor(body).Report(t.Context()); !errors.Is(err, engine.ErrBody) {
+	if _, err := controlFor(body).Report(t.Context()); !errors.Is(err, engine.ErrInvalidResponse) {
 		t.Errorf("got %v, want ErrBody", err)
 	}
 }
@@ -101,7 +101,7 @@
 		if err != nil {
 			return
 		}
-		row := engine.Row("e", got)
+		row := engine.ToEngine("e", got)
 		for _, h := range row.Loaded {
 			if h.Layers.From() < 0 || h.Layers.Len() <= 0 || h.Layers.To() > h.Depth || row.Slots < 0 || row.LayerTime < 0 {
 				t.Errorf("got row %+v from %q, want an error", row, data)
@@ -119,7 +119,7 @@
 			return
 		}
 		last := uint64(3)
-		for _, seen := range engine.Seen("e", page) {
+		for _, seen := range engine.ToCacheReports("e", page) {
 			if !seen.Reset && seen.Seq <= last {
 				t.Errorf("got event %d after %d from %q, want increasing numbers", seen.Seq, last, data)
 			}
@@ -149,7 +149,7 @@
 	}()
 	transport := &http.Transport{DialContext: l.Dial, DisableKeepAlives: true}
 	p := &engine.Pool{Dial: l.Dial}
-	p.Locate("e", "http://e")
+	p.SetAddress("e", "http://e")
 	return &engine.Control{HTTP: &http.Client{Transport: transport}, Base: "http://e"}, p, func() {
 		p.Close()
 		_ = server.Close()
@@ -157,10 +157,10 @@
 	}
 }
 
-func holds(model string, ranges ...int) []frame.Hold {
-	var out []frame.Hold
+func holds(model string, ranges ...int) []frame.LoadedLayers {
+	var out []frame.LoadedLayers
 	for i := 0; i+1 < len(ranges); i += 2 {
-		out = append(out, frame.Hold{Model: model, Version: "1", Depth: 100, From: ranges[i], To: ranges[i+1]})
+		out = append(out, frame.LoadedLayers{Model: model, Version: "1", Depth: 100, From: ranges[i], To: ranges[i+1]})
 	}
 	return out
 }
@@ -187,7 +187,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := engine.Row("e", body).Loaded[0].Layers.String(); got != want {
+		if got := engine.ToEngine("e", body).Loaded[0].Layers.String(); got != want {
 			t.Errorf("got layers %s, want %s", got, want)
 		}
 		if err := c.Order(t.Context(), frame.Order{Fence: 9, Holds: holds("m", 0, 60)}); !errors.Is(err, engine.ErrRefused) {
@@ -202,10 +202,10 @@
 // the rate of the store, one engine after the other.
 func TestLoadingWaitsForStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := &stage.Weights{Rate: 10}
+		store := &stage.WeightStore{Rate: 10}
 		var reports []func() string
 		for i := range 2 {
-			e := &stage.Engine{Name: fmt.Sprint(i), Holds: holds("m", 0, 30), Store: store}
+			e := &stage.Engine{Name: fmt.Sprint(i), Holds: holds("m", 0, 30), WeightStore: store}
 			c, _, stop := serveEngine(e)
 			defer stop()
 			if err := c.Order(t.Context(), frame.Order{Fence: 1, Holds: holds("m", 20, 50)}); err != nil {
@@ -216,7 +216,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				return engine.Row("e", body).Loaded[0].Layers.String()
+				return engine.ToEngine("e", body).Loaded[0].Layers.String()
 			})
 		}
 		for _, want := range [][2]string{{"20-30", "20-30"}, {"20-50", "20-30"}, {"20-50", "20-50"}} {
@@ -236,7 +236,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c, p, stop := serveEngine(&stage.Engine{
 			Name: "e", Holds: holds("m", 0, 100), Cache: 3, EventLag: time.Second,
-			Gap: func(seq uint64) bool { return seq == 2 },
+			SkipEvent: func(seq uint64) bool { return seq == 2 },
 		})
 		defer stop()
 		s, err := p.Open(t.Context(), "e", "r", 1, 0)
@@ -271,7 +271,7 @@
 // lag of the report, and a finished one must stay for as long.
 func TestReportLags(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e := &stage.Engine{Name: "e", Holds: holds("m", 0, 100), Layer: 30 * time.Millisecond, Lag: 2 * time.Second}
+		e := &stage.Engine{Name: "e", Holds: holds("m", 0, 100), LayerTime: 30 * time.Millisecond, ReportLag: 2 * time.Second}
 		_, p, stop := serveEngine(e)
 		defer stop()
 		if got := e.Report().Active; got != 0 {
@@ -298,7 +298,7 @@
 // it.
 func TestRunOfDeadConnectionLeavesNoState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e := &stage.Engine{Name: "e", Holds: holds("m", 0, 100), Layer: time.Millisecond}
+		e := &stage.Engine{Name: "e", Holds: holds("m", 0, 100), LayerTime: time.Millisecond}
 		_, p, stop := serveEngine(e)
 		defer stop()
 		s, err := p.Open(t.Context(), "e", "r", 1, 0)
@@ -329,7 +329,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		p.Locate("e", "http://elsewhere")
+		p.SetAddress("e", "http://elsewhere")
 		var r frame.Reply
 		if err := s.Recv(t.Context(), time.Second, &r); !errors.Is(err, engine.ErrBroken) {
 			t.Errorf("got %v on the old connection, want ErrBroken", err)
@@ -337,7 +337,7 @@
 		if _, err := p.Open(t.Context(), "e", "r", 1, 0); err != nil {
 			t.Errorf("got %v at the new address, want nil", err)
 		}
-		p.Forget("e")
+		p.Remove("e")
 		if _, err := p.Open(t.Context(), "e", "r", 1, 0); !errors.Is(err, engine.ErrRefused) {
 			t.Errorf("got %v for a removed engine, want ErrRefused", err)
 		}
@@ -349,7 +349,7 @@
 // continue elsewhere. A connection that is only idle must stay open.
 func TestUnresponsiveConnectionIsClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e := &stage.Engine{Name: "e", Holds: holds("m", 0, 100), Layer: time.Second}
+		e := &stage.Engine{Name: "e", Holds: holds("m", 0, 100), LayerTime: time.Second}
 		l := inmem.Listen()
 		server := &http.Server{Handler: e.Handler()}
 		go func() { _ = server.Serve(l) }()
@@ -359,7 +359,7 @@
 			link.Conn = c
 			return link, err
 		}}
-		p.Locate("e", "http://e")
+		p.SetAddress("e", "http://e")
 		s, err := p.Open(t.Context(), "e", "r", 1, 0)
 		if err != nil {
 			t.Fatal(err)
@@ -404,7 +404,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		p.Break("e")
+		p.Disconnect("e")
 		var r frame.Reply
 		if err := s.Recv(t.Context(), time.Minute, &r); !errors.Is(err, engine.ErrBroken) {
 			t.Errorf("got %v, want ErrBroken", err)
--- a/internal/wire/engine/doc.go
+++ b/internal/wire/engine/doc.go
@@ -25,6 +25,6 @@
 	// ErrStaleFence means that the engine has accepted an order with a higher
 	// fencing token.
 	ErrStaleFence = errors.New("engine: fencing token too old")
-	// ErrBody means that the response of the engine is invalid.
-	ErrBody = errors.New("engine: invalid response")
+	// ErrInvalidResponse means that the response of the engine is invalid.
+	ErrInvalidResponse = errors.New("engine: invalid response")
 )
--- a/internal/wire/engine/pool.go
+++ b/internal/wire/engine/pool.go
@@ -57,9 +57,9 @@
 	})
 }
 
-// Locate sets the base URL of an engine. If the URL changed, the connection to
+// SetAddress sets the base URL of an engine. If the URL changed, the connection to
 // the old one is closed.
-func (p *Pool) Locate(id spec.UpstreamID, base string) {
+func (p *Pool) SetAddress(id spec.UpstreamID, base string) {
 	p.init()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -74,11 +74,11 @@
 	}
 }
 
-// Break closes the connection of an engine that was declared dead. An engine
+// Disconnect closes the connection of an engine that was declared dead. An engine
 // that hangs keeps its connections open, and its requests would wait for their
 // timeouts. An engine that is in fact up is reconnected to, and answers the
 // steps that it has already run from memory.
-func (p *Pool) Break(id spec.UpstreamID) {
+func (p *Pool) Disconnect(id spec.UpstreamID) {
 	p.init()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -87,9 +87,9 @@
 	}
 }
 
-// Forget closes the connection of an engine that was removed from the list of
+// Remove closes the connection of an engine that was removed from the list of
 // engines.
-func (p *Pool) Forget(id spec.UpstreamID) {
+func (p *Pool) Remove(id spec.UpstreamID) {
 	p.init()
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/wire/entry/call.go
+++ b/internal/wire/entry/call.go
@@ -122,7 +122,7 @@
 
 // plainClass returns the plain class named in the path of a request.
 func (s *Server) plainClass(req *http.Request) (spec.Class, error) {
-	class, ok := s.Book.Class(spec.ClassName(mux.Vars(req)["class"]))
+	class, ok := s.Config.Class(spec.ClassName(mux.Vars(req)["class"]))
 	if !ok || class.Kind() != spec.KindPlain {
 		return spec.Class{}, newFault(http.StatusNotFound, "unknown-class", "No plain class has that name.", RanNo)
 	}
--- a/internal/wire/entry/chat.go
+++ b/internal/wire/entry/chat.go
@@ -138,13 +138,13 @@
 func (s *Server) modelClass(req *http.Request, model spec.ModelName) (spec.Class, error) {
 	name := spec.ClassName(req.Header.Get("X-Class"))
 	if name == "" {
-		class, ok := s.Book.DefaultClass(model)
+		class, ok := s.Config.DefaultClass(model)
 		if !ok {
 			return spec.Class{}, newFault(http.StatusNotFound, "unknown-model", "No class serves the model.", RanNo)
 		}
 		return class, nil
 	}
-	class, ok := s.Book.Class(name)
+	class, ok := s.Config.Class(name)
 	if !ok || class.Kind() != spec.KindModel || class.Model() != model {
 		return spec.Class{}, newFault(http.StatusBadRequest, "unknown-class", "No class of that name serves the model.", RanNo)
 	}
--- a/internal/wire/entry/entry.go
+++ b/internal/wire/entry/entry.go
@@ -64,11 +64,11 @@
 	Header int64
 	// Tokens is the maximum number of tokens of one answer.
 	Tokens int
-	// Streams is the maximum number of concurrent requests, Team the maximum
-	// per team and Connection the maximum per HTTP/2 connection.
-	Streams    int
-	Team       int
-	Connection int
+	// Streams is the maximum number of concurrent requests, TeamStreams
+	// the maximum per team and ConnectionStreams the maximum per HTTP/2 connection.
+	Streams           int
+	TeamStreams       int
+	ConnectionStreams int
 	// Buffer is the maximum number of bytes buffered for a caller that reads
 	// more slowly than its answer is produced. Above it the stream is aborted.
 	Buffer int64
@@ -79,9 +79,9 @@
 	BodyTime   time.Duration
 	WriteTime  time.Duration
 	IdleTime   time.Duration
-	// Comment is how long a stream may be idle before a comment is sent to keep
+	// CommentInterval is how long a stream may be idle before a comment is sent to keep
 	// the connection open.
-	Comment time.Duration
+	CommentInterval time.Duration
 }
 
 // Server serves the API for callers. Set the exported fields before calling
@@ -89,14 +89,14 @@
 type Server struct {
 	Models Models
 	Calls  Calls
-	Book   ActiveConfig
+	Config ActiveConfig
 	Limits Limits
 	Log    *zap.Logger
 	// Meters is the set in which metrics are registered; if nil, a private set
 	// is used.
 	Meters *metrics.Set
-	// Spans is the provider of trace spans; if nil, no spans are recorded.
-	Spans trace.TracerProvider
+	// TracerProvider is the provider of trace spans; if nil, no spans are recorded.
+	TracerProvider trace.TracerProvider
 	// Observer is notified of the end of each request; it may be nil.
 	Observer Observer
 
--- a/internal/wire/entry/entry_test.go
+++ b/internal/wire/entry/entry_test.go
@@ -90,7 +90,7 @@
 
 func newServer(m entry.Models) *entry.Server {
 	return &entry.Server{
-		Models: m, Calls: &fakeCalls{}, Book: testBook(), Log: zap.NewNop(), Meters: metrics.NewSet(),
+		Models: m, Calls: &fakeCalls{}, Config: testBook(), Log: zap.NewNop(), Meters: metrics.NewSet(),
 		Limits: entry.Limits{Body: 4096, Header: 8192, Tokens: 100, Buffer: 4096},
 	}
 }
@@ -147,7 +147,7 @@
 // get 503 with Retry-After, not an error about its key.
 func TestNoConfigurationYet(t *testing.T) {
 	s := newServer(&fakeModels{})
-	s.Book = &config.Active{}
+	s.Config = &config.Active{}
 	w := postChat(s, chatBody)
 	wantFault(t, w, http.StatusServiceUnavailable, "not-ready")
 	if w.Header().Get("Retry-After") == "" {
@@ -171,7 +171,7 @@
 	}
 	for _, stream := range []string{"true", "false"} {
 		for _, tt := range tests {
-			m := &fakeModels{err: &chain.RefusedError{Reason: tt.reason, Ran: tt.ran, After: 2100 * time.Millisecond}}
+			m := &fakeModels{err: &chain.RefusedError{Reason: tt.reason, Ran: tt.ran, RetryAfter: 2100 * time.Millisecond}}
 			w := postChat(newServer(m), strings.Replace(chatBody, "true", stream, 1))
 			if w.Code != tt.status || !strings.Contains(w.Body.String(), tt.want) {
 				t.Errorf("got %d %s, want %d with %s", w.Code, w.Body, tt.status, tt.want)
@@ -216,7 +216,7 @@
 	ran := 0
 	s := newServer(&fakeModels{words: []string{"a"}, onJob: func(context.Context, chain.Job) { ran++ }})
 	s.Calls = &fakeCalls{onDo: func(context.Context, ledger.Call) { ran++ }}
-	s.Book = book
+	s.Config = book
 	wantFault(t, postChat(s, chatBody), http.StatusForbidden, "closed-class")
 	req := request("/v1/calls/payment", "{}")
 	req.Header.Set("Idempotency-Key", "k")
--- a/internal/wire/entry/fault.go
+++ b/internal/wire/entry/fault.go
@@ -125,7 +125,7 @@
 	if r.Ran {
 		f.Ran = RanYes
 	}
-	f.RetryAfter = r.After
+	f.RetryAfter = r.RetryAfter
 	switch r.Reason {
 	case domain.ReasonTeamLimit:
 		f.Status = http.StatusTooManyRequests
--- a/internal/wire/entry/http.go
+++ b/internal/wire/entry/http.go
@@ -28,7 +28,7 @@
 		IdleTimeout:       s.Limits.IdleTime,
 		MaxHeaderBytes:    int(s.Limits.Header),
 		Protocols:         protocols,
-		HTTP2:             &http.HTTP2Config{MaxConcurrentStreams: s.Limits.Connection},
+		HTTP2:             &http.HTTP2Config{MaxConcurrentStreams: s.Limits.ConnectionStreams},
 	}
 	// Errors such as failed handshakes are caused by callers and frequent, so
 	// they are logged at debug level.
--- a/internal/wire/entry/limit_test.go
+++ b/internal/wire/entry/limit_test.go
@@ -244,7 +244,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		model := &blockedModel{unblock: make(chan struct{})}
 		s := newServer(model)
-		s.Limits.Team, s.Limits.Streams = 2, 3
+		s.Limits.TeamStreams, s.Limits.Streams = 2, 3
 		for _, bearer := range []string{firstKey, firstKey, secondKey} {
 			go resumeChat(s, bearer, "", chatBody)
 		}
@@ -264,7 +264,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		model := &blockedModel{unblock: make(chan struct{})}
 		s := newServer(model)
-		s.Limits.Team, s.Limits.Streams = 2, 10
+		s.Limits.TeamStreams, s.Limits.Streams = 2, 10
 		go postChat(s, chatBody)
 		go postChat(s, chatBody)
 		synctest.Wait()
@@ -273,14 +273,14 @@
 	})
 }
 
-// One HTTP/2 connection carries at most Limits.Connection streams. With a limit of
-// 2, a third request waits at the client until another ends. Otherwise a single
+// One HTTP/2 connection carries at most Limits.ConnectionStreams streams. With a
+// limit of 2, a third request waits at the client until another ends. Otherwise a single
 // connection could occupy the whole instance.
 func TestStreamsOfAConnectionAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		model := &blockedModel{unblock: make(chan struct{})}
 		s := newServer(model)
-		s.Limits.Connection = 2
+		s.Limits.ConnectionStreams = 2
 		l := inmem.Listen()
 		server := s.HTTP(s.Handler(), nil)
 		go func() { _ = server.Serve(l) }()
@@ -339,7 +339,7 @@
 		}}
 		var lines bytes.Buffer
 		s := newServer(m)
-		s.Spans = provider
+		s.TracerProvider = provider
 		s.Log = zap.New(zapcore.NewCore(zapcore.NewJSONEncoder(zap.NewProductionEncoderConfig()), zapcore.AddSync(&lines), zap.DebugLevel))
 		req := request("/v1/chat/completions", chatBody)
 		req.Header.Set("Traceparent", "00-"+parent+"-00f067aa0ba902b7-01")
--- a/internal/wire/entry/limiter.go
+++ b/internal/wire/entry/limiter.go
@@ -34,7 +34,7 @@
 		f.RetryAfter = busyRetryAfter
 		return f
 	}
-	if l.limits.Team > 0 && l.byTeam[team] >= l.limits.Team {
+	if l.limits.TeamStreams > 0 && l.byTeam[team] >= l.limits.TeamStreams {
 		f := newFault(http.StatusTooManyRequests, "team-streams", "The team runs as many requests at once as it may.", RanNo)
 		f.RetryAfter = busyRetryAfter
 		return f
--- a/internal/wire/entry/middleware.go
+++ b/internal/wire/entry/middleware.go
@@ -32,7 +32,7 @@
 // trace of the caller. The trace context of the caller is therefore passed on
 // upstream whether or not spans are recorded here.
 func (s *Server) instrument(name string, next http.HandlerFunc) http.HandlerFunc {
-	provider := s.Spans
+	provider := s.TracerProvider
 	if provider == nil {
 		provider = noop.NewTracerProvider()
 	}
@@ -81,7 +81,7 @@
 // loaded no team is known; callers then get "not-ready" instead of an error about
 // their key.
 func (s *Server) authenticate(req *http.Request) (spec.Team, error) {
-	if s.Book.Snapshot() == nil {
+	if s.Config.Snapshot() == nil {
 		f := newFault(http.StatusServiceUnavailable, "not-ready", "This instance has no configuration yet.", RanNo)
 		f.RetryAfter = busyRetryAfter
 		return spec.Team{}, f
@@ -90,7 +90,7 @@
 	if !ok {
 		return spec.Team{}, newFault(http.StatusUnauthorized, "no-key", "The Authorization header must carry the team's bearer key.", RanNo)
 	}
-	team, ok := s.Book.TeamByKey(key)
+	team, ok := s.Config.TeamByKey(key)
 	if !ok {
 		return spec.Team{}, newFault(http.StatusUnauthorized, "unknown-key", "The key belongs to no team.", RanNo)
 	}
@@ -99,7 +99,7 @@
 
 // checkAccess returns a fault if the class is reserved for other teams.
 func (s *Server) checkAccess(team spec.Team, class spec.Class) error {
-	if s.Book.Snapshot().Allows(class.Name(), team.ID()) {
+	if s.Config.Snapshot().Allows(class.Name(), team.ID()) {
 		return nil
 	}
 	return newFault(http.StatusForbidden, "closed-class", "The class is not open to the team.", RanNo)
--- a/internal/wire/entry/models.go
+++ b/internal/wire/entry/models.go
@@ -32,7 +32,7 @@
 	}
 	list := modelList{Object: "list", Data: []modelBody{}}
 	seen := map[spec.ModelName]bool{}
-	for _, c := range s.Book.Snapshot().Classes() {
+	for _, c := range s.Config.Snapshot().Classes() {
 		if c.Kind() != spec.KindModel || seen[c.Model()] {
 			continue
 		}
--- a/internal/wire/entry/stream_test.go
+++ b/internal/wire/entry/stream_test.go
@@ -103,7 +103,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		m := &fakeModels{words: []string{"a", "b"}, beforeWord: func(i int) { time.Sleep(time.Duration(i) * 10 * time.Minute) }}
 		s := newServer(m)
-		s.Limits.Comment = 15 * time.Second
+		s.Limits.CommentInterval = 15 * time.Second
 		resp := openStream(t, s)
 		got := readAll(t, resp.Body)
 		if n := strings.Count(got, ": wait\n\n"); n < 38 || n > 40 {
--- a/internal/wire/entry/writer.go
+++ b/internal/wire/entry/writer.go
@@ -82,7 +82,7 @@
 func newStreamWriter(w http.ResponseWriter, l Limits, cancel context.CancelCauseFunc) *streamWriter {
 	out := &streamWriter{
 		w: w, control: http.NewResponseController(w), limit: int(l.Buffer),
-		writeTimeout: l.WriteTime, commentInterval: l.Comment, cancel: cancel,
+		writeTimeout: l.WriteTime, commentInterval: l.CommentInterval, cancel: cancel,
 		wake: make(chan struct{}, 1), drained: make(chan struct{}, 1), done: make(chan struct{}),
 	}
 	out.pending = (*bufferPool.Get().(*[]byte))[:0]
--- a/internal/wire/loop/loop.go
+++ b/internal/wire/loop/loop.go
@@ -45,9 +45,9 @@
 // Loop runs a Logic. Set the exported fields before Run.
 type Loop struct {
 	Logic Logic
-	// HandleOther is called with each command that belongs to no request; nil drops
+	// HandleCommand is called with each command that belongs to no request; nil drops
 	// them. It runs in the loop's goroutine and must not block.
-	HandleOther func(domain.Command)
+	HandleCommand func(domain.Command)
 	// MaxArrivals is the maximum number of arrivals that wait for a tick; zero means
 	// DefaultMaxArrivals.
 	MaxArrivals int
@@ -214,8 +214,8 @@
 func (l *Loop) deliver(c domain.Command) {
 	id, ok := requestID(c)
 	if !ok {
-		if l.HandleOther != nil {
-			l.HandleOther(c)
+		if l.HandleCommand != nil {
+			l.HandleCommand(c)
 		}
 		return
 	}
--- a/internal/wire/loop/loop_test.go
+++ b/internal/wire/loop/loop_test.go
@@ -168,7 +168,7 @@
 func TestCommandWithoutRequestReachesHandler(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		got := make(chan domain.Command, 1)
-		l := &loop.Loop{Logic: warningLogic{}, HandleOther: func(c domain.Command) {
+		l := &loop.Loop{Logic: warningLogic{}, HandleCommand: func(c domain.Command) {
 			select {
 			case got <- c:
 			default:
--- a/internal/wire/peer/conn.go
+++ b/internal/wire/peer/conn.go
@@ -100,9 +100,9 @@
 func (c *conn) readLoop() {
 	bad := 0
 	for {
-		if c.hub.Silence > 0 {
+		if c.hub.ReadTimeout > 0 {
 			// If no deadline can be set, the following read fails.
-			_ = c.ws.SetReadDeadline(time.Now().Add(c.hub.Silence))
+			_ = c.ws.SetReadDeadline(time.Now().Add(c.hub.ReadTimeout))
 		}
 		kind, data, err := c.ws.ReadMessage()
 		if err != nil {
--- a/internal/wire/peer/forward.go
+++ b/internal/wire/peer/forward.go
@@ -117,7 +117,7 @@
 }
 
 func (c *conn) runJob(ctx context.Context, id uint64, job Job) End {
-	end, err := c.hub.Serve.ServeForwarded(ctx, c.id, job, func(t Token) error {
+	end, err := c.hub.JobServer.ServeForwarded(ctx, c.id, job, func(t Token) error {
 		return c.enqueue(ctx, &frame{Kind: kindToken, ID: id, Token: &t})
 	})
 	if err != nil && end.Fault == nil {
@@ -144,7 +144,7 @@
 // if the job can run.
 func (h *Hub) checkJob(job *Job) *Fault {
 	switch {
-	case h.Serve == nil:
+	case h.JobServer == nil:
 		return &Fault{Code: "not-served", Ran: "no"}
 	case job.Hops != maxHops:
 		return &Fault{Code: "hops", Text: "The request was forwarded already.", Ran: "no"}
--- a/internal/wire/peer/frame.go
+++ b/internal/wire/peer/frame.go
@@ -64,10 +64,10 @@
 	Limit  int `cbor:"7,keyasint"`
 	// Done is the number of tokens that the caller already has.
 	Done int `cbor:"8,keyasint,omitempty"`
-	// Print is the fingerprint by which a request is recognized when its caller
+	// Fingerprint is the fingerprint by which a request is recognized when its caller
 	// retries it. Blocks are the chained hashes of its prompt.
-	Print  uint64   `cbor:"9,keyasint,omitempty"`
-	Blocks []uint64 `cbor:"10,keyasint,omitempty"`
+	Fingerprint uint64   `cbor:"9,keyasint,omitempty"`
+	Blocks      []uint64 `cbor:"10,keyasint,omitempty"`
 	// Hops is the number of times that the request was forwarded, including
 	// this one.
 	Hops int `cbor:"11,keyasint"`
--- a/internal/wire/peer/hub.go
+++ b/internal/wire/peer/hub.go
@@ -85,23 +85,23 @@
 	// Low and High are the lowest and highest supported protocol versions; zero
 	// means the current version.
 	Low, High int
-	// Serve and Config may be nil; such requests are then refused.
-	Serve  Server
-	Config Snapshots
-	// On receives all commands of the logic except Send. It is called on the
+	// JobServer and Config may be nil; such requests are then refused.
+	JobServer Server
+	Config    Snapshots
+	// HandleCommand receives all commands of the logic except Send. It is called on the
 	// Hub's goroutine and must not block.
-	On func(node.Command)
+	HandleCommand func(node.Command)
 	// Dial connects to an address; nil uses the network.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 	// Idle is the time after which an unused connection is closed; zero means
 	// one minute.
 	Idle time.Duration
-	// Silence is the time without a received frame after which a connection is
+	// ReadTimeout is the time without a received frame after which a connection is
 	// closed and dialled again. Use it with logic that sends continuously: a
 	// connection can stop delivering without a reset while new connections
 	// work. Zero means no limit.
-	Silence time.Duration
-	Log     *zap.Logger
+	ReadTimeout time.Duration
+	Log         *zap.Logger
 	// Meters receives the metrics; nil uses a private set.
 	Meters *metrics.Set
 
@@ -160,8 +160,8 @@
 	}
 }
 
-// Say publishes an item to the other instances.
-func (h *Hub) Say(item news.Item) { h.Post(node.Publish{Item: item}) }
+// Publish publishes an item to the other instances.
+func (h *Hub) Publish(item news.Item) { h.Post(node.Publish{Item: item}) }
 
 // Run drives the logic until ctx ends, then closes all connections.
 func (h *Hub) Run(ctx context.Context) error {
@@ -200,8 +200,8 @@
 	case node.Members:
 		h.applyMembers(c)
 	}
-	if h.On != nil {
-		h.On(c)
+	if h.HandleCommand != nil {
+		h.HandleCommand(c)
 	}
 }
 
--- a/internal/wire/peer/hub_test.go
+++ b/internal/wire/peer/hub_test.go
@@ -56,7 +56,7 @@
 		for i := range 4 {
 			name := fmt.Sprintf("klang-%d", i+1)
 			s.add(name, a.config(name), func(h *peer.Hub) {
-				h.Serve = &tokenServer{}
+				h.JobServer = &tokenServer{}
 				h.Config = snapshot(bytes.Repeat([]byte("x"), 600_000))
 			})
 		}
@@ -135,7 +135,7 @@
 		defer s.close()
 		server := &tokenServer{block: make(chan struct{}), stopped: make(chan struct{})}
 		s.add("a", nil, nil)
-		s.add("b", nil, func(h *peer.Hub) { h.Serve = server })
+		s.add("b", nil, func(h *peer.Hub) { h.JobServer = server })
 		s.announce()
 		s.waitForMembers(1)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -165,7 +165,7 @@
 		defer s.close()
 		server := &tokenServer{block: make(chan struct{}), stopped: make(chan struct{})}
 		s.add("a", nil, nil)
-		s.add("b", nil, func(h *peer.Hub) { h.Serve = server })
+		s.add("b", nil, func(h *peer.Hub) { h.JobServer = server })
 		s.announce()
 		s.waitForMembers(1)
 		got := 0
@@ -188,7 +188,9 @@
 		s := newSite(t)
 		defer s.close()
 		s.add("a", nil, nil)
-		s.add("b", nil, func(h *peer.Hub) { h.Serve = &tokenServer{fault: &peer.Fault{Code: "full", Ran: "no", After: 2000}} })
+		s.add("b", nil, func(h *peer.Hub) {
+			h.JobServer = &tokenServer{fault: &peer.Fault{Code: "full", Ran: "no", After: 2000}}
+		})
 		s.announce()
 		s.waitForMembers(1)
 		sink := func(peer.Token) error { return nil }
--- a/internal/wire/peer/peer_test.go
+++ b/internal/wire/peer/peer_test.go
@@ -154,7 +154,7 @@
 	self := node.Peer{ID: spec.InstanceID(name), DataCentre: "klang", URL: "https://" + address}
 	h := &instance{name: name, done: make(chan struct{})}
 	h.hub = &peer.Hub{
-		Self: self, TLS: config, Dial: s.dial, On: h.handleCommand,
+		Self: self, TLS: config, Dial: s.dial, HandleCommand: h.handleCommand,
 		Logic: &node.Logic{Local: self, StartTime: 1, Rand: mrand.New(mrand.NewPCG(1, uint64(len(s.hubs))))},
 	}
 	if change != nil {
--- a/internal/wire/plain/endtoend_test.go
+++ b/internal/wire/plain/endtoend_test.go
@@ -24,10 +24,10 @@
 		want      ledger.State
 	}{
 		{"nothing dropped", infra.Faults{}, 0, false, ledger.StateDone},
-		{"first commit's answer dropped", infra.Faults{Lose: 1}, 0, false, ledger.StateDone},
+		{"first commit's answer dropped", infra.Faults{LoseReplies: 1}, 0, false, ledger.StateDone},
 		{"service's answer dropped", infra.Faults{}, 1, false, ledger.StateUnsure},
 		{"service's answer dropped, outcome can be queried", infra.Faults{}, 1, true, ledger.StateDone},
-		{"both dropped, outcome can be queried", infra.Faults{Lose: 1}, 1, true, ledger.StateDone},
+		{"both dropped, outcome can be queried", infra.Faults{LoseReplies: 1}, 1, true, ledger.StateDone},
 	}
 	for _, c := range cases {
 		d := &desk.Desk{}
@@ -40,8 +40,8 @@
 				Sender: s, Querier: s, SupportsOutcomes: func(spec.ServiceName) bool { return c.queryable },
 			}
 		}
-		platform.Table.Fault(c.faults)
-		d.Cut(c.cut)
+		platform.Table.SetFaults(c.faults)
+		d.CutReplies(c.cut)
 		first, err := instance().Do(t.Context(), payment("k1"))
 		if err != nil || first.State() != c.want {
 			t.Errorf("%s: got %v %v, want %v", c.name, first.State(), err, c.want)
--- a/internal/wire/plain/instance.go
+++ b/internal/wire/plain/instance.go
@@ -161,7 +161,7 @@
 // The budget prevents retries from multiplying the load when a whole service
 // fails.
 func (s *Sender) takeRetry(class spec.ClassName) bool {
-	if s.Repeats == nil || !s.Repeats(class) {
+	if s.Retryable == nil || !s.Retryable(class) {
 		return false
 	}
 	s.mu.Lock()
--- a/internal/wire/plain/plain.go
+++ b/internal/wire/plain/plain.go
@@ -59,9 +59,9 @@
 	// Cooldown is the time for which other instances are preferred to one that
 	// could not be dialled; zero means 5 s.
 	Cooldown time.Duration
-	// Repeats reports whether calls of a class may run more than once; nil
+	// Retryable reports whether calls of a class may run more than once; nil
 	// means that no class may.
-	Repeats func(spec.ClassName) bool
+	Retryable func(spec.ClassName) bool
 	// RetryShare is the number of retries that one first send earns; zero means
 	// 0.1.
 	RetryShare float64
--- a/internal/wire/plain/plain_test.go
+++ b/internal/wire/plain/plain_test.go
@@ -240,10 +240,10 @@
 		wantA, wantB int
 	}{
 		{"idle", func() {}, 2, 2},
-		{"a busy", func() { a.Busy(9) }, 0, 4},
-		{"b leaving", func() { b.Leave(true) }, 4, 0},
-		{"b back", func() { b.Leave(false) }, 0, 4},
-		{"a idle", func() { a.Busy(0) }, 2, 2},
+		{"a busy", func() { a.SetExtraActive(9) }, 0, 4},
+		{"b leaving", func() { b.SetLeaving(true) }, 4, 0},
+		{"b back", func() { b.SetLeaving(false) }, 0, 4},
+		{"a idle", func() { a.SetExtraActive(0) }, 2, 2},
 	}
 	for _, c := range steps {
 		c.change()
@@ -258,9 +258,9 @@
 func TestRetriesStayInBudget(t *testing.T) {
 	d := &desk.Desk{}
 	s := sender(server(t, d.Handler()))
-	s.Repeats = func(c spec.ClassName) bool { return c == "payment" }
+	s.Retryable = func(c spec.ClassName) bool { return c == "payment" }
 	s.RetryShare = 0.25
-	d.Cut(1000)
+	d.CutReplies(1000)
 	const calls = 40
 	for range calls {
 		_, _ = s.Send(context.Background(), payment("k1"))
--- a/internal/wire/watch/bench_test.go
+++ b/internal/wire/watch/bench_test.go
@@ -34,8 +34,8 @@
 // BenchmarkPoll measures the bytes of one report and of one empty page of cache
 // events, without TCP and IP headers.
 func BenchmarkPoll(b *testing.B) {
-	layers := frame.Hold{Model: "levy-13b", Version: "1", Depth: 40, From: 0, To: 20, Width: 8192}
-	e := &stage.Engine{Name: "fast-1", DataCentre: "klang", Kind: "h200", Holds: []frame.Hold{layers}, Slots: 16, Memory: 40, Cache: 1 << 20}
+	layers := frame.LoadedLayers{Model: "levy-13b", Version: "1", Depth: 40, From: 0, To: 20, Width: 8192}
+	e := &stage.Engine{Name: "fast-1", DataCentre: "klang", Kind: "h200", Holds: []frame.LoadedLayers{layers}, Slots: 16, Memory: 40, Cache: 1 << 20}
 	server := httptest.NewServer(e.Handler())
 	defer server.Close()
 	var bytes atomic.Int64
--- a/internal/wire/watch/items.go
+++ b/internal/wire/watch/items.go
@@ -17,7 +17,7 @@
 	if t.publish == nil {
 		return
 	}
-	item, err := news.Make(kind, key, news.ScopeCentre, ttl.Milliseconds(), body)
+	item, err := news.New(kind, key, news.ScopeCentre, ttl.Milliseconds(), body)
 	if err == nil {
 		t.publish(item)
 	}
@@ -32,18 +32,18 @@
 }
 
 func (t *tracker) publishLevel(e *engineState) {
-	t.publishItem(news.KindLevel, string(e.id), levelTTL, news.Level{
-		Born: e.row.Incarnation, Seq: e.row.Seq,
+	t.publishItem(news.KindLevel, string(e.id), levelTTL, news.LoadLevel{
+		Incarnation: e.row.Incarnation, Seq: e.row.Seq,
 		Queued: e.row.Queued, Active: e.row.Active, Cached: e.row.KVUsed,
 	})
 }
 
 func (t *tracker) publishDeath(e *engineState) {
-	t.publishItem(news.KindDown, string(e.id), itemTTL, news.Down{Engine: string(e.id), Born: e.deathInc, Seq: e.deathSeq})
+	t.publishItem(news.KindDown, string(e.id), itemTTL, news.EngineDead{Engine: string(e.id), Incarnation: e.deathInc, Seq: e.deathSeq})
 }
 
 func (t *tracker) publishDoubt(e *engineState, weight int) {
-	t.publishItem(news.KindDoubt, string(e.id), itemTTL, news.Doubt{Engine: string(e.id), Misses: weight})
+	t.publishItem(news.KindDoubt, string(e.id), itemTTL, news.MissedPolls{Engine: string(e.id), Misses: weight})
 }
 
 // handleItem processes an item of another instance. It ignores items of other
@@ -78,18 +78,18 @@
 		return
 	}
 	e := t.getOrCreate(now, spec.UpstreamID(body.Engine), body.URL)
-	t.applyPeerReport(now, e, report, engine.Row(e.id, report))
+	t.applyPeerReport(now, e, report, engine.ToEngine(e.id, report))
 }
 
 // handleLevel updates the load in the last full report. A level of another
 // incarnation is ignored until the report of that incarnation arrives.
 func (t *tracker) handleLevel(now time.Duration, item news.Item) {
-	var body news.Level
+	var body news.LoadLevel
 	if news.Decode(item, &body) != nil {
 		return
 	}
 	e := t.get(spec.UpstreamID(item.Key))
-	if e == nil || !e.known || body.Born != e.row.Incarnation {
+	if e == nil || !e.known || body.Incarnation != e.row.Incarnation {
 		return
 	}
 	row, report := e.row, e.body
@@ -124,7 +124,7 @@
 }
 
 func (t *tracker) handleDoubt(now time.Duration, item news.Item) {
-	var body news.Doubt
+	var body news.MissedPolls
 	if news.Decode(item, &body) != nil {
 		return
 	}
@@ -142,7 +142,7 @@
 // handleDeath applies a death that the watchers agreed on, unless a newer
 // report arrived in the meantime.
 func (t *tracker) handleDeath(item news.Item) {
-	var body news.Down
+	var body news.EngineDead
 	if news.Decode(item, &body) != nil {
 		return
 	}
@@ -150,9 +150,9 @@
 	if e == nil || e.declaredDead {
 		return
 	}
-	if e.known && (e.row.Incarnation != body.Born || e.row.Seq > body.Seq) {
+	if e.known && (e.row.Incarnation != body.Incarnation || e.row.Seq > body.Seq) {
 		return
 	}
 	t.declareDead(e)
-	e.deathInc, e.deathSeq = body.Born, body.Seq
+	e.deathInc, e.deathSeq = body.Incarnation, body.Seq
 }
--- a/internal/wire/watch/poll.go
+++ b/internal/wire/watch/poll.go
@@ -57,11 +57,11 @@
 	e := p.tracker.get(p.id)
 	switch {
 	case e == nil || e.primary:
-		return p.Poll
+		return p.PollInterval
 	case e.doubtedByPeer(p.now()):
 		return retryInterval
 	}
-	return standbyFactor * p.Poll
+	return standbyFactor * p.PollInterval
 }
 
 // poll requests one report. It reports whether the engine answered or is known
@@ -97,7 +97,7 @@
 		p.tracker.handleMiss(p.now(), e, !timedOut)
 		return e.declaredDead
 	}
-	row := engine.Row(p.id, body)
+	row := engine.ToEngine(p.id, body)
 	p.mu.Lock()
 	p.tracker.handleAnswer(p.now(), e, body, row)
 	p.mu.Unlock()
@@ -109,7 +109,7 @@
 // is invalid. Without it, an operator would see only that the engine is
 // missing.
 func (p *poller) warnInvalid(err error) {
-	if !errors.Is(err, engine.ErrBody) || time.Since(p.lastWarning) < warnInterval {
+	if !errors.Is(err, engine.ErrInvalidResponse) || time.Since(p.lastWarning) < warnInterval {
 		return
 	}
 	p.lastWarning = time.Now()
@@ -132,8 +132,8 @@
 	if err != nil {
 		return
 	}
-	for _, event := range engine.Seen(p.id, page) {
-		p.Loop.Post(event)
+	for _, event := range engine.ToCacheReports(p.id, page) {
+		p.Events.Post(event)
 	}
 	p.seq = max(p.seq, page.Seq)
 }
--- a/internal/wire/watch/service_test.go
+++ b/internal/wire/watch/service_test.go
@@ -57,8 +57,8 @@
 // discard ignores events and engine addresses.
 type discard struct{}
 
-func (discard) Post(domain.Event)              {}
-func (discard) Locate(spec.UpstreamID, string) {}
+func (discard) Post(domain.Event)                  {}
+func (discard) SetAddress(spec.UpstreamID, string) {}
 
 // Both instances of a payment service leave, one after the other. The sender
 // must learn of each within 2 s, including the last. If the watcher omitted a
@@ -69,8 +69,8 @@
 		p := &serviceList{}
 		p.set(frame.StateLive, frame.StateLive)
 		w := &watch.Watcher{
-			List: p, Loop: discard{}, Engines: discard{}, Services: p,
-			HTTP: &http.Client{}, Log: zap.NewNop(), Every: time.Second,
+			List: p, Events: discard{}, Engines: discard{}, Services: p,
+			HTTP: &http.Client{}, Log: zap.NewNop(), ListInterval: time.Second,
 		}
 		ctx, stop := context.WithCancel(t.Context())
 		done := make(chan struct{})
--- a/internal/wire/watch/watch.go
+++ b/internal/wire/watch/watch.go
@@ -58,7 +58,7 @@
 
 // Locator receives the addresses of engines.
 type Locator interface {
-	Locate(id spec.UpstreamID, base string)
+	SetAddress(id spec.UpstreamID, base string)
 }
 
 // Services receives the addresses of the instances of plain services.
@@ -68,7 +68,7 @@
 
 // Publisher publishes items to the other instances.
 type Publisher interface {
-	Say(item news.Item)
+	Publish(item news.Item)
 }
 
 // Caches reads the cache events of the engine at base that follow event number
@@ -80,24 +80,24 @@
 // Watcher polls upstreams. Set the exported fields before calling Run.
 type Watcher struct {
 	List     Lister
-	Loop     Poster
+	Events   Poster
 	Engines  Locator
 	Services Services
 	HTTP     *http.Client
 	Log      *zap.Logger
-	// Every is the interval at which the list is read.
-	Every time.Duration
-	// Poll is the interval between two polls of one engine, Timeout the maximum
+	// ListInterval is the interval at which the list is read.
+	ListInterval time.Duration
+	// PollInterval is the interval between two polls of one engine, Timeout the maximum
 	// time for an answer; zero means 400 and 300 ms.
-	Poll, Timeout time.Duration
-	// Gone is the time after which an engine that is neither listed nor answers
+	PollInterval, Timeout time.Duration
+	// RemoveAfter is the time after which an engine that is neither listed nor answers
 	// is dropped; zero means one minute.
-	Gone time.Duration
-	// News publishes the results. If it is nil, this instance polls every
+	RemoveAfter time.Duration
+	// Publisher publishes the results. If it is nil, this instance polls every
 	// listed engine itself.
-	News Publisher
+	Publisher Publisher
 	// Self is the ID of this instance. Listed receives each list that was read,
-	// to be posted to the fleet logic. Both are required if News is set.
+	// to be posted to the fleet logic. Both are required if Publisher is set.
 	Self   spec.InstanceID
 	Listed func([]store.ListedBody)
 	// Caches reads cache events of the engines polled here; nil disables this.
@@ -118,14 +118,14 @@
 		w.start = time.Now()
 		w.slots = make(chan struct{}, maxPolls)
 		w.pollers = map[spec.UpstreamID]runningPoller{}
-		w.tracker = tracker{self: w.Self, post: w.Loop.Post, setURL: w.Engines.Locate}
-		if w.News != nil {
-			w.tracker.publish = w.News.Say
+		w.tracker = tracker{self: w.Self, post: w.Events.Post, setURL: w.Engines.SetAddress}
+		if w.Publisher != nil {
+			w.tracker.publish = w.Publisher.Publish
 		}
 		for _, d := range []struct {
 			field *time.Duration
 			value time.Duration
-		}{{&w.Poll, defaultPoll}, {&w.Timeout, defaultTimeout}, {&w.Gone, defaultRemoveAfter}} {
+		}{{&w.PollInterval, defaultPoll}, {&w.Timeout, defaultTimeout}, {&w.RemoveAfter, defaultRemoveAfter}} {
 			if *d.field == 0 {
 				*d.field = d.value
 			}
@@ -147,7 +147,7 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-time.After(jitter(w.Every)):
+		case <-time.After(jitter(w.ListInterval)):
 		}
 	}
 }
@@ -161,8 +161,8 @@
 	w.syncPollers()
 }
 
-// Heard processes an item of another instance.
-func (w *Watcher) Heard(item news.Item) {
+// HandleItem processes an item of another instance.
+func (w *Watcher) HandleItem(item news.Item) {
 	w.init()
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -212,7 +212,7 @@
 			w.applyListed(l)
 		}
 	}
-	w.tracker.removeExpired(w.now(), w.Gone)
+	w.tracker.removeExpired(w.now(), w.RemoveAfter)
 	w.syncPollers()
 	w.mu.Unlock()
 	for name, bases := range services {
@@ -223,7 +223,7 @@
 func (w *Watcher) applyListed(l store.ListedBody) {
 	e := w.tracker.getOrCreate(w.now(), spec.UpstreamID(l.ID), l.URL)
 	e.lastListed = w.now()
-	if w.News == nil {
+	if w.Publisher == nil {
 		e.watched, e.primary = true, true
 	}
 	if l.State == frame.StateLeaving {
--- a/internal/wire/watch/watch_test.go
+++ b/internal/wire/watch/watch_test.go
@@ -92,19 +92,19 @@
 	}
 }
 
-func (s *instance) Locate(spec.UpstreamID, string) {}
+func (s *instance) SetAddress(spec.UpstreamID, string) {}
 
 type services struct{}
 
 func (services) Locate(spec.ServiceName, []string) {}
 
-// Say delivers an item to the other instances 20 ms later.
-func (s *instance) Say(item news.Item) {
+// Publish delivers an item to the other instances 20 ms later.
+func (s *instance) Publish(item news.Item) {
 	item.Origin = s.name
 	time.AfterFunc(20*time.Millisecond, func() {
 		for _, other := range s.bed.instances {
 			if other != s {
-				other.w.Heard(item)
+				other.w.HandleItem(item)
 			}
 		}
 	})
@@ -123,8 +123,8 @@
 	for _, name := range []string{"first", "second", "third"} {
 		s := &instance{bed: b, name: name, postedAt: map[string]time.Time{}}
 		s.w = &watch.Watcher{
-			List: s, Loop: s, Engines: s, Services: services{}, HTTP: &http.Client{Transport: s},
-			Log: zap.NewNop(), Every: time.Second, News: s, Self: spec.InstanceID(name),
+			List: s, Events: s, Engines: s, Services: services{}, HTTP: &http.Client{Transport: s},
+			Log: zap.NewNop(), ListInterval: time.Second, Publisher: s, Self: spec.InstanceID(name),
 		}
 		b.instances = append(b.instances, s)
 	}
