--- a/internal/wire/plain/plain.go
+++ b/internal/wire/plain/plain.go
@@ -153,7 +153,8 @@
 }
 
 // readAnswer reads a complete answer. A truncated or oversized answer is an
-// error: a part of it must not be stored as the answer of the service.
+// error: a part of it must not be stored as the answer of the service. The text of the
+// error is stored in the record of the call, so it must not change.
 func (s *Sender) readAnswer(resp *http.Response) (ledger.Answer, error) {
 	limit := s.MaxAnswerBytes
 	if limit == 0 {
@@ -161,10 +162,10 @@
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, limit+1))
 	if err != nil {
-		return ledger.Answer{}, errors.Wrap(err, "plain: truncated answer")
+		return ledger.Answer{}, errors.Wrap(err, "plain: answer cut")
 	}
 	if int64(len(body)) > limit {
-		return ledger.Answer{}, errors.Errorf("plain: answer with status %d exceeds %d bytes", resp.StatusCode, limit)
+		return ledger.Answer{}, errors.Errorf("plain: answer with status %d is longer than %d bytes", resp.StatusCode, limit)
 	}
 	return ledger.NewAnswer(resp.StatusCode, resp.Header.Get("Content-Type"), body), nil
 }
