--- a/internal/app/daemon/idle_test.go
+++ b/internal/app/daemon/idle_test.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// idleTime is how long the instances are observed.
+	// idleFor is how long the instances are observed.
 	idleFor = 10 * time.Second
 	// tickRate is the number of clock ticks per second in /proc.
 	tickRate = 100
--- a/internal/app/edge/fault_test.go
+++ b/internal/app/edge/fault_test.go
@@ -247,7 +247,7 @@
 	})
 }
 
-// Guards against streams that are cut when an instance is told to stop under load.
+// Guards against streams that are cut when an instance is stopped under load.
 // Requests that arrive on keep-alive connections are answered, and their callers are
 // asked to connect elsewhere. Every stream that the instance began must be complete.
 func TestStopCutsNoStream(t *testing.T) {
--- a/internal/app/edge/lag.go
+++ b/internal/app/edge/lag.go
@@ -44,7 +44,7 @@
 // much slower than predicted.
 type lagCount struct{ lagging, total int }
 
-// lagCounts returns the counts of all engines with streams; r.mu is held.
+// lagCounts returns the counts of all engines with streams; router.mu is held.
 func (svc *serviceState) lagCounts() map[spec.UpstreamID]lagCount {
 	out := map[spec.UpstreamID]lagCount{}
 	for run, t := range svc.runs {
--- a/internal/app/edge/probe.go
+++ b/internal/app/edge/probe.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// startProbe checks in the background whether an engine is alive. confirmed tells that
+// startProbe checks in the background whether an engine is alive. confirmed means that
 // there is other evidence against it. An engine has one probe at a time.
 func (w *watcher) startProbe(ctx context.Context, up site.Upstream, confirmed bool) {
 	w.mu.Lock()
@@ -121,7 +121,7 @@
 	return report, err
 }
 
-// fetchReport requests a report from an engine. late tells that no answer came in limit,
+// fetchReport requests a report from an engine. late reports that no answer came in limit,
 // not counting the time in which this process was paused.
 func (w *watcher) fetchReport(ctx context.Context, up site.Upstream, limit time.Duration) (r site.Report, late bool, err error) {
 	ctx, cancel := w.withRunningTimeout(ctx, limit)
--- a/internal/app/edge/queue.go
+++ b/internal/app/edge/queue.go
@@ -150,7 +150,7 @@
 	}
 }
 
-// resolve removes a ticket from the queue and delivers its outcome; r.mu is held.
+// resolve removes a ticket from the queue and delivers its outcome; router.mu is held.
 func (svc *serviceState) resolve(t *queue.Ticket, e admission) {
 	w := svc.waiters[t]
 	svc.queue.Leave(t)
--- a/internal/app/edge/runs.go
+++ b/internal/app/edge/runs.go
@@ -42,7 +42,7 @@
 	return demand
 }
 
-// startRun chooses a path and registers a run on it. resumed tells that the caller has
+// startRun chooses a path and registers a run on it. resumed means that the caller has
 // a part of the answer already. r.mu is held.
 func (r *router) startRun(svc *serviceState, c *relay.Call, resumed bool, avoid []spec.UpstreamID) (*relay.Run, error) {
 	if !resumed && svc.queue.IsStalled(r.now()) && !svc.teams.Allow(c.Team, func() float64 { return svc.model.MaxUtilization(r.now()) }) {
@@ -85,7 +85,7 @@
 	}
 }
 
-// EndRun removes a run that ended; whole tells whether it delivered the whole answer.
+// EndRun removes a run that ended; whole reports whether it delivered the whole answer.
 // Waiting requests are admitted to the capacity that it frees.
 func (r *router) EndRun(run *relay.Run, whole bool) {
 	r.mu.Lock()
@@ -104,7 +104,7 @@
 	}
 }
 
-// changePath moves the usage of a run to another path; r.mu is held.
+// changePath moves the usage of a run to another path; router.mu is held.
 func (svc *serviceState) changePath(run *relay.Run, chain spec.Chain) {
 	t := svc.runs[run]
 	if t == nil {
@@ -177,7 +177,7 @@
 	return id
 }
 
-// refusingEngine returns the engine of a run's path that refused the run; r.mu is held.
+// refusingEngine returns the engine of a run's path that refused the run; router.mu is held.
 func (svc *serviceState) refusingEngine(run *relay.Run, address string) spec.UpstreamID {
 	chain, hops := run.Chain()
 	for i, hop := range hops {
--- a/internal/app/edge/state.go
+++ b/internal/app/edge/state.go
@@ -74,7 +74,7 @@
 }
 
 // openIfReady marks the instance as ready once a configuration and the upstreams are
-// known; b.mu is held.
+// known; s.mu is held.
 func (s *stateView) openIfReady() {
 	if !s.isReady && s.upstreamsKnown && s.config.Load() != nil {
 		s.isReady = true
@@ -188,7 +188,7 @@
 }
 
 // recordChanges records the versions of changes read from the store, to announce them to
-// the other instances; b.mu is held.
+// the other instances; s.mu is held.
 func (s *stateView) recordChanges(table string, changed []feed.Row) {
 	for _, r := range changed {
 		s.changedVersions[table] = max(s.changedVersions[table], r.Version)
@@ -219,7 +219,7 @@
 	return out
 }
 
-// applyRows updates the configuration or the list of upstreams from changed rows; b.mu is
+// applyRows updates the configuration or the list of upstreams from changed rows; s.mu is
 // held.
 func (s *stateView) applyRows(table string, changed []feed.Row, source string) {
 	if len(changed) == 0 {
@@ -237,7 +237,7 @@
 	s.publish()
 }
 
-// applyConfig puts the configuration in a row into force if it is newer; b.mu is held.
+// applyConfig puts the configuration in a row into force if it is newer; s.mu is held.
 func (s *stateView) applyConfig(r feed.Row, source string) {
 	if r.Deleted {
 		return
--- a/internal/app/edge/upstreams.go
+++ b/internal/app/edge/upstreams.go
@@ -29,7 +29,7 @@
 	return xxhash.Sum64String(fmt.Sprintf("%+v", u))
 }
 
-// applyUpstream applies a changed row of the list of upstreams; b.mu is held.
+// applyUpstream applies a changed row of the list of upstreams; s.mu is held.
 func (s *stateView) applyUpstream(r feed.Row, source string) {
 	old, had := s.upstreams[r.Key]
 	if r.Deleted {
@@ -63,7 +63,7 @@
 }
 
 // publish removes the missing upstreams whose grace period is over and passes the list to
-// onList; b.mu is held.
+// onList; s.mu is held.
 func (s *stateView) publish() {
 	now := time.Now()
 	for key, until := range s.missing {
--- a/internal/app/edge/watch.go
+++ b/internal/app/edge/watch.go
@@ -165,7 +165,8 @@
 }
 
 // recordPause counts the time in which this process did not keep up. It logs pauses long
-// enough to show outside, so that a late instance can be told from unresponsive engines.
+// enough to show outside, so that a late instance can be distinguished from unresponsive
+// engines.
 func (w *watcher) recordPause(late time.Duration) {
 	if late > busyTickDelay {
 		w.countLostTime(late)
--- a/internal/app/halt/halt_test.go
+++ b/internal/app/halt/halt_test.go
@@ -110,7 +110,7 @@
 }
 
 // Guards against a shutdown that cuts a running request. An answer takes ten hours, and
-// the instance is told to stop at its start and twice more a minute later. The caller
+// the instance gets a stop signal at its start and twice more a minute later. The caller
 // must receive the complete answer, and Run must return only after it.
 func TestShutdownNeverCutsARunningRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/base/site/header.go
+++ b/internal/base/site/header.go
@@ -75,7 +75,7 @@
 	Slots   int
 }
 
-// Order is a load order: it tells an engine which layers to load.
+// Order is a load order: the layers that an engine has to load.
 type Order struct {
 	// Engine is the engine that the order is for. If another engine has its address by now,
 	// possibly with another amount of memory, that engine refuses the order.
@@ -88,7 +88,7 @@
 	ExpectedOrders int
 }
 
-// Repath tells the first engine of a running request to continue it on another path.
+// Repath orders the first engine of a running request to continue it on another path.
 type Repath struct {
 	Engine  spec.UpstreamID
 	Request string
--- a/internal/base/site/site.go
+++ b/internal/base/site/site.go
@@ -15,7 +15,7 @@
 
 //go:generate stringer -type=Kind -linecomment -output=kind_string.go
 
-// Kind tells whether requests of a route may be retried, and how they are answered.
+// Kind states whether requests of a route may be retried, and how they are answered.
 type Kind int
 
 // The kinds of routes.
@@ -163,7 +163,7 @@
 	Version int
 }
 
-// State tells whether an upstream accepts new requests.
+// State states whether an upstream accepts new requests.
 type State int
 
 //go:generate stringer -type=State -linecomment -output=state_string.go
--- a/internal/fleet/member/table.go
+++ b/internal/fleet/member/table.go
@@ -163,8 +163,8 @@
 	return true
 }
 
-// SetPassive sets whether this instance accepts no duties and watches. Other
-// instances are told at once.
+// SetPassive sets whether this instance accepts no duties and watches. The
+// change is announced to the other instances at once.
 func (t *Table) SetPassive(passive bool) {
 	if t.Local.Passive == passive {
 		return
--- a/internal/fleet/mesh/mesh_test.go
+++ b/internal/fleet/mesh/mesh_test.go
@@ -242,7 +242,8 @@
 	}
 }
 
-// An engine is found dead between two rounds: the others must be told at the next tick.
+// An engine is found dead between two rounds: it must be reported to the others at the
+// next tick.
 func TestDeadEngineIsReportedAtNextTick(t *testing.T) {
 	f := newFleet(2)
 	f.run(0, time.Second)
--- a/internal/fleet/node/logic.go
+++ b/internal/fleet/node/logic.go
@@ -205,8 +205,8 @@
 	}
 }
 
-// isHeadKnown reports whether the fleet was already told of this version or a
-// later one. Without the check 360 instances would each publish the same
+// isHeadKnown reports whether this version or a later one was already published to
+// the fleet. Without the check 360 instances would each publish the same
 // version.
 func (l *Logic) isHeadKnown(item news.Item) bool {
 	local, ok := decodeHead(item)
--- a/internal/route/domain/apply.go
+++ b/internal/route/domain/apply.go
@@ -73,7 +73,7 @@
 		return
 	}
 	e := state.engines.Get(ev.Engine)
-	// A second loss in the same attempt still tells something about the
+	// A second loss in the same attempt is still evidence about the
 	// engine, but the request already waits for a decision; deciding twice
 	// would start it twice.
 	if r.awaitsRestart {
--- a/internal/route/layout/layout.go
+++ b/internal/route/layout/layout.go
@@ -30,7 +30,7 @@
 	Loading bool
 }
 
-// Order tells one engine which layers to hold.
+// Order lists the layers that one engine has to hold.
 type Order struct {
 	ID     spec.UpstreamID
 	Layers spec.Layers
--- a/internal/route/layout/orders_test.go
+++ b/internal/route/layout/orders_test.go
@@ -99,9 +99,9 @@
 
 // Two planners plan from lists of different age; one of them wrongly assumes that it
 // still holds the planning lease. Orders arrive late, in any order or never, and
-// addresses pass to other engines meanwhile. No engine may be told to hold more than
-// fits, and no order may undo a newer order that the engine received after the planner
-// had asked it.
+// addresses pass to other engines meanwhile. No engine may be ordered to hold more
+// than fits, and no order may undo a newer order that the engine received after the
+// planner had asked it.
 func TestLateOrdersUndoNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := &planners{t: t, model: model()}
--- a/internal/route/queue/queue.go
+++ b/internal/route/queue/queue.go
@@ -29,8 +29,8 @@
 	// the next completions may come in a bunch.
 	waitSafetyFactor = 1.25
 	// retryRateShare is the share of the completion rate at which callers of rejected
-	// requests are told to retry; new requests need the rest. When all were told the
-	// same second, their retries collided and were lost.
+	// requests are asked to retry; new requests need the rest. When all got the same
+	// second, their retries collided and were lost.
 	retryRateShare = 0.25
 	// minRetryAfter is the minimum time before a rejected request is retried: about the
 	// time in which a tenth of the answers of usual size complete.
--- a/internal/route/queue/queue_test.go
+++ b/internal/route/queue/queue_test.go
@@ -91,8 +91,8 @@
 }
 
 // Hundreds of requests are rejected within a second, while 20 complete. Their retries
-// must come one after the other, at a quarter of that rate, and no caller may be told
-// to wait for more than a third of its time.
+// must come one after the other, at a quarter of that rate, and no caller may be
+// asked to wait for more than a third of its time.
 func TestRetryAfterIsSpread(t *testing.T) {
 	var q queue.Queue
 	for n := range 20 {
--- a/internal/route/resend/resend_test.go
+++ b/internal/route/resend/resend_test.go
@@ -122,10 +122,10 @@
 	const round = 200 * time.Millisecond
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 60).Draw(t, "instances")
-		unreachable := rapid.IntRange(0, n/4).Draw(t, "not heard")
+		unreachable := rapid.IntRange(0, n/4).Draw(t, "unreachable")
 		rate := rapid.IntRange(0, 12).Draw(t, "requests")
 		greedy := rapid.IntRange(1, n).Draw(t, "greedy")
-		delay := rapid.IntRange(0, 3).Draw(t, "rounds until heard")
+		delay := rapid.IntRange(0, 3).Draw(t, "rounds until received")
 		const rounds = 150
 		budgets := make([]*resend.Budget, n)
 		for i := range budgets {
--- a/internal/state/lease/lease_test.go
+++ b/internal/state/lease/lease_test.go
@@ -32,7 +32,7 @@
 
 // The holder is paused for longer than its lease. Another instance takes over after
 // a whole lease duration on its own clock, with a higher fencing token. The paused
-// holder resumes, believes that it still holds the lease, and Guard rejects its
+// holder resumes, assumes that it still holds the lease, and Guard rejects its
 // first operation.
 func TestPausedHolderLosesLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/state/ledger/ledger_test.go
+++ b/internal/state/ledger/ledger_test.go
@@ -281,7 +281,7 @@
 
 // Old records are removed; recent, running and unsure records are kept. The first
 // trimmer dies after five days and its successor continues from its checkpoints. A
-// third trimmer that also believes it has the duty does not make time count twice.
+// third trimmer that also assumes it has the duty does not make time count twice.
 func TestTrimKeepsYoungAndUnsettled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := &infra.Table{}
--- a/internal/state/order/order.go
+++ b/internal/state/order/order.go
@@ -1,5 +1,5 @@
-// Package order sends load orders, which tell engines which layers to load and which
-// role to take, and repeats them until the engines report exactly that state.
+// Package order sends load orders, which state the layers and the role that engines
+// have to take, and repeats them until the engines report exactly that state.
 //
 // It imports base/spec, base/frame and state/store. The daemon runs it under the
 // placement lease and passes it the planner's desired states and the engines' reports.
--- a/internal/wire/entry/call_test.go
+++ b/internal/wire/entry/call_test.go
@@ -77,8 +77,8 @@
 }
 
 // The caller disconnects while a payment is running. The call must not be
-// canceled, so that its outcome is recorded. If it were interrupted midway, nobody
-// could tell whether it ran.
+// canceled, so that its outcome is recorded. If it were interrupted midway, it
+// would be unknown whether it ran.
 func TestCallOutlivesItsCaller(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	var got error
--- a/internal/wire/entry/fault.go
+++ b/internal/wire/entry/fault.go
@@ -14,7 +14,7 @@
 	"github.com/go-faster/errors"
 )
 
-// Ran tells the caller whether a failed request was executed.
+// Ran reports to the caller whether a failed request was executed.
 type Ran string
 
 // The values of Ran. RanUnsure means that the request may have been executed.
